--- a/anisefront/carriers/own.py
+++ b/anisefront/carriers/own.py
@@ -40,12 +40,27 @@
 class Joins(Protocol):
     """Who knows of work that another gatekeeper had in hand."""
 
-    def joins(self, customer: str, identity: str, class_name: str, due_ms: float, job: Job,
-              done: Callable[[Answer], None], go_on: Callable[[], None]) -> bool:
+    def joins(
+        self,
+        customer: str,
+        identity: str,
+        class_name: str,
+        due_ms: float,
+        job: Job,
+        done: Callable[[Answer], None],
+        go_on: Callable[[], None],
+    ) -> bool:
         """True where a client's try joins such work; `go_on` is called if it is to be one of its own after all."""
 
-    def waits(self, customer: str, identity: str, due_ms: float, job: Job, done: Callable[[Answer], None],
-              go_on: Callable[[], None]) -> None:
+    def waits(
+        self,
+        customer: str,
+        identity: str,
+        due_ms: float,
+        job: Job,
+        done: Callable[[Answer], None],
+        go_on: Callable[[], None],
+    ) -> None:
         """A client's try waits for what becomes of such work."""
 
 
@@ -63,37 +78,101 @@
         self._life, self._fields = life, report_fields
         self.returning: Joins | None = None
 
-    def ask(self, job: Job, done: Callable[[Answer], None], customer: str, class_name: str, plan_name: str,
-            due_ms: float, units: float, first_gateway: int, spread: int, is_repeat: bool) -> int | None:
+    def ask(
+        self,
+        job: Job,
+        done: Callable[[Answer], None],
+        customer: str,
+        class_name: str,
+        plan_name: str,
+        due_ms: float,
+        units: float,
+        first_gateway: int,
+        spread: int,
+        is_repeat: bool,
+    ) -> int | None:
         """Take a request in. `done` hears its one final answer; the number is for `withdraw`."""
+
         def take(past: Past | None = None) -> int | None:
-            return self._take(job, done, customer, class_name, plan_name, due_ms, units, first_gateway, spread,
-                              is_repeat, identity, past)
+            return self._take(
+                job,
+                done,
+                customer,
+                class_name,
+                plan_name,
+                due_ms,
+                units,
+                first_gateway,
+                spread,
+                is_repeat,
+                identity,
+                past,
+            )
 
         identity = job.headers.get("x-idempotency-key") or job.headers.get("x-request-id", "")
-        joined = self.returning is not None and identity and self.returning.joins(
-            customer, identity, class_name, due_ms, job, done, take)
+        joined = (
+            self.returning is not None
+            and identity
+            and self.returning.joins(customer, identity, class_name, due_ms, job, done, take)
+        )
         return None if joined else take()
 
-    def go_on(self, job: Job, done: Callable[[Answer], None], customer: str, class_name: str, plan_name: str,
-              due_ms: float, units: float, first_gateway: int, spread: int, identity: str, past: Past) -> None:
+    def go_on(
+        self,
+        job: Job,
+        done: Callable[[Answer], None],
+        customer: str,
+        class_name: str,
+        plan_name: str,
+        due_ms: float,
+        units: float,
+        first_gateway: int,
+        spread: int,
+        identity: str,
+        past: Past,
+    ) -> None:
         """A request that another gatekeeper had before. `done` hears its one final answer."""
-        self._take(job, done, customer, class_name, plan_name, due_ms, units, first_gateway, spread, False, identity,
-                   past)
-
-    def _take(self, job: Job, done: Callable[[Answer], None], customer: str, class_name: str, plan_name: str,
-              due_ms: float, units: float, first_gateway: int, spread: int, is_repeat: bool, identity: str,
-              past: Past | None) -> int | None:
+        self._take(
+            job, done, customer, class_name, plan_name, due_ms, units, first_gateway, spread, False, identity, past
+        )
+
+    def _take(
+        self,
+        job: Job,
+        done: Callable[[Answer], None],
+        customer: str,
+        class_name: str,
+        plan_name: str,
+        due_ms: float,
+        units: float,
+        first_gateway: int,
+        spread: int,
+        is_repeat: bool,
+        identity: str,
+        past: Past | None,
+    ) -> int | None:
         work = None
         if self.returning is not None:
-            work = Work("own", identity, {"method": job.method, "target": job.target, "headers": job.headers,
-                                          "body": base64.b64encode(job.body).decode()})
-        number = self._ledger.accept(self, customer, class_name, plan_name, due_ms, units, first_gateway, spread,
-                                     is_repeat, past=past, work=work)
+            work = Work(
+                "own",
+                identity,
+                {
+                    "method": job.method,
+                    "target": job.target,
+                    "headers": job.headers,
+                    "body": base64.b64encode(job.body).decode(),
+                },
+            )
+        number = self._ledger.accept(
+            self, customer, class_name, plan_name, due_ms, units, first_gateway, spread, is_repeat, past=past, work=work
+        )
         if number is None:
             # What was sent before may have run: then nothing may be promised.
-            done(Answer(reason="failed") if past is not None and past.uncertain else
-                 Answer(refused=True, retry_in_ms=1000.0, reason="held-requests"))
+            done(
+                Answer(reason="failed")
+                if past is not None and past.uncertain
+                else Answer(refused=True, retry_in_ms=1000.0, reason="held-requests")
+            )
             return None
         opened = self.open[number] = _Open(job, done)
         opened.attempts = past.attempts if past is not None else 0
@@ -107,9 +186,20 @@
             return
 
         def again() -> None:
-            self._take(opened.job, opened.done, arrival.customer, arrival.class_name, arrival.plan_name,
-                       arrival.due_ms, arrival.units, arrival.first_gateway, arrival.spread, arrival.is_repeat,
-                       identity, arrival.past)
+            self._take(
+                opened.job,
+                opened.done,
+                arrival.customer,
+                arrival.class_name,
+                arrival.plan_name,
+                arrival.due_ms,
+                arrival.units,
+                arrival.first_gateway,
+                arrival.spread,
+                arrival.is_repeat,
+                identity,
+                arrival.past,
+            )
 
         self.returning.waits(arrival.customer, identity, arrival.due_ms, opened.job, opened.done, again)
 
--- a/anisefront/carriers/pool.py
+++ b/anisefront/carriers/pool.py
@@ -171,8 +171,16 @@
 class Exchange:
     """One request on its way. `done` is called once, whatever happens."""
 
-    def __init__(self, pool: Pool, worker: str, data: bytes, allow_s: float, done: Done,
-                 head_only: bool, may_begin: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        pool: Pool,
+        worker: str,
+        data: bytes,
+        allow_s: float,
+        done: Done,
+        head_only: bool,
+        may_begin: Callable[[], bool],
+    ) -> None:
         self._pool, self._worker, self._data, self._done = pool, worker, data, done
         self._head_only, self._may_begin, self._client = head_only, may_begin, None
         self._stop_connecting: Callable[[], object] | None = None  # while we are
@@ -259,8 +267,13 @@
     `answers` makes a reader for each connection; `address_of` tells where a worker listens (None: nowhere) and is
     asked anew each time."""
 
-    def __init__(self, reactor: Any, limits: PoolLimits | None = None, answers: Callable[[], Answers] | None = None,
-                 address_of: Callable[[str], tuple[str, int] | None] = split_address) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        limits: PoolLimits | None = None,
+        answers: Callable[[], Answers] | None = None,
+        address_of: Callable[[str], tuple[str, int] | None] = split_address,
+    ) -> None:
         self.reactor, self.limits = reactor, limits or PoolLimits()
         self.answers = answers or (lambda: HttpAnswers(self.limits.most_body))
         self.address_of = address_of
@@ -269,8 +282,15 @@
         self._idle: dict[str, deque[_Client]] = {}  # of each worker, the longest idle first
         self._sweep_call: Any = None
 
-    def request(self, worker: str, data: bytes, allow_s: float, done: Done, head_only: bool = False,
-                may_begin: Callable[[], bool] = lambda: True) -> Exchange:
+    def request(
+        self,
+        worker: str,
+        data: bytes,
+        allow_s: float,
+        done: Done,
+        head_only: bool = False,
+        may_begin: Callable[[], bool] = lambda: True,
+    ) -> Exchange:
         """Send a written request to a worker; `done` hears its end within `allow_s`. `may_begin` is asked at the last
         moment before the first byte."""
         exchange = Exchange(self, worker, data, allow_s, done, head_only, may_begin)
@@ -283,6 +303,7 @@
         if isIPAddress(address[0]) or isIPv6Address(address[0]):
             return self.reactor.connectTCP(*address, factory, timeout=self.limits.connect_s).disconnect
         from twisted.internet.endpoints import HostnameEndpoint  # much behind it, which those with addresses save
+
         connecting = HostnameEndpoint(self.reactor, *address, timeout=self.limits.connect_s).connect(factory)
         connecting.addErrback(lambda failure: factory.clientConnectionFailed(None, failure))
         return connecting.cancel
--- a/anisefront/carriers/pooled.py
+++ b/anisefront/carriers/pooled.py
@@ -62,7 +62,8 @@
             return self._ledger.may_begin(request, attempt) and not self.left(entry)
 
         self._exchanges[request, attempt] = self._pool.request(
-            worker, data, allow_ms / 1000, ended, head_only, may_begin)
+            worker, data, allow_ms / 1000, ended, head_only, may_begin
+        )
 
     def _ended(self, request: int, attempt: int, worker: str, result: Result | None, answer: Any) -> None:
         load: tuple[float, ...] = ()
--- a/anisefront/carriers/proxied.py
+++ b/anisefront/carriers/proxied.py
@@ -100,9 +100,21 @@
 
     # ---- what a front says ---------------------------------------------------------------------
 
-    def ask(self, request_id: str, reply: Reply, customer: str, class_name: str, plan_name: str,
-            due_ms: float, units: float, first_gateway: int, spread: int, is_repeat: bool,
-            peer: str = "", identity: str = "") -> int | None:
+    def ask(
+        self,
+        request_id: str,
+        reply: Reply,
+        customer: str,
+        class_name: str,
+        plan_name: str,
+        due_ms: float,
+        units: float,
+        first_gateway: int,
+        spread: int,
+        is_repeat: bool,
+        peer: str = "",
+        identity: str = "",
+    ) -> int | None:
         """The first check of a request, by the proxy at host `peer`. `identity`: by which its client knows it, where
         that is not the request's id.
 
@@ -119,19 +131,43 @@
                 self.exchanges[of_id[customer]].contested = True
             reply(Answer(Verdict.REFUSED, retry_in_ms=1000.0, reason="in-progress"))
             return None
-        number = self._accept(identity, customer, class_name, plan_name, due_ms, units, first_gateway, spread,
-                              is_repeat)
+        number = self._accept(
+            identity, customer, class_name, plan_name, due_ms, units, first_gateway, spread, is_repeat
+        )
         if number is None:
             reply(Answer(Verdict.REFUSED, retry_in_ms=1000.0, reason="held-requests"))
             return None
         self._begin(number, request_id, reply, peer, customer)
         return number
 
-    def _accept(self, identity: str, customer: str, class_name: str, plan_name: str, due_ms: float, units: float,
-                first_gateway: int, spread: int, is_repeat: bool, past: Past | None = None) -> int | None:
+    def _accept(
+        self,
+        identity: str,
+        customer: str,
+        class_name: str,
+        plan_name: str,
+        due_ms: float,
+        units: float,
+        first_gateway: int,
+        spread: int,
+        is_repeat: bool,
+        past: Past | None = None,
+    ) -> int | None:
         work = Work("proxied", identity, {"life": self._life}) if self.kept is not None else None
-        return self._ledger.accept(self, customer, class_name, plan_name, due_ms, units, first_gateway, spread,
-                                   is_repeat, copies=False, past=past, work=work)
+        return self._ledger.accept(
+            self,
+            customer,
+            class_name,
+            plan_name,
+            due_ms,
+            units,
+            first_gateway,
+            spread,
+            is_repeat,
+            copies=False,
+            past=past,
+            work=work,
+        )
 
     def _begin(self, number: int, request_id: str, reply: Reply, peer: str, customer: str) -> Exchange:
         exchange = self.exchanges[number] = Exchange(request_id, number, reply, peer=peer, customer=customer)
@@ -183,8 +219,7 @@
                 self._close(exchange)
             self._ledger.leave(number)
 
-    def log(self, token: str, result: Result, took_ms: float | None, load: tuple[float, ...],
-            over: bool) -> bool:
+    def log(self, token: str, result: Result, took_ms: float | None, load: tuple[float, ...], over: bool) -> bool:
         """The end of an attempt as a proxy logged it; `over` says that the client has its answer or has left.
 
         False where the attempt is not known or was logged before: nothing changes."""
@@ -238,13 +273,29 @@
             if reply is not None:
                 reply(Answer(Verdict.REFUSED, retry_in_ms=1000.0, reason="in-progress"))
 
-    def go_on(self, life: str, number: int, identity: str, customer: str, class_name: str, plan_name: str,
-              due_ms: float, units: float, first_gateway: int, spread: int, past: Past,
-              sent: dict[int, tuple[str, float]]) -> Inherited:
+    def go_on(
+        self,
+        life: str,
+        number: int,
+        identity: str,
+        customer: str,
+        class_name: str,
+        plan_name: str,
+        due_ms: float,
+        units: float,
+        first_gateway: int,
+        spread: int,
+        past: Past,
+        sent: dict[int, tuple[str, float]],
+    ) -> Inherited:
         """A request that another gatekeeper had: nothing can leave before its proxy or its client comes back."""
         inherited = self._inherited[life, number] = Inherited(
-            (life, number), identity, (customer, class_name, plan_name, due_ms, units, first_gateway, spread), past,
-            sent)
+            (life, number),
+            identity,
+            (customer, class_name, plan_name, due_ms, units, first_gateway, spread),
+            past,
+            sent,
+        )
         if identity:
             self._awaited[customer, identity] = inherited
         self.counts["inherited"] += 1
@@ -274,12 +325,19 @@
         if waiting is not None and waiting is not reply:
             waiting(Answer(Verdict.FAILED, reason="unknown-attempt"))  # another check took its place
         sent = sorted(inherited.sent.items())
-        past = Past(inherited.past.attempts, len(sent), *(sent[0][1] if sent else (inherited.past.server, 0.0)),
-                    inherited.past.paid)
+        past = Past(
+            inherited.past.attempts,
+            len(sent),
+            *(sent[0][1] if sent else (inherited.past.server, 0.0)),
+            inherited.past.paid,
+        )
         number = self._accept(inherited.identity, *inherited.terms, False, past)
         if number is None:
-            reply(Answer(Verdict.FAILED, reason="failed") if sent else
-                  Answer(Verdict.REFUSED, retry_in_ms=1000.0, reason="held-requests"))
+            reply(
+                Answer(Verdict.FAILED, reason="failed")
+                if sent
+                else Answer(Verdict.REFUSED, retry_in_ms=1000.0, reason="held-requests")
+            )
             return None
         self._begin(number, request_id, reply, peer, inherited.terms[0]).attempt = past.attempts - 1
         return number
@@ -350,8 +408,11 @@
             self._finish(exchange, answer)
         else:  # the proxy may still ask what to tell its client
             exchange.final = answer
-            self._after(self.limits.ask_again_ms + (self.limits.log_ms if exchange.out else 0.0), exchange,
-                        self._not_asked_again)
+            self._after(
+                self.limits.ask_again_ms + (self.limits.log_ms if exchange.out else 0.0),
+                exchange,
+                self._not_asked_again,
+            )
 
     def _finish(self, exchange: Exchange, answer: Answer) -> None:
         reply, exchange.reply = exchange.reply, None
@@ -396,5 +457,3 @@
         self.counts["not_asked_again"] += 1
         self._close(exchange)
         self._ledger.leave(exchange.number)
-
-
--- a/anisefront/cli/config.py
+++ b/anisefront/cli/config.py
@@ -42,8 +42,9 @@
 
 @config.command()
 @click.argument("files", type=click.Path(), nargs=-1, required=True)
-@click.option("--format", "form", type=click.Choice(["text", "json"]), default="text",
-              help="json: one list of problems.")
+@click.option(
+    "--format", "form", type=click.Choice(["text", "json"]), default="text", help="json: one list of problems."
+)
 @click.option("--notes", is_flag=True, help="Show notes too: where precedence decides, and the like.")
 @click.option("--strict", is_flag=True, help="Exit 1 for warnings.")
 def check(files: tuple[str, ...], form: str, notes: bool, strict: bool) -> None:
@@ -114,12 +115,14 @@
     """Say which lines of FILE decide on a request: METHOD, and TARGET as host/path or /path."""
     from anisefront.config.explain import explain as explained
     from anisefront.core.patterns import Request
+
     found = checked(file)
     if found.config is None:
         load(file)
     host, slash, path = target.partition("/")
-    headers = tuple(sorted((name.strip().lower(), value.strip()) for name, _, value in
-                           (each.partition(":") for each in header)))
+    headers = tuple(
+        sorted((name.strip().lower(), value.strip()) for name, _, value in (each.partition(":") for each in header))
+    )
     path = (slash + path).partition("?")[0] or "/"
     for line in explained(found, Request(method, host or "localhost", path, headers)):
         click.echo(line)
@@ -133,6 +136,7 @@
     A file with errors exits 2: it is taken by nobody."""
     from anisefront.config.reading import Reading
     from anisefront.core.versions import at_once
+
     outcome = at_once(Reading(file, os.environ).steps())
     for text in outcome.errors:
         click.echo(text, err=True)
@@ -147,10 +151,12 @@
     """Print FILE as it counts: includes and definitions put in, with the place of each line. Secrets are not shown."""
     from anisefront.config.loader import substitute
     from anisefront.config.parser import Directive
+
     found = loader.load(file)
     for directive in substitute(found.directives, [], os.environ):
-        hidden = Directive(directive.name, directive.values[:1] if directive.name.text == "key" else directive.values,
-                           directive.block)
+        hidden = Directive(
+            directive.name, directive.values[:1] if directive.name.text == "key" else directive.values, directive.block
+        )
         if directive.name.text in ("secret", "key"):
             hidden.values = []
         text = formatter.write(type(found.sources[0].document)([hidden], [])).rstrip()
@@ -183,6 +189,7 @@
 def reference() -> None:
     """Print the language reference: every directive, from the table that the checker uses."""
     from anisefront.config.reference import reference as text
+
     click.echo(text(), nl=False)
 
 
--- a/anisefront/cli/editor.py
+++ b/anisefront/cli/editor.py
@@ -13,8 +13,11 @@
 from anisefront.config.lexer import Place, Severity
 from anisefront.config.parser import parse
 
-_SEVERITY = {Severity.ERROR: types.DiagnosticSeverity.Error, Severity.WARNING: types.DiagnosticSeverity.Warning,
-             Severity.NOTE: types.DiagnosticSeverity.Information}
+_SEVERITY = {
+    Severity.ERROR: types.DiagnosticSeverity.Error,
+    Severity.WARNING: types.DiagnosticSeverity.Warning,
+    Severity.NOTE: types.DiagnosticSeverity.Information,
+}
 
 
 def build() -> LanguageServer:
@@ -22,8 +25,10 @@
     server = LanguageServer("anisefront", "1")
 
     def checked(uri: str) -> Checked:
-        texts = {os.path.realpath(to_fs_path(each)): document.source.encode()
-                 for each, document in server.workspace.text_documents.items()}
+        texts = {
+            os.path.realpath(to_fs_path(each)): document.source.encode()
+            for each, document in server.workspace.text_documents.items()
+        }
 
         def read(path: str) -> bytes:
             known = texts.get(os.path.realpath(path))
@@ -31,6 +36,7 @@
                 return known
             with open(path, "rb") as file:
                 return file.read()
+
         return checker.check(loader.load(to_fs_path(uri), read), os.environ)
 
     def publish(uri: str) -> None:
@@ -42,9 +48,15 @@
                 where, text = asked, f"{found.load.where(problem.place)}: {problem.what}"
             else:
                 where, text = problem.place, problem.what
-            rows.append(types.Diagnostic(_range(where, problem.width), text + (f" - {problem.mend}" if problem.mend
-                                                                               else ""),
-                                         _SEVERITY[problem.severity], problem.code, source="anisefront"))
+            rows.append(
+                types.Diagnostic(
+                    _range(where, problem.width),
+                    text + (f" - {problem.mend}" if problem.mend else ""),
+                    _SEVERITY[problem.severity],
+                    problem.code,
+                    source="anisefront",
+                )
+            )
         server.text_document_publish_diagnostics(types.PublishDiagnosticsParams(uri, rows))
 
     @server.feature(types.TEXT_DOCUMENT_DID_OPEN)
--- a/anisefront/cli/load.py
+++ b/anisefront/cli/load.py
@@ -19,8 +19,9 @@
 @click.argument("settings", type=click.Path(exists=True, dir_okay=False))
 @click.option("--grpc", "grpc_address", help="HOST:PORT of the gatekeeper's gRPC front.")
 @click.option("--jsonrpc", "jsonrpc_address", help="HOST:PORT of its JSON-RPC front.")
-@click.option("--trace", "traces", multiple=True, type=click.Path(exists=True, dir_okay=False),
-              help="Recorded traffic.")
+@click.option(
+    "--trace", "traces", multiple=True, type=click.Path(exists=True, dir_okay=False), help="Recorded traffic."
+)
 @click.option("--day", type=click.Path(exists=True, dir_okay=False), help="Or a day's script.")
 @click.option("--scale", default=1, help="So many times the customers of a trace.")
 @click.option("--speed", default=1.0, help="So many times as fast.")
@@ -30,9 +31,21 @@
 @click.option("--work", "work_ms", default=20.0, help="What an attempt takes that a check allowed, ms.")
 @click.option("--closed", default=0, help="Closed loop by so many clients a sender: hides stalls; to compare only.")
 @click.option("-o", "out", type=click.Path(), help="Write the figures there as JSON.")
-def load(settings: str, grpc_address: str | None, jsonrpc_address: str | None, traces: tuple[str, ...], day: str | None,
-         scale: int, speed: float, seconds: float, seed: int, processes: int, work_ms: float, closed: int,
-         out: str | None) -> None:
+def load(
+    settings: str,
+    grpc_address: str | None,
+    jsonrpc_address: str | None,
+    traces: tuple[str, ...],
+    day: str | None,
+    scale: int,
+    speed: float,
+    seconds: float,
+    seed: int,
+    processes: int,
+    work_ms: float,
+    closed: int,
+    out: str | None,
+) -> None:
     """Send traffic by SETTINGS (for routes and headers) at its scheduled times, and tell latencies from these.
 
     Exit 3 where the senders fell behind: the load was not what was asked for."""
@@ -41,6 +54,7 @@
     from anisefront.lab.load.report import QUANTILES, Report
     from anisefront.lab.model import scripted
     from anisefront.lab.model import traces as recorded
+
     addresses = {name: each for name, each in (("grpc", grpc_address), ("jsonrpc", jsonrpc_address)) if each}
     if not addresses or bool(traces) == bool(day) or speed <= 0 or processes < 1:
         raise click.UsageError("give --grpc or --jsonrpc or both, --trace or --day, and a speed and processes above 0")
@@ -64,15 +78,28 @@
     except plan.Unfit as problem:
         raise click.ClickException(str(problem)) from problem
     start = time.time() + START_S + 0.3 * processes
-    tasks = [(plan.part(shots, number, processes), addresses, work_ms / 1000, start, closed)
-             for number in range(processes)]
+    tasks = [
+        (plan.part(shots, number, processes), addresses, work_ms / 1000, start, closed) for number in range(processes)
+    ]
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
         found = Report(pool.starmap(sender.work, tasks))
     click.echo(found.text())
     click.echo(", ".join(f"{count} {how}" for how, count in sorted(found.counts.items())))
     if out:
-        rows = {name: {"count": count, **{f"p{q:g}_ms": value for q, value in zip(QUANTILES, values, strict=True)}}
-                for name, count, values in found.rows()}
-        Path(out).write_text(json.dumps({"latency": rows, "counts": found.counts, "late_share": found.late_share,
-                                         "fell_behind": found.fell_behind}, indent=1) + "\n")
+        rows = {
+            name: {"count": count, **{f"p{q:g}_ms": value for q, value in zip(QUANTILES, values, strict=True)}}
+            for name, count, values in found.rows()
+        }
+        Path(out).write_text(
+            json.dumps(
+                {
+                    "latency": rows,
+                    "counts": found.counts,
+                    "late_share": found.late_share,
+                    "fell_behind": found.fell_behind,
+                },
+                indent=1,
+            )
+            + "\n"
+        )
     sys.exit(3 if found.fell_behind and not closed else 0)
--- a/anisefront/cli/main.py
+++ b/anisefront/cli/main.py
@@ -17,8 +17,14 @@
 
 
 # Commands with much behind them, each from its own module: a gatekeeper of little memory loads none of the others'.
-_ELSEWHERE = {"config": ("config", "config"), "check": ("config", "check"), "load": ("load", "load"),
-              "model": ("model", "model"), "trace": ("trace", "trace"), "node": ("node", "node")}
+_ELSEWHERE = {
+    "config": ("config", "config"),
+    "check": ("config", "check"),
+    "load": ("load", "load"),
+    "model": ("model", "model"),
+    "trace": ("trace", "trace"),
+    "node": ("node", "node"),
+}
 
 
 class _Commands(click.Group):
@@ -49,11 +55,13 @@
     SIGHUP reads the file and what it includes again, SIGTERM drains, a second one stops at once."""
     import gc
     import os
+
     gc.disable()  # until the process's collector takes over: nearly all that is made from here on stays
 
     from anisefront.core.versions import at_once
     from anisefront.daemon import process
     from anisefront.daemon.source import Source
+
     source, workers = Source(file, os.environ), None
     read = [at_once(source.steps())]  # handed on below: what is named here is held for life
     for text in read[0].texts:
@@ -62,6 +70,7 @@
         sys.exit(2)
     if read[0].config.embedded is not None:
         from anisefront.lab.workers import embedded
+
         workers = embedded(read[0].config.embedded, read[0].config.settings.zone)
     sys.exit(process.serve(source, read, log_level, workers))
 
@@ -69,6 +78,7 @@
 def _ask(address: str, method: str, params: dict, timeout: float) -> dict:
     """One JSON-RPC call and its answer."""
     import socket
+
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
         raise click.ClickException(f"{address!r} is no address: write HOST:PORT")
@@ -120,6 +130,7 @@
     import tempfile
 
     from anisefront.lab.report import judge
+
     path = Path(script)
     path = path / "day.script" if path.is_dir() else path
     with tempfile.TemporaryDirectory() as made:
--- a/anisefront/cli/node.py
+++ b/anisefront/cli/node.py
@@ -17,6 +17,7 @@
     from anisefront.daemon import process
     from anisefront.node.config import ConfigFault, NodeConfig, node_config, read
     from anisefront.node.gatekeeper import NodeGatekeeper
+
     path = os.environ.get("PROXY_CONFIG", "")
     if not path:
         raise click.ClickException("PROXY_CONFIG is not set: it names the file with the configuration")
@@ -28,5 +29,12 @@
         config = again()
     except ConfigFault as problem:
         raise click.ClickException(str(problem)) from problem
-    sys.exit(process.run(lambda reactor, on_fault: NodeGatekeeper(config, reactor, on_fault=on_fault), log_level,
-                         config.name, NodeGatekeeper.prepare, lambda gatekeeper: gatekeeper.reload(again)))
+    sys.exit(
+        process.run(
+            lambda reactor, on_fault: NodeGatekeeper(config, reactor, on_fault=on_fault),
+            log_level,
+            config.name,
+            NodeGatekeeper.prepare,
+            lambda gatekeeper: gatekeeper.reload(again),
+        )
+    )
--- a/anisefront/cli/trace.py
+++ b/anisefront/cli/trace.py
@@ -15,6 +15,7 @@
 
 def _load(files: tuple[str, ...]) -> Any:
     from anisefront.lab.model import traces
+
     whole = traces.load(files)
     for problem in whole.problems:
         click.echo(problem, err=True)
@@ -27,6 +28,7 @@
 
 def _write(whole: Any, out: str) -> None:
     from anisefront.lab.model import traces
+
     with open(out, "wb") as file:
         file.write(traces.written(whole))
     click.echo(f"{out}: {len(whole.arrivals)} arrivals, {len(whole.attempts)} attempts")
@@ -37,6 +39,7 @@
 def info(files: tuple[str, ...]) -> None:
     """Say what FILES, one for each gatekeeper, hold together."""
     from anisefront.lab.model import traces
+
     click.echo(json.dumps(traces.describe(_load(files)), indent=2))
 
 
@@ -56,6 +59,7 @@
 def cut(files: tuple[str, ...], begin_s: float, end_s: float, out: str) -> None:
     """A part of a trace."""
     from anisefront.lab.model import traces
+
     if not 0 <= begin_s < end_s:
         raise click.ClickException(f"--from {begin_s:g} --to {end_s:g}: the end must come after the beginning")
     _write(traces.cut(_load(files), begin_s * 1000, end_s * 1000), out)
@@ -69,6 +73,7 @@
 def scale(files: tuple[str, ...], times: int, seed: int, out: str) -> None:
     """More customers with the rhythms of the recorded ones."""
     from anisefront.lab.model import traces
+
     _write(traces.scale(_load(files), times, seed), out)
 
 
@@ -79,6 +84,7 @@
 def anonymise(files: tuple[str, ...], key: str, out: str) -> None:
     """Other pseudonyms for customers, and workers by number."""
     from anisefront.lab.model import traces
+
     _write(traces.anonymised(_load(files), key.encode()), out)
 
 
@@ -90,13 +96,15 @@
 @click.option("--deadline", default="15s", help="Of requests whose log has no time-out.")
 @click.option("--key", required=True, help="For pseudonyms.")
 @_OUT
-def import_(file: Any, classes: tuple[str, ...], customer_field: str, plan: str, deadline: str, key: str,
-            out: str) -> None:
+def import_(
+    file: Any, classes: tuple[str, ...], customer_field: str, plan: str, deadline: str, key: str, out: str
+) -> None:
     """A trace of a proxy's access log: the published HTTPAccessLogEntry message in its JSON form, a line each."""
     from anisefront.config.lexer import Place, Word
     from anisefront.config.values import TIME
     from anisefront.config.values import Unfit as BadValue
     from anisefront.lab.model import imported
+
     try:
         left = TIME.read(Word(deadline, Place(0, 1, 1)))
     except BadValue as problem:
--- a/anisefront/config/across.py
+++ b/anisefront/config/across.py
@@ -82,7 +82,7 @@
             return
         del known[id(part), at]
         if len(known) == 1:
-            self._spots[name], = known.values()
+            (self._spots[name],) = known.values()
 
     def _key(self, text: str, key: Key, by: int) -> None:
         self.uses.key(key, by)
--- a/anisefront/config/checker.py
+++ b/anisefront/config/checker.py
@@ -69,8 +69,10 @@
 
 def arranged(problems: Iterable[Problem], notes: bool = True, more: int = 0) -> list[Problem]:
     """Problems in the order of their places, each once, at most so many; `more` are known to be and not at hand."""
-    out = sorted({problem for problem in problems if notes or problem.severity is not Severity.NOTE},
-                 key=lambda problem: (problem.place, -problem.severity, problem.what))
+    out = sorted(
+        {problem for problem in problems if notes or problem.severity is not Severity.NOTE},
+        key=lambda problem: (problem.place, -problem.severity, problem.what),
+    )
     if len(out) + more > MOST_PROBLEMS:
         more += len(out) - MOST_PROBLEMS
         out = out[:MOST_PROBLEMS]
@@ -101,20 +103,31 @@
     """Whether the first line says that what follows is of the version that is read here."""
     if first is None:
         if not problems:
-            problems.append(Problem(Place(0, 1, 1), "there is nothing in it", f"begin with language {VERSION}",
-                                    code="version"))
+            problems.append(
+                Problem(Place(0, 1, 1), "there is nothing in it", f"begin with language {VERSION}", code="version")
+            )
         return False
     words = [value.text for value in first.values]
     if first.name.text != "language":
         problems[:] = [each for each in problems if each.code in ("include", "encoding")]  # the rest follows from it
-        problems.append(fault(first.name, "this is no version of the language that is read here",
-                              f"begin with language {VERSION}; anisefront config migrate turns version 1 into it",
-                              code="version"))
+        problems.append(
+            fault(
+                first.name,
+                "this is no version of the language that is read here",
+                f"begin with language {VERSION}; anisefront config migrate turns version 1 into it",
+                code="version",
+            )
+        )
         return False
     if words != [str(VERSION)]:
-        problems.append(fault(first.values[0] if first.values and isinstance(first.values[0], Word) else first.name,
-                              f"language {' '.join(words)[:20]} is not known here", f"language {VERSION} is",
-                              code="version"))
+        problems.append(
+            fault(
+                first.values[0] if first.values and isinstance(first.values[0], Word) else first.name,
+                f"language {' '.join(words)[:20]} is not known here",
+                f"language {VERSION} is",
+                code="version",
+            )
+        )
         return False
     return True
 
@@ -142,8 +155,9 @@
         if stood is None:
             self._stood[name] = named.word
         elif not spec.many:
-            return fault(named.word, f"{name!r} stands twice, first in line {stood.place.line}", "keep one",
-                         code="twice")
+            return fault(
+                named.word, f"{name!r} stands twice, first in line {stood.place.line}", "keep one", code="twice"
+            )
         if not spec.many or named.first is None:
             return None
         known = self.of[name].get(named.first.text)
@@ -154,14 +168,21 @@
 
     def missing(self, stood: Container[str] = ()) -> list[Problem]:
         """The lines that must stand and do not."""
-        return [Problem(Place(0, 1, 1), f"there is no {name!r} line", f"such as {spec.example}", code="missing")
-                for name, spec in SCHEMA.items() if spec.needed and name not in self._stood and name not in stood]
+        return [
+            Problem(Place(0, 1, 1), f"there is no {name!r} line", f"such as {spec.example}", code="missing")
+            for name, spec in SCHEMA.items()
+            if spec.needed and name not in self._stood and name not in stood
+        ]
 
 
 def twice(name: str, word: Word, first: Word) -> Problem:
     """What is said of a name that stands already."""
-    return fault(word, f"{name} {word.text!r} stands twice, first in line {first.place.line}",
-                 "give it another name, or remove one", code="twice")
+    return fault(
+        word,
+        f"{name} {word.text!r} stands twice, first in line {first.place.line}",
+        "give it another name, or remove one",
+        code="twice",
+    )
 
 
 def references(entry: Entry, names: Mapping[str, Iterable[str]]) -> Iterator[Problem]:
@@ -170,9 +191,12 @@
         value = entry.options.get(name)
         if option.refers and value is not None and value not in names[option.refers]:
             known = list(names[option.refers])
-            yield fault(entry.places[name], f"there is no {option.refers} {value!r}",
-                        near(value, known) or (f"known are {', '.join(known[:8])}" if known else ""),
-                        code="reference")
+            yield fault(
+                entry.places[name],
+                f"there is no {option.refers} {value!r}",
+                near(value, known) or (f"known are {', '.join(known[:8])}" if known else ""),
+                code="reference",
+            )
 
 
 class _Checker:
@@ -213,8 +237,11 @@
                 mend = "it belongs at the top of a file" if name != "language" else "it stands once, at the top"
                 self._problems.append(fault(line.name, f"{name!r} can't stand here", mend, code="directive"))
             else:
-                self._problems.append(fault(line.name, f"{name[:60]!r} is no directive",
-                                            near(name, [*SCHEMA, *LANGUAGE]), code="directive"))
+                self._problems.append(
+                    fault(
+                        line.name, f"{name[:60]!r} is no directive", near(name, [*SCHEMA, *LANGUAGE]), code="directive"
+                    )
+                )
                 self.lost = True
             return None, None
         first = line.values[0] if line.values and isinstance(line.values[0], Word) else None
@@ -229,8 +256,14 @@
         self._options(line, rest, spec, entry)
         for option, wanted in spec.options.items():
             if wanted.needed and option not in entry.options and option not in entry.unread:
-                self._problems.append(fault(line.name, f"{name}: {option!r} is missing",
-                                            f"such as {option} {wanted.type.example}", code="missing"))
+                self._problems.append(
+                    fault(
+                        line.name,
+                        f"{name}: {option!r} is missing",
+                        f"such as {option} {wanted.type.example}",
+                        code="missing",
+                    )
+                )
         if name == "route" and (problem := check_route(entry)) is not None:
             self._problems.append(problem)
         return entry if len(self._problems) == before else None
@@ -238,10 +271,21 @@
     def _arguments(self, line: Directive, spec: Spec, entry: Entry) -> list[Word | List] | None:
         rest = list(line.values)
         for argument in spec.arguments:
-            if not rest or isinstance(rest[0], Word) and rest[0].text in spec.options and not rest[0].quoted \
-                    and argument is not spec.arguments[0]:
-                self._problems.append(fault(line.name, f"{entry.name}: {argument.name} is missing",
-                                            f"such as {spec.example}", code="arguments"))
+            if (
+                not rest
+                or isinstance(rest[0], Word)
+                and rest[0].text in spec.options
+                and not rest[0].quoted
+                and argument is not spec.arguments[0]
+            ):
+                self._problems.append(
+                    fault(
+                        line.name,
+                        f"{entry.name}: {argument.name} is missing",
+                        f"such as {spec.example}",
+                        code="arguments",
+                    )
+                )
                 return None
             value, rest = self._joined(rest, argument.type, spec.options)
             entry.places[argument.name] = value if isinstance(value, Word) else Word(value.text, value.place)
@@ -251,8 +295,14 @@
     def _joined(self, rest: list[Word | List], wanted: Any, options: Mapping[str, Option]) -> tuple[Any, list[Any]]:
         """The next value; a number and the unit after it are one."""
         value = rest[0]
-        if wanted in (TIME, RATE, SIZE) and len(rest) > 1 and isinstance(value, Word) and isinstance(rest[1], Word) \
-                and value.text.replace(".", "", 1).isdigit() and rest[1].text not in options:
+        if (
+            wanted in (TIME, RATE, SIZE)
+            and len(rest) > 1
+            and isinstance(value, Word)
+            and isinstance(rest[1], Word)
+            and value.text.replace(".", "", 1).isdigit()
+            and rest[1].text not in options
+        ):
             joined = Word(value.text + rest[1].text, value.place)
             try:
                 wanted.read(joined)
@@ -263,8 +313,9 @@
 
     def _value(self, value: Word | List, wanted: Argument | Option, what: str) -> Any:
         if isinstance(value, List) and not wanted.many:
-            self._problems.append(fault(Word("[", value.place), f"{what}: one value is due, not a list", "",
-                                        code="value"))
+            self._problems.append(
+                fault(Word("[", value.place), f"{what}: one value is due, not a list", "", code="value")
+            )
             return None
         words = [value] if isinstance(value, Word) else value.words
         if wanted.many and not words:
@@ -281,15 +332,22 @@
         while rest:
             name = rest[0]
             if isinstance(name, List):
-                self._problems.append(fault(Word("[", name.place), f"{entry.name}: a list can't stand here", "",
-                                            code="option"))
+                self._problems.append(
+                    fault(Word("[", name.place), f"{entry.name}: a list can't stand here", "", code="option")
+                )
                 return
             option = self._option(name, spec, entry)
             if option is None:
                 return  # what follows can't be told apart any more
             if len(rest) < 2:
-                self._problems.append(fault(name, f"{entry.name}: {name.text!r} has no value",
-                                            f"such as {name.text} {option.type.example}", code="option"))
+                self._problems.append(
+                    fault(
+                        name,
+                        f"{entry.name}: {name.text!r} has no value",
+                        f"such as {name.text} {option.type.example}",
+                        code="option",
+                    )
+                )
                 entry.unread.add(name.text)
                 return
             value, rest = self._joined(rest[1:], option.type, spec.options)
@@ -300,15 +358,27 @@
                 continue
             values = list(inner.values)
             if not values or inner.block is not None:
-                self._problems.append(fault(inner.name, f"{entry.name}: {inner.name.text!r}: one value is due",
-                                            f"such as {inner.name.text} {option.type.example}", code="option"))
+                self._problems.append(
+                    fault(
+                        inner.name,
+                        f"{entry.name}: {inner.name.text!r}: one value is due",
+                        f"such as {inner.name.text} {option.type.example}",
+                        code="option",
+                    )
+                )
                 entry.unread.add(inner.name.text)
                 continue
             value, more = self._joined(values, option.type, {})
             if more:
                 word = more[0] if isinstance(more[0], Word) else Word("[", more[0].place)
-                self._problems.append(fault(word, f"{entry.name}: {inner.name.text!r} takes one value",
-                                            "use [ ] for several" if option.many else "", code="option"))
+                self._problems.append(
+                    fault(
+                        word,
+                        f"{entry.name}: {inner.name.text!r} takes one value",
+                        "use [ ] for several" if option.many else "",
+                        code="option",
+                    )
+                )
                 entry.unread.add(inner.name.text)
                 continue
             self._take(entry, inner.name, option, value)
@@ -318,8 +388,9 @@
         if option is None:
             known = ", ".join(spec.options)
             mend = near(name.text, list(spec.options)) or (f"known are {known}" if known else "it takes no options")
-            self._problems.append(fault(name, f"{entry.name}: {name.text[:60]!r} is not known here", mend,
-                                        code="option"))
+            self._problems.append(
+                fault(name, f"{entry.name}: {name.text[:60]!r} is not known here", mend, code="option")
+            )
             entry.unread.update(spec.options)  # what is missing below may be what this was meant to be
             return None
         if name.text in entry.seen:
--- a/anisefront/config/diff.py
+++ b/anisefront/config/diff.py
@@ -34,9 +34,14 @@
 
 def diff(before: Config, after: Config) -> list[Change]:
     """All differences in meaning; none for what was only moved, renamed without effect or written otherwise."""
-    return [*_settings(before, after), *_named("class", before.settings.classes, after.settings.classes),
-            *_named("plan", before.settings.plans, after.settings.plans), *_keys(before, after),
-            *_others(before, after), *routes(before.routes, after.routes)]
+    return [
+        *_settings(before, after),
+        *_named("class", before.settings.classes, after.settings.classes),
+        *_named("plan", before.settings.plans, after.settings.plans),
+        *_keys(before, after),
+        *_others(before, after),
+        *routes(before.routes, after.routes),
+    ]
 
 
 def _fields(value: object, left_out: tuple[str, ...] = ()) -> dict[str, object]:
@@ -45,8 +50,9 @@
 
 def _settings(before: Config, after: Config) -> Iterator[Change]:
     old, new = (_fields(config.settings, ("classes", "plans", "tag_key")) for config in (before, after))
-    yield from (Change(name, _plain(old[name], name), _plain(new[name], name)) for name in old
-                if old[name] != new[name])
+    yield from (
+        Change(name, _plain(old[name], name), _plain(new[name], name)) for name in old if old[name] != new[name]
+    )
 
 
 def _named(what: str, before: tuple, after: tuple) -> Iterator[Change]:
@@ -76,15 +82,18 @@
         if old != new:
             # Danger: this goes to logs and reviews, and a key is a secret.
             shown = key[:2] + "..." if len(key) > 4 else "..."
-            yield Change(f"key {shown}", *("not there" if each is None else f"{each.customer} on {each.plan}"
-                                           for each in (old, new)))
+            yield Change(
+                f"key {shown}",
+                *("not there" if each is None else f"{each.customer} on {each.plan}" for each in (old, new)),
+            )
 
 
 def _others(before: Config, after: Config) -> Iterator[Change]:
     left_out = ("settings", "routes", "keys", "secret")
     old, new = _fields(before, left_out), _fields(after, left_out)
-    yield from (Change(name, _plain(old[name], name), _plain(new[name], name)) for name in old
-                if old[name] != new[name])
+    yield from (
+        Change(name, _plain(old[name], name), _plain(new[name], name)) for name in old if old[name] != new[name]
+    )
     if before.secret != after.secret:
         yield Change("secret", "one", "another")
 
@@ -136,11 +145,13 @@
 
 def _reordered(old: list[tuple], new: list[tuple]) -> set[tuple]:
     """Kinds whose order among those of one host and shape is another: there, lines decide."""
+
     def groups(kinds: list[tuple]) -> dict[tuple, list[tuple]]:
         out: dict[tuple, list[tuple]] = {}
         for kind in dict.fromkeys(kinds):
             out.setdefault(kind[:2], []).append(kind)
         return out
+
     first, second = groups(old), groups(new)
     out: set[tuple] = set()
     for key, kinds in first.items():
--- a/anisefront/config/editor.py
+++ b/anisefront/config/editor.py
@@ -88,18 +88,23 @@
     if found.directive.name.text == "use":
         for source in checked.load.sources:
             for directive in source.document.directives:
-                if directive.name.text == "define" and directive.values \
-                        and directive.values[0].text == found.word.text:
+                if directive.name.text == "define" and directive.values and directive.values[0].text == found.word.text:
                     return directive.name.place
     if found.directive.name.text == "include":
-        return next((Place(number, 1, 1) for number, source in enumerate(checked.load.sources)
-                     if source.asked_by == found.word.place), None)
+        return next(
+            (
+                Place(number, 1, 1)
+                for number, source in enumerate(checked.load.sources)
+                if source.asked_by == found.word.place
+            ),
+            None,
+        )
     return None
 
 
 def complete(checked: Checked, file: int, line: int, column: int) -> list[tuple[str, str]]:
     """Words that may stand at a place, each with what it means."""
-    before = checked.load.line(Place(file, line, column))[:column - 1]
+    before = checked.load.line(Place(file, line, column))[: column - 1]
     words = before.split()
     if before.endswith((" ", "\t")):
         words.append("")
@@ -127,8 +132,11 @@
             last = directive
     if last is None or last.block is None:
         return None
-    following = [each.name.place.line for each in checked.load.sources[file].document.directives
-                 if each.name.place.line > last.name.place.line]
-    lines = checked.load.sources[file].text.split("\n")[last.name.place.line:line - 1]
+    following = [
+        each.name.place.line
+        for each in checked.load.sources[file].document.directives
+        if each.name.place.line > last.name.place.line
+    ]
+    lines = checked.load.sources[file].text.split("\n")[last.name.place.line : line - 1]
     closed = any(text.strip().startswith("}") for text in lines)
     return None if closed or following and following[0] <= line else last
--- a/anisefront/config/explain.py
+++ b/anisefront/config/explain.py
@@ -33,18 +33,30 @@
         return [*out, "no route matches: denied with 404"]
     _, first, method = ranked[0]
     route = config.routes[first]
-    out.append(f"route   {where(entries[first].word.place)}: {' '.join(route.pattern.methods)} {route.pattern.path} "
-               f"-> class {route.class_name}, pool {route.pool}")
+    out.append(
+        f"route   {where(entries[first].word.place)}: {' '.join(route.pattern.methods)} {route.pattern.path} "
+        f"-> class {route.class_name}, pool {route.pool}"
+    )
     for _, number, other in ranked[1:6]:
-        out.append(f"  over  {where(entries[number].word.place)}: {config.routes[number].pattern.path} - "
-                   f"{_why(config.routes[first].pattern, method, config.routes[number].pattern, other)}")
+        out.append(
+            f"  over  {where(entries[number].word.place)}: {config.routes[number].pattern.path} - "
+            f"{_why(config.routes[first].pattern, method, config.routes[number].pattern, other)}"
+        )
     classes, plans, quotas = model.named("class"), model.named("plan"), model.named("quota")
     kind = next(each for each in config.settings.classes if each.name == route.class_name)
-    out.append(f"class   {where(classes[kind.name].word.place)}: aim {write_time(kind.aim_ms)}, deadline "
-               f"{write_time(kind.deadline_ms)}, {kind.repeat.value}")
-    router = Router(config.routes, {each.name: each.deadline_ms for each in config.settings.classes},
-                    config.customer_header, config.keys, config.default_plan, config.settings.max_units,
-                    config.repeat_header)
+    out.append(
+        f"class   {where(classes[kind.name].word.place)}: aim {write_time(kind.aim_ms)}, deadline "
+        f"{write_time(kind.deadline_ms)}, {kind.repeat.value}"
+    )
+    router = Router(
+        config.routes,
+        {each.name: each.deadline_ms for each in config.settings.classes},
+        config.customer_header,
+        config.keys,
+        config.default_plan,
+        config.settings.max_units,
+        config.repeat_header,
+    )
     try:
         mapped = router.map(request.method, request.host, request.path, dict(request.headers))
     except Unmapped as problem:
@@ -59,8 +71,10 @@
     out.append(f"plan    {where(plan.word.place)}: {mapped.plan}")
     limits = ", ".join(f"{name} {quota.places[name].text}" for name in quota.options)
     out.append(f"quota   {where(quota.word.place)}: {quota.arguments['name']}: {limits}")
-    out.append(f"counts  {mapped.units:g} units, {write_time(mapped.deadline_ms)} left"
-               + (", a client's repeat" if mapped.is_repeat else ""))
+    out.append(
+        f"counts  {mapped.units:g} units, {write_time(mapped.deadline_ms)} left"
+        + (", a client's repeat" if mapped.is_repeat else "")
+    )
     return out
 
 
--- a/anisefront/config/lexer.py
+++ b/anisefront/config/lexer.py
@@ -1,9 +1,9 @@
 """Text to tokens with their places. Free of I/O; it never stops at a fault, and reports each one once.
 
-    word      blanks, quotes, braces, brackets, commas, #, ; and \\ end it; ${name} may stand in it
-    string    "..." on one line, with \\" \\\\ \\n \\t
-    comment   # to the end of the line
-    a final \\ joins a line to the next
+word      blanks, quotes, braces, brackets, commas, #, ; and \\ end it; ${name} may stand in it
+string    "..." on one line, with \\" \\\\ \\n \\t
+comment   # to the end of the line
+a final \\ joins a line to the next
 """
 
 from __future__ import annotations
@@ -15,10 +15,12 @@
 from typing import NamedTuple
 
 MOST_LINE = 65_536
-_TOKEN = re.compile(r'''[ \t]*(?:'''
-                    r'''(?P<word>(?:[^\s"{}\[\],;#\\$\x00-\x1f\x7f]+|\$\{[A-Za-z_][A-Za-z0-9_.-]*\}|\$)+)'''
-                    r'''|(?P<string>"(?:[^"\\]|\\.)*")|(?P<mark>[{}\[\],;])|(?P<comment>\#.*)'''
-                    r'''|(?P<join>\\[ \t]*$)|(?P<blank>$))''')
+_TOKEN = re.compile(
+    r"""[ \t]*(?:"""
+    r"""(?P<word>(?:[^\s"{}\[\],;#\\$\x00-\x1f\x7f]+|\$\{[A-Za-z_][A-Za-z0-9_.-]*\}|\$)+)"""
+    r"""|(?P<string>"(?:[^"\\]|\\.)*")|(?P<mark>[{}\[\],;])|(?P<comment>\#.*)"""
+    r"""|(?P<join>\\[ \t]*$)|(?P<blank>$))"""
+)
 _ESCAPE = re.compile(r"\\(.)")
 _ESCAPES = {"n": "\n", "t": "\t", '"': '"', "\\": "\\"}
 
@@ -78,7 +80,7 @@
     try:
         return data.removeprefix(b"\xef\xbb\xbf").decode(), []
     except UnicodeDecodeError as problem:
-        before = data[:problem.start]
+        before = data[: problem.start]
         line = before.count(b"\n") + 1
         column = len(before.rpartition(b"\n")[2].decode("utf-8", "replace")) + 1
         what = f"byte 0x{data[problem.start]:02X} is no UTF-8"
@@ -99,8 +101,13 @@
     """The tokens of one line are added; false where it is joined to the next, which must then be added to the same."""
     line = line.removesuffix("\r")
     if len(line) > MOST_LINE:
-        problems.append(Problem(Place(file, number, MOST_LINE + 1),
-                                f"a line of {len(line)} characters, at most {MOST_LINE}", "break it up"))
+        problems.append(
+            Problem(
+                Place(file, number, MOST_LINE + 1),
+                f"a line of {len(line)} characters, at most {MOST_LINE}",
+                "break it up",
+            )
+        )
         out.append(Token("end", Word("", Place(file, number, 1))))
         return True
     ended = _line(line, number, file, out, problems)
@@ -129,8 +136,16 @@
         if kind == "word":
             add(Token("word", Word(text, place)))
             if not text.isascii() and (other := _look_alike(text)):
-                problems.append(Problem(place, f"{text!r} holds {other}, which looks like another letter",
-                                        "write it anew", Severity.WARNING, len(text), "look-alike"))
+                problems.append(
+                    Problem(
+                        place,
+                        f"{text!r} holds {other}, which looks like another letter",
+                        "write it anew",
+                        Severity.WARNING,
+                        len(text),
+                        "look-alike",
+                    )
+                )
         elif kind == "string":
             add(Token("word", Word(_unescape(text[1:-1], place, problems), place, True)))
         elif kind == "mark":
@@ -156,9 +171,16 @@
 
     def replace(found: re.Match[str]) -> str:
         if found[1] not in _ESCAPES:
-            problems.append(Problem(Place(place.file, place.line, place.column + 1 + found.start()),
-                                    f"{found[0]} is no escape", 'known are \\" \\\\ \\n \\t', width=2))
+            problems.append(
+                Problem(
+                    Place(place.file, place.line, place.column + 1 + found.start()),
+                    f"{found[0]} is no escape",
+                    'known are \\" \\\\ \\n \\t',
+                    width=2,
+                )
+            )
         return _ESCAPES.get(found[1], found[1])
+
     return _ESCAPE.sub(replace, text)
 
 
--- a/anisefront/config/loader.py
+++ b/anisefront/config/loader.py
@@ -202,8 +202,9 @@
         if not glob.has_magic(base):
             names = [base] if os.path.lexists(os.path.join(each, base)) else []
         before = os.path.join(each, "")
-        out += [before + name for name in fnmatch.filter(names, base)
-                if base.startswith(".") or not name.startswith(".")]
+        out += [
+            before + name for name in fnmatch.filter(names, base) if base.startswith(".") or not name.startswith(".")
+        ]
     return sorted(out)
 
 
@@ -219,6 +220,7 @@
         out.sources.append(Source(path, text, document, None if asked is None else asked.place))
         out.problems += problems + more
         return document.directives
+
     walk = Walk(Files(read, find), take, out.where, out.problems)
     at_once(walk.file(path, None, ()))
     out.directives = walk.out
@@ -237,8 +239,13 @@
     """Goes through a file and what it includes. `take(path, real, data, asked)`, in steps, is handed each file and
     gives what stands in it; `out` has what stands in all of them, in the order in which it counts, but the includes."""
 
-    def __init__(self, files: Files, take: Callable[..., Generator[None, None, list[Any]]],
-                 where: Callable[[Place], str], problems: list[Problem]) -> None:
+    def __init__(
+        self,
+        files: Files,
+        take: Callable[..., Generator[None, None, list[Any]]],
+        where: Callable[[Place], str],
+        problems: list[Problem],
+    ) -> None:
         self._files, self._take, self._where, self._problems = files, take, where, problems
         self.out: list[Any] = []
         self._bytes = 0
@@ -248,7 +255,7 @@
         """Take a file in, which an include asked for."""
         real = self._files.real(path)
         if real in above:
-            loop = " -> ".join(os.path.basename(each) for each in (*above[above.index(real):], real))
+            loop = " -> ".join(os.path.basename(each) for each in (*above[above.index(real) :], real))
             self._fault(asked, f"an include loop: {loop}", "remove one of these includes")
             return
         if real in self._seen:
@@ -262,8 +269,11 @@
         try:
             data = yield from self._files.read(path)
         except OSError as problem:
-            self._fault(asked, f"{path!r} can't be read: {problem.strerror or problem}",
-                        "" if asked is None else "mend the path, or the file's rights")
+            self._fault(
+                asked,
+                f"{path!r} can't be read: {problem.strerror or problem}",
+                "" if asked is None else "mend the path, or the file's rights",
+            )
             return
         self._bytes += len(data)
         if self._bytes > MOST_BYTES:
@@ -279,20 +289,30 @@
     def _include(self, directive: Directive, path: str, above: tuple[str, ...]) -> Generator[None, None, None]:
         words = [value for value in directive.values if isinstance(value, Word)]
         if len(directive.values) != 1 or not words or directive.block is not None or not words[0].text:
-            self._problems.append(fault(directive.name, "include: one path or pattern is due",
-                                        'such as include "routes/*.conf"', code="include"))
+            self._problems.append(
+                fault(
+                    directive.name,
+                    "include: one path or pattern is due",
+                    'such as include "routes/*.conf"',
+                    code="include",
+                )
+            )
             return
         pattern = os.path.join(os.path.dirname(path), words[0].text)
         yield
         try:
             found = self._files.find(pattern)
         except OSError as problem:
-            self._fault(words[0], f"folder {str(problem.filename or pattern)!r} can't be read: "
-                        f"{problem.strerror or problem}", "mend the folder's rights")
+            self._fault(
+                words[0],
+                f"folder {str(problem.filename or pattern)!r} can't be read: {problem.strerror or problem}",
+                "mend the folder's rights",
+            )
             return
         if not found and glob.has_magic(pattern):
-            self._problems.append(fault(words[0], f"no file matches {words[0].text!r}", "", Severity.WARNING,
-                                        "include"))
+            self._problems.append(
+                fault(words[0], f"no file matches {words[0].text!r}", "", Severity.WARNING, "include")
+            )
             return
         for number, each in enumerate(found or [pattern]):
             if number % FILES == 0:
@@ -301,8 +321,11 @@
                 yield from self.file(each, words[0], above)
 
     def _fault(self, asked: Word | None, what: str, mend: str = "") -> None:
-        self._problems.append(Problem(Place(0, 1, 1), what, mend, code="include") if asked is None else
-                              fault(asked, what, mend, code="include"))
+        self._problems.append(
+            Problem(Place(0, 1, 1), what, mend, code="include")
+            if asked is None
+            else fault(asked, what, mend, code="include")
+        )
 
 
 # ---- definitions and environment ------------------------------------------------------------------------------
@@ -331,25 +354,46 @@
     def _env(self, directive: Directive) -> None:
         words = [value.text for value in directive.values]
         if len(words) not in (1, 3) or len(words) == 3 and words[1] != "default" or directive.block is not None:
-            self.problems.append(fault(directive.name, "env: a name is due, and perhaps its default",
-                                       'such as env SECRET default "..."', code="arguments"))
+            self.problems.append(
+                fault(
+                    directive.name,
+                    "env: a name is due, and perhaps its default",
+                    'such as env SECRET default "..."',
+                    code="arguments",
+                )
+            )
             return
         value = self._environment.get(words[0], words[2] if len(words) == 3 else None)
         if value is None:
             first = directive.values[0]
             at = first if isinstance(first, Word) else Word("[", first.place)
-            self.problems.append(fault(at, f"environment variable {words[0]} is not set",
-                                       "set it, or give a default", code="environment"))
+            self.problems.append(
+                fault(
+                    at, f"environment variable {words[0]} is not set", "set it, or give a default", code="environment"
+                )
+            )
             value = ""
             self.unset.add(words[0])
         self.values[words[0]] = value
 
     def _define(self, directive: Directive) -> None:
         values = directive.values
-        if not values or len(values) > 2 or not isinstance(values[0], Word) or directive.block is None \
-                or len(values) == 2 and isinstance(values[1], Word):
-            self.problems.append(fault(directive.name, "define: a name, [parameters] and a block are due",
-                                       "such as define view [path] { ... }", code="arguments"))
+        if (
+            not values
+            or len(values) > 2
+            or not isinstance(values[0], Word)
+            or directive.block is None
+            or len(values) == 2
+            and isinstance(values[1], Word)
+        ):
+            self.problems.append(
+                fault(
+                    directive.name,
+                    "define: a name, [parameters] and a block are due",
+                    "such as define view [path] { ... }",
+                    code="arguments",
+                )
+            )
             return
         name = values[0].text
         if name in self.definitions:
@@ -370,13 +414,15 @@
         self.looked_up: dict[str, str | None] = {}
         self.lines = 0
 
-    def put(self, directive: Directive, given: Mapping[str, str] | None = None,
-            above: tuple[str, ...] = ()) -> Iterator[Directive | None]:
+    def put(
+        self, directive: Directive, given: Mapping[str, str] | None = None, above: tuple[str, ...] = ()
+    ) -> Iterator[Directive | None]:
         """What a line comes to, one by one; None stands for work without a line."""
         self.lines += 1
         if self.lines == MOST_LINES:
-            self.problems.append(fault(directive.name, f"definitions come to more than {MOST_LINES} lines", "",
-                                       code="definition"))
+            self.problems.append(
+                fault(directive.name, f"definitions come to more than {MOST_LINES} lines", "", code="definition")
+            )
         if self.lines >= MOST_LINES:
             return
         if directive.name.text != "use":
@@ -384,29 +430,53 @@
         else:
             yield from self._use(directive, given or {}, above)
 
-    def _use(self, directive: Directive, given: Mapping[str, str],
-             above: tuple[str, ...]) -> Iterator[Directive | None]:
+    def _use(
+        self, directive: Directive, given: Mapping[str, str], above: tuple[str, ...]
+    ) -> Iterator[Directive | None]:
         yield None
         values = directive.values
         if not values or len(values) > 2 or not isinstance(values[0], Word) or directive.block is not None:
-            self.problems.append(fault(directive.name, "use: a definition's name and [values] are due",
-                                       "such as use view [/stock]", code="arguments"))
+            self.problems.append(
+                fault(
+                    directive.name,
+                    "use: a definition's name and [values] are due",
+                    "such as use view [/stock]",
+                    code="arguments",
+                )
+            )
             return
         name = values[0].text
         definition = self.used[name] = self._known.definitions.get(name)
         if definition is None:
-            self.problems.append(fault(values[0], f"there is no definition {name!r}",
-                                       near(name, list(self._known.definitions)), code="reference"))
+            self.problems.append(
+                fault(
+                    values[0],
+                    f"there is no definition {name!r}",
+                    near(name, list(self._known.definitions)),
+                    code="reference",
+                )
+            )
             return
         if name in above:
             self.problems.append(fault(values[0], f"definition {name!r} uses itself", "", code="definition"))
             return
         parameters = [word.text for word in definition.values[1].words] if len(definition.values) == 2 else []
-        words = [values[1]] if len(values) == 2 and isinstance(values[1], Word) else \
-            list(values[1].words) if len(values) == 2 else []
+        words = (
+            [values[1]]
+            if len(values) == 2 and isinstance(values[1], Word)
+            else list(values[1].words)
+            if len(values) == 2
+            else []
+        )
         if len(words) != len(parameters):
-            self.problems.append(fault(values[0], f"{name} takes {len(parameters)} values, not {len(words)}",
-                                       f"[{' '.join(parameters)}]", code="arguments"))
+            self.problems.append(
+                fault(
+                    values[0],
+                    f"{name} takes {len(parameters)} values, not {len(words)}",
+                    f"[{' '.join(parameters)}]",
+                    code="arguments",
+                )
+            )
             return
         inner = dict(zip(parameters, (self._text(word, given).text for word in words), strict=True))
         for each in definition.block:
@@ -415,11 +485,23 @@
     def _replaced(self, directive: Directive, given: Mapping[str, str]) -> Directive:
         if not _has_reference(directive):
             return directive
-        values = [self._text(value, given) if isinstance(value, Word) else
-                  List([self._text(word, given) for word in value.words], value.place) for value in directive.values]
+        values = [
+            self._text(value, given)
+            if isinstance(value, Word)
+            else List([self._text(word, given) for word in value.words], value.place)
+            for value in directive.values
+        ]
         block = None if directive.block is None else [self._replaced(each, given) for each in directive.block]
-        return Directive(directive.name, values, block, directive.above, directive.beside, directive.below,
-                         directive.closing, directive.broken)
+        return Directive(
+            directive.name,
+            values,
+            block,
+            directive.above,
+            directive.beside,
+            directive.below,
+            directive.closing,
+            directive.broken,
+        )
 
     def _text(self, word: Word, given: Mapping[str, str]) -> Word:
         if "${" not in word.text:
@@ -434,16 +516,21 @@
             if not closed or value is None:
                 what = f"${{{name}}} is not declared" if closed else "a ${ that is not closed"
                 if name not in self._known.unset:
-                    self.undeclared.setdefault(name, fault(
-                        word, what, f"write env {name}, or a parameter of the definition" if closed
-                        else "end it with }", code="reference"))
+                    self.undeclared.setdefault(
+                        name,
+                        fault(
+                            word,
+                            what,
+                            f"write env {name}, or a parameter of the definition" if closed else "end it with }",
+                            code="reference",
+                        ),
+                    )
                 value = ""
             out += before + value
         return Word(out + rest, word.place, True)
 
 
-def substitute(directives: list[Directive], problems: list[Problem],
-               environment: Mapping[str, str]) -> list[Directive]:
+def substitute(directives: list[Directive], problems: list[Problem], environment: Mapping[str, str]) -> list[Directive]:
     """The directives with definitions put in and declared environment variables replaced. Free of I/O."""
     known = Globals(environment)
     known.add(each for each in directives if each.name.text in ("env", "define"))
@@ -452,8 +539,11 @@
         if directive.name.text not in ("env", "define"):
             out += (each for each in expansion.put(directive) if each is not None)
     problems += [*known.problems, *expansion.problems, *expansion.undeclared.values()]
-    problems += [fault(definition.values[0], f"definition {name!r} is not used", "", Severity.NOTE, "unused")
-                 for name, definition in known.definitions.items() if name not in expansion.used]
+    problems += [
+        fault(definition.values[0], f"definition {name!r} is not used", "", Severity.NOTE, "unused")
+        for name, definition in known.definitions.items()
+        if name not in expansion.used
+    ]
     return out
 
 
--- a/anisefront/config/meaning.py
+++ b/anisefront/config/meaning.py
@@ -24,8 +24,9 @@
     yield from _unused(model, uses)
 
 
-def _found(word: Word, what: str, mend: str = "", severity: Severity = Severity.WARNING,
-           code: str = "contradiction") -> Problem:
+def _found(
+    word: Word, what: str, mend: str = "", severity: Severity = Severity.WARNING, code: str = "contradiction"
+) -> Problem:
     return fault(word, what, mend, severity, code)
 
 
@@ -37,20 +38,38 @@
         if not rate and not ceiling and not out:
             yield _found(entry.word, f"quota {name!r} holds nobody to anything", "give rate, max-out or ceiling")
         if rate and ceiling and ceiling < rate:
-            yield _found(entry.place("ceiling"), f"quota {name!r}: its ceiling is below its rate",
-                         "raise the ceiling, or lower the rate", Severity.ERROR)
+            yield _found(
+                entry.place("ceiling"),
+                f"quota {name!r}: its ceiling is below its rate",
+                "raise the ceiling, or lower the rate",
+                Severity.ERROR,
+            )
         if rate and ceiling and ceiling_burst < burst:
-            yield _found(entry.place("ceiling-burst"), f"quota {name!r}: the ceiling's burst is below the burst",
-                         "what the quota allows at once the ceiling refuses")
+            yield _found(
+                entry.place("ceiling-burst"),
+                f"quota {name!r}: the ceiling's burst is below the burst",
+                "what the quota allows at once the ceiling refuses",
+            )
         if rate and burst < 1:
-            yield _found(entry.place("burst"), f"quota {name!r}: a burst of {burst:g} that no request can use",
-                         "the smallest request counts 1 unit", Severity.ERROR)
+            yield _found(
+                entry.place("burst"),
+                f"quota {name!r}: a burst of {burst:g} that no request can use",
+                "the smallest request counts 1 unit",
+                Severity.ERROR,
+            )
         elif rate and not open_ended and burst < most:
-            yield _found(entry.place("burst"), f"quota {name!r}: requests of {most:g} units never fit its burst",
-                         f"raise it to {most:g} or more")
+            yield _found(
+                entry.place("burst"),
+                f"quota {name!r}: requests of {most:g} units never fit its burst",
+                f"raise it to {most:g} or more",
+            )
         if rate and out:
-            yield _found(entry.place("max-out"), f"quota {name!r}: with max-out its rate counts at the home alone", "",
-                         Severity.NOTE)
+            yield _found(
+                entry.place("max-out"),
+                f"quota {name!r}: with max-out its rate counts at the home alone",
+                "",
+                Severity.NOTE,
+            )
 
 
 def owners(entries: Iterable[Entry]) -> Iterator[Problem]:
@@ -60,8 +79,12 @@
         customer = entry.options["customer"]
         first = known.setdefault(customer, entry)
         if first.options["plan"] != entry.options["plan"]:
-            yield _found(entry.place("plan"), f"customer {customer!r} is on two plans, first in line "
-                         f"{first.word.place.line}", "keys of one customer count against one quota", Severity.ERROR)
+            yield _found(
+                entry.place("plan"),
+                f"customer {customer!r} is on two plans, first in line {first.word.place.line}",
+                "keys of one customer count against one quota",
+                Severity.ERROR,
+            )
 
 
 def _classes(model: Model) -> Iterator[Problem]:
@@ -69,15 +92,21 @@
     log, again = model.one("path").get("log", 1000.0), model.one("path").get("ask-again", 500.0)
     for name, entry in model.named("class").items():
         if entry.options["repeat"] == "keyed" and entry.get("window", 0.0) <= 2 * park:
-            yield _found(entry.place("window"), f"class {name!r}: its window leaves no time for a repeat",
-                         f"the way over a proxy takes twice park, {2 * park:g}ms, of it")
+            yield _found(
+                entry.place("window"),
+                f"class {name!r}: its window leaves no time for a repeat",
+                f"the way over a proxy takes twice park, {2 * park:g}ms, of it",
+            )
         if entry.get("worth", 1.0) == 0:
             yield _found(entry.place("worth"), f"class {name!r} is worth nothing: all others go before it")
         if entry.get("late-worth", 0.0) and entry.options["deadline"] == entry.options["aim"]:
             yield _found(entry.place("late-worth"), f"class {name!r}: no answer can be late, its deadline is its aim")
         if again >= entry.options["deadline"]:
-            yield _found(model.one("path").place("ask-again"), f"ask-again outlasts the deadline of class {name!r}",
-                         "no further attempt can be in time")
+            yield _found(
+                model.one("path").place("ask-again"),
+                f"ask-again outlasts the deadline of class {name!r}",
+                "no further attempt can be in time",
+            )
     if log < park:
         yield _found(model.one("path").place("log"), "logs are given less time than a send waits for its check")
     attempts = model.one("attempts")
@@ -88,22 +117,36 @@
 def _fleet(model: Model, config: Config) -> Iterator[Problem]:
     drain, stop = model.one("drain"), model.one("stop")
     if config.drain_ms > config.stop_ms:
-        yield _found(drain.place("time") if drain.places else stop.place("time"),
-                     f"a drain of {config.drain_ms:g}ms, but the process is killed after {config.stop_ms:g}ms",
-                     "raise stop above drain", Severity.ERROR if drain.places and stop.places else Severity.WARNING)
+        yield _found(
+            drain.place("time") if drain.places else stop.place("time"),
+            f"a drain of {config.drain_ms:g}ms, but the process is killed after {config.stop_ms:g}ms",
+            "raise stop above drain",
+            Severity.ERROR if drain.places and stop.places else Severity.WARNING,
+        )
     longest = max(entry.options["deadline"] for entry in model.of("class"))
     if config.drain_ms < longest:
-        yield _found(drain.place("time"), f"a drain of {config.drain_ms:g}ms cuts off requests that may take "
-                     f"{longest:g}ms", "", Severity.NOTE)
+        yield _found(
+            drain.place("time"),
+            f"a drain of {config.drain_ms:g}ms cuts off requests that may take {longest:g}ms",
+            "",
+            Severity.NOTE,
+        )
     listed, count = {entry.arguments["number"] for entry in model.of("peer")}, config.settings.gateways
     missing = sorted(set(range(count)) - listed - {config.settings.number})
     if missing:
         word = model.of("peer")[0].word if listed else model.one("gatekeeper").word
-        yield _found(word, f"no peer line for gatekeeper {', '.join(map(str, missing[:5]))}",
-                     "quotas of customers whose home it is go on credit")
+        yield _found(
+            word,
+            f"no peer line for gatekeeper {', '.join(map(str, missing[:5]))}",
+            "quotas of customers whose home it is go on credit",
+        )
     elif count > 1 and config.settings.number not in listed:
-        yield _found(model.of("peer")[0].word, f"a peer list without ourselves, gatekeeper {config.settings.number}",
-                     "one list for the whole fleet can be included by all", Severity.NOTE)
+        yield _found(
+            model.of("peer")[0].word,
+            f"a peer list without ourselves, gatekeeper {config.settings.number}",
+            "one list for the whole fleet can be included by all",
+            Severity.NOTE,
+        )
     seen: dict[tuple[str, int], Entry] = {}
     for entry in model.of("listen"):
         address = entry.arguments["address"]
@@ -116,10 +159,12 @@
 def _unused(model: Model, uses: Uses) -> Iterator[Problem]:
     plans = {*uses.plans, model.one("customers").get("plan")}
     quotas = {entry.options["quota"] for entry in model.of("plan")}
-    for what, known, used, by in (("class", model.named("class"), uses.classes, "no route leads to it"),
-                                  ("pool", model.named("pool"), uses.pools, "no route reaches it"),
-                                  ("plan", model.named("plan"), plans, "no customer is on it"),
-                                  ("quota", model.named("quota"), quotas, "no plan has it")):
+    for what, known, used, by in (
+        ("class", model.named("class"), uses.classes, "no route leads to it"),
+        ("pool", model.named("pool"), uses.pools, "no route reaches it"),
+        ("plan", model.named("plan"), plans, "no customer is on it"),
+        ("quota", model.named("quota"), quotas, "no plan has it"),
+    ):
         for name, entry in known.items():
             if name not in used:
                 yield _found(entry.place("name"), f"{what} {name!r}: {by}", "", code="unused")
@@ -172,8 +217,13 @@
                 word, route = lines[number]
                 by = lines[covering]
                 same = "" if by[1].outcome == route.outcome else ", with another outcome"
-                yield _found(word, f"this route never matches: line {by[0].place.line} takes all of it{same}",
-                             "remove it, or put it first", Severity.ERROR if same else Severity.WARNING, "unreachable")
+                yield _found(
+                    word,
+                    f"this route never matches: line {by[0].place.line} takes all of it{same}",
+                    "remove it, or put it first",
+                    Severity.ERROR if same else Severity.WARNING,
+                    "unreachable",
+                )
     yield from _overlaps(lines, groups, dead)
     yield from _twins(lines)
 
@@ -203,7 +253,7 @@
     told = 0
     for numbers in groups.values():
         for at, first in enumerate(numbers):
-            for count, second in enumerate(numbers[at + 1:], 1):
+            for count, second in enumerate(numbers[at + 1 :], 1):
                 if count % PAIRS == 0:
                     yield None
                 if told >= MOST_OVERLAPS or first in dead or second in dead:
@@ -214,9 +264,14 @@
                 shared = common(a.pattern, b.pattern)
                 if shared:
                     told += 1
-                    yield _found(lines[second][0], f"overlaps line {lines[first][0].place.line} with another outcome: "
-                                 f"{shared[0]} goes there, by order of lines",
-                                 "make the conditions exclude each other", Severity.WARNING, "overlap")
+                    yield _found(
+                        lines[second][0],
+                        f"overlaps line {lines[first][0].place.line} with another outcome: "
+                        f"{shared[0]} goes there, by order of lines",
+                        "make the conditions exclude each other",
+                        Severity.WARNING,
+                        "overlap",
+                    )
 
 
 def _crossings(lines: Lines) -> Iterator[Problem]:
@@ -232,9 +287,15 @@
         if shared:
             notes += 1
             winner = min((first, second), key=lambda n: rank(lines[n][1].pattern, shared[0].method, n))
-            yield _found(lines[max(first, second)][0], f"overlaps line {lines[min(first, second)][0].place.line} with "
-                         f"another outcome: {shared[0]} goes to line {lines[winner][0].place.line}, which is more "
-                         "particular", "", Severity.NOTE, "overlap")
+            yield _found(
+                lines[max(first, second)][0],
+                f"overlaps line {lines[min(first, second)][0].place.line} with "
+                f"another outcome: {shared[0]} goes to line {lines[winner][0].place.line}, which is more "
+                "particular",
+                "",
+                Severity.NOTE,
+                "overlap",
+            )
 
 
 class _Branch:
@@ -331,9 +392,14 @@
             other = index.find(method, host, raw, headers)
             if other >= 0 and lines[other][1].outcome != route.outcome and lines[other][1].pattern.path != raw:
                 told += 1
-                yield _found(word, f"{raw} goes by line {lines[other][0].place.line} with another outcome, and workers "
-                             f"may take it for {pattern.path}", "see that they do not, or give it a route of its own",
-                             Severity.NOTE, "slips")
+                yield _found(
+                    word,
+                    f"{raw} goes by line {lines[other][0].place.line} with another outcome, and workers "
+                    f"may take it for {pattern.path}",
+                    "see that they do not, or give it a route of its own",
+                    Severity.NOTE,
+                    "slips",
+                )
                 break
 
 
@@ -349,5 +415,10 @@
         other = lines[first][1]
         if first != number and other.pattern.path != pattern.path and other.outcome != route.outcome:
             how = "a final slash" if other.pattern.path.lower() != pattern.path.lower() else "case"
-            yield _found(word, f"differs from line {lines[first][0].place.line} by {how} alone, with another outcome",
-                         "paths are compared letter by letter", Severity.WARNING, "twins")
+            yield _found(
+                word,
+                f"differs from line {lines[first][0].place.line} by {how} alone, with another outcome",
+                "paths are compared letter by letter",
+                Severity.WARNING,
+                "twins",
+            )
--- a/anisefront/config/messages.py
+++ b/anisefront/config/messages.py
@@ -20,7 +20,7 @@
         shown, start = line, 0
         if len(line) > MOST_SHOWN:
             start = max(0, problem.place.column - MOST_SHOWN // 2)
-            shown = line[start:start + MOST_SHOWN]
+            shown = line[start : start + MOST_SHOWN]
         at = problem.place.column - 1 - start
         blank = "".join("\t" if letter == "\t" else " " for letter in shown[:at]) + " " * max(0, at - len(shown))
         out.append(f"    {shown}")
@@ -32,16 +32,27 @@
 def as_json(load: Load, problem: Problem) -> dict[str, Any]:
     """The problem in plain values, for editors and CI."""
     path = load.sources[problem.place.file].path if problem.place.file < len(load.sources) else ""
-    return {"file": path, "line": problem.place.line, "column": problem.place.column, "width": problem.width,
-            "severity": problem.severity.name.lower(), "code": problem.code, "message": problem.what,
-            "mend": problem.mend, "included_at": [load.where(place) for place in load.chain(problem.place)]}
+    return {
+        "file": path,
+        "line": problem.place.line,
+        "column": problem.place.column,
+        "width": problem.width,
+        "severity": problem.severity.name.lower(),
+        "code": problem.code,
+        "message": problem.what,
+        "mend": problem.mend,
+        "included_at": [load.where(place) for place in load.chain(problem.place)],
+    }
 
 
 def closing(problems: list[Problem]) -> str:
     """How many of each."""
     counts = Counter(problem.severity for problem in problems)
-    words = [f"{counts[severity]} {severity.name.lower()}{'s' if counts[severity] != 1 else ''}"
-             for severity in reversed(Severity) if counts[severity]]
+    words = [
+        f"{counts[severity]} {severity.name.lower()}{'s' if counts[severity] != 1 else ''}"
+        for severity in reversed(Severity)
+        if counts[severity]
+    ]
     return ", ".join(words) or "nothing wrong"
 
 
--- a/anisefront/config/migrate.py
+++ b/anisefront/config/migrate.py
@@ -1,10 +1,10 @@
 """Version 1 of the language, the format of the first gatekeeper, to version 2. Works on the tree; comments stay.
 
-    roster HOW WHAT ...      pool main roster|embedded WHAT ..., with the figures of a servers line
-    plan N rate R ...        quota N rate R ... and plan N quota N ...
-    customer header H ...    customers header H ...
-    route ... class C        route ... class C pool main
-    report a,b               report [a b]
+roster HOW WHAT ...      pool main roster|embedded WHAT ..., with the figures of a servers line
+plan N rate R ...        quota N rate R ... and plan N quota N ...
+customer header H ...    customers header H ...
+route ... class C        route ... class C pool main
+report a,b               report [a b]
 """
 
 from __future__ import annotations
@@ -48,8 +48,9 @@
     name, values = directive.name.text, directive.values
     if name == "servers":
         if directive.above and any(directive.above):
-            problems.append(fault(directive.name, "the comment above this line has no place any more", "",
-                                  code="migrate"))
+            problems.append(
+                fault(directive.name, "the comment above this line has no place any more", "", code="migrate")
+            )
         return []
     if name == "roster":
         if len(values) < 2:
@@ -62,11 +63,14 @@
         pairs = _pairs(values[1:])
         quota = [word for pair in pairs if pair[0].text in _QUOTA for word in pair]
         rest = [word for pair in pairs if pair[0].text not in _QUOTA for word in pair]
-        return [Directive(_word("quota"), [values[0], *quota], None, directive.above),
-                Directive(_word("plan"), [values[0], _word("quota"), values[0], *rest], None, [], directive.beside)]
+        return [
+            Directive(_word("quota"), [values[0], *quota], None, directive.above),
+            Directive(_word("plan"), [values[0], _word("quota"), values[0], *rest], None, [], directive.beside),
+        ]
     if name == "customer":
         return [Directive(_word("customers"), values, None, directive.above, directive.beside)]
     if name == "route":
-        return [Directive(directive.name, [*values, _word("pool"), _word("main")], None, directive.above,
-                          directive.beside)]
+        return [
+            Directive(directive.name, [*values, _word("pool"), _word("main")], None, directive.above, directive.beside)
+        ]
     return [directive]
--- a/anisefront/config/parser.py
+++ b/anisefront/config/parser.py
@@ -1,10 +1,10 @@
 """Tokens to a tree of directives, by the grammar of docs/config-grammar.md. Free of I/O, and no recursion.
 
-    document  = { line }
-    line      = [ directive ] [ comment ] end
-    directive = word { value } [ "{" { line } "}" ]
-    value     = word | string | list
-    list      = "[" { word | string } "]"          commas between are optional; it may go over lines
+document  = { line }
+line      = [ directive ] [ comment ] end
+directive = word { value } [ "{" { line } "}" ]
+value     = word | string | list
+list      = "[" { word | string } "]"          commas between are optional; it may go over lines
 """
 
 from __future__ import annotations
@@ -127,12 +127,24 @@
             self._close_list()
         for directive in self._open[:1]:  # one message for the outermost; the inner ones follow from it
             directive.broken = True
-            out = next((n for n, inner in enumerate(directive.block)
-                        if inner.name.place.column <= directive.name.place.column), len(directive.block))
+            out = next(
+                (
+                    n
+                    for n, inner in enumerate(directive.block)
+                    if inner.name.place.column <= directive.name.place.column
+                ),
+                len(directive.block),
+            )
             self._top += directive.block[out:]  # lines that were plainly not meant to be inside
             del directive.block[out:]
-            self._problems.append(Problem(directive.name.place, f"the block of {directive.name.text!r} is not closed",
-                                          "end it with }", width=len(directive.name.text)))
+            self._problems.append(
+                Problem(
+                    directive.name.place,
+                    f"the block of {directive.name.text!r} is not closed",
+                    "end it with }",
+                    width=len(directive.name.text),
+                )
+            )
         self._finish()
         while self._above and not self._above[-1]:
             self._above.pop()
@@ -167,8 +179,11 @@
 
     def _abandoned(self, kind: str, word: Word) -> bool:
         """Whether a list was never closed: a later line begins no further right than the list's own."""
-        if kind == "]" or word.place.line == self._list.place.line \
-                or word.place.column > self._current.name.place.column:
+        if (
+            kind == "]"
+            or word.place.line == self._list.place.line
+            or word.place.column > self._current.name.place.column
+        ):
             return False
         self._close_list()
         self._finish()
@@ -196,8 +211,9 @@
             self._skip = 1
             return
         if len(self._open) >= MOST_DEPTH:
-            self._problems.append(fault(word, f"blocks nested more than {MOST_DEPTH} deep", "flatten them",
-                                        code="syntax"))
+            self._problems.append(
+                fault(word, f"blocks nested more than {MOST_DEPTH} deep", "flatten them", code="syntax")
+            )
             self._skip = 1
             self._current = None
             return
@@ -225,8 +241,14 @@
         if 0 < run < len(self._top) and self._top[run - 1].block is None:
             head = self._top[run - 1]
             head.block, self._top[run:] = self._top[run:], []
-            self._problems.append(fault(head.name, f"the {{ of {head.name.text!r}'s block is missing",
-                                        "write { at the end of its line", code="syntax"))
+            self._problems.append(
+                fault(
+                    head.name,
+                    f"the {{ of {head.name.text!r}'s block is missing",
+                    "write { at the end of its line",
+                    code="syntax",
+                )
+            )
             self._skip_line = True
         else:
             self._wrong(word, "a } without its {", "remove it")
--- a/anisefront/config/reading.py
+++ b/anisefront/config/reading.py
@@ -65,8 +65,13 @@
 class Reading:
     """`environment` holds what `env` may name. `read` and `find` (a glob) may be others, for texts in no file."""
 
-    def __init__(self, path: str, environment: Mapping[str, str] | None = None, read: Read | None = None,
-                 find: Find | None = None) -> None:
+    def __init__(
+        self,
+        path: str,
+        environment: Mapping[str, str] | None = None,
+        read: Read | None = None,
+        find: Find | None = None,
+    ) -> None:
         self.path, self._environment = path, {} if environment is None else environment
         self._files: Callable[[], Files] = Disk if read is None else lambda: Files(read, find)
         self._running: Generator[None, None, Outcome] | None = None
@@ -144,8 +149,9 @@
         file = self._by_number.get(place.file)
         return f"{file.path if file else '?'}:{place.line}:{place.column}"
 
-    def _take(self, path: str, real: str, data: bytes,
-              asked: Word | None) -> Generator[None, None, tuple[Part | Directive, ...]]:
+    def _take(
+        self, path: str, real: str, data: bytes, asked: Word | None
+    ) -> Generator[None, None, tuple[Part | Directive, ...]]:
         numbers, records = self._reading._numbers, self._reading._records
         if path not in numbers:
             self._reading._last += 1
@@ -195,8 +201,11 @@
             if not file.record.holds(known):
                 data = yield from self._data(file)
                 again = yield from record(data, file.record.digest, file.number, known, file.record)
-                instead.update((id(old), new) for old, new in zip(file.record.items, again.items, strict=True)
-                               if isinstance(old, Part))
+                instead.update(
+                    (id(old), new)
+                    for old, new in zip(file.record.items, again.items, strict=True)
+                    if isinstance(old, Part)
+                )
                 file.record = self._reading._records[file.path] = again
         if instead:
             self.order = [instead.get(id(part), part) for part in self.order]
@@ -242,8 +251,9 @@
                     undeclared.add(name)
                     problems.append(problem)
             if lines < MOST_LINES <= lines + part.lines and part.lines < MOST_LINES:  # else it was said of the part
-                problems.append(fault(part.first.name, f"definitions come to more than {MOST_LINES} lines", "",
-                                      code="definition"))
+                problems.append(
+                    fault(part.first.name, f"definitions come to more than {MOST_LINES} lines", "", code="definition")
+                )
             lines += part.lines
         self._lost = checker.faulty(problems)
         for number, part in enumerate(self.order):
@@ -273,8 +283,9 @@
             places = yield from _places(part.texts, texts.__contains__)
             looked = yield from self._of(part, (), places[:MOST_PROBLEMS] if told < MOST_PROBLEMS else ())
             found = [(at - 0.5, word.text, word) for at, word in part.faulty_keys]
-            found += ((at, part.texts[at], looked.keys[at].places["key"] if at in looked.keys else None)
-                      for at in places)
+            found += (
+                (at, part.texts[at], looked.keys[at].places["key"] if at in looked.keys else None) for at in places
+            )
             for count, (_, text, word) in enumerate(sorted(found, key=lambda each: each[0])):
                 if count % PARTS == PARTS - 1:
                     yield
@@ -294,10 +305,16 @@
                 yield
             for entry in part.entries:
                 self._problems += references(entry, names.of)
-        plans, classes, pools = ({name for name in used if name not in names.of[kind]} for kind, used in
-                                 (("plan", uses.plans), ("class", uses.classes), ("pool", uses.pools)))
-        told, more = 0, sum(uses.plans[name] for name in plans) + sum(uses.classes[name] for name in classes) \
-            + sum(uses.pools[name] for name in pools)
+        plans, classes, pools = (
+            {name for name in used if name not in names.of[kind]}
+            for kind, used in (("plan", uses.plans), ("class", uses.classes), ("pool", uses.pools))
+        )
+        told, more = (
+            0,
+            sum(uses.plans[name] for name in plans)
+            + sum(uses.classes[name] for name in classes)
+            + sum(uses.pools[name] for name in pools),
+        )
         for part in self.order if more else ():
             routes = yield from _places(part.routes, lambda route: route.class_name in classes or route.pool in pools)
             keys = yield from _places(part.keys, lambda key: key.plan in plans)
@@ -352,7 +369,7 @@
         for part in self.order:
             places = yield from _places(part.keys, lambda key: key.customer in self._across.split)
             if len(found) < 2 * MOST_PROBLEMS:
-                looked = yield from self._of(part, (), places[:2 * MOST_PROBLEMS])
+                looked = yield from self._of(part, (), places[: 2 * MOST_PROBLEMS])
                 found += looked.keys.values()
         self._problems += meaning.owners(found)
 
@@ -360,15 +377,23 @@
 
     def _told(self) -> Generator[None, None, tuple[tuple[Problem, ...], tuple[str, ...]]]:
         """The problems with files by their numbers in this reading, and their texts."""
+
         def now(place: Place) -> Place:
             return Place(self._running[place.file], place.line, place.column)
-        problems = checker.arranged((replace(each, place=now(each.place)) for each in self._problems), False,
-                                    self._more)
+
+        problems = checker.arranged(
+            (replace(each, place=now(each.place)) for each in self._problems), False, self._more
+        )
         if not problems:
             return (), ()
         yield
-        load = _Shown([Source(file.path, "", Document([], []), None if file.asked_by is None else now(file.asked_by))
-                       for file in self.files] or [Source("settings", "", Document([], []))])
+        load = _Shown(
+            [
+                Source(file.path, "", Document([], []), None if file.asked_by is None else now(file.asked_by))
+                for file in self.files
+            ]
+            or [Source("settings", "", Document([], []))]
+        )
         wanted: dict[int, set[int]] = {}
         for problem in problems:
             wanted.setdefault(problem.place.file, set()).add(problem.place.line)
@@ -387,7 +412,7 @@
     whole = hashlib.sha256(data[:PIECE])
     for at in range(PIECE, len(data), PIECE):
         yield
-        whole.update(data[at:at + PIECE])
+        whole.update(data[at : at + PIECE])
     return whole.digest()
 
 
--- a/anisefront/config/record.py
+++ b/anisefront/config/record.py
@@ -23,8 +23,10 @@
 # The lines of which a large installation has thousands, where each word is plain: their meaning is plain as well.
 _WORD, _NAME = r"([!%&'()*+\-./0-9:<=>?@A-Z^_`a-z|~]{1,4096})", r"([A-Za-z][A-Za-z0-9._-]{0,63})"
 _KEY = re.compile(rf"([ \t]*)key[ \t]+{_WORD}[ \t]+customer[ \t]+{_WORD}[ \t]+plan[ \t]+{_NAME}[ \t]*\r?\Z")
-_ROUTE = re.compile(rf"([ \t]*)route[ \t]+(\*|[A-Z][A-Z-]{{0,31}})[ \t]+{_WORD}[ \t]+class[ \t]+{_NAME}[ \t]+pool[ \t]+"
-                    rf"{_NAME}(?:[ \t]+host[ \t]+{_WORD})?[ \t]*\r?\Z")
+_ROUTE = re.compile(
+    rf"([ \t]*)route[ \t]+(\*|[A-Z][A-Z-]{{0,31}})[ \t]+{_WORD}[ \t]+class[ \t]+{_NAME}[ \t]+pool[ \t]+"
+    rf"{_NAME}(?:[ \t]+host[ \t]+{_WORD})?[ \t]*\r?\Z"
+)
 BEFORE = 256  # keys of before that are gone through in one step
 PIECE = 1 << 15  # bytes that are decoded at once, and those to the end of their line
 
@@ -34,8 +36,26 @@
 
     `route_places` and `key_places` hold file, line and column of each, three numbers in a row."""
 
-    __slots__ = ("entries", "expansion", "faulty_keys", "file", "first", "globals", "key_places", "keys", "languages",
-                 "lines", "lost", "named", "number", "problems", "route_places", "routes", "texts", "undeclared")
+    __slots__ = (
+        "entries",
+        "expansion",
+        "faulty_keys",
+        "file",
+        "first",
+        "globals",
+        "key_places",
+        "keys",
+        "languages",
+        "lines",
+        "lost",
+        "named",
+        "number",
+        "problems",
+        "route_places",
+        "routes",
+        "texts",
+        "undeclared",
+    )
 
     def __init__(self, file: int, number: int) -> None:
         self.file, self.number = file, number
@@ -58,11 +78,11 @@
 
     def route_word(self, at: int) -> Word:
         """The first word of a route's line."""
-        return Word("route", Place(*self.route_places[3 * at:3 * at + 3]))
+        return Word("route", Place(*self.route_places[3 * at : 3 * at + 3]))
 
     def key_word(self, at: int) -> Word:
         """The first word of a key's line."""
-        return Word("key", Place(*self.key_places[3 * at:3 * at + 3]))
+        return Word("key", Place(*self.key_places[3 * at : 3 * at + 3]))
 
 
 class Record:
@@ -70,8 +90,14 @@
 
     __slots__ = ("digest", "items", "looked_up", "names", "problems", "used")
 
-    def __init__(self, digest: bytes, items: tuple[Part | Directive, ...], problems: tuple[Problem, ...],
-                 expansion: Expansion, known: Globals) -> None:
+    def __init__(
+        self,
+        digest: bytes,
+        items: tuple[Part | Directive, ...],
+        problems: tuple[Problem, ...],
+        expansion: Expansion,
+        known: Globals,
+    ) -> None:
         self.digest, self.items, self.problems = digest, items, problems
         self.used = expansion.used
         self.looked_up = {name: (value, name in known.unset) for name, value in expansion.looked_up.items()}
@@ -80,14 +106,16 @@
 
     def holds(self, known: Globals) -> bool:
         """Whether the file comes to the same under these definitions and values."""
-        return (all(known.definitions.get(name) is definition for name, definition in self.used.items())
-                and all((known.values.get(name), name in known.unset) == found
-                        for name, found in self.looked_up.items())
-                and (self.names is None or self.names == tuple(known.definitions)))
+        return (
+            all(known.definitions.get(name) is definition for name, definition in self.used.items())
+            and all((known.values.get(name), name in known.unset) == found for name, found in self.looked_up.items())
+            and (self.names is None or self.names == tuple(known.definitions))
+        )
 
 
-def record(data: bytes, digest: bytes, file: int, known: Globals,
-           before: Record | None = None) -> Generator[None, None, Record]:
+def record(
+    data: bytes, digest: bytes, file: int, known: Globals, before: Record | None = None
+) -> Generator[None, None, Record]:
     """A file's record, in steps. Keys that are as in the record before are the same objects."""
     return (yield from _Maker(file, known, before).run(data, digest))
 
@@ -110,7 +138,7 @@
     at = 3 if data.startswith(b"\xef\xbb\xbf") else 0
     while True:
         end = data.find(b"\n", at + PIECE)
-        yield from data[at:end if end >= 0 else len(data)].decode().split("\n")
+        yield from data[at : end if end >= 0 else len(data)].decode().split("\n")
         if end < 0:
             return
         at = end + 1
@@ -239,8 +267,15 @@
 class _OpenPart:
     """A part while its lines are taken in."""
 
-    def __init__(self, file: int, number: int, wanted: Wanted | None, first: Directive, expansion: Expansion,
-                 keys_before: Mapping[str, tuple[str, Key]]) -> None:
+    def __init__(
+        self,
+        file: int,
+        number: int,
+        wanted: Wanted | None,
+        first: Directive,
+        expansion: Expansion,
+        keys_before: Mapping[str, tuple[str, Key]],
+    ) -> None:
         self._wanted, self._part, self._keys_before = wanted, Part(file, number), keys_before
         self._lines_before, self._known_before = expansion.lines, len(expansion.undeclared)
         self._part.first = first if first.name.text == "language" else Directive(first.name)
@@ -310,7 +345,7 @@
         part.entries, part.named = tuple(self._entries), tuple(self._named)
         part.faulty_keys, part.problems = tuple(self._faulty_keys), tuple(self._problems)
         part.expansion, part.lost = tuple(expansion.problems), self._reader.lost
-        part.undeclared = tuple(list(expansion.undeclared.items())[self._known_before:])
+        part.undeclared = tuple(list(expansion.undeclared.items())[self._known_before :])
         part.lines = expansion.lines - self._lines_before
         expansion.problems.clear()
         return part
--- a/anisefront/config/reference.py
+++ b/anisefront/config/reference.py
@@ -9,18 +9,30 @@
 
 def reference() -> str:
     """The whole page in Markdown."""
-    out = ["# Settings: every directive", "",
-           "Written by `anisefront config reference` from the table that the checker uses. The grammar is in",
-           "[config-grammar.md](../config-grammar.md), changing settings safely in [changing.md](changing.md).", "",
-           "One directive a line; options as `name value` on the line or one a line in its block.", "",
-           f"- Times: {', '.join(TIMES)}. Rates: a number, perhaps `requests` or `units`, then a slash and one of "
-           f"{', '.join(PERIODS)}. Sizes: {', '.join(SIZES)}. Shares: `20%` or `0.2`.",
-           "- A value with a unit needs it; a bare number is an error.", "", "## Of the language", ""]
+    out = [
+        "# Settings: every directive",
+        "",
+        "Written by `anisefront config reference` from the table that the checker uses. The grammar is in",
+        "[config-grammar.md](../config-grammar.md), changing settings safely in [changing.md](changing.md).",
+        "",
+        "One directive a line; options as `name value` on the line or one a line in its block.",
+        "",
+        f"- Times: {', '.join(TIMES)}. Rates: a number, perhaps `requests` or `units`, then a slash and one of "
+        f"{', '.join(PERIODS)}. Sizes: {', '.join(SIZES)}. Shares: `20%` or `0.2`.",
+        "- A value with a unit needs it; a bare number is an error.",
+        "",
+        "## Of the language",
+        "",
+    ]
     for name, spec in LANGUAGE.items():
         out += _one(name, spec)
-    out += ["## Of the gatekeeper", "",
-            f"While it runs, a gatekeeper can't change {', '.join(f'`{name}`' for name in FIXED)}; "
-            "classes and plans can change their figures and be added at the end.", ""]
+    out += [
+        "## Of the gatekeeper",
+        "",
+        f"While it runs, a gatekeeper can't change {', '.join(f'`{name}`' for name in FIXED)}; "
+        "classes and plans can change their figures and be added at the end.",
+        "",
+    ]
     for name, spec in SCHEMA.items():
         out += _one(name, spec)
     return "\n".join(out).rstrip() + "\n"
@@ -35,9 +47,11 @@
         out += [f"Words: {'; '.join(kinds)}.", ""]
     if spec.options:
         out += ["| option | value | meaning | where not given |", "| --- | --- | --- | --- |"]
-        out += [f"| `{option}` | {each.type.name}{' list' if each.many else ''}, such as `{each.type.example}` | "
-                f"{each.text} | {'an error' if each.needed else each.default or '-'} |"
-                for option, each in spec.options.items()]
+        out += [
+            f"| `{option}` | {each.type.name}{' list' if each.many else ''}, such as `{each.type.example}` | "
+            f"{each.text} | {'an error' if each.needed else each.default or '-'} |"
+            for option, each in spec.options.items()
+        ]
         out.append("")
     if spec.example:
         out += [f"    {spec.example}", ""]
--- a/anisefront/config/schema.py
+++ b/anisefront/config/schema.py
@@ -67,123 +67,252 @@
 REPORT = one_of("util", "inflight", "queue", "latency_ms", "qps", "eps")
 
 SCHEMA: dict[str, Spec] = {
-    "gatekeeper": Spec("Who we are: our number, from 0, and how many gatekeepers there are.",
-                       (Argument("number", WHOLE),), {
-        "of": Option(WHOLE, "how many gatekeepers there are", needed=True),
-        "zone": Option(NAME, "the zone we stand in; its workers are preferred")}, needed=True,
-        example="gatekeeper 0 of 3 zone room-a"),
-    "listen": Spec("A port that we open. Port 0 takes a free one.", (
-        Argument("front", one_of("grpc", "jsonrpc", "peers")), Argument("address", ADDRESS)),
-        many=True, needed=True, unique=(0,), example="listen grpc 127.0.0.1:9001"),
-    "peer": Spec("Where a gatekeeper of the fleet takes datagrams. The list may be shared by all, ourselves included.",
-                 (Argument("number", WHOLE), Argument("address", ADDRESS)), {
-        "zone": Option(NAME, "the zone it stands in; keepers are chosen from other zones first")}, many=True,
-                 unique=(0,), example="peer 1 10.0.0.2:9002 zone room-b"),
-    "secret": Spec("Authenticates datagrams between gatekeepers; at least 16 bytes, the same for the whole fleet.",
-                   (Argument("text", TEXT),), example='secret "${FLEET_SECRET}"'),
-    "members": Spec("Watches who of the fleet is there, by probes between gatekeepers over 'listen peers'.", (), {
-        "period": Option(TIME, "one other is probed in each", "1s")}, example="members period 1s"),
-    "keepers": Spec("Has another gatekeeper know of each request, which takes it over if this one is lost.", (), {
-        "lease": Option(TIME, "a gatekeeper not heard for so long is taken for lost; never a matter of safety", "1s"),
-        "records": Option(WHOLE, "requests kept for others", "50000")}, example="keepers lease 1s"),
-    "messages": Spec("How many datagrams a second we take in; 1000 where it is not said. Where more than three eighths "
-                     "of it come, what gatekeepers tell each other waits up to 60 ms for company.",
-                     (Argument("rate", RATE),), example="messages 1000/s"),
-    "pool": Spec("Workers that routes send to.", (Argument("name", NAME),), {
-        "roster": Option(TEXT, "a ClusterLoadAssignment file in JSON, read again when it changes"),
-        "embedded": Option(WHOLE, "so many workers inside this process, for a first try"),
-        "cores": Option(WHOLE, "cores of an embedded worker", "2"),
-        "service": Option(TIME, "service time of an embedded worker", "1ms"),
-        "warm-up": Option(TIME, "after which a worker that has started is surely warm", "10s"),
-        "cold-from": Option(SHARE, "the share of its capacity that it surely starts with", "20%"),
-        "fall-multiple": Option(NUMBER, "times its present capacity that a cold worker must not be sent", "3"),
-        "fall-window": Option(TIME, "for so long", "2s")}, many=True, needed=True, unique=(0,),
-        example="pool stalls roster /etc/anisefront/stalls.json"),
-    "class": Spec("A kind of request: what it wants and what may be done with it.", (Argument("name", NAME),), {
-        "aim": Option(TIME, "an answer within this has its full worth", needed=True),
-        "deadline": Option(TIME, "the client waits so long in all", needed=True),
-        "repeat": Option(one_of("safe", "keyed", "unsafe"), "what a second run would do", needed=True),
-        "worth": Option(NUMBER, "of one request, against the others", "1"),
-        "late-worth": Option(SHARE, "the share of it that a late answer still has", "0"),
-        "scope": Option(one_of("all", "zone", "cell"), "which workers drop a keyed repeat together", "all"),
-        "window": Option(TIME, "for how long they do"),
-        "unprotected": Option(one_of("go", "refuse"), "where no keeper can be told of a request", "go")},
-        many=True, needed=True, unique=(0,),
-        example="class pre-order aim 1s deadline 5s worth 6 repeat keyed scope cell window 5s"),
-    "quota": Spec("How much a customer may use, over all gatekeepers.", (Argument("name", NAME),), {
-        "rate": Option(RATE, "units that come back to its store"),
-        "burst": Option(NUMBER, "units that the store holds", "one second's"),
-        "max-out": Option(WHOLE, "requests out at once"),
-        "ceiling": Option(RATE, "never passed, whatever it is worth"),
-        "ceiling-burst": Option(NUMBER, "units that the ceiling's store holds", "one second's"),
-        "ceiling-slack": Option(NUMBER, "units by which it may be passed", "0")}, many=True, needed=True, unique=(0,),
-        example="quota small rate 6 units/s burst 12"),
-    "plan": Spec("What customers buy: a quota, and what leaving it is worth and costs.", (Argument("name", NAME),), {
-        "quota": Option(NAME, "its quota", needed=True, refers="quota"),
-        "value": Option(NUMBER, "times the class's worth", "1"),
-        "over-worth": Option(SHARE, "the share of its worth that a request beyond the quota has", "0"),
-        "over-cost": Option(NUMBER, "what it costs, as a share of its worth", "0")}, many=True, needed=True,
-        unique=(0,), example="plan stall quota small value 0.5"),
-    "customers": Spec("How a request names its customer.", (), {
-        "header": Option(HEADER, "holds the customer's key", needed=True),
-        "plan": Option(NAME, "of keys that are not listed; without it they are refused", refers="plan"),
-        "spread": Option(WHOLE, "through how many gatekeepers a customer comes", "all")}, needed=True,
-        example="customers header x-api-key plan stall"),
-    "key": Spec("A customer's key. Several keys may stand for one customer.", (Argument("key", TEXT),), {
-        "customer": Option(TEXT, "whose it is", needed=True),
-        "plan": Option(NAME, "of that customer", needed=True, refers="plan")}, many=True, unique=(0,),
-        example="key k-7f3a customer stall-7 plan stall"),
-    "route": Spec("Which class a request is of. Precedence: host, path by segment, method, conditions, line.", (
-        Argument("method", METHOD, many=True), Argument("path", PATH)), {
-        "class": Option(NAME, "the class", needed=True, refers="class"),
-        "pool": Option(NAME, "the workers", needed=True, refers="pool"),
-        "host": Option(HOST, "a name, *.name for all below it, * for any", "*"),
-        "when": Option(TEXT, "header conditions, each name=value or name=*", many=True),
-        "units": Option(NUMBER, "units that a request counts", "1"),
-        "units-header": Option(HEADER, "a header that says so")}, many=True, needed=True,
-        example="route [GET HEAD] /stalls/:stall class view pool stalls when [x-client=tablet]"),
-    "repeat-header": Spec("A header that marks a client's repeat, when it is neither empty nor 0.",
-                          (Argument("header", HEADER),), example="repeat-header x-client-retry"),
-    "attempts": Spec("The most attempts of a request.", (Argument("most", WHOLE),), {
-        "second-copies": Option(YES, "a second attempt while the first is out", "yes")},
-        example="attempts 3 second-copies yes"),
-    "report": Spec("Load report values that workers send.", (Argument("values", REPORT, many=True),),
-                   example="report [util inflight]"),
-    "path": Spec("Times that the way over a proxy takes.", (), {
-        "log": Option(TIME, "after the time allowed: no access log by then is a time-out", "1s"),
-        "ask-again": Option(TIME, "a proxy that does not ask within this has answered its client", "500ms"),
-        "park": Option(TIME, "how long an attempt waits for its check", "100ms")}, example="path log 1s park 100ms"),
-    "limits": Spec("Caps.", (), {
-        "open": Option(WHOLE, "requests held", "50000"),
-        "connections": Option(WHOLE, "on each front", "512"),
-        "units": Option(NUMBER, "of one request", "1000"),
-        "retry-after": Option(TIME, "the longest advice to stay away", "5s")}, example="limits open 20000"),
-    "drain": Spec("How long an ending gatekeeper finishes what was begun.", (Argument("time", TIME),),
-                  example="drain 10s"),
-    "stop": Spec("After how long the supervisor kills what has not ended.", (Argument("time", TIME),),
-                 example="stop 15s"),
-    "record": Spec("Records what this gatekeeper sees, with customers under pseudonyms.", (Argument("file", TEXT),), {
-        "rotate": Option(SIZE, "a new file begins beyond this", "64MiB"),
-        "keep": Option(WHOLE, "so many files are kept", "4"),
-        "key": Option(TEXT, "of the pseudonyms; the same key gives the same ones", needed=True)},
-        example='record /var/log/anisefront.trace key "${FLEET_SECRET}"'),
-    "seed": Spec("Of the module's chances; without it a fresh one each start.", (Argument("number", WHOLE),),
-                 example="seed 7"),
+    "gatekeeper": Spec(
+        "Who we are: our number, from 0, and how many gatekeepers there are.",
+        (Argument("number", WHOLE),),
+        {
+            "of": Option(WHOLE, "how many gatekeepers there are", needed=True),
+            "zone": Option(NAME, "the zone we stand in; its workers are preferred"),
+        },
+        needed=True,
+        example="gatekeeper 0 of 3 zone room-a",
+    ),
+    "listen": Spec(
+        "A port that we open. Port 0 takes a free one.",
+        (Argument("front", one_of("grpc", "jsonrpc", "peers")), Argument("address", ADDRESS)),
+        many=True,
+        needed=True,
+        unique=(0,),
+        example="listen grpc 127.0.0.1:9001",
+    ),
+    "peer": Spec(
+        "Where a gatekeeper of the fleet takes datagrams. The list may be shared by all, ourselves included.",
+        (Argument("number", WHOLE), Argument("address", ADDRESS)),
+        {"zone": Option(NAME, "the zone it stands in; keepers are chosen from other zones first")},
+        many=True,
+        unique=(0,),
+        example="peer 1 10.0.0.2:9002 zone room-b",
+    ),
+    "secret": Spec(
+        "Authenticates datagrams between gatekeepers; at least 16 bytes, the same for the whole fleet.",
+        (Argument("text", TEXT),),
+        example='secret "${FLEET_SECRET}"',
+    ),
+    "members": Spec(
+        "Watches who of the fleet is there, by probes between gatekeepers over 'listen peers'.",
+        (),
+        {"period": Option(TIME, "one other is probed in each", "1s")},
+        example="members period 1s",
+    ),
+    "keepers": Spec(
+        "Has another gatekeeper know of each request, which takes it over if this one is lost.",
+        (),
+        {
+            "lease": Option(
+                TIME, "a gatekeeper not heard for so long is taken for lost; never a matter of safety", "1s"
+            ),
+            "records": Option(WHOLE, "requests kept for others", "50000"),
+        },
+        example="keepers lease 1s",
+    ),
+    "messages": Spec(
+        "How many datagrams a second we take in; 1000 where it is not said. Where more than three eighths "
+        "of it come, what gatekeepers tell each other waits up to 60 ms for company.",
+        (Argument("rate", RATE),),
+        example="messages 1000/s",
+    ),
+    "pool": Spec(
+        "Workers that routes send to.",
+        (Argument("name", NAME),),
+        {
+            "roster": Option(TEXT, "a ClusterLoadAssignment file in JSON, read again when it changes"),
+            "embedded": Option(WHOLE, "so many workers inside this process, for a first try"),
+            "cores": Option(WHOLE, "cores of an embedded worker", "2"),
+            "service": Option(TIME, "service time of an embedded worker", "1ms"),
+            "warm-up": Option(TIME, "after which a worker that has started is surely warm", "10s"),
+            "cold-from": Option(SHARE, "the share of its capacity that it surely starts with", "20%"),
+            "fall-multiple": Option(NUMBER, "times its present capacity that a cold worker must not be sent", "3"),
+            "fall-window": Option(TIME, "for so long", "2s"),
+        },
+        many=True,
+        needed=True,
+        unique=(0,),
+        example="pool stalls roster /etc/anisefront/stalls.json",
+    ),
+    "class": Spec(
+        "A kind of request: what it wants and what may be done with it.",
+        (Argument("name", NAME),),
+        {
+            "aim": Option(TIME, "an answer within this has its full worth", needed=True),
+            "deadline": Option(TIME, "the client waits so long in all", needed=True),
+            "repeat": Option(one_of("safe", "keyed", "unsafe"), "what a second run would do", needed=True),
+            "worth": Option(NUMBER, "of one request, against the others", "1"),
+            "late-worth": Option(SHARE, "the share of it that a late answer still has", "0"),
+            "scope": Option(one_of("all", "zone", "cell"), "which workers drop a keyed repeat together", "all"),
+            "window": Option(TIME, "for how long they do"),
+            "unprotected": Option(one_of("go", "refuse"), "where no keeper can be told of a request", "go"),
+        },
+        many=True,
+        needed=True,
+        unique=(0,),
+        example="class pre-order aim 1s deadline 5s worth 6 repeat keyed scope cell window 5s",
+    ),
+    "quota": Spec(
+        "How much a customer may use, over all gatekeepers.",
+        (Argument("name", NAME),),
+        {
+            "rate": Option(RATE, "units that come back to its store"),
+            "burst": Option(NUMBER, "units that the store holds", "one second's"),
+            "max-out": Option(WHOLE, "requests out at once"),
+            "ceiling": Option(RATE, "never passed, whatever it is worth"),
+            "ceiling-burst": Option(NUMBER, "units that the ceiling's store holds", "one second's"),
+            "ceiling-slack": Option(NUMBER, "units by which it may be passed", "0"),
+        },
+        many=True,
+        needed=True,
+        unique=(0,),
+        example="quota small rate 6 units/s burst 12",
+    ),
+    "plan": Spec(
+        "What customers buy: a quota, and what leaving it is worth and costs.",
+        (Argument("name", NAME),),
+        {
+            "quota": Option(NAME, "its quota", needed=True, refers="quota"),
+            "value": Option(NUMBER, "times the class's worth", "1"),
+            "over-worth": Option(SHARE, "the share of its worth that a request beyond the quota has", "0"),
+            "over-cost": Option(NUMBER, "what it costs, as a share of its worth", "0"),
+        },
+        many=True,
+        needed=True,
+        unique=(0,),
+        example="plan stall quota small value 0.5",
+    ),
+    "customers": Spec(
+        "How a request names its customer.",
+        (),
+        {
+            "header": Option(HEADER, "holds the customer's key", needed=True),
+            "plan": Option(NAME, "of keys that are not listed; without it they are refused", refers="plan"),
+            "spread": Option(WHOLE, "through how many gatekeepers a customer comes", "all"),
+        },
+        needed=True,
+        example="customers header x-api-key plan stall",
+    ),
+    "key": Spec(
+        "A customer's key. Several keys may stand for one customer.",
+        (Argument("key", TEXT),),
+        {
+            "customer": Option(TEXT, "whose it is", needed=True),
+            "plan": Option(NAME, "of that customer", needed=True, refers="plan"),
+        },
+        many=True,
+        unique=(0,),
+        example="key k-7f3a customer stall-7 plan stall",
+    ),
+    "route": Spec(
+        "Which class a request is of. Precedence: host, path by segment, method, conditions, line.",
+        (Argument("method", METHOD, many=True), Argument("path", PATH)),
+        {
+            "class": Option(NAME, "the class", needed=True, refers="class"),
+            "pool": Option(NAME, "the workers", needed=True, refers="pool"),
+            "host": Option(HOST, "a name, *.name for all below it, * for any", "*"),
+            "when": Option(TEXT, "header conditions, each name=value or name=*", many=True),
+            "units": Option(NUMBER, "units that a request counts", "1"),
+            "units-header": Option(HEADER, "a header that says so"),
+        },
+        many=True,
+        needed=True,
+        example="route [GET HEAD] /stalls/:stall class view pool stalls when [x-client=tablet]",
+    ),
+    "repeat-header": Spec(
+        "A header that marks a client's repeat, when it is neither empty nor 0.",
+        (Argument("header", HEADER),),
+        example="repeat-header x-client-retry",
+    ),
+    "attempts": Spec(
+        "The most attempts of a request.",
+        (Argument("most", WHOLE),),
+        {"second-copies": Option(YES, "a second attempt while the first is out", "yes")},
+        example="attempts 3 second-copies yes",
+    ),
+    "report": Spec(
+        "Load report values that workers send.",
+        (Argument("values", REPORT, many=True),),
+        example="report [util inflight]",
+    ),
+    "path": Spec(
+        "Times that the way over a proxy takes.",
+        (),
+        {
+            "log": Option(TIME, "after the time allowed: no access log by then is a time-out", "1s"),
+            "ask-again": Option(TIME, "a proxy that does not ask within this has answered its client", "500ms"),
+            "park": Option(TIME, "how long an attempt waits for its check", "100ms"),
+        },
+        example="path log 1s park 100ms",
+    ),
+    "limits": Spec(
+        "Caps.",
+        (),
+        {
+            "open": Option(WHOLE, "requests held", "50000"),
+            "connections": Option(WHOLE, "on each front", "512"),
+            "units": Option(NUMBER, "of one request", "1000"),
+            "retry-after": Option(TIME, "the longest advice to stay away", "5s"),
+        },
+        example="limits open 20000",
+    ),
+    "drain": Spec(
+        "How long an ending gatekeeper finishes what was begun.", (Argument("time", TIME),), example="drain 10s"
+    ),
+    "stop": Spec(
+        "After how long the supervisor kills what has not ended.", (Argument("time", TIME),), example="stop 15s"
+    ),
+    "record": Spec(
+        "Records what this gatekeeper sees, with customers under pseudonyms.",
+        (Argument("file", TEXT),),
+        {
+            "rotate": Option(SIZE, "a new file begins beyond this", "64MiB"),
+            "keep": Option(WHOLE, "so many files are kept", "4"),
+            "key": Option(TEXT, "of the pseudonyms; the same key gives the same ones", needed=True),
+        },
+        example='record /var/log/anisefront.trace key "${FLEET_SECRET}"',
+    ),
+    "seed": Spec(
+        "Of the module's chances; without it a fresh one each start.", (Argument("number", WHOLE),), example="seed 7"
+    ),
 }
 # Directives of the language itself, which the loader and the expansion carry out.
 LANGUAGE: dict[str, Spec] = {
-    "language": Spec("The version of the language; must come first.", (Argument("version", WHOLE),),
-                     example="language 2"),
-    "include": Spec("Takes in the files that a pattern names, in the order of their names.",
-                    (Argument("pattern", TEXT),), many=True, example='include "routes/*.conf"'),
-    "env": Spec("Declares an environment variable, which may then stand as ${NAME} in strings and words.",
-                (Argument("name", TEXT),), {"default": Option(TEXT, "its value where it is not set")}, many=True,
-                unique=(0,), example='env FLEET_SECRET'),
-    "define": Spec("Lines that are used more than once; parameters stand in them as ${name}.",
-                   (Argument("name", NAME), Argument("parameters", NAME, many=True)), many=True, unique=(0,),
-                   example="define view [path class] { ... }"),
-    "use": Spec("Puts a definition's lines here.", (Argument("name", NAME), Argument("values", TEXT, many=True)),
-                many=True, example="use view [/stock-view stock-view]"),
+    "language": Spec(
+        "The version of the language; must come first.", (Argument("version", WHOLE),), example="language 2"
+    ),
+    "include": Spec(
+        "Takes in the files that a pattern names, in the order of their names.",
+        (Argument("pattern", TEXT),),
+        many=True,
+        example='include "routes/*.conf"',
+    ),
+    "env": Spec(
+        "Declares an environment variable, which may then stand as ${NAME} in strings and words.",
+        (Argument("name", TEXT),),
+        {"default": Option(TEXT, "its value where it is not set")},
+        many=True,
+        unique=(0,),
+        example="env FLEET_SECRET",
+    ),
+    "define": Spec(
+        "Lines that are used more than once; parameters stand in them as ${name}.",
+        (Argument("name", NAME), Argument("parameters", NAME, many=True)),
+        many=True,
+        unique=(0,),
+        example="define view [path class] { ... }",
+    ),
+    "use": Spec(
+        "Puts a definition's lines here.",
+        (Argument("name", NAME), Argument("values", TEXT, many=True)),
+        many=True,
+        example="use view [/stock-view stock-view]",
+    ),
 }
 # What a running gatekeeper can't change: it must be started anew.
 FIXED = ("gatekeeper", "listen", "secret", "peer", "pool", "seed", "messages", "members", "keepers", "record")
--- a/anisefront/config/values.py
+++ b/anisefront/config/values.py
@@ -41,8 +41,14 @@
 
 
 _QUANTITY = re.compile(r"([+-]?\d+(?:\.\d+)?)(.*)\Z", re.S)
-TIMES = {"us": Fraction(1, 1000), "ms": Fraction(1), "s": Fraction(1000), "min": Fraction(60_000),
-         "h": Fraction(3_600_000), "d": Fraction(86_400_000)}
+TIMES = {
+    "us": Fraction(1, 1000),
+    "ms": Fraction(1),
+    "s": Fraction(1000),
+    "min": Fraction(60_000),
+    "h": Fraction(3_600_000),
+    "d": Fraction(86_400_000),
+}
 PERIODS = {"s": Fraction(1), "min": Fraction(60), "h": Fraction(3600), "d": Fraction(86_400)}
 SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "kB": 10**3, "MB": 10**6, "GB": 10**9}
 MOST_DIGITS = 24
@@ -65,8 +71,9 @@
     number, unit = _split(word, "time")
     if unit not in TIMES:
         mend = f"write {word.text}ms or {word.text}s" if not unit else near(unit, TIMES) or f"units: {', '.join(TIMES)}"
-        raise Unfit(f"{word.text[:60]!r} has no unit of time" if not unit else
-                    f"{unit[:20]!r} is no unit of time", mend)
+        raise Unfit(
+            f"{word.text[:60]!r} has no unit of time" if not unit else f"{unit[:20]!r} is no unit of time", mend
+        )
     return float(number * TIMES[unit])
 
 
@@ -74,7 +81,7 @@
     number, rest = _split(word, "rate")
     counted, slash, period = rest.partition("/")
     if not slash or counted.strip() not in _COUNTED or period.strip() not in PERIODS:
-        bare = word.text if not rest else word.text[:len(word.text) - len(rest)].strip()
+        bare = word.text if not rest else word.text[: len(word.text) - len(rest)].strip()
         what = "has no unit of rate" if not rest else "is no rate"
         raise Unfit(f"{word.text[:60]!r} {what}", f"write {bare}/s or {bare}/min")
     return float(number / PERIODS[period.strip()])
@@ -83,8 +90,9 @@
 def _size(word: Word) -> int:
     number, unit = _split(word, "size")
     if unit not in SIZES:
-        mend = f"write {word.text}KiB or {word.text}MiB" if not unit else near(unit, SIZES) \
-            or f"units: {', '.join(SIZES)}"
+        mend = (
+            f"write {word.text}KiB or {word.text}MiB" if not unit else near(unit, SIZES) or f"units: {', '.join(SIZES)}"
+        )
         what = f"{unit[:20]!r} is no unit of size" if unit else f"{word.text[:60]!r} has no unit of size"
         raise Unfit(what, mend)
     return int(number * SIZES[unit])
@@ -103,7 +111,7 @@
 def _number(word: Word) -> float:
     number, unit = _split(word, "number")
     if unit:
-        raise Unfit(f"{word.text[:60]!r} is no bare number", f"write {word.text[:len(word.text) - len(unit)].strip()}")
+        raise Unfit(f"{word.text[:60]!r} is no bare number", f"write {word.text[: len(word.text) - len(unit)].strip()}")
     return float(number)
 
 
@@ -156,8 +164,10 @@
 
 def _method(word: Word) -> str:
     if word.text != "*" and not re.fullmatch(r"[A-Z][A-Z-]{0,31}", word.text):
-        raise Unfit(f"{word.text[:60]!r} is no method",
-                    f"write {word.text.upper()}" if word.text.isalpha() else "such as GET, or * for any")
+        raise Unfit(
+            f"{word.text[:60]!r} is no method",
+            f"write {word.text.upper()}" if word.text.isalpha() else "such as GET, or * for any",
+        )
     return word.text
 
 
@@ -176,8 +186,10 @@
     except Unclear as problem:
         raise Unfit(f"{text[:60]!r}: {problem}; such requests are refused") from problem
     if matched != example:
-        raise Unfit(f"{text[:60]!r} never matches: requests are matched in normal form",
-                    f"write {(matched[:-1] + '*' if text.endswith('*') else matched)[:60]}")
+        raise Unfit(
+            f"{text[:60]!r} never matches: requests are matched in normal form",
+            f"write {(matched[:-1] + '*' if text.endswith('*') else matched)[:60]}",
+        )
     if any(not re.fullmatch(r"[a-z][a-z0-9_]*", name) for name in names) or len(set(names)) < len(names):
         raise Unfit(f"{text[:60]!r}: a parameter without a name, or one name twice", "such as /stalls/:stall")
     return text
@@ -187,17 +199,21 @@
     text = word.text
     labels = text.removeprefix("*.").split(".")
     if text != "*" and not all(re.fullmatch(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?", label) for label in labels):
-        raise Unfit(f"{text[:60]!r} is no host", f"write {text.lower()[:60]}" if text != text.lower() else
-                    "a name, *.name for all below it, or *")
+        raise Unfit(
+            f"{text[:60]!r} is no host",
+            f"write {text.lower()[:60]}" if text != text.lower() else "a name, *.name for all below it, or *",
+        )
     return text
 
 
 def one_of(*choices: str) -> Type:
     """A type of a few words."""
+
     def read(word: Word) -> str:
         if word.text not in choices:
             raise Unfit(f"{word.text[:60]!r} is none of {', '.join(choices)}", near(word.text, choices))
         return word.text
+
     return Type(" or ".join(choices), read, choices[0])
 
 
--- a/anisefront/core/ledger.py
+++ b/anisefront/core/ledger.py
@@ -136,11 +136,17 @@
 class Ledger:
     """The books of one gatekeeper around one `Controller`."""
 
-    def __init__(self, controller: Controller, now_ms: Callable[[], float], timers: Timers,
-                 tell: Callable[[int, bytes], None] = lambda receiver, data: None,
-                 subscribe: Callable[[], None] = lambda: None, most_open: int = 50_000,
-                 on_fault: Callable[[Exception], None] | None = None,
-                 on_raise: Callable[[Exception], None] | None = None) -> None:
+    def __init__(
+        self,
+        controller: Controller,
+        now_ms: Callable[[], float],
+        timers: Timers,
+        tell: Callable[[int, bytes], None] = lambda receiver, data: None,
+        subscribe: Callable[[], None] = lambda: None,
+        most_open: int = 50_000,
+        on_fault: Callable[[Exception], None] | None = None,
+        on_raise: Callable[[Exception], None] | None = None,
+    ) -> None:
         self.controller, self.now_ms, self._timers = controller, now_ms, timers
         self._tell, self._subscribe, self.most_open, self._on_fault = tell, subscribe, most_open, on_fault
         self._on_raise = on_raise  # hears of an action that could not be carried out; none: it is raised
@@ -169,9 +175,21 @@
 
     # ---- events --------------------------------------------------------------------------------
 
-    def accept(self, carrier: Carrier, customer: str, class_name: str, plan_name: str, due_ms: float,
-               units: float = 1.0, first_gateway: int = 0, spread: int = 1, is_repeat: bool = False,
-               copies: bool = True, past: Past | None = None, work: Work | None = None) -> int | None:
+    def accept(
+        self,
+        carrier: Carrier,
+        customer: str,
+        class_name: str,
+        plan_name: str,
+        due_ms: float,
+        units: float = 1.0,
+        first_gateway: int = 0,
+        spread: int = 1,
+        is_repeat: bool = False,
+        copies: bool = True,
+        past: Past | None = None,
+        work: Work | None = None,
+    ) -> int | None:
         """Take a request in and return its number; it is owed one final answer by `due_ms`.
 
         None where the ledger holds as many as it may, or where another gatekeeper should know of it and none can:
@@ -180,8 +198,9 @@
             self.counts["turned_away"] += 1
             return None
         self._serial += 1
-        arrival = Arrival(self._serial, customer, class_name, plan_name, due_ms, units, first_gateway, spread,
-                          is_repeat, copies, past)
+        arrival = Arrival(
+            self._serial, customer, class_name, plan_name, due_ms, units, first_gateway, spread, is_repeat, copies, past
+        )
         entry = Entry(arrival, carrier, self.now_ms(), past.attempts if past else 0, work=work)
         if self.guard is not None and not self.guard.taken(entry):
             self.counts["unprotected_refused"] += 1
@@ -192,8 +211,15 @@
         self._post(arrival)
         return self._serial
 
-    def outcome(self, request: int, attempt: int, result: Result, took_ms: float | None = None,
-                load: tuple[float, ...] = (), true_units: float = 0.0) -> bool:
+    def outcome(
+        self,
+        request: int,
+        attempt: int,
+        result: Result,
+        took_ms: float | None = None,
+        load: tuple[float, ...] = (),
+        true_units: float = 0.0,
+    ) -> bool:
         """An attempt has ended. True where this ended the request: the answer is the client's.
 
         An attempt that is not known, or whose end was told before, changes nothing."""
@@ -320,8 +346,13 @@
         taken it over, or the window in which its group knows a repeat may be over."""
         entry = self.entries.get(request)
         out = entry.out.get(attempt) if entry is not None else None
-        return out is not None and not entry.ended and not entry.lost and self.now_ms() <= out.begin_by_ms \
+        return (
+            out is not None
+            and not entry.ended
+            and not entry.lost
+            and self.now_ms() <= out.begin_by_ms
             and self.servers.get(out.worker) is State.READY
+        )
 
     # ---- turns ---------------------------------------------------------------------------------
 
@@ -331,8 +362,15 @@
             self._turn()
 
     def _post(self, event: Event) -> None:
-        line = self._lists if isinstance(event, Fleet) else self._ends if isinstance(event, Outcome) else \
-            self._peers if isinstance(event, Heard) else self._requests
+        line = (
+            self._lists
+            if isinstance(event, Fleet)
+            else self._ends
+            if isinstance(event, Outcome)
+            else self._peers
+            if isinstance(event, Heard)
+            else self._requests
+        )
         if line is self._peers and len(line) >= MOST_HEARD:
             self.counts["heard_dropped"] += 1  # as a message lost on its way: peers ask again
             return
--- a/anisefront/core/patterns.py
+++ b/anisefront/core/patterns.py
@@ -70,8 +70,12 @@
 
 def host_matches(pattern: str, host: str) -> bool:
     """Whether a host, lower case and without its port, is meant."""
-    return pattern in ("*", host) or pattern.startswith("*.") and host.endswith(pattern[1:]) \
+    return (
+        pattern in ("*", host)
+        or pattern.startswith("*.")
+        and host.endswith(pattern[1:])
         and len(host) > len(pattern) - 1
+    )
 
 
 def path_matches(pattern: str, path: str) -> bool:
@@ -97,8 +101,12 @@
 
 def matches(pattern: Pattern, request: Request) -> bool:
     """Whether a request is meant, by the plain way."""
-    return ("*" in pattern.methods or request.method in pattern.methods) and host_matches(pattern.host, request.host) \
-        and path_matches(pattern.path, request.path) and when_matches(pattern.when, dict(request.headers))
+    return (
+        ("*" in pattern.methods or request.method in pattern.methods)
+        and host_matches(pattern.host, request.host)
+        and path_matches(pattern.path, request.path)
+        and when_matches(pattern.when, dict(request.headers))
+    )
 
 
 def common_path(first: str, second: str) -> str | None:
@@ -143,8 +151,10 @@
         first = tail[:-1] + OTHER
     elif not first.startswith(tail[:-1]):
         return None
-    more = [OTHER if segment.startswith(":") else segment[:-1] + OTHER if _is_tail(segment) else segment
-            for segment in rest[1:]]
+    more = [
+        OTHER if segment.startswith(":") else segment[:-1] + OTHER if _is_tail(segment) else segment
+        for segment in rest[1:]
+    ]
     return "/" + "/".join([*out, first, *more])
 
 
@@ -188,7 +198,11 @@
     """Whether every request of the second is also one of the first, where both have one host and one shape.
 
     Where they have not, the narrower of the two comes first anyway."""
-    return (first.host == second.host and shape(first.path) == shape(second.path)
-            and ("*" in first.methods or "*" not in second.methods and set(second.methods) <= set(first.methods))
-            and all((name, value) in second.when or value == "*" and name in dict(second.when)
-                    for name, value in first.when))
+    return (
+        first.host == second.host
+        and shape(first.path) == shape(second.path)
+        and ("*" in first.methods or "*" not in second.methods and set(second.methods) <= set(first.methods))
+        and all(
+            (name, value) in second.when or value == "*" and name in dict(second.when) for name, value in first.when
+        )
+    )
--- a/anisefront/core/routing.py
+++ b/anisefront/core/routing.py
@@ -129,11 +129,15 @@
         deadline = self.deadlines_ms[route.class_name]
         left = _number(headers.get(self.deadline_header, ""), deadline)
         customer, plan = (LISTED + key.customer, key.plan) if key else (UNLISTED + name, self.default_plan)
-        return Mapped(customer, plan, route.class_name,
-                      min(self.max_units, max(1.0, units if units is not None else self.max_units)),
-                      deadline if left is None or not 0 < left < deadline else left,
-                      bool(self.repeat_header) and headers.get(self.repeat_header, "0") not in ("", "0"),
-                      target)
+        return Mapped(
+            customer,
+            plan,
+            route.class_name,
+            min(self.max_units, max(1.0, units if units is not None else self.max_units)),
+            deadline if left is None or not 0 < left < deadline else left,
+            bool(self.repeat_header) and headers.get(self.repeat_header, "0") not in ("", "0"),
+            target,
+        )
 
 
 def first_gateway(customer: str, tag_key: bytes, gateways: int) -> int:
--- a/anisefront/core/tables.py
+++ b/anisefront/core/tables.py
@@ -77,13 +77,18 @@
 
     __slots__ = ("_any", "_exact", "_lengths", "_tails")
 
-    def __init__(self, exact: dict[str, _Node] | None = None, tails: dict[str, _Node] | None = None,
-                 any_host: _Node | None = None) -> None:
+    def __init__(
+        self,
+        exact: dict[str, _Node] | None = None,
+        tails: dict[str, _Node] | None = None,
+        any_host: _Node | None = None,
+    ) -> None:
         self._exact, self._tails, self._any = exact or {}, tails or {}, any_host  # tails: by the part after "*"
         self._lengths = sorted({len(tail) for tail in self._tails}, reverse=True)
 
-    def edited(self, removed: Iterable[Part], added: Iterable[Part],
-               ranks: Mapping[int, int]) -> Generator[None, None, RouteTable]:
+    def edited(
+        self, removed: Iterable[Part], added: Iterable[Part], ranks: Mapping[int, int]
+    ) -> Generator[None, None, RouteTable]:
         """The table without some parts and with others. `ranks` has the order of all parts that are then in it, by
         their ids; those that stay must stay in their order among themselves."""
         owner, out = object(), RouteTable(self._exact.copy(), self._tails.copy(), self._any)
@@ -147,8 +152,11 @@
         child = node.literals.get(segment)
         if child is not None and (found := _walk(child, given, at + 1, method, headers)) is not None:
             return found
-    if node.parameter is not None and segment \
-            and (found := _walk(node.parameter, given, at + 1, method, headers)) is not None:
+    if (
+        node.parameter is not None
+        and segment
+        and (found := _walk(node.parameter, given, at + 1, method, headers)) is not None
+    ):
         return found
     if node.tails:
         rest = "/".join(given[at:])
@@ -188,8 +196,9 @@
     else:
         tails = dict(node.tails)
         tails[tail] = edit(tails.get(tail, ()), methods)
-        node.tails = tuple(sorted(((prefix, here) for prefix, here in tails.items() if here),
-                                  key=lambda each: -len(each[0])))
+        node.tails = tuple(
+            sorted(((prefix, here) for prefix, here in tails.items() if here), key=lambda each: -len(each[0]))
+        )
     for segment, parent in zip(reversed(segments), reversed(above), strict=True):
         parent.put(segment, node)
         node = parent
@@ -211,6 +220,7 @@
             at = bisect(entries, key(placed), key=key)
             out[method] = (*entries[:at], placed, *entries[at:])
         return tuple(out.items())
+
     return edit
 
 
@@ -218,6 +228,7 @@
     def edit(here: Here, methods: tuple[str, ...]) -> Here:
         left = ((method, tuple(each for each in entries if each.part is not part)) for method, entries in here)
         return tuple((method, entries) for method, entries in left if entries)
+
     return edit
 
 
@@ -229,8 +240,10 @@
     staying = set(kept)
     if any(first > second for first, second in zip(kept, kept[1:], strict=False)):
         staying = _longest_rising(kept)
-    return ([part for number, part in enumerate(before) if number not in staying],
-            [part for part in after if known.get(id(part), -1) not in staying])
+    return (
+        [part for number, part in enumerate(before) if number not in staying],
+        [part for part in after if known.get(id(part), -1) not in staying],
+    )
 
 
 def _longest_rising(numbers: list[int]) -> set[int]:
@@ -240,7 +253,7 @@
     for number in numbers:
         at = bisect(ends, number)
         previous[number] = ends[at - 1] if at else None
-        ends[at:at + 1] = [number]
+        ends[at : at + 1] = [number]
     out, last = set(), ends[-1] if ends else None
     while last is not None:
         out.add(last)
--- a/anisefront/core/versions.py
+++ b/anisefront/core/versions.py
@@ -80,18 +80,27 @@
     ranks = {id(part): number for number, part in enumerate(read.parts)}
     yield
     table = yield from (RouteTable() if before is None else before.router.table).edited(removed, added, ranks)
-    router = Router(config.routes, {kind.name: kind.deadline_ms for kind in settings.classes}, config.customer_header,
-                    config.keys, config.default_plan, settings.max_units, config.repeat_header, table=table)
+    router = Router(
+        config.routes,
+        {kind.name: kind.deadline_ms for kind in settings.classes},
+        config.customer_header,
+        config.keys,
+        config.default_plan,
+        settings.max_units,
+        config.repeat_header,
+        table=table,
+    )
     yield
     changes = ChangeSet()
     if before is not None:
         old, new = before.config.settings, settings
-        changes = ChangeSet((yield from _routes(removed, added)),
-                            (yield from _keys(before.config.keys, config.keys)),
-                            _changed(_by_name(old.plans), _by_name(new.plans)),
-                            _changed(_by_name(old.classes), _by_name(new.classes)),
-                            (*_fields(old, new, ("classes", "plans")),
-                             *_fields(before.config, config, ("settings", "routes", "keys"))))
+        changes = ChangeSet(
+            (yield from _routes(removed, added)),
+            (yield from _keys(before.config.keys, config.keys)),
+            _changed(_by_name(old.plans), _by_name(new.plans)),
+            _changed(_by_name(old.classes), _by_name(new.classes)),
+            (*_fields(old, new, ("classes", "plans")), *_fields(before.config, config, ("settings", "routes", "keys"))),
+        )
     return Version(1 if before is None else before.number + 1, read.digest, config, router, changes, read.parts)
 
 
@@ -141,11 +150,16 @@
 
 
 def _changed(before: Mapping[str, Any], after: Mapping[str, Any]) -> Changed:
-    return Changed(tuple(name for name in after if name not in before),
-                   tuple(name for name in after if name in before and before[name] != after[name]),
-                   tuple(name for name in before if name not in after))
+    return Changed(
+        tuple(name for name in after if name not in before),
+        tuple(name for name in after if name in before and before[name] != after[name]),
+        tuple(name for name in before if name not in after),
+    )
 
 
 def _fields(before: Any, after: Any, left_out: tuple[str, ...]) -> tuple[str, ...]:
-    return tuple(each.name for each in dataclasses.fields(before) if each.name not in left_out
-                 and getattr(before, each.name) != getattr(after, each.name))
+    return tuple(
+        each.name
+        for each in dataclasses.fields(before)
+        if each.name not in left_out and getattr(before, each.name) != getattr(after, each.name)
+    )
--- a/anisefront/daemon/gatekeeper.py
+++ b/anisefront/daemon/gatekeeper.py
@@ -43,8 +43,21 @@
 from anisefront.policy.interface import Fleet, Plan, RequestClass, Settings
 from anisefront.policy.state import Account, Backend
 
-_SHARED = (Settings, Plan, RequestClass, Controller, Ledger, proxied.Proxied, Own, Pool, Account, Backend, GrpcFactory,
-           JsonRpcFactory, Fleet)  # things that many refer to: none of them is any one's own
+_SHARED = (
+    Settings,
+    Plan,
+    RequestClass,
+    Controller,
+    Ledger,
+    proxied.Proxied,
+    Own,
+    Pool,
+    Account,
+    Backend,
+    GrpcFactory,
+    JsonRpcFactory,
+    Fleet,
+)  # things that many refer to: none of them is any one's own
 MEASURE_MS = 1000.0
 PEER_BUFFER = 4 << 20  # bytes of datagrams that the system may hold for us; it may allow less
 LATE_LOG_MS = 100.0  # a loop so late is a client's matter; less is counted only
@@ -69,8 +82,14 @@
 
     `version` is in force from the start, `source` is where others come from; without it they never change."""
 
-    def __init__(self, version: Version, reactor: Any, clock: Callable[[], float] | None = None,
-                 on_fault: Callable[[Exception], None] | None = None, source: Source | None = None) -> None:
+    def __init__(
+        self,
+        version: Version,
+        reactor: Any,
+        clock: Callable[[], float] | None = None,
+        on_fault: Callable[[Exception], None] | None = None,
+        source: Source | None = None,
+    ) -> None:
         # Danger: settings that were read from two places could be of two versions within one request. All that judges
         # requests reads them from here, and here they change by one assignment.
         self.version, self.reactor, self.clock = version, reactor, clock or Clock()
@@ -85,12 +104,26 @@
             seal = self.seal = Seal(config.secret, settings.number, int(self.started_ms))
             self.peer_port = PeerPort(seal, config.peers, self._hear)
             if config.members_ms:
-                self.members = Members(reactor, self.clock, self.peer_port.tell, self.log, settings.number,
-                                       int(self.started_ms), config.peers, seed, config.members_ms)
-        self.ledger = Ledger(Controller(settings, seed), self.clock, reactor,
-                             self.peer_port.tell if self.peer_port else lambda receiver, data: None,
-                             most_open=config.most_open, on_fault=on_fault,
-                             on_raise=lambda problem: self.log.error("action_raised", exc_info=problem))
+                self.members = Members(
+                    reactor,
+                    self.clock,
+                    self.peer_port.tell,
+                    self.log,
+                    settings.number,
+                    int(self.started_ms),
+                    config.peers,
+                    seed,
+                    config.members_ms,
+                )
+        self.ledger = Ledger(
+            Controller(settings, seed),
+            self.clock,
+            reactor,
+            self.peer_port.tell if self.peer_port else lambda receiver, data: None,
+            most_open=config.most_open,
+            on_fault=on_fault,
+            on_raise=lambda problem: self.log.error("action_raised", exc_info=problem),
+        )
         limits = proxied.Limits(config.log_ms, config.ask_again_ms, park_ms=config.park_ms)
         if self.members is not None:
             self.members.tell_gone = self.ledger.away
@@ -100,14 +133,26 @@
         self.gate = authorization.Gate(self.router, self.proxied, self.clock, self.gateways_of)
         self.desk = Desk(self.router, self.own, self.clock, self.gateways_of, self.state)
         self.health = Health(SERVICES)
-        self.grpc = GrpcFactory(reactor, {
-            authorization.PATH: self.gate.method(),
-            accesslog.PATH: accesslog.method(self.proxied, settings.report_fields),
-            **self.health.methods()}, ServerLimits(config.most_connections))
+        self.grpc = GrpcFactory(
+            reactor,
+            {
+                authorization.PATH: self.gate.method(),
+                accesslog.PATH: accesslog.method(self.proxied, settings.report_fields),
+                **self.health.methods(),
+            },
+            ServerLimits(config.most_connections),
+        )
         self.keepers = None
         if self.members is not None and config.lease_ms:
-            self.keepers = Keepers(reactor, self.clock, self.peer_port.tell, self.log, config, int(self.started_ms),
-                                   self.members.membership)
+            self.keepers = Keepers(
+                reactor,
+                self.clock,
+                self.peer_port.tell,
+                self.log,
+                config,
+                int(self.started_ms),
+                self.members.membership,
+            )
             self.keepers.attach(self.ledger, self.own, self.proxied)
             self.members.listener = self.keepers.members
         self.ledger.before_turn.append(self.grpc.gather)
@@ -129,11 +174,16 @@
             memory.Purpose("attempts", lambda: controller.attempts),
             memory.Purpose("exchanges", lambda: self.proxied.exchanges, lambda: self.config.most_open),
             memory.Purpose("agenda", lambda: controller.agenda),
-            memory.Purpose("peers", lambda: self.seal.peers if self.peer_port else {},
-                           lambda: self.config.settings.gateways),
+            memory.Purpose(
+                "peers", lambda: self.seal.peers if self.peer_port else {}, lambda: self.config.settings.gateways
+            ),
             memory.Purpose("workers", lambda: controller.servers.known),
-            memory.Purpose("connections", lambda: [*self.grpc.connections, *self.jsonrpc.connections],
-                           lambda: 2 * self.config.most_connections))
+            memory.Purpose(
+                "connections",
+                lambda: [*self.grpc.connections, *self.jsonrpc.connections],
+                lambda: 2 * self.config.most_connections,
+            ),
+        )
         self._ports: list[Any] = []
         self._roster_mark: tuple[int, ...] | None = None
         self._roster_loop = task.LoopingCall(self.look_at_roster)
@@ -211,8 +261,13 @@
         faults = list(outcome.errors) or reload.fixed(self.config, outcome.config)
         if faults:
             self._settings_told("refused", faults[0])
-            self.log.error("settings_not_taken", faults=faults[:20], more=max(0, len(faults) - 20),
-                           version=self.version.number, digest=self.version.digest)
+            self.log.error(
+                "settings_not_taken",
+                faults=faults[:20],
+                more=max(0, len(faults) - 20),
+                version=self.version.number,
+                digest=self.version.digest,
+            )
         elif outcome.digest == self.version.digest:
             self._settings_told("same", "")
             self.log.info("settings_same", version=self.version.number, digest=self.version.digest)
@@ -243,17 +298,28 @@
         self._settings_told("taken", "")
         self.reactor.callLater(0, self.collector.settle)
         changes = version.changes
-        self.log.info("settings", version=version.number, digest=version.digest, routes=len(config.routes),
-                      keys=len(config.keys), warnings=warnings, others=changes.others, **{
-                          f"{what}_{how}": _few(getattr(getattr(changes, what), how))
-                          for what in ("routes", "keys", "plans", "classes") for how in ("added", "changed", "removed")
-                          if getattr(getattr(changes, what), how)})
+        self.log.info(
+            "settings",
+            version=version.number,
+            digest=version.digest,
+            routes=len(config.routes),
+            keys=len(config.keys),
+            warnings=warnings,
+            others=changes.others,
+            **{
+                f"{what}_{how}": _few(getattr(getattr(changes, what), how))
+                for what in ("routes", "keys", "plans", "classes")
+                for how in ("added", "changed", "removed")
+                if getattr(getattr(changes, what), how)
+            },
+        )
 
     def _change_raised(self, problem: Exception) -> None:
         self._settings_told("raised", f"unforeseen, please report it: {type(problem).__name__}: {problem}"[:500])
         # Danger: the values of a traceback's variables are settings, and among them secrets; so only its lines.
-        self.log.error("reload_raised", fault=self.settings_fault,
-                       trace="".join(traceback.format_exception(problem))[-2000:])
+        self.log.error(
+            "reload_raised", fault=self.settings_fault, trace="".join(traceback.format_exception(problem))[-2000:]
+        )
 
     def _settings_told(self, what: str, fault: str) -> None:
         self.settings_counts[what] += 1
@@ -296,29 +362,48 @@
         """What this gatekeeper is and does, in plain values."""
         ledger, window = self.ledger, self.ledger.controller.window
         return {
-            "gatekeeper": self.config.settings.number, "of": self.config.settings.gateways, "life": self.life,
-            "state": "draining" if self.gate.closing else "serving", "up_ms": round(self.clock() - self.started_ms),
-            "open": ledger.open, "held": len(ledger.controller.held), "attempts_out": window.out,
-            "window": round(window.limit, 2), "loop_late_ms": round(ledger.turns_late_ms, 1),
-            "loop": self.pulse.lag.report(), "turn": ledger.turn_ms.report(), "pauses": self.collector.pauses.report(),
+            "gatekeeper": self.config.settings.number,
+            "of": self.config.settings.gateways,
+            "life": self.life,
+            "state": "draining" if self.gate.closing else "serving",
+            "up_ms": round(self.clock() - self.started_ms),
+            "open": ledger.open,
+            "held": len(ledger.controller.held),
+            "attempts_out": window.out,
+            "window": round(window.limit, 2),
+            "loop_late_ms": round(ledger.turns_late_ms, 1),
+            "loop": self.pulse.lag.report(),
+            "turn": ledger.turn_ms.report(),
+            "pauses": self.collector.pauses.report(),
             "memory": self._memory(),
-            "servers": {state.value: sum(each is state for each in ledger.servers.values())
-                        for state in set(ledger.servers.values())},
+            "servers": {
+                state.value: sum(each is state for each in ledger.servers.values())
+                for state in set(ledger.servers.values())
+            },
             "roster_fault": self.roster_fault,
-            "settings": {"version": self.version.number, "digest": self.version.digest,
-                         "since_ms": round(self.clock() - self.settings_ms), "fault": self.settings_fault,
-                         "reading": self.reloader.phase in (Phase.READING, Phase.DUE),
-                         "readings": dict(self.settings_counts), "work_ms": round(self.reloader.work_ms, 1),
-                         "slices": self.reloader.slices.report()["late"],
-                         "longest_slice_ms": round(self.reloader.slices.worst_ms, 2)},
-            "recording": {} if self.recorder is None else {
-                "written": self.recorder.written, "dropped": self.recorder.dropped, "fault": self.recorder.fault},
+            "settings": {
+                "version": self.version.number,
+                "digest": self.version.digest,
+                "since_ms": round(self.clock() - self.settings_ms),
+                "fault": self.settings_fault,
+                "reading": self.reloader.phase in (Phase.READING, Phase.DUE),
+                "readings": dict(self.settings_counts),
+                "work_ms": round(self.reloader.work_ms, 1),
+                "slices": self.reloader.slices.report()["late"],
+                "longest_slice_ms": round(self.reloader.slices.worst_ms, 2),
+            },
+            "recording": {}
+            if self.recorder is None
+            else {"written": self.recorder.written, "dropped": self.recorder.dropped, "fault": self.recorder.fault},
             "connections": {"grpc": len(self.grpc.connections), "jsonrpc": len(self.jsonrpc.connections)},
-            "counts": dict(ledger.counts), "proxied": dict(self.proxied.counts),
-            "grpc": dict(self.grpc.counts), "jsonrpc": dict(self.jsonrpc.counts),
+            "counts": dict(ledger.counts),
+            "proxied": dict(self.proxied.counts),
+            "grpc": dict(self.grpc.counts),
+            "jsonrpc": dict(self.jsonrpc.counts),
             "peers": dict(self.seal.counts) if self.peer_port else {},
             "members": self.members.state() if self.members is not None else {},
-            "keepers": self.keepers.state() if self.keepers is not None else {}}
+            "keepers": self.keepers.state() if self.keepers is not None else {},
+        }
 
     def _memory(self) -> dict[str, dict[str, int]]:
         """By purpose; made anew once a second at most, since anybody may ask for the state as often as he likes."""
