--- a/anisefront/daemon/keepers.py
+++ b/anisefront/daemon/keepers.py
@@ -35,8 +35,16 @@
 class Keepers:
     """The keeping of one gatekeeper. `tell(receiver, data)` sends a datagram, `life` is our life's number."""
 
-    def __init__(self, reactor: Any, clock: Callable[[], float], tell: Callable[[int, bytes], None], log: Any,
-                 config: Config, life: int, membership: Membership) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        clock: Callable[[], float],
+        tell: Callable[[int, bytes], None],
+        log: Any,
+        config: Config,
+        life: int,
+        membership: Membership,
+    ) -> None:
         self._clock, self._tell, self._log, self._membership, self._reactor = clock, tell, log, membership, reactor
         settings = config.settings
         self.origin = Origin(Member(settings.number, life, settings.zone), config.lease_ms)
@@ -93,10 +101,21 @@
         if entry.work is None:
             return True
         bound, name = kind.repeat is not Repeat.SAFE, NO_NAME
-        record = json.dumps([
-            RECORD_VERSION, entry.work.kind, entry.work.identity, arrival.customer, arrival.class_name,
-            arrival.plan_name, arrival.units, arrival.first_gateway, arrival.spread, entry.work.data],
-            separators=(",", ":")).encode()
+        record = json.dumps(
+            [
+                RECORD_VERSION,
+                entry.work.kind,
+                entry.work.identity,
+                arrival.customer,
+                arrival.class_name,
+                arrival.plan_name,
+                arrival.units,
+                arrival.first_gateway,
+                arrival.spread,
+                entry.work.data,
+            ],
+            separators=(",", ":"),
+        ).encode()
         if entry.work.identity:
             name = name_of(arrival.customer, entry.work.identity, self._settings.tag_key)
         if name != NO_NAME and bound:
@@ -166,8 +185,16 @@
 
     # ---- clients and proxies that come back ------------------------------------------------------
 
-    def joins(self, customer: str, identity: str, class_name: str, due_ms: float, job: Job,
-              done: Callable[[Answer], None], go_on: Callable[[], None]) -> bool:
+    def joins(
+        self,
+        customer: str,
+        identity: str,
+        class_name: str,
+        due_ms: float,
+        job: Job,
+        done: Callable[[Answer], None],
+        go_on: Callable[[], None],
+    ) -> bool:
         """A client's try. True: the work is in hand here or at one whose keeper we are, and it waits for its answer."""
         name = name_of(customer, identity, self._settings.tag_key)
         if self.returning.join(name, mark_of(job), done):
@@ -177,8 +204,15 @@
             return True
         return False
 
-    def waits(self, customer: str, identity: str, due_ms: float, job: Job, done: Callable[[Answer], None],
-              go_on: Callable[[], None]) -> None:
+    def waits(
+        self,
+        customer: str,
+        identity: str,
+        due_ms: float,
+        job: Job,
+        done: Callable[[Answer], None],
+        go_on: Callable[[], None],
+    ) -> None:
         """A client's try whose keeper knows another of its name: it waits for the keeper's word."""
         name = name_of(customer, identity, self._settings.tag_key)
         self.returning.expect(name, mark_of(job), due_ms, done, go_on)
@@ -221,8 +255,14 @@
             elif row.status is Status.OUT:
                 self.keeper.lost(now, row.number, row.life)
         rows = self._membership.rows
-        self.origin.members(now, {number: Member(number, rows[number].life, self._rooms.get(number, ""))
-                                  for number in self._membership.alive() if number != self._settings.number})
+        self.origin.members(
+            now,
+            {
+                number: Member(number, rows[number].life, self._rooms.get(number, ""))
+                for number in self._membership.alive()
+                if number != self._settings.number
+            },
+        )
         self.work()
 
     def hear(self, sender: int, life: int, data: bytes) -> None:
@@ -341,14 +381,37 @@
             job = Job(data["method"], data["target"], data["headers"], base64.b64decode(data["body"]))
             if kept.name != NO_NAME and not self.returning.begin(kept.name, mark_of(job), kept.until_ms):
                 return  # its client was here before: that try is in hand or answered
-            self._own.go_on(job, lambda answer: self._finished(kept.name, answer), customer, class_name, plan,
-                            kept.until_ms, units, first, spread, identity, past)
+            self._own.go_on(
+                job,
+                lambda answer: self._finished(kept.name, answer),
+                customer,
+                class_name,
+                plan,
+                kept.until_ms,
+                units,
+                first,
+                spread,
+                identity,
+                past,
+            )
             if self._numbers.get(kept.name) is not None:  # who keeps it for us may have clients of that name waiting
                 keeper = self.origin.kept_by(self._numbers[kept.name])
                 self._turned.setdefault(kept.name, set()).update(set() if keeper is None else {keeper})
         else:
-            inherited = self._proxied.go_on(data["life"], kept.request, identity, customer, class_name, plan,
-                                            kept.until_ms, units, first, spread, past, dict(kept.sent))
+            inherited = self._proxied.go_on(
+                data["life"],
+                kept.request,
+                identity,
+                customer,
+                class_name,
+                plan,
+                kept.until_ms,
+                units,
+                first,
+                spread,
+                past,
+                dict(kept.sent),
+            )
             if kept.name == NO_NAME or not kept.bound:
                 return
             while self._inherited and not next(iter(self._inherited.values())).waits:
@@ -368,9 +431,12 @@
 
     def state(self) -> dict[str, Any]:
         """What is kept for others and by others, in plain values."""
-        return {"kept_for_others": self.keeper.count, "kept_by_others": len(self.origin),
-                "answers": len(self.returning), "counts": dict(self.counts + self.origin.counts + self.keeper.counts
-                                                               + self.returning.counts)}
+        return {
+            "kept_for_others": self.keeper.count,
+            "kept_by_others": len(self.origin),
+            "answers": len(self.returning),
+            "counts": dict(self.counts + self.origin.counts + self.keeper.counts + self.returning.counts),
+        }
 
 
 def read_record(record: bytes, kinds: dict[str, Any]) -> list[Any] | None:
@@ -388,16 +454,19 @@
     """An answer as bytes, for another gatekeeper."""
     message = answer.message
     served = None if message is None else [message.status, message.headers, base64.b64encode(message.body).decode()]
-    return json.dumps([served, answer.worker, answer.attempts, answer.refused, answer.retry_in_ms, answer.reason],
-                      separators=(",", ":")).encode()
+    return json.dumps(
+        [served, answer.worker, answer.attempts, answer.refused, answer.retry_in_ms, answer.reason],
+        separators=(",", ":"),
+    ).encode()
 
 
 def read(data: bytes) -> Answer | None:
     """The answer in these bytes, None where they can't be read."""
     try:
         served, *rest = json.loads(data)
-        message = None if served is None else http1.Message("", "", served[0], served[1], base64.b64decode(served[2]),
-                                                            True)
+        message = (
+            None if served is None else http1.Message("", "", served[0], served[1], base64.b64decode(served[2]), True)
+        )
         return Answer(message, *rest)
     except (ValueError, TypeError, IndexError):
         return None
--- a/anisefront/daemon/logs.py
+++ b/anisefront/daemon/logs.py
@@ -10,10 +10,16 @@
 def set_up(level: str = "info") -> None:
     """Log from `level` up, one JSON object a line."""
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True),
-                    structlog.processors.dict_tracebacks, structlog.processors.JSONRenderer()],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.dict_tracebacks,
+            structlog.processors.JSONRenderer(),
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(level),
-        logger_factory=structlog.WriteLoggerFactory(sys.stderr), cache_logger_on_first_use=True)
+        logger_factory=structlog.WriteLoggerFactory(sys.stderr),
+        cache_logger_on_first_use=True,
+    )
 
 
 def follow_twisted() -> None:
@@ -23,6 +29,11 @@
     def observe(event: dict) -> None:
         failure = event.get("log_failure")
         if failure is not None:
-            structlog.get_logger().error("unhandled", where=event.get("log_format", ""),
-                                         fault=failure.getErrorMessage(), trace=failure.getTraceback()[-2000:])
+            structlog.get_logger().error(
+                "unhandled",
+                where=event.get("log_format", ""),
+                fault=failure.getErrorMessage(),
+                trace=failure.getTraceback()[-2000:],
+            )
+
     globalLogPublisher.addObserver(observe)
--- a/anisefront/daemon/members.py
+++ b/anisefront/daemon/members.py
@@ -16,8 +16,18 @@
 class Members:
     """The membership of one gatekeeper. `tell(receiver, data)` sends a datagram, `life` is our life's number."""
 
-    def __init__(self, reactor: Any, clock: Callable[[], float], tell: Callable[[int, bytes], None], log: Any,
-                 number: int, life: int, peers: Iterable[int], seed: int, period_ms: float) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        clock: Callable[[], float],
+        tell: Callable[[int, bytes], None],
+        log: Any,
+        number: int,
+        life: int,
+        peers: Iterable[int],
+        seed: int,
+        period_ms: float,
+    ) -> None:
         self._reactor, self._clock, self._tell, self._log = reactor, clock, tell, log
         self.membership = Membership(number, life, peers, seed, period_ms)
         self.listener: Callable[[list[Change]], None] = lambda changes: None  # is told what has changed
@@ -47,10 +57,15 @@
         """Who is there, in plain values."""
         known = self.membership
         said = Counter(row.status.name.lower() for row in known.rows.values())
-        return {**said, "unknown": len(known.peers) + 1 - len(known.rows), "awareness": known.awareness,
-                "not_alive": {str(number): row.status.name.lower() for number, row in sorted(known.rows.items())
-                              if row.status},
-                "counts": dict(known.counts)}
+        return {
+            **said,
+            "unknown": len(known.peers) + 1 - len(known.rows),
+            "awareness": known.awareness,
+            "not_alive": {
+                str(number): row.status.name.lower() for number, row in sorted(known.rows.items()) if row.status
+            },
+            "counts": dict(known.counts),
+        }
 
     def _turn(self) -> None:
         self._call, now = None, self._clock()
@@ -63,8 +78,13 @@
         self._put_off, heard, self._heard = 0, self._heard, []
         self._send(self.membership.handle(now, heard))
         for change in self.membership.changes:
-            self._log.info("member", number=change.row.number, status=change.row.status.name.lower(),
-                           life=change.row.life, incarnation=change.row.incarnation)
+            self._log.info(
+                "member",
+                number=change.row.number,
+                status=change.row.status.name.lower(),
+                life=change.row.life,
+                incarnation=change.row.incarnation,
+            )
         changes, self.membership.changes = self.membership.changes, []
         if changes:
             self.listener(changes)
@@ -75,8 +95,10 @@
 
     def _look_who_is_gone(self) -> None:
         """Those that are out or have left. One that is out may only be cut off, and takes us for gone then."""
-        before, self._gone = self._gone, frozenset(
-            number for number, row in self.membership.rows.items() if row.status >= Status.OUT)
+        before, self._gone = (
+            self._gone,
+            frozenset(number for number, row in self.membership.rows.items() if row.status >= Status.OUT),
+        )
         if self._gone != before:
             self.tell_gone(self._gone)
 
--- a/anisefront/daemon/memory.py
+++ b/anisefront/daemon/memory.py
@@ -60,6 +60,9 @@
         kept = purpose.kept()
         few = [size(each, shared) for each in samples(kept)]
         each = sum(few) / len(few) if few else 0.0
-        out[purpose.name] = {"count": len(kept), "bytes": round(sys.getsizeof(kept) + each * len(kept)),
-                             "most": purpose.most()}
+        out[purpose.name] = {
+            "count": len(kept),
+            "bytes": round(sys.getsizeof(kept) + each * len(kept)),
+            "most": purpose.most(),
+        }
     return out
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -24,26 +24,35 @@
 SETTLE_S = 0.002  # one wait of the loop between the work of starting and listening
 
 
-def serve(source: Source, read: list[Outcome], log_level: str,
-          workers: Callable[[Any], Fleet] | None = None) -> int:
+def serve(source: Source, read: list[Outcome], log_level: str, workers: Callable[[Any], Fleet] | None = None) -> int:
     """Run the gatekeeper of the settings language; the exit code. `read` has what `source` came to at the start, with
     no error, and is emptied: what a caller names would be held for life, however often the settings change.
     `workers` starts an embedded fleet on the reactor."""
     from anisefront.core.versions import at_once, next_steps
     from anisefront.daemon.gatekeeper import Gatekeeper
+
     first = [at_once(next_steps(None, read.pop()))]
 
     def before(gatekeeper: Any) -> None:
         if workers is not None:
             gatekeeper.ledger.roster(workers(gatekeeper.reactor))
 
-    return run(lambda reactor, on_fault: Gatekeeper(first.pop(), reactor, on_fault=on_fault, source=source), log_level,
-               str(first[0].config.settings.number), before, lambda gatekeeper: gatekeeper.reload())
-
-
-def run(make: Callable[[Any, Callable[[Exception], None]], Any], log_level: str, name: str,
-        before: Callable[[Any], None] = lambda gatekeeper: None,
-        hang_up: Callable[[Any], object] | None = None) -> int:
+    return run(
+        lambda reactor, on_fault: Gatekeeper(first.pop(), reactor, on_fault=on_fault, source=source),
+        log_level,
+        str(first[0].config.settings.number),
+        before,
+        lambda gatekeeper: gatekeeper.reload(),
+    )
+
+
+def run(
+    make: Callable[[Any, Callable[[Exception], None]], Any],
+    log_level: str,
+    name: str,
+    before: Callable[[Any], None] = lambda gatekeeper: None,
+    hang_up: Callable[[Any], object] | None = None,
+) -> int:
     """Run a gatekeeper until it is stopped; the exit code.
 
     `make(reactor, on_fault)` makes it: it has `start`, `drain`, `hurry`, `ledger` and `collector`. `before` is called
@@ -52,6 +61,7 @@
     logs.set_up(log_level)
     logs.follow_twisted()
     from twisted.internet import reactor
+
     log = structlog.get_logger().bind(gatekeeper=name)
     code = [0]
     life = Lifecycle()
@@ -133,7 +143,11 @@
     reactor.callWhenRunning(step, prepare)
     started = time.monotonic()
     reactor.run(installSignalHandlers=False)
-    log.info("exit", code=code[0], up_s=round(time.monotonic() - started, 1),
-             why={0: "drained", 1: "could not start or stopped at once", 3: "module fault"}[code[0]])
+    log.info(
+        "exit",
+        code=code[0],
+        up_s=round(time.monotonic() - started, 1),
+        why={0: "drained", 1: "could not start or stopped at once", 3: "module fault"}[code[0]],
+    )
     sys.stderr.flush()
     return code[0]
--- a/anisefront/daemon/pulse.py
+++ b/anisefront/daemon/pulse.py
@@ -22,8 +22,13 @@
 class Pulse:
     """Looks at the clock at a steady pace. `on_late(late_ms, cause)` hears of each notable lateness."""
 
-    def __init__(self, reactor: Any, now_ms: Callable[[], float], on_late: Callable[[float, str], None],
-                 every_ms: float = EVERY_MS) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        now_ms: Callable[[], float],
+        on_late: Callable[[float, str], None],
+        every_ms: float = EVERY_MS,
+    ) -> None:
         self._reactor, self._now_ms, self._on_late, self._every_ms = reactor, now_ms, on_late, every_ms
         self.lag = Lag()
         self._last: Sample | None = None
--- a/anisefront/daemon/recorder.py
+++ b/anisefront/daemon/recorder.py
@@ -52,8 +52,18 @@
     def _record(self, at: float, thing: object) -> trace.Record | None:
         match thing:
             case Arrival():
-                return ["arrive", at, thing.id, self._name(thing.customer), thing.class_name, thing.plan_name,
-                        thing.units, round(thing.due_ms - at, 1), int(thing.is_repeat), int(thing.copies)]
+                return [
+                    "arrive",
+                    at,
+                    thing.id,
+                    self._name(thing.customer),
+                    thing.class_name,
+                    thing.plan_name,
+                    thing.units,
+                    round(thing.due_ms - at, 1),
+                    int(thing.is_repeat),
+                    int(thing.copies),
+                ]
             case Send():
                 return ["send", at, thing.id, -1, thing.server]
             case Outcome():
--- a/anisefront/daemon/reload.py
+++ b/anisefront/daemon/reload.py
@@ -10,14 +10,34 @@
     from anisefront.config.types import Config
 
 # Of Config and of Settings: what is bound to sockets, to the fleet's view of us, or to what a worker can bear.
-_FIXED = {"grpc": "listen grpc", "jsonrpc": "listen jsonrpc", "peers_listen": "listen peers", "peers": "peer",
-          "secret": "secret", "roster_file": "pool", "embedded": "pool", "seed": "seed",
-          "recording": "record", "members_ms": "members", "lease_ms": "keepers",
-          "most_records": "keepers", "rooms": "peer", "spread": "customers spread",
-          "most_connections": "limits connections"}
-_FIXED_SETTINGS = {"gateways": "gatekeeper", "number": "gatekeeper", "zone": "gatekeeper zone", "warm_up_ms": "pool",
-                   "cold_from": "pool", "fall_multiple": "pool", "fall_window_ms": "pool", "inbox_per_s": "messages",
-                   "report_fields": "report"}
+_FIXED = {
+    "grpc": "listen grpc",
+    "jsonrpc": "listen jsonrpc",
+    "peers_listen": "listen peers",
+    "peers": "peer",
+    "secret": "secret",
+    "roster_file": "pool",
+    "embedded": "pool",
+    "seed": "seed",
+    "recording": "record",
+    "members_ms": "members",
+    "lease_ms": "keepers",
+    "most_records": "keepers",
+    "rooms": "peer",
+    "spread": "customers spread",
+    "most_connections": "limits connections",
+}
+_FIXED_SETTINGS = {
+    "gateways": "gatekeeper",
+    "number": "gatekeeper",
+    "zone": "gatekeeper zone",
+    "warm_up_ms": "pool",
+    "cold_from": "pool",
+    "fall_multiple": "pool",
+    "fall_window_ms": "pool",
+    "inbox_per_s": "messages",
+    "report_fields": "report",
+}
 
 
 def fixed(before: Config, after: Config) -> list[str]:
@@ -38,7 +58,7 @@
     out = []
     for what in ("classes", "plans"):
         old, new = ([each.name for each in getattr(settings, what)] for settings in (before, after))
-        if new[:len(old)] != old:
+        if new[: len(old)] != old:
             # Danger: gatekeepers that have not changed yet name them to us by their places in the file.
             out.append(f"{what} {', '.join(old)} must stay in their order: add others after them, or start anew")
     return out
--- a/anisefront/daemon/reloader.py
+++ b/anisefront/daemon/reloader.py
@@ -64,9 +64,15 @@
     """`change()` gives the steps of one change, which carries itself out; `busy` says whether requests wait to be
     decided, `on_raise` hears of what nobody foresaw."""
 
-    def __init__(self, reactor: Any, change: Callable[[], Generator[None, None, None]], busy: Callable[[], bool],
-                 log: Any, on_raise: Callable[[Exception], None],
-                 seconds: Callable[[], float] = time.perf_counter) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        change: Callable[[], Generator[None, None, None]],
+        busy: Callable[[], bool],
+        log: Any,
+        on_raise: Callable[[Exception], None],
+        seconds: Callable[[], float] = time.perf_counter,
+    ) -> None:
         self._reactor, self._change, self._busy, self._log = reactor, change, busy, log
         self._on_raise, self._seconds = on_raise, seconds
         self.phase, self.slices = Phase.IDLE, Lag()
--- a/anisefront/fleet/datagrams.py
+++ b/anisefront/fleet/datagrams.py
@@ -72,12 +72,15 @@
         if incarnation > peer.incarnation:
             peer.incarnation, peer.highest, peer.seen = incarnation, 0, 0
         if sequence > peer.highest:
-            peer.seen = (peer.seen << sequence - peer.highest | 1) & (1 << REMEMBERED) - 1 \
-                if sequence - peer.highest < REMEMBERED else 1
+            peer.seen = (
+                (peer.seen << sequence - peer.highest | 1) & (1 << REMEMBERED) - 1
+                if sequence - peer.highest < REMEMBERED
+                else 1
+            )
             peer.highest = sequence
         else:
             bit = peer.highest - sequence
             if bit >= REMEMBERED or peer.seen >> bit & 1:
                 return "repeated", None
             peer.seen |= 1 << bit
-        return "taken", (sender, body[_HEAD.size:])
+        return "taken", (sender, body[_HEAD.size :])
--- a/anisefront/fleet/keeper.py
+++ b/anisefront/fleet/keeper.py
@@ -130,8 +130,9 @@
         if epoch is None:
             if message.epoch <= of_life.floor:
                 return  # the same danger
-            epoch = of_life.epochs[message.epoch] = _Epoch(sender, life, message.epoch, message.witness,
-                                                           message.witness_life)
+            epoch = of_life.epochs[message.epoch] = _Epoch(
+                sender, life, message.epoch, message.witness, message.witness_life
+            )
         if epoch.state is _State.CLOSED:
             self.out.append((sender, NotYours(message.epoch)))
         else:
@@ -140,7 +141,7 @@
                 # Danger: out of their order an old "taken" would come after the "over" that ended it.
                 if number == epoch.upto + 1:
                     if self._declined(epoch, entry):
-                        for other in message.entries[number - message.first:]:
+                        for other in message.entries[number - message.first :]:
                             if self._declined(epoch, other):
                                 self._decline(epoch, other.request)
                         break
@@ -157,8 +158,11 @@
     def _declined(self, epoch: _Epoch, entry: Taken | Sent | Ended | Over) -> bool:
         """Whether a request is not taken in for want of room. Danger: one that was turned away once must be for good:
         its origin goes on with it by itself, however late it hears of that."""
-        return isinstance(entry, Taken) and entry.request not in epoch.kept and (
-            self.count >= self.most or entry.request in epoch.declined)
+        return (
+            isinstance(entry, Taken)
+            and entry.request not in epoch.kept
+            and (self.count >= self.most or entry.request in epoch.declined)
+        )
 
     def _decline(self, epoch: _Epoch, request: int) -> None:
         """Not acknowledged: its origin takes it back, and what is behind it goes on."""
--- a/anisefront/fleet/keeping.py
+++ b/anisefront/fleet/keeping.py
@@ -1,15 +1,15 @@
 """What gatekeepers tell each other of the work they have in hand: entries, messages and their bytes. Free of I/O.
 
-    origin  --Feed-->  keeper     numbered entries of one epoch, taken in their order only
-    origin  <--Ack---  keeper     all up to this number are known
-    origin  <-NotYours- keeper    this epoch was taken over: nothing more is yours to send
-    origin  --Leave->  witness    we leave this epoch's keeper
-    keeper  --Close->  witness    we take this epoch over
-    either  <-Ruled--  witness    whose it is: the first who asked has it, for good
-    origin  <-Elsewhere- keeper   this name is in hand at another: yours must not run
-    origin  <-Settled-  keeper    what became of the other
-    origin  --Asked-->  keeper    what did? A word that was lost is said again
-    origin  <--Full---  keeper    no more are kept here: this one goes on without a keeper
+origin  --Feed-->  keeper     numbered entries of one epoch, taken in their order only
+origin  <--Ack---  keeper     all up to this number are known
+origin  <-NotYours- keeper    this epoch was taken over: nothing more is yours to send
+origin  --Leave->  witness    we leave this epoch's keeper
+keeper  --Close->  witness    we take this epoch over
+either  <-Ruled--  witness    whose it is: the first who asked has it, for good
+origin  <-Elsewhere- keeper   this name is in hand at another: yours must not run
+origin  <-Settled-  keeper    what became of the other
+origin  --Asked-->  keeper    what did? A word that was lost is said again
+origin  <--Full---  keeper    no more are kept here: this one goes on without a keeper
 """
 
 from __future__ import annotations
@@ -169,13 +169,23 @@
 _KIND = struct.Struct(">BB")
 _FEED = struct.Struct(">IQhQIIB")
 _FORMS: dict[type, tuple[int, struct.Struct]] = {
-    Ack: (2, struct.Struct(">II")), NotYours: (3, struct.Struct(">I")), Leave: (4, struct.Struct(">IQ")),
-    Close: (5, struct.Struct(">HQIQ")), Ruled: (6, struct.Struct(">HQI?")), Elsewhere: (7, struct.Struct(">IQ")),
-    Asked: (9, struct.Struct(">8s")), Full: (10, struct.Struct(">IQ"))}
+    Ack: (2, struct.Struct(">II")),
+    NotYours: (3, struct.Struct(">I")),
+    Leave: (4, struct.Struct(">IQ")),
+    Close: (5, struct.Struct(">HQIQ")),
+    Ruled: (6, struct.Struct(">HQI?")),
+    Elsewhere: (7, struct.Struct(">IQ")),
+    Asked: (9, struct.Struct(">8s")),
+    Full: (10, struct.Struct(">IQ")),
+}
 _SETTLED, _SETTLED_KIND = struct.Struct(">8sB"), 8
 _BY_KIND = {kind: (made, form) for made, (kind, form) in _FORMS.items()}
-_TAKEN, _SENT, _ENDED, _OVER = (struct.Struct(">BQ?I8sH"), struct.Struct(">BQH?B"), struct.Struct(">BQH"),
-                                struct.Struct(">BQ"))
+_TAKEN, _SENT, _ENDED, _OVER = (
+    struct.Struct(">BQ?I8sH"),
+    struct.Struct(">BQH?B"),
+    struct.Struct(">BQH"),
+    struct.Struct(">BQ"),
+)
 
 
 def pack_entry(entry: Entry) -> bytes:
@@ -215,14 +225,21 @@
 def _exactly(data: bytes, at: int, length: int) -> bytes:
     if at + length > len(data):
         raise ValueError("an entry that ends beyond the message")
-    return data[at:at + length]
+    return data[at : at + length]
 
 
 def pack(message: Message) -> bytes:
     """The message as bytes."""
     if isinstance(message, Feed):
-        head = _FEED.pack(message.epoch, message.keeper_life, message.witness, message.witness_life, message.oldest,
-                          message.first, len(message.entries))
+        head = _FEED.pack(
+            message.epoch,
+            message.keeper_life,
+            message.witness,
+            message.witness_life,
+            message.oldest,
+            message.first,
+            len(message.entries),
+        )
         return _KIND.pack(MARK, 1) + head + (message.packed or b"".join(map(pack_entry, message.entries)))
     if isinstance(message, Settled):
         return _KIND.pack(MARK, _SETTLED_KIND) + _SETTLED.pack(message.name, message.word) + message.data
@@ -238,10 +255,10 @@
             return None
         if kind == _SETTLED_KIND:
             name, word = _SETTLED.unpack_from(data, _KIND.size)
-            return Settled(name, Word(word), data[_KIND.size + _SETTLED.size:])
+            return Settled(name, Word(word), data[_KIND.size + _SETTLED.size :])
         if kind != 1:
             made, form = _BY_KIND[kind]
-            return made(*form.unpack(data[_KIND.size:]))
+            return made(*form.unpack(data[_KIND.size :]))
         *head, count = _FEED.unpack_from(data, _KIND.size)
         at, entries = _KIND.size + _FEED.size, []
         for _ in range(count):
--- a/anisefront/fleet/members.py
+++ b/anisefront/fleet/members.py
@@ -60,7 +60,9 @@
     if len(data) % ROW.size or len(data) > MOST_ROWS * ROW.size:
         return None
     try:
-        return [Row(number, life, incarnation, Status(status))
-                for number, life, incarnation, status in ROW.iter_unpack(data)]
+        return [
+            Row(number, life, incarnation, Status(status))
+            for number, life, incarnation, status in ROW.iter_unpack(data)
+        ]
     except ValueError:
         return None
--- a/anisefront/fleet/membership.py
+++ b/anisefront/fleet/membership.py
@@ -268,7 +268,7 @@
         if self._left or len(data) < _HEAD.size or data[0] != MARK or sender == self.number:
             return
         _, kind, sequence, about = _HEAD.unpack_from(data)
-        rows = unpack(data[_HEAD.size:])
+        rows = unpack(data[_HEAD.size :])
         if rows is None or kind not in Kind._value2member_map_:
             self.counts["unreadable"] += 1
             return
@@ -290,7 +290,7 @@
                 probe.nothings = min(probe.helpers, probe.nothings + 1)
         elif kind == Kind.JOIN:
             for at in range(0, len(self.rows), MOST_ROWS):
-                self._send(sender, Kind.ROWS, 0, 0, list(self.rows.values())[at:at + MOST_ROWS], bare=True)
+                self._send(sender, Kind.ROWS, 0, 0, list(self.rows.values())[at : at + MOST_ROWS], bare=True)
 
     def _answered(self, sequence: int, sender: int) -> None:
         probe = self._probes.get(sequence)
--- a/anisefront/fleet/origin.py
+++ b/anisefront/fleet/origin.py
@@ -254,8 +254,10 @@
         come and go."""
         ranked = self._ranks.get((slot, room, barred))
         if ranked is None:
+
             def place(member: Member) -> tuple[bool, bytes]:
                 return bool(room) and member.room == room, _mixed(slot, member.number)
+
             others = (member for member in self._members.values() if member.number != barred)
             ranked = self._ranks[slot, room, barred] = sorted(others, key=place)
         return ranked
@@ -329,8 +331,9 @@
 
     def hear(self, now: float, sender: int, life: int, message: Message) -> None:
         """A message whose seal proves sender and life."""
-        link = self._links.get(message.epoch) if isinstance(
-            message, Ack | NotYours | Elsewhere | Full | Ruled) else None
+        link = (
+            self._links.get(message.epoch) if isinstance(message, Ack | NotYours | Elsewhere | Full | Ruled) else None
+        )
         if link is None:
             return
         of_keeper = (sender, life) == (link.keeper.number, link.keeper.life)
@@ -506,9 +509,21 @@
 
     def _post(self, link: _Link, first: int, part: list[tuple[Entry, bytes]]) -> None:
         witness, oldest = link.witness or Member(-1, 0), self._epochs[link.keeper.number][0]
-        self.out.append((link.keeper.number, Feed(link.epoch, link.keeper.life, witness.number, witness.life, oldest,
-                                                  first, tuple(entry for entry, _ in part),
-                                                  b"".join(packed for _, packed in part))))
+        self.out.append(
+            (
+                link.keeper.number,
+                Feed(
+                    link.epoch,
+                    link.keeper.life,
+                    witness.number,
+                    witness.life,
+                    oldest,
+                    first,
+                    tuple(entry for entry, _ in part),
+                    b"".join(packed for _, packed in part),
+                ),
+            )
+        )
 
     @property
     def due_ms(self) -> float:
--- a/anisefront/fleet/roster.py
+++ b/anisefront/fleet/roster.py
@@ -1,8 +1,8 @@
 """The fleet list as a file in the published `ClusterLoadAssignment` JSON form. Free of I/O.
 
-    health HEALTHY, UNKNOWN, DEGRADED: ready      DRAINING, UNHEALTHY, TIMEOUT: draining      absent: gone
-    locality.zone: the zone                       locality.sub_zone: the cell that drops repeats together
-    metadata.filter_metadata.anisefront.started: Unix seconds at which the worker started; absent: long ago
+health HEALTHY, UNKNOWN, DEGRADED: ready      DRAINING, UNHEALTHY, TIMEOUT: draining      absent: gone
+locality.zone: the zone                       locality.sub_zone: the cell that drops repeats together
+metadata.filter_metadata.anisefront.started: Unix seconds at which the worker started; absent: long ago
 """
 
 from __future__ import annotations
@@ -42,8 +42,11 @@
             name = f"{socket.address}:{socket.port_value}"
             if name in servers:
                 raise RosterFault(f"{place}: {name} stands twice")
-            started = dict(entry.metadata.filter_metadata["anisefront"]).get("started", 0.0) \
-                if "anisefront" in entry.metadata.filter_metadata else 0.0
+            started = (
+                dict(entry.metadata.filter_metadata["anisefront"]).get("started", 0.0)
+                if "anisefront" in entry.metadata.filter_metadata
+                else 0.0
+            )
             if not isinstance(started, float) or not 0 <= started < 1e11:
                 raise RosterFault(f"{place}: started: Unix seconds are due")
             state = State.READY if entry.health_status in _READY else State.DRAINING
@@ -68,8 +71,7 @@
         entry.endpoint.address.socket_address.address = address
         entry.endpoint.address.socket_address.port_value = int(port)
         entry.load_balancing_weight.value = max(1, round(server.weight))
-        entry.health_status = health_check_pb2.HEALTHY if server.state is State.READY \
-            else health_check_pb2.DRAINING
+        entry.health_status = health_check_pb2.HEALTHY if server.state is State.READY else health_check_pb2.DRAINING
         if server.started_ms:
             entry.metadata.filter_metadata["anisefront"]["started"] = server.started_ms / 1000
     return json_format.MessageToJson(message)
--- a/anisefront/fronts/accesslog.py
+++ b/anisefront/fronts/accesslog.py
@@ -58,16 +58,24 @@
         common, headers = entry.common_properties, entry.response.response_headers
         if not token:
             # Denied by the proxy alone, because its check failed; what we denied is logged as ext_authz_denied.
-            if common.response_flags.HasField("unauthorized_details") \
-                    and entry.response.response_code_details == "ext_authz_error":
+            if (
+                common.response_flags.HasField("unauthorized_details")
+                and entry.response.response_code_details == "ext_authz_error"
+            ):
                 self._proxied.log_unsent(entry.request.request_id, self._call.peer)
             return
         names = {field.name for field, _ in common.response_flags.ListFields()}
         end = of_flags(names, entry.response.response_code.value, headers)
         took = None
         if common.HasField("time_to_last_upstream_rx_byte") and common.HasField("time_to_first_upstream_tx_byte"):
-            took = max(0.0, (common.time_to_last_upstream_rx_byte.ToMicroseconds()
-                             - common.time_to_first_upstream_tx_byte.ToMicroseconds()) / 1000)
+            took = max(
+                0.0,
+                (
+                    common.time_to_last_upstream_rx_byte.ToMicroseconds()
+                    - common.time_to_first_upstream_tx_byte.ToMicroseconds()
+                )
+                / 1000,
+            )
         load = orca.row(orca.read(headers), self._fields) if headers else ()
         self._proxied.log(token, end.result, took, load, end.over)
 
--- a/anisefront/fronts/authorization.py
+++ b/anisefront/fronts/authorization.py
@@ -1,10 +1,10 @@
 """`envoy.service.auth.v3.Authorization/Check`: a front proxy asks whether, and where to, a request may go.
 
-    GO       OK, with x-envoy-original-dst-host, x-envoy-upstream-rq-timeout-ms and x-anisefront-attempt;
-             and with :path where the request's was not in normal form: it goes on as what it was judged
-    REFUSED  429 (quota) or 503, Retry-After, x-anisefront-final: refused - safe to try again
-    FAILED   502, x-anisefront-final: failed - no promise
-    unmapped 401, 403, 404 or 400 - never let through
+GO       OK, with x-envoy-original-dst-host, x-envoy-upstream-rq-timeout-ms and x-anisefront-attempt;
+         and with :path where the request's was not in normal form: it goes on as what it was judged
+REFUSED  429 (quota) or 503, Retry-After, x-anisefront-final: refused - safe to try again
+FAILED   502, x-anisefront-final: failed - no promise
+unmapped 401, 403, 404 or 400 - never let through
 """
 
 from __future__ import annotations
@@ -75,9 +75,19 @@
             return
         first, spread = gate.gateways_of(mapped.customer)
         self._number = gate.proxied.ask(
-            headers.get("x-request-id", "") or http.id, self._reply, mapped.customer, mapped.class_name,
-            mapped.plan, gate.now_ms() + mapped.deadline_ms, mapped.units, first, spread, mapped.is_repeat,
-            self._call.peer, headers.get("x-idempotency-key", ""))
+            headers.get("x-request-id", "") or http.id,
+            self._reply,
+            mapped.customer,
+            mapped.class_name,
+            mapped.plan,
+            gate.now_ms() + mapped.deadline_ms,
+            mapped.units,
+            first,
+            spread,
+            mapped.is_repeat,
+            self._call.peer,
+            headers.get("x-idempotency-key", ""),
+        )
 
     @staticmethod
     def _other_path(path: str) -> str:
@@ -112,9 +122,12 @@
     """The message that lets one attempt go; `target`: with another path than the request's."""
     response = external_auth_pb2.CheckResponse()
     response.status.code = 0
-    for name, value in (("x-envoy-original-dst-host", answer.worker),
-                        ("x-envoy-upstream-rq-timeout-ms", str(max(1, int(answer.allow_ms)))),
-                        (ATTEMPT, answer.attempt), *(((":path", target),) if target else ())):
+    for name, value in (
+        ("x-envoy-original-dst-host", answer.worker),
+        ("x-envoy-upstream-rq-timeout-ms", str(max(1, int(answer.allow_ms)))),
+        (ATTEMPT, answer.attempt),
+        *(((":path", target),) if target else ()),
+    ):
         option = response.ok_response.headers.add(append_action=_OVERWRITE)
         option.header.key, option.header.value = name, value
     return response.SerializeToString()
--- a/anisefront/fronts/grpcserver.py
+++ b/anisefront/fronts/grpcserver.py
@@ -49,8 +49,9 @@
 
     __slots__ = ("_connection", "_headers_sent", "_stream", "_timer", "_unpacker", "headers", "over", "service")
 
-    def __init__(self, connection: GrpcConnection, stream: int, headers: Mapping[bytes, bytes],
-                 unpacker: grpc.Unpacker) -> None:
+    def __init__(
+        self, connection: GrpcConnection, stream: int, headers: Mapping[bytes, bytes], unpacker: grpc.Unpacker
+    ) -> None:
         self._connection, self._stream, self.headers, self._unpacker = connection, stream, headers, unpacker
         self._headers_sent, self.over, self._timer, self.service = False, False, None, None
 
@@ -250,8 +251,7 @@
 
     noisy = False
 
-    def __init__(self, reactor: object, methods: Mapping[bytes, Method],
-                 limits: ServerLimits | None = None) -> None:
+    def __init__(self, reactor: object, methods: Mapping[bytes, Method], limits: ServerLimits | None = None) -> None:
         self.reactor, self.methods, self.limits = reactor, dict(methods), limits or ServerLimits()
         self.connections: set[GrpcConnection] = set()
         self.counts: Counter[str] = Counter()
--- a/anisefront/fronts/health.py
+++ b/anisefront/fronts/health.py
@@ -27,8 +27,10 @@
 
     def methods(self) -> dict[bytes, Method]:
         """Entries for a `GrpcFactory`."""
-        return {b"/grpc.health.v1.Health/Check": lambda call: _Check(self, call),
-                b"/grpc.health.v1.Health/Watch": lambda call: _Watch(self, call)}
+        return {
+            b"/grpc.health.v1.Health/Check": lambda call: _Check(self, call),
+            b"/grpc.health.v1.Health/Watch": lambda call: _Watch(self, call),
+        }
 
     def state(self, service: str) -> Serving | None:
         """A service's state, None for one that is not here."""
@@ -54,7 +56,7 @@
                 if at + size > len(data):
                     raise IndexError
                 if tag >> 3 == 1:
-                    name = data[at:at + size].decode()
+                    name = data[at : at + size].decode()
                 at += size
             elif tag & 7 in (1, 5):
                 at += 8 if tag & 7 == 1 else 4
--- a/anisefront/fronts/jsonrpc.py
+++ b/anisefront/fronts/jsonrpc.py
@@ -1,7 +1,7 @@
 """JSON-RPC 2.0 over TCP, a line each: `call` has a request carried out by us, `state` reports on this gatekeeper.
 
-    call {"method", "path", "host"?, "headers"?, "body"?}  ->  {"status", "headers", "body", "worker", "attempts"}
-    errors: -32001 refused (safe to try again)  -32002 failed (no promise)  -32003 unmapped
+call {"method", "path", "host"?, "headers"?, "body"?}  ->  {"status", "headers", "body", "worker", "attempts"}
+errors: -32001 refused (safe to try again)  -32002 failed (no promise)  -32003 unmapped
 """
 
 from __future__ import annotations
@@ -25,8 +25,17 @@
 SLICE = 16  # lines taken in before others have their turn
 REFUSED, FAILED, UNMAPPED = -32001, -32002, -32003
 # Headers of the hop between the client and us; a worker is sent our own.
-_OF_THE_HOP = {"connection", "keep-alive", "proxy-connection", "transfer-encoding", "content-length", "upgrade",
-               "te", "trailer", "host"}
+_OF_THE_HOP = {
+    "connection",
+    "keep-alive",
+    "proxy-connection",
+    "transfer-encoding",
+    "content-length",
+    "upgrade",
+    "te",
+    "trailer",
+    "host",
+}
 
 
 class BadParams(Exception):
@@ -40,8 +49,10 @@
     unknown = set(params) - {"method", "path", "host", "headers", "body", "body_base64"}
     if unknown:
         raise BadParams(f"{sorted(unknown)[0][:40]}: not known here")
-    texts = {name: params.get(name, fallback) for name, fallback in
-             (("method", "GET"), ("path", None), ("host", ""), ("body", ""), ("body_base64", ""))}
+    texts = {
+        name: params.get(name, fallback)
+        for name, fallback in (("method", "GET"), ("path", None), ("host", ""), ("body", ""), ("body_base64", ""))
+    }
     for name, value in texts.items():
         if not isinstance(value, str):
             raise BadParams(f"{name}: a string is due")
@@ -67,8 +78,14 @@
 class Desk:
     """What calls need besides their parameters."""
 
-    def __init__(self, router: Callable[[], Router], own: Own, now_ms: Callable[[], float],
-                 gateways_of: Callable[[str], tuple[int, int]], state: Callable[[], dict[str, Any]]) -> None:
+    def __init__(
+        self,
+        router: Callable[[], Router],
+        own: Own,
+        now_ms: Callable[[], float],
+        gateways_of: Callable[[str], tuple[int, int]],
+        state: Callable[[], dict[str, Any]],
+    ) -> None:
         self.router, self.own, self.now_ms, self.gateways_of, self.state = router, own, now_ms, gateways_of, state
         self.closing = False
 
@@ -81,8 +98,18 @@
             done(Answer(refused=True, retry_in_ms=1000.0, reason="draining"))
             return None
         first, spread = self.gateways_of(mapped.customer)
-        return self.own.ask(job, done, mapped.customer, mapped.class_name, mapped.plan,
-                            self.now_ms() + mapped.deadline_ms, mapped.units, first, spread, mapped.is_repeat)
+        return self.own.ask(
+            job,
+            done,
+            mapped.customer,
+            mapped.class_name,
+            mapped.plan,
+            self.now_ms() + mapped.deadline_ms,
+            mapped.units,
+            first,
+            spread,
+            mapped.is_repeat,
+        )
 
 
 def written(call_id: Any, answer: Answer) -> dict[str, Any]:
@@ -93,8 +120,16 @@
             body = {"body": message.body.decode()}
         except UnicodeDecodeError:
             body = {"body_base64": base64.b64encode(message.body).decode()}
-        return jsonrpc.result(call_id, {"status": message.status, "headers": message.headers, **body,
-                                        "worker": answer.worker, "attempts": answer.attempts})
+        return jsonrpc.result(
+            call_id,
+            {
+                "status": message.status,
+                "headers": message.headers,
+                **body,
+                "worker": answer.worker,
+                "attempts": answer.attempts,
+            },
+        )
     if answer.refused:
         data = {"final": "refused", "reason": answer.reason, "retry_after_ms": round(answer.retry_in_ms)}
         return jsonrpc.error(call_id, REFUSED, "refused: safe to try again", data)
@@ -256,8 +291,15 @@
 
     noisy = False
 
-    def __init__(self, reactor: object, desk: Desk, most_connections: int = 512, most_line: int = 1 << 20,
-                 most_waiting: int = 1024, stuck_s: float = 20.0) -> None:
+    def __init__(
+        self,
+        reactor: object,
+        desk: Desk,
+        most_connections: int = 512,
+        most_line: int = 1 << 20,
+        most_waiting: int = 1024,
+        stuck_s: float = 20.0,
+    ) -> None:
         self.reactor, self.desk, self.most_connections, self.most_line = reactor, desk, most_connections, most_line
         self.most_waiting, self.stuck_s = most_waiting, stuck_s
         self.connections: set[JsonRpcConnection] = set()
--- a/anisefront/lab/model/draws.py
+++ b/anisefront/lab/model/draws.py
@@ -48,7 +48,7 @@
         """One number of a thing among so many that their rows would be made and let go again and again: SplitMix64
         (Steele, Lea and Flood, 2014) over seed, cause, index and column."""
         mixed = _mix(_mix(self._seed ^ cause << 56) ^ index) + column
-        return (_mix(mixed) >> 11) * 2.0 ** -53
+        return (_mix(mixed) >> 11) * 2.0**-53
 
     def generator(self, cause: Cause, number: int) -> np.random.Generator:
         """A generator of its own."""
@@ -65,6 +65,7 @@
 def lognormal(sigma: float, points: int = 65) -> tuple[float, ...]:
     """Quantiles, evenly spaced and of mean 1, of times whose logarithm spreads by `sigma`."""
     from statistics import NormalDist
+
     normal = NormalDist()
     values = [math.exp(sigma * normal.inv_cdf((n + 0.5) / points)) for n in range(points)]
     mean = sum(values) / points
--- a/anisefront/lab/model/troubles.py
+++ b/anisefront/lab/model/troubles.py
@@ -1,7 +1,7 @@
 """What goes wrong in a model's day: the lines of a day's script, by the same names as on loopback.
 
-    deploy, errors, broken-answers, slow, silence, freeze-workers, kill-workers, freeze-gatekeeper, kill-gatekeeper,
-    datagrams, surge, partition, preempt; `logs`, `broken-roster` and `replay-datagrams` change nothing in a model
+deploy, errors, broken-answers, slow, silence, freeze-workers, kill-workers, freeze-gatekeeper, kill-gatekeeper,
+datagrams, surge, partition, preempt; `logs`, `broken-roster` and `replay-datagrams` change nothing in a model
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
         row = self._world.draws.row(Cause.TROUBLE, number)
         ready = [worker for worker in self._world.pool.workers.values() if worker.state is State.READY]
         ranked = sorted(range(len(ready)), key=lambda place: row[place % len(row)] + place // len(row))
-        return [ready[place] for place in ranked[:values.get("workers", 1)]]
+        return [ready[place] for place in ranked[: values.get("workers", 1)]]
 
     @staticmethod
     def _set(workers: list[Worker], name: str, value: Any) -> None:
--- a/anisefront/lab/report.py
+++ b/anisefront/lab/report.py
@@ -16,6 +16,7 @@
 def judge(path: Path, folder: Path, seed: int | None, guard: str | None, record: bool = False) -> int:
     """Play the script at `path`, keep its records in `folder`, print the verdict; the exit code."""
     from anisefront.lab import day
+
     text = path.read_text()
     script, problems = scripts.read(text)
     for problem in problems:
@@ -36,8 +37,10 @@
     verdicts = auditor.judge()
     click.echo(f"{'rule':30} {'cases':>6} {'broken':>6}  nearest miss (1 is the limit)")
     for verdict in verdicts:
-        click.echo(f"{verdict.rule:30} {verdict.cases:6} {len(verdict.breaches):6}  {verdict.nearest:.2f} "
-                   f"{verdict.nearest_what}".rstrip())
+        click.echo(
+            f"{verdict.rule:30} {verdict.cases:6} {len(verdict.breaches):6}  {verdict.nearest:.2f} "
+            f"{verdict.nearest_what}".rstrip()
+        )
         for breach in verdict.breaches[:5]:
             click.echo(f"    {breach}")
     for excuse in auditor.excused[:5]:
--- a/anisefront/node/carrier.py
+++ b/anisefront/node/carrier.py
@@ -84,8 +84,17 @@
     def ask(self, wanted: Wanted, due_ms: float, final: Final, left: Callable[[], bool] = lambda: False) -> int | None:
         """Take a request in. `final` hears its one answer, `left` is asked whether its client has closed; the number
         is for `withdraw`, None where it was refused."""
-        number = self._ledger.accept(self, wanted.customer, wanted.class_name, wanted.plan_name, due_ms, wanted.units,
-                                     wanted.first_gateway, wanted.spread, wanted.is_repeat)
+        number = self._ledger.accept(
+            self,
+            wanted.customer,
+            wanted.class_name,
+            wanted.plan_name,
+            due_ms,
+            wanted.units,
+            wanted.first_gateway,
+            wanted.spread,
+            wanted.is_repeat,
+        )
         if number is not None:
             self.open[number] = _Open(wanted, final, self._ledger.now_ms(), left)
             self._ids.add(wanted.id)
--- a/anisefront/node/config.py
+++ b/anisefront/node/config.py
@@ -95,8 +95,13 @@
         name=str(found.get("name") or environment.get("PROXY_NAME", "")),
         listen=address(found.get("listen") or environment.get("PROXY_LISTEN"), "listen", ConfigFault),
         discovery=address(found.get("discovery") or environment.get("PROXY_DISCOVERY"), "discovery", ConfigFault),
-        seed=seed_number, settings=settings,
+        seed=seed_number,
+        settings=settings,
         peer_listen=address(peer_listen, "peer_listen", ConfigFault) if peer_listen else None,
-        peers=tuple(address(each, f"peers[{n}]", ConfigFault) for n, each in enumerate(peers)), known=known,
-        memory_mb=memory_mb, sockets=int(_figure(limits, "sockets", 256.0)),
-        connect_timeout_ms=_figure(told, "dialTimeoutMs", 250.0), idle_ms=_figure(told, "connIdleMs", 5000.0))
+        peers=tuple(address(each, f"peers[{n}]", ConfigFault) for n, each in enumerate(peers)),
+        known=known,
+        memory_mb=memory_mb,
+        sockets=int(_figure(limits, "sockets", 256.0)),
+        connect_timeout_ms=_figure(told, "dialTimeoutMs", 250.0),
+        idle_ms=_figure(told, "connIdleMs", 5000.0),
+    )
--- a/anisefront/node/discovery.py
+++ b/anisefront/node/discovery.py
@@ -71,8 +71,14 @@
     state = STATES.get(row.get("status"))
     if state is None:
         raise DiscoveryFault(f"status: {row.get('status')!r} is not known")
-    server = Server(_text(row, "name"), str(row.get("zone", "")), int(_number(row, "group", 0)), state,
-                    _number(row, "weight", 1.0), _number(row, "since_ms", 0))
+    server = Server(
+        _text(row, "name"),
+        str(row.get("zone", "")),
+        int(_number(row, "group", 0)),
+        state,
+        _number(row, "weight", 1.0),
+        _number(row, "since_ms", 0),
+    )
     return Entry(server, address(_text(row, "address"), "address", DiscoveryFault))
 
 
@@ -82,8 +88,9 @@
         raise DiscoveryFault("an object with endpoints is due")
     if len(found["endpoints"]) > MOST_WORKERS:
         raise DiscoveryFault(f"over {MOST_WORKERS} endpoints")
-    return Change(int(_number(found, "index", 0)), found.get("snapshot") is True,
-                  tuple(_entry(row) for row in found["endpoints"]))
+    return Change(
+        int(_number(found, "index", 0)), found.get("snapshot") is True, tuple(_entry(row) for row in found["endpoints"])
+    )
 
 
 class Book:
@@ -164,7 +171,7 @@
         self._line += data
         while (end := self._line.find(b"\n", seen)) >= 0:
             line = bytes(self._line[:end]).strip()
-            del self._line[:end + 1]
+            del self._line[: end + 1]
             seen = 0
             if line or not self._depth:
                 yield from self._whole(line)
--- a/anisefront/node/front.py
+++ b/anisefront/node/front.py
@@ -240,7 +240,7 @@
         self.front.counts["unfit"] += 1
         slot.answer = resp.error(b"ERR " + why.encode("ascii", "replace"))
         if self._pause is None and not self._ending:
-            self._pause = self.front.reactor.callLater(min(MOST_PAUSE_S, PAUSE_S * 2 ** self._bad), self._read_on)
+            self._pause = self.front.reactor.callLater(min(MOST_PAUSE_S, PAUSE_S * 2**self._bad), self._read_on)
             self._bad += 1
 
     def _read_on(self) -> None:
@@ -384,8 +384,9 @@
 
     noisy = False
 
-    def __init__(self, reactor: Any, carrier: NodeCarrier, terms: Reader, now_ms: Callable[[], float],
-                 limits: FrontLimits) -> None:
+    def __init__(
+        self, reactor: Any, carrier: NodeCarrier, terms: Reader, now_ms: Callable[[], float], limits: FrontLimits
+    ) -> None:
         self.reactor, self.carrier, self.terms, self.now_ms, self.limits = reactor, carrier, terms, now_ms, limits
         self.counts: Counter[str] = Counter()
         self.bodies = self.descriptors = 0  # bytes; connections that hold one, also cut off in this turn
@@ -393,7 +394,8 @@
         self.latest_ms = float("inf")  # all is answered by then, whatever the clients would wait
         # Of each place the connections by the time since which they are in it, the longest first.
         self.places: dict[str, OrderedDict[Client, None]] = {
-            place: OrderedDict() for place in (YOUNG, HALF, IDLE, BUSY, CLOSING)}
+            place: OrderedDict() for place in (YOUNG, HALF, IDLE, BUSY, CLOSING)
+        }
         self._sweep_call: Any = None
 
     @property
@@ -416,8 +418,11 @@
         most = limits.most_connections + limits.most_closing
         # Danger: all that come in one look would each take the place of one whose descriptor is free only in the next
         # turn; with none left the watch, a list or a new configuration could not be had.
-        if self.descriptors >= most + MOST_CUT \
-                or self.connections + len(self.places[CLOSING]) >= most and not self._cut_closing():
+        if (
+            self.descriptors >= most + MOST_CUT
+            or self.connections + len(self.places[CLOSING]) >= most
+            and not self._cut_closing()
+        ):
             self.counts["closed_unread"] += 1
             return None
         if self.connections >= limits.most_connections:
@@ -470,7 +475,7 @@
             self.gone(client)
             client.abort()
         used = len(idle) + len(self.places[BUSY]) + len(self.places[HALF])
-        for client in self._since(IDLE, now - IDLE_S)[:max(0, used - self.limits.many_connections)]:
+        for client in self._since(IDLE, now - IDLE_S)[: max(0, used - self.limits.many_connections)]:
             self.counts["idle_closed"] += 1
             client.end()
         self._sweep_call = self.reactor.callLater(SWEEP_S, self._sweep) if any(self.places.values()) else None
--- a/anisefront/node/gatekeeper.py
+++ b/anisefront/node/gatekeeper.py
@@ -43,32 +43,63 @@
 class NodeGatekeeper:
     """Made, started, drained and stopped once."""
 
-    def __init__(self, config: NodeConfig, reactor: Any, clock: Callable[[], float] | None = None,
-                 on_fault: Callable[[Exception], None] | None = None) -> None:
+    def __init__(
+        self,
+        config: NodeConfig,
+        reactor: Any,
+        clock: Callable[[], float] | None = None,
+        on_fault: Callable[[Exception], None] | None = None,
+    ) -> None:
         self.config, self.reactor, self.clock = config, reactor, clock or Clock()
         self.log = structlog.get_logger().bind(gatekeeper=config.name)
         settings = config.settings
         self.peer_port = None
         if config.peer_listen is not None and settings.may_tell:
-            self.peer_port = PeerPort(settings.number, config.peers,
-                                      lambda sender, data: self.ledger.hear(sender, data))
-        self.ledger = Ledger(Controller(settings, config.seed), self.clock, reactor,
-                             self.peer_port.tell if self.peer_port else lambda receiver, data: None,
-                             most_open=max(64, int(config.memory_mb * 16)), on_fault=on_fault,
-                             on_raise=lambda problem: self.log.error("action_raised", exc_info=problem))
+            self.peer_port = PeerPort(
+                settings.number, config.peers, lambda sender, data: self.ledger.hear(sender, data)
+            )
+        self.ledger = Ledger(
+            Controller(settings, config.seed),
+            self.clock,
+            reactor,
+            self.peer_port.tell if self.peer_port else lambda receiver, data: None,
+            most_open=max(64, int(config.memory_mb * 16)),
+            on_fault=on_fault,
+            on_raise=lambda problem: self.log.error("action_raised", exc_info=problem),
+        )
         self.book = Book()
         most = max(32, config.sockets - OTHER_SOCKETS)
         clients = int(most * CLIENT_PART)
         closing = max(8, int(clients * CLOSING_PART))
-        self.pool = Pool(reactor, PoolLimits(
-            connect_s=config.connect_timeout_ms / 1000, idle_s=config.idle_ms * IDLE_PART / 1000, idle_each=64,
-            most=most - clients, rest_s=REST_S, stall_s=STALL_S),
-            RespAnswers, self.book.address_of)
+        self.pool = Pool(
+            reactor,
+            PoolLimits(
+                connect_s=config.connect_timeout_ms / 1000,
+                idle_s=config.idle_ms * IDLE_PART / 1000,
+                idle_each=64,
+                most=most - clients,
+                rest_s=REST_S,
+                stall_s=STALL_S,
+            ),
+            RespAnswers,
+            self.book.address_of,
+        )
         self.carrier = NodeCarrier(self.ledger, self.pool, settings.report_fields)
-        self.front = Front(reactor, self.carrier, Reader(settings), self.clock, FrontLimits(
-            clients - closing, closing, config.sockets // 8, int(config.memory_mb * (1 << 20) / 8)))
-        self.watch = Watch(reactor, config.discovery, lambda: self.book.index, self.told, self._discovery_fault,
-                           self.book.forget_version)
+        self.front = Front(
+            reactor,
+            self.carrier,
+            Reader(settings),
+            self.clock,
+            FrontLimits(clients - closing, closing, config.sockets // 8, int(config.memory_mb * (1 << 20) / 8)),
+        )
+        self.watch = Watch(
+            reactor,
+            config.discovery,
+            lambda: self.book.index,
+            self.told,
+            self._discovery_fault,
+            self.book.forget_version,
+        )
         self.collector = Collector(reactor, lambda: self.ledger.open, every_s=COLLECT_S)
         self._port: Any = None
         self._drained: defer.Deferred[None] | None = None
@@ -78,9 +109,14 @@
         config = self.config
         if config.known is not None:
             self.told(config.known)  # it may be old, and serves until discovery tells more
-        self.log.info("settings", settings=dataclasses.asdict(config.settings) | {"tag_key": ""},
-                      memory_mb=config.memory_mb, sockets=config.sockets, idle_ms=config.idle_ms,
-                      connect_timeout_ms=config.connect_timeout_ms)
+        self.log.info(
+            "settings",
+            settings=dataclasses.asdict(config.settings) | {"tag_key": ""},
+            memory_mb=config.memory_mb,
+            sockets=config.sockets,
+            idle_ms=config.idle_ms,
+            connect_timeout_ms=config.connect_timeout_ms,
+        )
         self.ledger.settle()
 
     def start(self) -> dict[str, Any]:
@@ -117,8 +153,10 @@
         before = self.config.settings
         try:
             config = again()
-            faults = [f"settings: {name} can't change while running: start the gatekeeper anew"
-                      for name in reload.fixed_settings(before, config.settings)]
+            faults = [
+                f"settings: {name} can't change while running: start the gatekeeper anew"
+                for name in reload.fixed_settings(before, config.settings)
+            ]
             faults += reload.moved(before, config.settings)
         except ConfigFault as problem:
             faults = [str(problem)]
@@ -139,19 +177,31 @@
         """What this gatekeeper is and does, in plain values."""
         ledger, controller = self.ledger, self.ledger.controller
         return {
-            "open": ledger.open, "held": len(controller.held), "out": controller.window.out,
-            "window": round(controller.window.limit, 2), "late_ms": round(ledger.turns_late_ms, 1),
-            "workers": len(self.book.entries), "to_workers": self.pool.connections,
+            "open": ledger.open,
+            "held": len(controller.held),
+            "out": controller.window.out,
+            "window": round(controller.window.limit, 2),
+            "late_ms": round(ledger.turns_late_ms, 1),
+            "workers": len(self.book.entries),
+            "to_workers": self.pool.connections,
             "connections": {place: len(kept) for place, kept in self.front.places.items()},
-            "accounts": len(controller.quota.accounts), "stores": len(controller.quota.stores),
+            "accounts": len(controller.quota.accounts),
+            "stores": len(controller.quota.stores),
             "usual_ms": {name: round(value) for name, value in controller.usual.items()},
             "reported": {name: round(value, 2) for name, value in self.carrier.seen.items()},
-            "per_worker": {name: [backend.out, round(backend.others, 1), round(backend.slow, 2)]
-                           for name, backend in controller.servers.known.items() if name in self.book.entries},
+            "per_worker": {
+                name: [backend.out, round(backend.others, 1), round(backend.slow, 2)]
+                for name, backend in controller.servers.known.items()
+                if name in self.book.entries
+            },
             "shares": {name: round(each.share, 2) for name, each in controller.shares.items()},
-            "turn": ledger.turn_ms.report(), "pauses": self.collector.pauses.report(),
-            "counts": dict(ledger.counts), "front": dict(self.front.counts), "pool": dict(self.pool.counts),
-            "peers": dict(self.peer_port.counts) if self.peer_port else {}}
+            "turn": ledger.turn_ms.report(),
+            "pauses": self.collector.pauses.report(),
+            "counts": dict(ledger.counts),
+            "front": dict(self.front.counts),
+            "pool": dict(self.pool.counts),
+            "peers": dict(self.peer_port.counts) if self.peer_port else {},
+        }
 
     def _report(self) -> None:
         self.log.info("state", **self.state())
--- a/anisefront/node/peers.py
+++ b/anisefront/node/peers.py
@@ -25,8 +25,12 @@
 
     def tell(self, receiver: int, data: bytes) -> None:
         """Send to one peer; one that can't be reached is as a message lost."""
-        if not 0 <= receiver < len(self._peers) or receiver == self._number or len(data) > MOST_BYTES \
-                or self.transport is None:
+        if (
+            not 0 <= receiver < len(self._peers)
+            or receiver == self._number
+            or len(data) > MOST_BYTES
+            or self.transport is None
+        ):
             self.counts["not_told"] += 1
             return
         try:
--- a/anisefront/node/resp.py
+++ b/anisefront/node/resp.py
@@ -64,14 +64,14 @@
         at, end = self._at, self._at + self._length
         if len(self._in) < end + 2:
             return None
-        if self._in[end:end + 2] != b"\r\n":
+        if self._in[end : end + 2] != b"\r\n":
             raise RespFault("a value that does not end where its length says")
         self._at, self._length = end + 2, -1
         return bytes(self._in[at:end])
 
     def _forget(self) -> None:
         if self._at:
-            del self._in[:self._at]
+            del self._in[: self._at]
             self._at = self._seen = 0
 
 
@@ -104,7 +104,7 @@
         if self._parts is None:
             line = self._line(MOST_HEAD)
             if line is None:
-                if self._in[self._at:self._at + 1] not in (b"", b"*"):
+                if self._in[self._at : self._at + 1] not in (b"", b"*"):
                     raise RespFault("expected '*'")
                 return None
             if line[:1] != b"*":
@@ -153,7 +153,7 @@
         if self._parts is None:
             line = self._line(MOST_LINE)
             if line is None:
-                if self._in[self._at:self._at + 1] not in (b"", b"*", b"-"):
+                if self._in[self._at : self._at + 1] not in (b"", b"*", b"-"):
                     raise RespFault("an answer of no known kind")
                 return None
             if line[:1] == b"-":
--- a/anisefront/node/terms.py
+++ b/anisefront/node/terms.py
@@ -95,9 +95,22 @@
         repeat = self._whole("r", found.get("r", "0"), 0, 1)
         mark = b"d=" + found["d"].encode()
         at = 0 if terms.startswith(mark) else terms.index(b"," + mark) + 1
-        return Wanted(number, customer.decode(), kind.name, kind.aim_ms, found["t"], wait, units, first, spread,
-                      bool(repeat), resp.array(len(parts), parts[:3]), terms[:at + 2], terms[at + len(mark):],
-                      b"".join(map(resp.bulk, parts[4:])))
+        return Wanted(
+            number,
+            customer.decode(),
+            kind.name,
+            kind.aim_ms,
+            found["t"],
+            wait,
+            units,
+            first,
+            spread,
+            bool(repeat),
+            resp.array(len(parts), parts[:3]),
+            terms[: at + 2],
+            terms[at + len(mark) :],
+            b"".join(map(resp.bulk, parts[4:])),
+        )
 
     @staticmethod
     def _number(name: str, text: str, above: float, most: float) -> float:
--- a/anisefront/node/watch.py
+++ b/anisefront/node/watch.py
@@ -112,9 +112,15 @@
     """Keeps a watch on discovery. `told` takes each change, `index` says up to which version all is known, `forget`
     that versions are counted anew, `fault` hears of what can't be read, once while it lasts."""
 
-    def __init__(self, reactor: Any, address: tuple[str, int], index: Callable[[], int],
-                 told: Callable[[Change], None], fault: Callable[[str], None],
-                 forget: Callable[[], None] = lambda: None) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        address: tuple[str, int],
+        index: Callable[[], int],
+        told: Callable[[Change], None],
+        fault: Callable[[str], None],
+        forget: Callable[[], None] = lambda: None,
+    ) -> None:
         self.reactor, self.address, self.index, self.told, self.forget = reactor, address, index, told, forget
         self.links: list[_Link] = []  # the oldest first
         self.tries = 0  # since one was heard
@@ -207,8 +213,12 @@
 
     def _again(self, at_once: bool = False) -> None:
         """Open another where none is heard, being made, or about to be."""
-        if self._stopped or self._factory is not None or self._later is not None \
-                or any(not link.suspect for link in self.links):
+        if (
+            self._stopped
+            or self._factory is not None
+            or self._later is not None
+            or any(not link.suspect for link in self.links)
+        ):
             return
         delay = 0.0 if at_once else AGAIN_S[min(self.tries, len(AGAIN_S) - 1)]
         self._later = self.reactor.callLater(delay, self._open)
--- a/anisefront/policy/control.py
+++ b/anisefront/policy/control.py
@@ -13,15 +13,53 @@
 from dataclasses import replace
 
 from anisefront.policy.interface import (
-    Action, Arrival, Away, Cancel, ClientGone, Event, Fail, Fleet, Heard, Outcome, Plan, Reason, Refuse,
-    Repeat, Result, Scope, Send, Settings, Started, State, Subscribe, Tell, Wake,
+    Action,
+    Arrival,
+    Away,
+    Cancel,
+    ClientGone,
+    Event,
+    Fail,
+    Fleet,
+    Heard,
+    Outcome,
+    Plan,
+    Reason,
+    Refuse,
+    Repeat,
+    Result,
+    Scope,
+    Send,
+    Settings,
+    Started,
+    State,
+    Subscribe,
+    Tell,
+    Wake,
 )
 from anisefront.policy.messages import (
-    MAX_ITEMS, MAX_SIGHTINGS, Item, Kind, Sighting, decode, encode, ratio_of, server_tag, sighting, tag_of,
+    MAX_ITEMS,
+    MAX_SIGHTINGS,
+    Item,
+    Kind,
+    Sighting,
+    decode,
+    encode,
+    ratio_of,
+    server_tag,
+    sighting,
+    tag_of,
 )
 from anisefront.policy.queues import Held, Waiting
 from anisefront.policy.state import (
-    Account, Ask, Backend, QuotaState, Request, ServersState, Store, WindowState,
+    Account,
+    Ask,
+    Backend,
+    QuotaState,
+    Request,
+    ServersState,
+    Store,
+    WindowState,
 )
 
 # Fuzzy shares (paper, Tables 6 and 7, absolute delay).
@@ -289,9 +327,19 @@
             self.serial = request.serial = self.serial % 0xFFFF + 1
             self.asking[request.serial] = request
         home, units = self.home(request)
-        self.say(now, home, Item(
-            kind, account.tag, request.serial, units, account.asked * 1000 / DEMAND_MEMORY_MS,
-            self.class_numbers[request.kind.name], self.plan_numbers[request.plan.name]))
+        self.say(
+            now,
+            home,
+            Item(
+                kind,
+                account.tag,
+                request.serial,
+                units,
+                account.asked * 1000 / DEMAND_MEMORY_MS,
+                self.class_numbers[request.kind.name],
+                self.plan_numbers[request.plan.name],
+            ),
+        )
 
     def close(self, now: float, request: Request) -> None:
         """The request has ended: what it drew and did not use goes back, and its slot is free."""
@@ -536,7 +584,7 @@
         backend.seen_ms = now
         if weight > HEARD_WEIGHT:  # first-hand: worth telling
             seen = sighting(backend.entry.id, self.names.index(name), ratio)
-            self.sightings = [*self.sightings[1 - MAX_SIGHTINGS:], (now, seen)]
+            self.sightings = [*self.sightings[1 - MAX_SIGHTINGS :], (now, seen)]
 
     def hear(self, now: float, sightings: tuple[Sighting, ...]) -> None:
         """What a peer saw weighs the less the more we see ourselves, or all would flee and crowd alike."""
@@ -558,8 +606,7 @@
         self.window, self.servers = Window(settings.gateways), Servers(settings, self.rng, list(self.classes))
         self.sized: dict[tuple[str, int], float] = {}  # the same by size: more units take longer
         self.usual_any = USUAL_START_MS  # over all classes and sizes
-        self.quota = Quota(settings, self.rng, self.plan_at, self.on_answer, ASK_START_MS,
-                           self.rng.randrange(1 << 16))
+        self.quota = Quota(settings, self.rng, self.plan_at, self.on_answer, ASK_START_MS, self.rng.randrange(1 << 16))
         self.requests: dict[int, Request] = {}
         self.held = Held()
         self.attempts: dict[tuple[int, int], tuple[Backend, str, int, float]] = {}  # where, what, its load
@@ -705,8 +752,9 @@
         account.asked += arrival.units
         # An answer just after the aim is worth little or nothing, so waiting must leave time for the answer.
         aim_ms, worth = self.now + kind.aim_ms, kind.worth * plan.value
-        request = self.requests[arrival.id] = Request(arrival, kind, plan, account, self.now, aim_ms, worth,
-                                                      order=self.serial)
+        request = self.requests[arrival.id] = Request(
+            arrival, kind, plan, account, self.now, aim_ms, worth, order=self.serial
+        )
         self.plan_at(arrival.due_ms - 2 * self.settings.tick_ms, "due", arrival.id)
         last = min(arrival.due_ms, request.aim_ms)
         impatient = self.now + ANSWER_PART * (last - self.now)  # it leaves less than an answer usually takes
@@ -748,7 +796,7 @@
                 if request is None or not self.leave(request, stuck):
                     break
                 left[request.kind.name] -= 1
-        for inside in (True, False)[:1 if busy else 2]:
+        for inside in (True, False)[: 1 if busy else 2]:
             groups = [(name, inside) for name in self.classes]
             while (request := self.held.first(groups)) is not None and self.leave(request, stuck):
                 pass
@@ -802,9 +850,15 @@
         if kind.repeat is Repeat.UNSAFE or request.begin_ms <= 0:
             return []
         same, group = anchor.entry, kind.scope
-        return None if group is Scope.ALL else [
-            backend for backend in self.servers.warm + self.servers.cold if backend.entry.zone == same.zone
-            and (group is Scope.ZONE or backend.entry.cell == same.cell)]
+        return (
+            None
+            if group is Scope.ALL
+            else [
+                backend
+                for backend in self.servers.warm + self.servers.cold
+                if backend.entry.zone == same.zone and (group is Scope.ZONE or backend.entry.cell == same.cell)
+            ]
+        )
 
     def expected(self, name: str, size: int) -> float:
         """The usual answer time of a class at a size."""
--- a/anisefront/policy/interface.py
+++ b/anisefront/policy/interface.py
@@ -83,8 +83,14 @@
     aim_stretch: float = 0.0
 
     def __post_init__(self) -> None:
-        _refuse_below(0, aim_ms=self.aim_ms, deadline_ms=self.deadline_ms, worth=self.worth,
-                      late_worth=self.late_worth, window_ms=self.window_ms)
+        _refuse_below(
+            0,
+            aim_ms=self.aim_ms,
+            deadline_ms=self.deadline_ms,
+            worth=self.worth,
+            late_worth=self.late_worth,
+            window_ms=self.window_ms,
+        )
         if not isinstance(self.repeat, Repeat):
             raise ValueError(f"repeat: {self.repeat!r} is no kind of repeat")
 
@@ -105,10 +111,18 @@
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
-        _refuse_below(0, rate_per_s=self.rate_per_s, burst=self.burst, max_out=self.max_out,
-                      value=self.value, over_worth=self.over_worth, over_cost=self.over_cost,
-                      ceiling_per_s=self.ceiling_per_s, ceiling_burst=self.ceiling_burst,
-                      ceiling_slack=self.ceiling_slack)
+        _refuse_below(
+            0,
+            rate_per_s=self.rate_per_s,
+            burst=self.burst,
+            max_out=self.max_out,
+            value=self.value,
+            over_worth=self.over_worth,
+            over_cost=self.over_cost,
+            ceiling_per_s=self.ceiling_per_s,
+            ceiling_burst=self.ceiling_burst,
+            ceiling_slack=self.ceiling_slack,
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,9 +163,16 @@
         if not self.plans:
             raise ValueError("plans: there are none")
         _refuse_below(1, gateways=self.gateways, max_attempts=self.max_attempts)
-        _refuse_below(0, number=self.number, warm_up_ms=self.warm_up_ms, cold_from=self.cold_from,
-                      fall_multiple=self.fall_multiple, fall_window_ms=self.fall_window_ms,
-                      max_units=self.max_units, inbox_per_s=self.inbox_per_s)
+        _refuse_below(
+            0,
+            number=self.number,
+            warm_up_ms=self.warm_up_ms,
+            cold_from=self.cold_from,
+            fall_multiple=self.fall_multiple,
+            fall_window_ms=self.fall_window_ms,
+            max_units=self.max_units,
+            inbox_per_s=self.inbox_per_s,
+        )
         if len(self.tag_key) > 64:
             raise ValueError(f"tag_key: {len(self.tag_key)} bytes are more than 64")
         if self.number >= self.gateways:
--- a/anisefront/policy/messages.py
+++ b/anisefront/policy/messages.py
@@ -91,9 +91,16 @@
     items, sightings = items[:MAX_ITEMS], sightings[:MAX_SIGHTINGS]
     parts = [_HEAD.pack(_VERSION, boot & 0xFFFF, _clip(room * 64), len(items))]
     for item in items:
-        parts.append(_ITEM.pack(item.kind, item.tag.to_bytes(TAG_BYTES, "little"), item.serial & 0xFFFF,
-                                _clip(item.units * 16), _clip(item.asked_per_s * 16),
-                                item.class_index << 4 | item.plan_index))
+        parts.append(
+            _ITEM.pack(
+                item.kind,
+                item.tag.to_bytes(TAG_BYTES, "little"),
+                item.serial & 0xFFFF,
+                _clip(item.units * 16),
+                _clip(item.asked_per_s * 16),
+                item.class_index << 4 | item.plan_index,
+            )
+        )
     parts += [_SIGHTING.pack(seen.server, seen.class_index << 4 | seen.grade) for seen in sightings]
     return b"".join(parts)
 
@@ -110,14 +117,18 @@
     body = _HEAD.size + count * _ITEM.size
     if len(data) < body or (len(data) - body) % _SIGHTING.size:
         return None
-    rows = list(_ITEM.iter_unpack(data[_HEAD.size:body]))
+    rows = list(_ITEM.iter_unpack(data[_HEAD.size : body]))
     if any(row[0] not in _KINDS for row in rows):
         return None
-    return News(boot, room / 64, tuple(
-        Item(Kind(kind), int.from_bytes(tag, "little"), serial, units / 16, asked / 16, packed >> 4, packed & 15)
-        for kind, tag, serial, units, asked, packed in rows), tuple(
-        Sighting(server, packed >> 4, packed & 15)
-        for server, packed in _SIGHTING.iter_unpack(data[body:])))
+    return News(
+        boot,
+        room / 64,
+        tuple(
+            Item(Kind(kind), int.from_bytes(tag, "little"), serial, units / 16, asked / 16, packed >> 4, packed & 15)
+            for kind, tag, serial, units, asked, packed in rows
+        ),
+        tuple(Sighting(server, packed >> 4, packed & 15) for server, packed in _SIGHTING.iter_unpack(data[body:])),
+    )
 
 
 _KINDS = frozenset(int(kind) for kind in Kind)
--- a/anisefront/policy/settings.py
+++ b/anisefront/policy/settings.py
@@ -60,19 +60,32 @@
     if scope not in ("all", "zone", "cell"):
         raise ValueError(f"{row.path}.keyScope: {scope!r} is no group")
     return face.RequestClass(
-        name=row.text("name"), aim_ms=row.number("aimMs"), deadline_ms=row.number("deadlineMs"),
-        worth=row.number("worth", 1.0), repeat=_REPEATS[repeat], late_worth=row.number("lateWorth", 0.0),
-        scope=face.Scope(scope), window_ms=row.number("dedupWindowMs", 0.0),
-        streamed=row.flag("streamed", False), aim_stretch=row.number("aimStretch", 0.0))
+        name=row.text("name"),
+        aim_ms=row.number("aimMs"),
+        deadline_ms=row.number("deadlineMs"),
+        worth=row.number("worth", 1.0),
+        repeat=_REPEATS[repeat],
+        late_worth=row.number("lateWorth", 0.0),
+        scope=face.Scope(scope),
+        window_ms=row.number("dedupWindowMs", 0.0),
+        streamed=row.flag("streamed", False),
+        aim_stretch=row.number("aimStretch", 0.0),
+    )
 
 
 def _plan(row: _Table) -> face.Plan:
     return face.Plan(
-        name=row.text("name"), rate_per_s=row.number("perSecond", 0.0), burst=row.number("storeSize", 0.0),
-        max_out=int(row.number("concurrency", 0.0)), value=row.number("valueFactor", 1.0),
-        over_worth=row.number("overWorth", 0.0), over_cost=row.number("overrunCost", 0.0),
-        ceiling_per_s=row.number("hardRate", 0.0), ceiling_burst=row.number("hardBurst", 0.0),
-        ceiling_slack=row.number("capSlack", 0.0))
+        name=row.text("name"),
+        rate_per_s=row.number("perSecond", 0.0),
+        burst=row.number("storeSize", 0.0),
+        max_out=int(row.number("concurrency", 0.0)),
+        value=row.number("valueFactor", 1.0),
+        over_worth=row.number("overWorth", 0.0),
+        over_cost=row.number("overrunCost", 0.0),
+        ceiling_per_s=row.number("hardRate", 0.0),
+        ceiling_burst=row.number("hardBurst", 0.0),
+        ceiling_slack=row.number("capSlack", 0.0),
+    )
 
 
 def settings_of(info: object) -> face.Settings:
@@ -82,20 +95,29 @@
     domain, report = top.table("domain", {}), top.table("report", {})
     prices = top.table("penalties", {})
     return face.Settings(
-        gateways=int(top.number("balancers")), number=int(top.number("myNumber")),
+        gateways=int(top.number("balancers")),
+        number=int(top.number("myNumber")),
         zone=top.text("locality", ""),
         classes=tuple(_request_class(row) for row in top.rows("classes")),
         plans=tuple(_plan(row) for row in top.rows("packages")),
-        warm_up_ms=rules.number("warmUpMs"), cold_from=rules.number("coldFrom"),
-        fall_multiple=rules.number("fallMultiple"), fall_window_ms=rules.number("tipAfterMs"),
+        warm_up_ms=rules.number("warmUpMs"),
+        cold_from=rules.number("coldFrom"),
+        fall_multiple=rules.number("fallMultiple"),
+        fall_window_ms=rules.number("tipAfterMs"),
         ask_within_ms=rules.number("askWithinMs", 10_000.0),
-        max_attempts=int(limits.number("maxAttempts")), tick_ms=top.number("tickMs", 1.0),
-        max_units=domain.number("maxUnits", 1.0), may_cancel=limits.flag("cancel", False),
-        may_tell=limits.flag("mayTell", False), may_probe=limits.flag("probing", False),
+        max_attempts=int(limits.number("maxAttempts")),
+        tick_ms=top.number("tickMs", 1.0),
+        max_units=domain.number("maxUnits", 1.0),
+        may_cancel=limits.flag("cancel", False),
+        may_tell=limits.flag("mayTell", False),
+        may_probe=limits.flag("probing", False),
         second_copies=limits.flag("secondCopies", False),
         must_subscribe=top.text("discovery", "automatic") == "subscribe",
         settles=domain.flag("postPaid", False),
         max_retry_after_ms=limits.number("maxRetryAfterMs", 0.0) if limits.flag("retryAfter", False) else 0.0,
-        inbox_per_s=domain.number("inboxPerS", 0.0), report_how=report.text("how", "none"),
-        report_fields=report.words("fields"), cross_zone_price=prices.number("crossZone", 0.0),
-        peer_price=prices.number("peer", 0.0))
+        inbox_per_s=domain.number("inboxPerS", 0.0),
+        report_how=report.text("how", "none"),
+        report_fields=report.words("fields"),
+        cross_zone_price=prices.number("crossZone", 0.0),
+        peer_price=prices.number("peer", 0.0),
+    )
--- a/anisefront/simhost.py
+++ b/anisefront/simhost.py
@@ -97,15 +97,38 @@
     "CONFIGURE": (("salt", _whole), ("info", _text)),
     "KILL": (),
     "FLEET": (("mode", _mode), ("rev", _whole), ("rows", _whole)),
-    "WORKER": (("worker", _word), ("zone", _text), ("sku", _text), ("pod", _whole), ("health", _state),
-               ("share", _number), ("onlineSinceMs", _number)),
-    "REQUEST": (("requestId", _natural), ("setFrom", _number), ("doors", _number), ("sizeUnits", _number),
-                ("dueMs", _number), ("stateBits", _whole), ("member", _word), ("category", _word),
-                ("gradeOfService", _word)),
+    "WORKER": (
+        ("worker", _word),
+        ("zone", _text),
+        ("sku", _text),
+        ("pod", _whole),
+        ("health", _state),
+        ("share", _number),
+        ("onlineSinceMs", _number),
+    ),
+    "REQUEST": (
+        ("requestId", _natural),
+        ("setFrom", _number),
+        ("doors", _number),
+        ("sizeUnits", _number),
+        ("dueMs", _number),
+        ("stateBits", _whole),
+        ("member", _word),
+        ("category", _word),
+        ("gradeOfService", _word),
+    ),
     "ACK_FIRST": (("requestId", _natural), ("worker", _word), ("rttMs", _number), ("roundNo", _natural)),
-    "VERDICT": (("requestId", _natural), ("roundNo", _natural), ("actual", _number), ("worker", _word),
-                ("rttMs", _number), ("result", _result), ("final", _flag), ("quotaUse", _whole),
-                ("load", _row)),
+    "VERDICT": (
+        ("requestId", _natural),
+        ("roundNo", _natural),
+        ("actual", _number),
+        ("worker", _word),
+        ("rttMs", _number),
+        ("result", _result),
+        ("final", _flag),
+        ("quotaUse", _whole),
+        ("load", _row),
+    ),
     "CLIENT_GONE": (("requestId", _natural),),
     "FIRED": (("name", _word),),
     "PONG": (("worker", _word), ("rttMs", _number), ("result", _result), ("load", _row)),
@@ -119,7 +142,7 @@
     """The values of one message."""
     fields = _FIELDS[name]
     if name in _LAST_IS_TEXT and len(parts) > len(fields):
-        parts = [*parts[:len(fields) - 1], "\t".join(parts[len(fields) - 1:])]
+        parts = [*parts[: len(fields) - 1], "\t".join(parts[len(fields) - 1 :])]
     if len(parts) != len(fields):
         raise WireError(f"{name}: {len(parts)} fields where {len(fields)} are due")
     values = []
@@ -145,8 +168,9 @@
     """The module's event for one message of an instance."""
     if name == "REQUEST":
         number, first, spread, units, due, bits, customer, category, plan = values
-        return face.Arrival(number, customer, category, plan, due, units, int(first), int(spread),
-                            bool(bits & _REPEATED_BIT))
+        return face.Arrival(
+            number, customer, category, plan, due, units, int(first), int(spread), bool(bits & _REPEATED_BIT)
+        )
     if name == "VERDICT":
         number, attempt, actual, worker, took, result, final, used, load = values
         return face.Outcome(number, attempt, worker, took, result, final, actual, used, load)
@@ -269,8 +293,9 @@
         try:
             actions = self._instances[number].handle(now, events)
         except Exception as problem:
-            raise ModuleFault(f"FROM\t{number}\nBUG\tinstance {number}: {type(problem).__name__}: "
-                              f"{' '.join(str(problem).split())}") from problem
+            raise ModuleFault(
+                f"FROM\t{number}\nBUG\tinstance {number}: {type(problem).__name__}: {' '.join(str(problem).split())}"
+            ) from problem
         if actions:
             replies.append(f"FROM\t{number}")
             replies.extend(_reply(action) for action in actions)
@@ -287,6 +312,7 @@
         return 2
     except ModuleFault as fault:
         import traceback
+
         traceback.print_exception(fault.__cause__, file=sys.stderr)
         print(f"{fault}\nFINISHED", flush=True)
         return 1
--- a/anisefront/wire/grpc.py
+++ b/anisefront/wire/grpc.py
@@ -62,7 +62,7 @@
                 raise CallFault(Status.RESOURCE_EXHAUSTED, f"a message of {size} bytes, at most {self._most}")
             if len(data) - at - _PREFIX.size < size:
                 break
-            messages.append(data[at + _PREFIX.size:at + _PREFIX.size + size])
+            messages.append(data[at + _PREFIX.size : at + _PREFIX.size + size])
             at += _PREFIX.size + size
         self._rest = data[at:]
         return messages
@@ -87,9 +87,15 @@
     """The header block that ends a call. The message is percent-encoded as the protocol has it."""
     fields = [("grpc-status", str(int(status)))]
     if message:
-        fields.append(("grpc-message", "".join(
-            chr(byte) if 0x20 <= byte <= 0x7E and byte != 0x25 else f"%{byte:02X}"
-            for byte in message.encode()[:1024])))
+        fields.append(
+            (
+                "grpc-message",
+                "".join(
+                    chr(byte) if 0x20 <= byte <= 0x7E and byte != 0x25 else f"%{byte:02X}"
+                    for byte in message.encode()[:1024]
+                ),
+            )
+        )
     return literal_block(*fields)
 
 
--- a/anisefront/wire/http1.py
+++ b/anisefront/wire/http1.py
@@ -12,9 +12,19 @@
 
 _TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 _NO_BODY = (204, 304)
-REASONS = {200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found", 409: "Conflict",
-           426: "Upgrade Required", 429: "Too Many Requests", 500: "Internal Server Error", 502: "Bad Gateway",
-           503: "Service Unavailable", 504: "Gateway Timeout"}
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    403: "Forbidden",
+    404: "Not Found",
+    409: "Conflict",
+    426: "Upgrade Required",
+    429: "Too Many Requests",
+    500: "Internal Server Error",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+}
 
 
 class MessageFault(Exception):
@@ -116,7 +126,7 @@
         if end > self._most_head:
             raise MessageFault(431, f"a head of over {self._most_head} bytes")
         first, *lines = bytes(self._in[:end]).split(b"\r\n")
-        del self._in[:end + 4]
+        del self._in[: end + 4]
         self._start = self._start_line(first)
         self._headers = {}
         for line in lines:
@@ -134,12 +144,15 @@
     def _start_line(self, line: bytes) -> tuple[str, str, int, bytes]:
         parts = line.split(b" ", 2)
         if self._requests:
-            if len(parts) != 3 or not _TOKEN.match(parts[0]) or parts[2] not in (b"HTTP/1.1", b"HTTP/1.0") \
-                    or not parts[1]:
+            if (
+                len(parts) != 3
+                or not _TOKEN.match(parts[0])
+                or parts[2] not in (b"HTTP/1.1", b"HTTP/1.0")
+                or not parts[1]
+            ):
                 raise MessageFault(400, f"request line {line[:60]!r} can't be read")
             return parts[0].decode("ascii"), parts[1].decode("latin-1"), 0, parts[2]
-        if len(parts) < 2 or parts[0] not in (b"HTTP/1.1", b"HTTP/1.0") or not parts[1].isdigit() \
-                or len(parts[1]) != 3:
+        if len(parts) < 2 or parts[0] not in (b"HTTP/1.1", b"HTTP/1.0") or not parts[1].isdigit() or len(parts[1]) != 3:
             raise MessageFault(502, f"status line {line[:60]!r} can't be read")
         return "", "", int(parts[1]), parts[0]
 
@@ -176,8 +189,8 @@
             self._body += self._in
             self._in.clear()
             return False
-        part = self._in[:self._left]
-        del self._in[:len(part)]
+        part = self._in[: self._left]
+        del self._in[: len(part)]
         self._body += part
         self._left -= len(part)
         return self._left == 0
@@ -187,13 +200,13 @@
             if self._left > 0:  # the chunk and the line end after it
                 if len(self._in) < self._left + 2:
                     return False
-                if self._in[self._left:self._left + 2] != b"\r\n":
+                if self._in[self._left : self._left + 2] != b"\r\n":
                     raise MessageFault(400, "a chunk that does not end where it should")
                 if self._parts is not None:
-                    self._parts.append(Part(bytes(self._in[:self._left])))
+                    self._parts.append(Part(bytes(self._in[: self._left])))
                 else:
-                    self._body += self._in[:self._left]
-                del self._in[:self._left + 2]
+                    self._body += self._in[: self._left]
+                del self._in[: self._left + 2]
                 self._left = -1
             end = self._in.find(b"\r\n")
             if end < 0:
@@ -202,14 +215,14 @@
                 return False
             if self._left == 0:  # trailers, up to an empty line
                 line = bytes(self._in[:end])
-                del self._in[:end + 2]
+                del self._in[: end + 2]
                 if not line:
                     return True
                 continue
             size = bytes(self._in[:end]).split(b";")[0].strip()
             if not re.match(rb"[0-9A-Fa-f]{1,8}\Z", size):
                 raise MessageFault(400, f"chunk size {size[:20]!r} can't be read")
-            del self._in[:end + 2]
+            del self._in[: end + 2]
             self._left = int(size, 16)
             self._check_size(len(self._body) + self._left)
 
@@ -217,8 +230,7 @@
         method, target, status, version = self._start
         options = {part.strip() for part in self._headers.get("connection", "").lower().split(",")}
         keep = "close" not in options and (version == b"HTTP/1.1" or "keep-alive" in options)
-        message = Message(method, target, status, self._headers, bytes(self._body),
-                          keep and self._mode != "close")
+        message = Message(method, target, status, self._headers, bytes(self._body), keep and self._mode != "close")
         self._start = None
         self._headers = {}
         self._body.clear()
--- a/anisefront/wire/http2.py
+++ b/anisefront/wire/http2.py
@@ -173,8 +173,12 @@
         self._window, self._first_window, self._peer_frame = _DEFAULT_WINDOW, _DEFAULT_WINDOW, 16384
         self._unacknowledged, self._queued, self._calm, self._calm_ms = 0, 0, limits.calm, None
         self.closed, self._leaving = False, False
-        settings = ((_STREAMS, limits.streams), (_WINDOW, limits.stream_window), (_FRAME, limits.frame),
-                    (_HEADER_LIST, limits.header_list))
+        settings = (
+            (_STREAMS, limits.streams),
+            (_WINDOW, limits.stream_window),
+            (_FRAME, limits.frame),
+            (_HEADER_LIST, limits.header_list),
+        )
         self._out.append(_frame(SETTINGS, 0, 0, b"".join(_SETTING.pack(*pair) for pair in settings)))
         self._out.append(_frame(WINDOW_UPDATE, 0, 0, _LONG.pack(limits.connection_window - _DEFAULT_WINDOW)))
 
@@ -202,7 +206,7 @@
 
     def _begin(self, events: list[Event]) -> bool:
         """Prior knowledge, or HTTP/1.1 that asks for h2c (RFC 7540, 3.2): true once it is known which."""
-        if self._in[:4] == PREFACE[:min(4, len(self._in))]:
+        if self._in[:4] == PREFACE[: min(4, len(self._in))]:
             if len(self._in) < 4:
                 return False
             self._first = None
@@ -223,8 +227,13 @@
         wanted = request.headers.get("upgrade", "").lower().split(",")
         text = request.headers.get("http2-settings", "")
         if "h2c" not in [each.strip() for each in wanted] or not text:
-            self._out = [http1.response(426, {"upgrade": "h2c", "connection": "close"},
-                                        b"HTTP/2 is spoken here: gRPC by prior knowledge, or Upgrade: h2c\n")]
+            self._out = [
+                http1.response(
+                    426,
+                    {"upgrade": "h2c", "connection": "close"},
+                    b"HTTP/2 is spoken here: gRPC by prior knowledge, or Upgrade: h2c\n",
+                )
+            ]
             self.closed = True
             events.append(Broken(Code.HTTP_1_1_REQUIRED, "HTTP/1.1 without Upgrade: h2c"))
             return
@@ -236,11 +245,15 @@
         self._settings(settings)
         self.last_id = 1
         self.streams[1] = _Stream(self._first_window, self._calm_ms, False)
-        headers = [(b":method", request.method.encode()), (b":scheme", b"http"),
-                   (b":path", request.target.encode("latin-1")),
-                   (b":authority", request.headers.get("host", "").encode("latin-1"))]
-        headers += [(name.encode(), value.encode("latin-1")) for name, value in request.headers.items()
-                    if name not in _OF_HTTP1]
+        headers = [
+            (b":method", request.method.encode()),
+            (b":scheme", b"http"),
+            (b":path", request.target.encode("latin-1")),
+            (b":authority", request.headers.get("host", "").encode("latin-1")),
+        ]
+        headers += [
+            (name.encode(), value.encode("latin-1")) for name, value in request.headers.items() if name not in _OF_HTTP1
+        ]
         events.append(RequestReceived(1, headers, not request.body))
         if request.body:
             events.append(DataReceived(1, request.body, True))
@@ -266,7 +279,7 @@
                     return
                 kind, flags = buffer[at + 3], buffer[at + 4]
                 stream = _LONG.unpack_from(buffer, at + 5)[0] & _MOST_WINDOW
-                payload = bytes(buffer[at + 9:at + 9 + size])
+                payload = bytes(buffer[at + 9 : at + 9 + size])
                 at += 9 + size
                 if not self._settled and kind != SETTINGS:
                     raise RemoteFault(Code.PROTOCOL_ERROR, "SETTINGS must come first")
@@ -290,7 +303,7 @@
             return payload
         if not payload or payload[0] >= len(payload):
             raise RemoteFault(Code.PROTOCOL_ERROR, "more padding than frame")
-        return payload[1:len(payload) - payload[0]]
+        return payload[1 : len(payload) - payload[0]]
 
     def _on_data(self, flags: int, number: int, payload: bytes, events: list[Event]) -> None:
         stream, size = self.streams.get(number), len(payload)
@@ -466,8 +479,9 @@
         if number == 0:
             self._window += more
             if not more or self._window > _MOST_WINDOW:
-                raise RemoteFault(Code.FLOW_CONTROL_ERROR if more else Code.PROTOCOL_ERROR,
-                                  "a connection window that can't be")
+                raise RemoteFault(
+                    Code.FLOW_CONTROL_ERROR if more else Code.PROTOCOL_ERROR, "a connection window that can't be"
+                )
             self._flush_queues()
             return
         stream = self.streams.get(number)
@@ -617,6 +631,14 @@
 
 
 _HANDLERS = (
-    Connection._on_data, Connection._on_headers, Connection._on_priority, Connection._on_reset,
-    Connection._on_settings, Connection._on_push, Connection._on_ping, Connection._on_goaway,
-    Connection._on_window, Connection._on_continuation)
+    Connection._on_data,
+    Connection._on_headers,
+    Connection._on_priority,
+    Connection._on_reset,
+    Connection._on_settings,
+    Connection._on_push,
+    Connection._on_ping,
+    Connection._on_goaway,
+    Connection._on_window,
+    Connection._on_continuation,
+)
--- a/anisefront/wire/orca.py
+++ b/anisefront/wire/orca.py
@@ -10,8 +10,14 @@
 
 HEADER, BINARY_HEADER = "endpoint-load-metrics", "endpoint-load-metrics-bin"
 # What the module calls a value, by the field of xds.data.orca.v3.OrcaLoadReport that carries it.
-FIELDS = {"util": "cpu_utilization", "qps": "rps_fractional", "eps": "eps", "inflight": "named_metrics.inflight",
-          "queue": "named_metrics.queue", "latency_ms": "named_metrics.latency_ms"}
+FIELDS = {
+    "util": "cpu_utilization",
+    "qps": "rps_fractional",
+    "eps": "eps",
+    "inflight": "named_metrics.inflight",
+    "queue": "named_metrics.queue",
+    "latency_ms": "named_metrics.latency_ms",
+}
 
 
 def read(headers: Mapping[str, str]) -> dict[str, float]:
@@ -50,12 +56,12 @@
 def _binary(data: bytes) -> dict[str, float]:
     from google.protobuf.message import DecodeError
     from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
+
     try:
         report = OrcaLoadReport.FromString(data)
     except DecodeError as problem:
         raise ValueError("no OrcaLoadReport") from problem
-    out = {"cpu_utilization": report.cpu_utilization, "rps_fractional": report.rps_fractional,
-           "eps": report.eps}
+    out = {"cpu_utilization": report.cpu_utilization, "rps_fractional": report.rps_fractional, "eps": report.eps}
     return out | {f"named_metrics.{name}": value for name, value in report.named_metrics.items()}
 
 
--- a/anisefront/wire/trace.py
+++ b/anisefront/wire/trace.py
@@ -46,7 +46,7 @@
         if len(data) - at < _BLOCK.size:
             return records, f"cut off at byte {at}"
         mark, size, check = _BLOCK.unpack_from(data, at)
-        packed = data[at + _BLOCK.size:at + _BLOCK.size + size]
+        packed = data[at + _BLOCK.size : at + _BLOCK.size + size]
         if mark != b"AT" or size > MOST_BLOCK:
             return records, f"no block at byte {at}"
         if len(packed) < size:
