--- a/anisefront/policy/__init__.py
+++ b/anisefront/policy/__init__.py
@@ -1,1 +1,5 @@
-"""The decision module: every decision about requests, free of I/O. It never knows who hands it events."""
+"""Decisions on requests: quotas, priorities, choice of endpoints, retries.
+
+`controller.Controller` turns events into actions. The package is deterministic, has no I/O and needs the standard
+library only.
+"""
--- /dev/null
+++ b/anisefront/policy/endpoint_selection.py
@@ -0,0 +1,130 @@
+"""Choice of an endpoint for an attempt: the least expected time among a few candidates.
+
+The expected time is the load at an endpoint times its latency ratio, raised by its failures and for other zones.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+
+from anisefront.policy.control_period import PERIOD_MS, RATE_TIME_CONSTANT_MS
+from anisefront.policy.decay import decay_factor
+from anisefront.policy.endpoint_registry import EndpointRegistry
+from anisefront.policy.endpoint_state import EndpointState
+from anisefront.policy.load_reports import LoadReports
+from anisefront.policy.request import Request
+from anisefront.policy.settings import Idempotency
+from anisefront.policy.slow_start import SlowStart
+
+MIN_CHOICES = 2.0  # endpoints that are compared (power of d choices)
+CHOICES_PER_ATTEMPT = 4.0  # more of them for each attempt a second and endpoint that is started here
+REPORT_TIME_CONSTANT_MS = 300.0  # in which a load report loses its worth
+MIN_REPORT_EXPONENT = -50.0  # an endpoint that never reported has a report from minus infinity
+FAILURE_PENALTY = 200.0  # of the squared failure fraction: one failure decays soon, a row of them does not
+NON_IDEMPOTENT_PENALTY = 2 * FAILURE_PENALTY  # a failure of such a request cannot be retried
+MIN_WEIGHT = 0.01
+MIN_JITTER = 1.0
+MAX_JITTER = 1.1  # gateway instances that know the same should not all choose the same endpoint
+OTHER_ZONE_COST = 1.15
+
+
+class EndpointSelection:
+    """Chooses endpoints."""
+
+    __slots__ = ("_endpoints", "_load_reports", "_recent_attempts", "_rng", "_slow_start", "_zone")
+
+    def __init__(
+        self,
+        zone: str,
+        rng: random.Random,
+        endpoints: EndpointRegistry,
+        load_reports: LoadReports,
+        slow_start: SlowStart,
+    ) -> None:
+        """Choose among the registry's endpoints, for a gateway instance in this zone."""
+        self._endpoints = endpoints
+        self._load_reports = load_reports
+        self._recent_attempts = 0.0  # decayed count
+        self._rng = rng
+        self._slow_start = slow_start
+        self._zone = zone
+
+    def change_zone(self, zone: str) -> None:
+        """Use another zone from now on."""
+        self._zone = zone
+
+    def record_attempt_started(self) -> None:
+        """Count an attempt."""
+        self._recent_attempts += 1
+
+    def end_period(self) -> None:
+        """Decay the count of attempts by a control period."""
+        self._recent_attempts *= decay_factor(PERIOD_MS, RATE_TIME_CONSTANT_MS)
+
+    def extra_choices(self, ready: int) -> float:
+        """Return how many endpoints are compared beyond the minimum, given the number of ready ones.
+
+        An instance that starts few attempts knows little that is recent and not known to all others. Were it to
+        compare many endpoints, all instances would choose the same one.
+        """
+        return CHOICES_PER_ATTEMPT * self._recent_attempts / max(1, ready)
+
+    def choose(
+        self, now_ms: float, request: Request, eligible: list[EndpointState] | None, load: float
+    ) -> EndpointState | None:
+        """Choose an endpoint for an attempt of this load, None if there is none.
+
+        `eligible` are the only endpoints that the request may go to, None for all.
+        """
+        registry = self._endpoints
+        drawn = self._slow_start.draw(now_ms, request, registry.warming_up, registry.recent_capacity, eligible)
+        if drawn is not None:
+            return drawn
+        ready = registry.ready
+        if eligible is not None:
+            ready = [state for state in ready if state in eligible]
+        candidates = self._sample(now_ms, ready, request.attempted)
+        return self._cheapest(now_ms, candidates, request, load)
+
+    def _sample(
+        self, now_ms: float, ready: list[EndpointState], attempted: tuple[EndpointState, ...]
+    ) -> list[EndpointState]:
+        """Return the endpoints to compare, without attempted ones as long as there are others.
+
+        A random sample leaves some endpoints idle beside loaded ones. So those whose responses came last are compared
+        too: each has just freed a place, and its load is known (balancing with memory).
+        """
+        count = math.ceil(MIN_CHOICES + self.extra_choices(len(ready)))
+        if attempted:
+            ready = [state for state in ready if state not in attempted] or ready
+        if count >= len(ready):
+            return ready
+        return self._load_reports.latest(now_ms, ready) + self._rng.sample(ready, count)
+
+    def _cheapest(
+        self, now_ms: float, candidates: list[EndpointState], request: Request, load: float
+    ) -> EndpointState | None:
+        """Return the candidate of the least expected time; written out in one loop since it is the hottest one."""
+        class_name = request.request_class.name
+        non_idempotent = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
+        penalty = NON_IDEMPOTENT_PENALTY if non_idempotent else FAILURE_PENALTY
+        mean_others_load = self._load_reports.mean_others_load
+        zone = self._zone
+        uniform = self._rng.uniform
+        best = None
+        best_cost = math.inf
+        for state in candidates:
+            # An old report is no sign of an idle endpoint, so what was reported turns into the mean.
+            freshness = math.exp(max(MIN_REPORT_EXPONENT, (state.reported_ms - now_ms) / REPORT_TIME_CONSTANT_MS))
+            others_load = mean_others_load + (state.others_load - mean_others_load) * freshness
+            health = state.health
+            latency_ratio = 1.0 if health.latency_ratio == 1 else health.latency_ratio_at(now_ms)
+            cost = (load + state.load + others_load) * latency_ratio / max(MIN_WEIGHT, state.endpoint.weight)
+            if health.failure_counts:
+                cost *= 1 + penalty * health.failure_fraction(now_ms, class_name) ** 2
+            cost *= uniform(MIN_JITTER, MAX_JITTER) * (1.0 if state.endpoint.zone == zone else OTHER_ZONE_COST)
+            if cost < best_cost:
+                best = state
+                best_cost = cost
+        return best
--- /dev/null
+++ b/anisefront/policy/endpoint_state.py
@@ -0,0 +1,50 @@
+"""What a gateway instance knows of one endpoint."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field, replace
+
+from anisefront.policy.endpoint_health import EndpointHealth
+from anisefront.policy.events import Endpoint, EndpointStatus
+
+
+@dataclass(slots=True, eq=False)
+class EndpointState:
+    """One endpoint: its entry in the endpoint list, its load and its health."""
+
+    endpoint: Endpoint
+    health: EndpointHealth = field(default_factory=EndpointHealth)
+    in_flight: int = 0  # attempts of this gateway instance
+    load: float = 0.0  # of these, in average attempts
+    request_ids: set[int] = field(default_factory=set)  # that have an attempt in flight here
+    others_load: float = 0.0  # attempts of other gateway instances, by the last load report
+    reported_ms: float = -math.inf
+
+    def update(self, endpoint: Endpoint) -> None:
+        """Take in a new entry of the endpoint list."""
+        self.endpoint = endpoint
+
+    def record_removed(self) -> None:
+        """Note that the endpoint list has no entry for it any more."""
+        self.endpoint = replace(self.endpoint, status=EndpointStatus.REMOVED)
+
+    def record_attempt_started(self, request_id: int, load: float) -> None:
+        """Count an attempt in flight."""
+        self.request_ids.add(request_id)
+        self.in_flight += 1
+        self.load += load
+
+    def record_attempt_ended(self, load: float) -> None:
+        """Discount an attempt; sums of floats drift, so no attempts in flight are no load."""
+        self.in_flight -= 1
+        self.load = max(0.0, self.load - load) if self.in_flight else 0.0
+
+    def remove_request(self, request_id: int) -> None:
+        """Note that a request has no attempt in flight here any more, or has ended."""
+        self.request_ids.discard(request_id)
+
+    def record_load_report(self, now_ms: float, others_load: float) -> None:
+        """Take in the load of other gateway instances."""
+        self.others_load = others_load
+        self.reported_ms = now_ms
--- /dev/null
+++ b/anisefront/policy/quota_bucket.py
@@ -0,0 +1,120 @@
+"""Token bucket of one customer's quota, at its quota owner."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from anisefront.policy.decay import decay_factor, rate_per_s
+from anisefront.policy.quota_parameters import (
+    DEMAND_TIME_CONSTANT_MS,
+    IDLE_MS,
+    OWNER_CEILING_FRACTION,
+    RESERVE_FRACTION,
+)
+from anisefront.policy.quota_request_queue import QuotaRequest, QuotaRequestKey, QuotaRequestQueue
+from anisefront.policy.settings import Plan
+
+DEBIT_MEMORY_MS = 5000.0  # for which debits are remembered, so that repeated messages are recognized
+MIN_DEBIT_MEMORY = 64  # debits, below which none is forgotten
+
+
+@dataclass(slots=True, eq=False)
+class QuotaBucket:
+    """Levels, leases and waiting requests of one customer."""
+
+    plan: Plan
+    level: float  # units
+    updated_ms: float
+    ceiling_level: float = 0.0  # units of the owner's part of the ceiling
+    demand: float = 0.0  # decayed count of units requested by all borrowers
+    queue: QuotaRequestQueue = field(default_factory=QuotaRequestQueue)
+    leases: dict[QuotaRequestKey, float] = field(default_factory=dict)  # requests in flight, with the lease's expiry
+    debits: dict[QuotaRequestKey, float] = field(default_factory=dict)  # when they were made, in this order
+    refill_timer_ms: float = float("inf")  # when the timer for the next request fires
+
+    @property
+    def demand_per_s(self) -> float:
+        """Return the rate of units that all borrowers request."""
+        return rate_per_s(self.demand, DEMAND_TIME_CONSTANT_MS)
+
+    def refill(self, now_ms: float) -> None:
+        """Fill the bucket for the elapsed time, and drop expired requests and leases."""
+        elapsed_s = (now_ms - self.updated_ms) / 1000
+        self.updated_ms = now_ms
+        plan = self.plan
+        self.demand *= decay_factor(elapsed_s * 1000, DEMAND_TIME_CONSTANT_MS)
+        self.level = min(plan.burst, self.level + plan.rate_per_s * elapsed_s)
+        ceiling_units = self.ceiling_level + plan.ceiling_per_s * OWNER_CEILING_FRACTION * elapsed_s
+        self.ceiling_level = min(plan.ceiling_burst * OWNER_CEILING_FRACTION, ceiling_units)
+        self.queue.evict_expired(now_ms)
+        self.leases = {key: expires_ms for key, expires_ms in self.leases.items() if expires_ms > now_ms}
+
+    def change_plan(self, plan: Plan) -> None:
+        """Use another plan; the levels stay, within its bursts, so that a change grants nothing again."""
+        self.plan = plan
+        self.level = min(plan.burst, self.level)
+        self.ceiling_level = min(plan.ceiling_burst * OWNER_CEILING_FRACTION, self.ceiling_level)
+
+    def record_demand(self, units: float) -> None:
+        """Count requested units."""
+        self.demand += units
+
+    def set_refill_timer(self, expires_ms: float) -> None:
+        """Note when the timer for the next request fires."""
+        self.refill_timer_ms = expires_ms
+
+    def clear_refill_timer(self) -> None:
+        """Note that the timer has fired."""
+        self.refill_timer_ms = float("inf")
+
+    def wait_s(self, now_ms: float, request: QuotaRequest, max_priority: float) -> float:
+        """Return how long a request has to wait for the units, the ceiling and a lease; 0 if it may be granted.
+
+        Requests of lesser priority leave a reserve in the bucket. That of a client's retry is the largest, since most
+        of its latency objective has passed.
+        """
+        plan = self.plan
+        units = request.message.units
+        wait_s = 0.0
+        if plan.rate_per_s:
+            reserve = RESERVE_FRACTION * plan.burst * (1 - request.priority_weight / max_priority)
+            wait_s = (units + reserve - self.level) / plan.rate_per_s
+        if plan.ceiling_per_s:
+            wait_s = max(wait_s, (units - self.ceiling_level) / (plan.ceiling_per_s * OWNER_CEILING_FRACTION))
+        if plan.max_in_flight and len(self.leases) >= plan.max_in_flight:
+            wait_s = max(wait_s, (min(self.leases.values()) - now_ms) / 1000)
+        return wait_s
+
+    def debit(self, now_ms: float, key: QuotaRequestKey, units: float, lease_ms: float) -> None:
+        """Take units, and a lease where the plan limits the requests in flight; the level may become negative."""
+        if len(self.debits) > MIN_DEBIT_MEMORY:
+            self._forget_debits(now_ms)
+        self.debits[key] = now_ms
+        self.level = max(-self.plan.burst, self.level - units)
+        if self.plan.max_in_flight:
+            self.leases[key] = now_ms + lease_ms
+
+    def debit_ceiling(self, units: float) -> None:
+        """Take units of the ceiling."""
+        self.ceiling_level -= units
+
+    def refund(self, key: QuotaRequestKey, units: float, plan: Plan) -> None:
+        """End a request's lease, or else put back units that it did not use."""
+        lease = self.leases.pop(key, None)
+        if lease is None and key in self.debits and not plan.max_in_flight:
+            self.level = min(plan.burst, self.level + units)
+
+    def is_evictable(self, now_ms: float) -> bool:
+        """Return whether a new bucket would grant the customer no more than this one."""
+        idle_s = (now_ms - self.updated_ms) / 1000
+        if idle_s * 1000 < IDLE_MS or self.level + self.plan.rate_per_s * idle_s < self.plan.burst:
+            return False
+        self.queue.evict_expired(now_ms)
+        return not self.queue and not any(expires_ms > now_ms for expires_ms in self.leases.values())
+
+    def _forget_debits(self, now_ms: float) -> None:
+        while self.debits:
+            oldest = next(iter(self.debits))
+            if now_ms - self.debits[oldest] <= DEBIT_MEMORY_MS:
+                return
+            del self.debits[oldest]
--- /dev/null
+++ b/anisefront/policy/request.py
@@ -0,0 +1,124 @@
+"""Records of one request, from its arrival to its final answer."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from anisefront.policy.customer_account import CustomerAccount
+from anisefront.policy.endpoint_state import EndpointState
+from anisefront.policy.events import Arrival, AttemptResult
+from anisefront.policy.settings import Plan, RequestClass
+
+
+@dataclass(slots=True, eq=False)
+class QuotaClaim:
+    """State of a request's claim on its customer's quota."""
+
+    account: CustomerAccount
+    serial: int = 0  # of its messages with the quota owner; 0: none sent yet
+    messages_sent: int = 0
+    sent_ms: float = 0.0
+    owner_replied: bool = False
+    debited_units: float = 0.0
+
+    def assign_serial(self, serial: int) -> None:
+        """Set the serial of its messages with the quota owner."""
+        self.serial = serial
+
+    def record_sent(self, now_ms: float) -> None:
+        """Count a request to the quota owner."""
+        self.messages_sent += 1
+        self.sent_ms = now_ms
+
+    def record_reply(self) -> None:
+        """Note that the quota owner has received the request."""
+        self.owner_replied = True
+
+    def record_debited(self, units: float) -> None:
+        """Note that units were taken from the quota."""
+        self.debited_units = units
+
+
+@dataclass(slots=True, eq=False)
+class Request:
+    """A request that has no final answer yet."""
+
+    arrival: Arrival
+    request_class: RequestClass
+    plan: Plan
+    claim: QuotaClaim
+    arrived_ms: float
+    objective_at_ms: float  # the end of its latency objective, clock time
+    priority_weight: float
+    sequence: int = 0  # of its arrival among all requests
+    attempts_started: int = 0
+    attempts_in_flight: dict[int, EndpointState] = field(default_factory=dict)
+    attempted: tuple[EndpointState, ...] = ()
+    uncertain_attempts: int = 0  # in flight or not proved never to have been executed
+    first_uncertain: EndpointState | None = None
+    first_uncertain_ms: float = 0.0
+    within_quota: bool = True
+    awaiting_quota: bool = True
+    queued: bool = False  # admitted, without an attempt
+    streaming: bool = False
+    slow_start_draw_after_ms: float = 0.0  # not before may it draw for an endpoint that is warming up
+
+    def inherit_attempts(self, endpoint: EndpointState | None) -> None:
+        """Take in the attempts that another gateway instance started, the first of them at this endpoint."""
+        prior = self.arrival.prior_attempts
+        if prior is None:
+            return
+        self.attempts_started = prior.attempts
+        self.uncertain_attempts = prior.uncertain
+        if prior.quota_debited:
+            self.claim.record_debited(self.arrival.units)
+        if endpoint is not None:
+            self.attempted += (endpoint,)
+            if prior.uncertain:
+                self.first_uncertain = endpoint
+                self.first_uncertain_ms = prior.started_ms
+
+    def record_admitted(self) -> None:
+        """Note that the request may be dispatched."""
+        self.awaiting_quota = False
+        self.queued = True
+        self.claim.account.record_admitted()
+
+    def record_over_quota(self, priority_multiplier: float) -> None:
+        """Note that the request is beyond its quota, which changes its priority."""
+        self.within_quota = False
+        self.priority_weight *= priority_multiplier
+
+    def record_dispatched(self) -> None:
+        """Note that the first attempt was started."""
+        self.queued = False
+        self.slow_start_draw_after_ms = 0.0
+
+    def record_attempt_started(self, now_ms: float, endpoint: EndpointState) -> None:
+        """Note that one more attempt was started."""
+        self.attempts_in_flight[self.attempts_started] = endpoint
+        self.attempted += (endpoint,)
+        if not self.uncertain_attempts:
+            self.first_uncertain = endpoint
+            self.first_uncertain_ms = now_ms
+        self.attempts_started += 1
+        self.uncertain_attempts += 1
+
+    def record_attempt_ended(self, attempt: int, result: AttemptResult) -> None:
+        """Note that an attempt has ended."""
+        self.attempts_in_flight.pop(attempt, None)
+        if result.never_executed:
+            self.uncertain_attempts -= 1
+
+    def record_response_started(self) -> None:
+        """Note that a streamed response has begun: no other attempt may follow."""
+        self.streaming = True
+
+    def record_slow_start_draw(self, next_after_ms: float) -> None:
+        """Note that an endpoint that is warming up was drawn for, and when the next draw may be."""
+        self.slow_start_draw_after_ms = next_after_ms
+
+    @property
+    def answer_by_ms(self) -> float:
+        """Return by when an answer is worth having: the deadline or the end of the latency objective."""
+        return min(self.arrival.deadline_at_ms, self.objective_at_ms)
--- /dev/null
+++ b/anisefront/policy/request_queue.py
@@ -0,0 +1,105 @@
+"""Queue of the requests that may be dispatched.
+
+Removal is lazy: an entry of a removed request stays in its heap until it comes to the top, or until half of the heap
+is such entries. So a heap is at most twice as long as needed, and each change costs a logarithm.
+"""
+
+from __future__ import annotations
+
+import heapq
+from collections.abc import Iterable
+from typing import NamedTuple
+
+from anisefront.policy.request import Request
+
+MIN_REMOVED = 64  # entries of removed requests in a heap, below which it is not rebuilt
+
+
+class QueueGroup(NamedTuple):
+    """Requests that are dispatched in turn: of one class, within their quotas or beyond them."""
+
+    class_name: str
+    within_quota: bool
+
+
+class QueueKey(NamedTuple):
+    """The order within and between groups: the least key first, of equal keys the one that was added first."""
+
+    negative_priority: float
+    negative_arrival_ms: float
+
+
+class _Entry(NamedTuple):
+    key: QueueKey
+    serial: int
+    request: Request
+
+
+class _Position(NamedTuple):
+    group: QueueGroup
+    serial: int
+
+
+class RequestQueue:
+    """Priority queues of requests, one for each group."""
+
+    def __init__(self) -> None:
+        """Start empty."""
+        self._heaps: dict[QueueGroup, list[_Entry]] = {}
+        self._positions: dict[int, _Position] = {}  # of queued requests, by request id
+        self._removed: dict[QueueGroup, int] = {}  # entries of removed requests
+        self._serial = 0
+        self._counts: dict[str, int] = {}  # by class
+        self._arrival_sums_us: dict[str, int] = {}  # by class; integers, so that sums of floats do not drift
+
+    def __len__(self) -> int:
+        """Return the number of queued requests."""
+        return len(self._positions)
+
+    def add(self, request: Request, group: QueueGroup, key: QueueKey) -> None:
+        """Queue a request."""
+        self._serial += 1
+        self._positions[request.arrival.id] = _Position(group, self._serial)
+        heapq.heappush(self._heaps.setdefault(group, []), _Entry(key, self._serial, request))
+        class_name = request.request_class.name
+        self._counts[class_name] = self._counts.get(class_name, 0) + 1
+        arrivals = self._arrival_sums_us.get(class_name, 0)
+        self._arrival_sums_us[class_name] = arrivals + round(request.arrived_ms * 1000)
+
+    def remove(self, request: Request) -> None:
+        """Remove a queued request."""
+        group = self._positions.pop(request.arrival.id).group
+        class_name = request.request_class.name
+        self._counts[class_name] -= 1
+        self._arrival_sums_us[class_name] -= round(request.arrived_ms * 1000)
+        removed = self._removed.get(group, 0) + 1
+        self._removed[group] = removed
+        heap = self._heaps[group]
+        if removed > MIN_REMOVED and 2 * removed > len(heap):
+            self._heaps[group] = [entry for entry in heap if self._is_queued(group, entry)]
+            heapq.heapify(self._heaps[group])
+            self._removed[group] = 0
+
+    def first(self, groups: Iterable[QueueGroup]) -> Request | None:
+        """Return the first request of these groups, None if all are empty."""
+        first: _Entry | None = None
+        for group in groups:
+            heap = self._heaps.get(group)
+            while heap and not self._is_queued(group, heap[0]):
+                heapq.heappop(heap)
+                self._removed[group] -= 1
+            if heap and (first is None or heap[0][:2] < first[:2]):
+                first = heap[0]
+        return first.request if first else None
+
+    def count_of(self, class_name: str) -> int:
+        """Return how many requests of a class are queued."""
+        return self._counts.get(class_name, 0)
+
+    def total_age_ms(self, class_name: str, now_ms: float) -> float:
+        """Return the sum of the ages of a class's queued requests."""
+        arrivals_us = self._arrival_sums_us.get(class_name, 0)
+        return (self.count_of(class_name) * round(now_ms * 1000) - arrivals_us) / 1000
+
+    def _is_queued(self, group: QueueGroup, entry: _Entry) -> bool:
+        return self._positions.get(entry.request.arrival.id) == (group, entry.serial)
--- /dev/null
+++ b/anisefront/policy/response_times.py
@@ -0,0 +1,77 @@
+"""Expected response times of attempts, by request class and size."""
+
+from __future__ import annotations
+
+import math
+from typing import NamedTuple
+
+from anisefront.policy.control_period import EWMA_GAIN
+from anisefront.policy.settings import RequestClass
+
+INITIAL_MS = 200.0  # until there are responses, and not above `INITIAL_FRACTION` of the latency objective
+INITIAL_FRACTION = 0.25
+MAX_SIZE = 16  # units, above which sizes are not distinguished
+MIN_LOAD = 0.25  # of an attempt, in average attempts
+MAX_LOAD = 8.0
+RESPONSE_FRACTION = 0.45  # of the latency objective that is left for the response at most
+RESERVED_MULTIPLE = (
+    2.5  # of the expected response time that is left for the response: the mean alone is too late for half
+)
+UNRESPONSIVE_MULTIPLE = 3.0  # of the expected response time, after which an attempt counts as unresponsive
+
+
+class _SizedClass(NamedTuple):
+    class_name: str
+    size: int
+
+
+def size_of(units: float) -> int:
+    """Return the size by which response times of requests are distinguished."""
+    return min(MAX_SIZE, math.ceil(units))
+
+
+def max_queueing_ms(request_class: RequestClass) -> float:
+    """Return how long a request may be queued, so that its response can be within the latency objective."""
+    return request_class.latency_objective_ms * (1 - RESPONSE_FRACTION)
+
+
+class ResponseTimes:
+    """Exponentially weighted means of response times."""
+
+    __slots__ = ("by_class", "_by_size", "_overall_ms")
+
+    def __init__(self) -> None:
+        """Start without responses."""
+        self.by_class: dict[str, float] = {}
+        self._by_size: dict[_SizedClass, float] = {}
+        self._overall_ms = INITIAL_MS  # over all classes and sizes
+
+    def add_classes(self, classes: tuple[RequestClass, ...]) -> None:
+        """Expect the initial response time of classes that are new."""
+        for request_class in classes:
+            initial = min(INITIAL_MS, request_class.latency_objective_ms * INITIAL_FRACTION)
+            self.by_class.setdefault(request_class.name, initial)
+
+    def expected_ms(self, class_name: str, size: int) -> float:
+        """Return the expected response time of an attempt."""
+        return self._by_size.get((class_name, size), self.by_class[class_name])
+
+    def reserved_ms(self, request_class: RequestClass, size: int) -> float:
+        """Return the time that is left for a response.
+
+        It is bounded: were it beyond the latency objective, all requests would be shed, and without responses the
+        expected time would never fall.
+        """
+        reserved = RESERVED_MULTIPLE * self.expected_ms(request_class.name, size)
+        return min(reserved, RESPONSE_FRACTION * request_class.latency_objective_ms)
+
+    def load_of(self, expected_ms: float) -> float:
+        """Return the load of an attempt of this expected response time, in average attempts."""
+        return min(MAX_LOAD, max(MIN_LOAD, expected_ms / self._overall_ms))
+
+    def record(self, class_name: str, size: int, duration_ms: float) -> None:
+        """Take in the duration of an attempt that succeeded."""
+        expected = self.expected_ms(class_name, size)
+        self._by_size[_SizedClass(class_name, size)] = expected + (duration_ms - expected) * EWMA_GAIN
+        self.by_class[class_name] += (duration_ms - self.by_class[class_name]) * EWMA_GAIN
+        self._overall_ms += (duration_ms - self._overall_ms) * EWMA_GAIN
--- /dev/null
+++ b/anisefront/policy/timers.py
@@ -0,0 +1,69 @@
+"""Timers of the controller.
+
+The gateway instance cannot cancel a timer, so each has its own `SetTimer` action, all of one name. What a timer is
+for stays here, ordered by time; after each batch of events the controller takes those that have expired.
+"""
+
+from __future__ import annotations
+
+import heapq
+from enum import Enum, auto
+from typing import NamedTuple
+
+from anisefront.policy.actions import Action, SetTimer
+
+TIMER_NAME = "agenda"  # opaque to the gateway instance, and part of the bytes on the bench adapter's wire
+CLOCK_RESOLUTION_MS = 0.001  # a timer may fire this much early
+NO_SUBJECT = -1
+
+
+class TimerKind(Enum):
+    """What is done when a timer expires, and what its subject is."""
+
+    CONTROL_PERIOD = auto()
+    SUBSCRIBE = auto()
+    BUCKET_REFILLED = auto()  # customer tag
+    OWNER_REPLY_OVERDUE = auto()  # request id
+    HEDGE_DELAY = auto()  # request id
+    DISPATCH_DEADLINE = auto()  # request id: later, an attempt could not end within the latency objective
+    RESPONSE_DEADLINE = auto()  # request id: the final answer has to be given
+    OUTBOX_FLUSH = auto()
+
+
+class Timer(NamedTuple):
+    """A timer that was set; timers of one time expire in the order in which they were set."""
+
+    expires_ms: float
+    serial: int
+    kind: TimerKind
+    subject: int
+
+
+class TimerQueue:
+    """The timers that have not expired."""
+
+    __slots__ = ("pending", "_actions", "_now_ms", "_serial")
+
+    def __init__(self) -> None:
+        """Start without timers."""
+        self.pending: list[Timer] = []  # a heap
+        self._actions: list[Action] = []
+        self._now_ms = 0.0
+        self._serial = 0
+
+    def begin_batch(self, now_ms: float, actions: list[Action]) -> None:
+        """Append the actions of timers that are set from now on to this list."""
+        self._now_ms = now_ms
+        self._actions = actions
+
+    def set(self, kind: TimerKind, expires_ms: float, subject: int = NO_SUBJECT) -> None:
+        """Set a timer."""
+        self._serial += 1
+        heapq.heappush(self.pending, Timer(expires_ms, self._serial, kind, subject))
+        self._actions.append(SetTimer(max(0.0, expires_ms - self._now_ms), TIMER_NAME))
+
+    def pop_expired(self) -> Timer | None:
+        """Remove and return the first timer that has expired, None if there is none."""
+        if self.pending and self.pending[0].expires_ms <= self._now_ms + CLOCK_RESOLUTION_MS:
+            return heapq.heappop(self.pending)
+        return None
