--- a/anisefront/policy/admission.py
+++ b/anisefront/policy/admission.py
@@ -14,7 +14,7 @@
 from anisefront.policy.control_period import MIN_SAMPLES
 from anisefront.policy.fuzzy_controller import FuzzyController
 from anisefront.policy.request import Request
-from anisefront.policy.request_queue import QueueGroup, QueueKey, RequestQueue
+from anisefront.policy.request_queue import QueueGroup, RequestQueue
 from anisefront.policy.response_times import RESPONSE_FRACTION, max_queueing_ms
 from anisefront.policy.retries import is_rejection_safe
 from anisefront.policy.settings import Plan, RequestClass, Settings
@@ -67,26 +67,19 @@
         self._delays_ms: dict[str, list[float]] = {}  # queueing delays of this control period, by class
         self._in_flight: dict[str, int] = {}  # attempts by class
         self._limit = limit
-        self._within_quota_groups: list[QueueGroup] = []
-        self._over_quota_groups: list[QueueGroup] = []
+        self._within_quota_groups: dict[str, QueueGroup] = {}  # by class
+        self._over_quota_groups: dict[str, QueueGroup] = {}
         self.change_settings(settings)
 
     def change_settings(self, settings: Settings) -> None:
         """Use other classes from now on; shares of known ones stay."""
         for request_class in settings.classes:
             self._add_class(request_class, 1 / len(settings.classes))
-        names = dict.fromkeys(request_class.name for request_class in settings.classes)
-        self._within_quota_groups = [QueueGroup(name, True) for name in names]
-        self._over_quota_groups = [QueueGroup(name, False) for name in names]
 
     def enqueue(self, request: Request) -> None:
-        """Queue an admitted request.
-
-        Of equal priority the newest is dispatched first. With the oldest first, under overload all requests would be
-        dispatched near the end of their latency objectives, and many would be late.
-        """
-        group = QueueGroup(request.request_class.name, request.within_quota)
-        self.queue.add(request, group, QueueKey(-request.priority_weight, -request.arrived_ms))
+        """Queue an admitted request."""
+        groups = self._within_quota_groups if request.within_quota else self._over_quota_groups
+        self.queue.add(request, groups[request.request_class.name])
 
     def remove(self, request: Request) -> None:
         """Remove a queued request that has ended."""
@@ -127,9 +120,9 @@
         over_quota_allowed = self._limit.mean_in_flight < MAX_OVER_QUOTA_UTILIZATION * self._limit.limit
         if len(self.queue) > self._limit.headroom():
             self._release_by_share(now_ms, try_dispatch, blocked)
-        self._release_by_priority(now_ms, self._within_quota_groups, try_dispatch, blocked)
+        self._release_by_priority(now_ms, self._within_quota_groups.values(), try_dispatch, blocked)
         if over_quota_allowed:
-            self._release_by_priority(now_ms, self._over_quota_groups, try_dispatch, blocked)
+            self._release_by_priority(now_ms, self._over_quota_groups.values(), try_dispatch, blocked)
         for request in blocked:
             self.enqueue(request)
 
@@ -139,6 +132,8 @@
         controller.set_target_delay_ms(max_queueing_ms(request_class))
         self._delays_ms.setdefault(name, [])
         self._in_flight.setdefault(name, 0)
+        self._within_quota_groups.setdefault(name, QueueGroup(name, True))
+        self._over_quota_groups.setdefault(name, QueueGroup(name, False))
 
     def _release_by_share(self, now_ms: float, try_dispatch: Callable[[Request], bool], blocked: list[Request]) -> None:
         """Dispatch each class's requests up to its share of the limit."""
@@ -146,7 +141,7 @@
         total = max(1.0, sum(share.share for share in self.shares.values()))
         headroom = {name: share.share / total * limit - self._in_flight[name] for name, share in self.shares.items()}
         while True:
-            groups = [QueueGroup(name, True) for name, attempts in headroom.items() if attempts >= 1]
+            groups = [self._within_quota_groups[name] for name, attempts in headroom.items() if attempts >= 1]
             request = self.queue.first(groups)
             if request is None or not self._has_capacity(blocked):
                 return
--- a/anisefront/policy/attempt_tracker.py
+++ b/anisefront/policy/attempt_tracker.py
@@ -38,13 +38,6 @@
     load: float  # in average attempts
 
 
-class StartedAttempt(NamedTuple):
-    """The action that starts an attempt, and the time after which it counts as unresponsive."""
-
-    action: StartAttempt
-    hedge_delay_ms: float
-
-
 class AttemptTracker:
     """The attempts in flight of all requests."""
 
@@ -88,8 +81,8 @@
         self._settings = settings
         self._latency_objectives_ms = {each.name: each.latency_objective_ms for each in settings.classes}
 
-    def start(self, now_ms: float, request: Request) -> StartedAttempt | None:
-        """Start one more attempt of a request; None if no endpoint may take it."""
+    def start(self, now_ms: float, request: Request) -> StartAttempt | None:
+        """Start one more attempt of a request and return its action; None if no endpoint may take it."""
         class_name = request.request_class.name
         size = size_of(request.arrival.units)
         expected_ms = self._response_times.expected_ms(class_name, size)
@@ -108,7 +101,12 @@
         self._admission.record_attempt_started(class_name)
         self._selection.record_attempt_started()
         self._limit.record_attempt_started(now_ms)
-        return StartedAttempt(action, self._retries.hedge_delay_ms(expected_ms))
+        return action
+
+    def hedge_delay_ms(self, request: Request) -> float:
+        """Return after which time an attempt of a request counts as unresponsive."""
+        expected_ms = self._response_times.expected_ms(request.request_class.name, size_of(request.arrival.units))
+        return self._retries.hedge_delay_ms(expected_ms)
 
     def end(self, now_ms: float, event: AttemptEnded, stalled: bool) -> Attempt | None:
         """Record the end of an attempt and return it; None if it is not in flight.
@@ -142,8 +140,6 @@
     def _record_outcome(self, now_ms: float, event: AttemptEnded, attempt: Attempt) -> None:
         latency_ratio = math.inf
         if event.result is AttemptResult.OK:
-            expected_ms = self._response_times.expected_ms(attempt.class_name, attempt.size)
-            latency_ratio = event.duration_ms / expected_ms
-            self._response_times.record(attempt.class_name, attempt.size, event.duration_ms)
+            latency_ratio = self._response_times.record(attempt.class_name, attempt.size, event.duration_ms)
         if event.result not in UNINFORMATIVE_RESULTS:
             self._outlier_detection.record_attempt(now_ms, attempt.endpoint, attempt.class_name, latency_ratio)
--- a/anisefront/policy/controller.py
+++ b/anisefront/policy/controller.py
@@ -45,7 +45,7 @@
 from anisefront.policy.retries import RetryPolicy
 from anisefront.policy.settings import Plan, RequestClass, Settings
 from anisefront.policy.slow_start import SlowStart
-from anisefront.policy.timers import Timer, TimerKind, TimerQueue
+from anisefront.policy.timers import TimerKind, TimerQueue
 
 MAX_BOOT = 1 << 16  # peers tell processes of one gateway instance apart by a random number below this
 STALL_MS = 4 * PERIOD_MS  # without a batch of events, after which durations include a stall of this process
@@ -120,8 +120,7 @@
                 handler(event)
         if self._left_service:
             self._retry_from_left_endpoints()
-        while (timer := self.timers.pop_expired()) is not None:
-            self._on_timer(timer)
+        self.timers.expire(self._on_timer)
         if self.endpoints.ready or self.endpoints.warming_up:
             self.admission.release(now_ms, self._try_start_first_attempt)
         if self.outbox:
@@ -285,18 +284,19 @@
 
     # ---- timers ----------------------------------------------------------------------------------
 
-    def _on_timer(self, timer: Timer) -> None:
-        if timer.kind is TimerKind.CONTROL_PERIOD:
-            self._end_period()
-        elif timer.kind is TimerKind.BUCKET_REFILLED:
-            self.quota_owner.refill_timer_fired(self._now_ms, timer.subject)
-        elif timer.kind is TimerKind.SUBSCRIBE:
-            if self.settings.subscription_required:
-                self._actions.append(Subscribe())
-        elif timer.kind is not TimerKind.OUTBOX_FLUSH:  # the outbox is flushed after each batch
-            request = self.requests.get(timer.subject)
+    def _on_timer(self, kind: TimerKind, subject: int) -> None:
+        handler = self._request_timer_handlers.get(kind)
+        if handler is not None:
+            request = self.requests.get(subject)
             if request is not None and not request.streaming:
-                self._request_timer_handlers[timer.kind](request)
+                handler(request)
+        elif kind is TimerKind.CONTROL_PERIOD:
+            self._end_period()
+        elif kind is TimerKind.BUCKET_REFILLED:
+            self.quota_owner.refill_timer_fired(self._now_ms, subject)
+        elif kind is TimerKind.SUBSCRIBE and self.settings.subscription_required:
+            self._actions.append(Subscribe())
+        # An expired `OUTBOX_FLUSH` needs no handler: the outbox is flushed after each batch.
 
     def _end_period(self) -> None:
         now_ms = self._now_ms
@@ -354,11 +354,12 @@
 
     def _try_start_attempt(self, request: Request) -> bool:
         """Start an attempt, and return whether an endpoint may take it."""
-        started = self.attempts.start(self._now_ms, request)
-        if started is None:
+        action = self.attempts.start(self._now_ms, request)
+        if action is None:
             return False
-        self._actions.append(started.action)
-        self.timers.set(TimerKind.HEDGE_DELAY, self._now_ms + started.hedge_delay_ms, request.arrival.id)
+        self._actions.append(action)
+        hedge_delay_ms = self.attempts.hedge_delay_ms(request)
+        self.timers.set(TimerKind.HEDGE_DELAY, self._now_ms + hedge_delay_ms, request.arrival.id)
         return True
 
     def _retry_from_left_endpoints(self) -> None:
--- a/anisefront/policy/endpoint_health.py
+++ b/anisefront/policy/endpoint_health.py
@@ -29,7 +29,8 @@
 
     def latency_ratio_at(self, now_ms: float) -> float:
         """Return the latency ratio, which returns to 1 without new observations."""
-        return 1 + (self.latency_ratio - 1) * decay_factor(now_ms - self.observed_ms, LATENCY_TIME_CONSTANT_MS)
+        # As `decay_factor`, written out since this is called for each candidate of each attempt.
+        return 1 + (self.latency_ratio - 1) * math.exp((self.observed_ms - now_ms) / LATENCY_TIME_CONSTANT_MS)
 
     def failure_fraction(self, now_ms: float, class_name: str) -> float:
         """Return the fraction of a class's attempts that fail; few of its own are complemented by all classes'."""
--- a/anisefront/policy/endpoint_selection.py
+++ b/anisefront/policy/endpoint_selection.py
@@ -25,7 +25,7 @@
 NON_IDEMPOTENT_PENALTY = 2 * FAILURE_PENALTY  # a failure of such a request cannot be retried
 MIN_WEIGHT = 0.01
 MIN_JITTER = 1.0
-MAX_JITTER = 1.1  # gateway instances that know the same should not all choose the same endpoint
+JITTER_RANGE = 1.1 - MIN_JITTER  # gateway instances that know the same should not all choose the same endpoint
 OTHER_ZONE_COST = 1.15
 
 
@@ -111,7 +111,7 @@
         penalty = NON_IDEMPOTENT_PENALTY if non_idempotent else FAILURE_PENALTY
         mean_others_load = self._load_reports.mean_others_load
         zone = self._zone
-        uniform = self._rng.uniform
+        random_draw = self._rng.random
         best = None
         best_cost = math.inf
         for state in candidates:
@@ -123,7 +123,8 @@
             cost = (load + state.load + others_load) * latency_ratio / max(MIN_WEIGHT, state.endpoint.weight)
             if health.failure_counts:
                 cost *= 1 + penalty * health.failure_fraction(now_ms, class_name) ** 2
-            cost *= uniform(MIN_JITTER, MAX_JITTER) * (1.0 if state.endpoint.zone == zone else OTHER_ZONE_COST)
+            jitter = MIN_JITTER + JITTER_RANGE * random_draw()
+            cost *= jitter * (1.0 if state.endpoint.zone == zone else OTHER_ZONE_COST)
             if cost < best_cost:
                 best = state
                 best_cost = cost
--- a/anisefront/policy/request_queue.py
+++ b/anisefront/policy/request_queue.py
@@ -8,7 +8,7 @@
 
 import heapq
 from collections.abc import Iterable
-from typing import NamedTuple
+from typing import NamedTuple, TypeAlias
 
 from anisefront.policy.request import Request
 
@@ -22,26 +22,18 @@
     within_quota: bool
 
 
-class QueueKey(NamedTuple):
-    """The order within and between groups: the least key first, of equal keys the one that was added first."""
-
-    negative_priority: float
-    negative_arrival_ms: float
-
-
-class _Entry(NamedTuple):
-    key: QueueKey
-    serial: int
-    request: Request
-
-
-class _Position(NamedTuple):
-    group: QueueGroup
-    serial: int
+# The order of dispatch, then the request. Plain tuples, since one of each is made whenever a request is queued.
+_Entry: TypeAlias = tuple[float, float, int, Request]  # negative priority, negative arrival time, serial, request
+_Position: TypeAlias = tuple[QueueGroup, int]  # group, serial
 
 
 class RequestQueue:
-    """Priority queues of requests, one for each group."""
+    """Priority queues of requests, one for each group.
+
+    Requests leave by their priority, of equal priority the newest first. With the oldest first, under overload all
+    requests would be dispatched near the end of their latency objectives, and many would be late. Of those that
+    arrived at one time, the one that was queued first leaves first.
+    """
 
     def __init__(self) -> None:
         """Start empty."""
@@ -56,11 +48,12 @@
         """Return the number of queued requests."""
         return len(self._positions)
 
-    def add(self, request: Request, group: QueueGroup, key: QueueKey) -> None:
+    def add(self, request: Request, group: QueueGroup) -> None:
         """Queue a request."""
         self._serial += 1
-        self._positions[request.arrival.id] = _Position(group, self._serial)
-        heapq.heappush(self._heaps.setdefault(group, []), _Entry(key, self._serial, request))
+        self._positions[request.arrival.id] = (group, self._serial)
+        entry = (-request.priority_weight, -request.arrived_ms, self._serial, request)
+        heapq.heappush(self._heaps.setdefault(group, []), entry)
         class_name = request.request_class.name
         self._counts[class_name] = self._counts.get(class_name, 0) + 1
         arrivals = self._arrival_sums_us.get(class_name, 0)
@@ -68,7 +61,7 @@
 
     def remove(self, request: Request) -> None:
         """Remove a queued request."""
-        group = self._positions.pop(request.arrival.id).group
+        group, _ = self._positions.pop(request.arrival.id)
         class_name = request.request_class.name
         self._counts[class_name] -= 1
         self._arrival_sums_us[class_name] -= round(request.arrived_ms * 1000)
@@ -88,9 +81,9 @@
             while heap and not self._is_queued(group, heap[0]):
                 heapq.heappop(heap)
                 self._removed[group] -= 1
-            if heap and (first is None or heap[0][:2] < first[:2]):
+            if heap and (first is None or heap[0][:3] < first[:3]):
                 first = heap[0]
-        return first.request if first else None
+        return first[3] if first else None
 
     def count_of(self, class_name: str) -> int:
         """Return how many requests of a class are queued."""
@@ -102,4 +95,4 @@
         return (self.count_of(class_name) * round(now_ms * 1000) - arrivals_us) / 1000
 
     def _is_queued(self, group: QueueGroup, entry: _Entry) -> bool:
-        return self._positions.get(entry.request.arrival.id) == (group, entry.serial)
+        return self._positions.get(entry[3].arrival.id) == (group, entry[2])
--- a/anisefront/policy/response_times.py
+++ b/anisefront/policy/response_times.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import math
-from typing import NamedTuple
 
 from anisefront.policy.control_period import EWMA_GAIN
 from anisefront.policy.settings import RequestClass
@@ -20,11 +19,6 @@
 UNRESPONSIVE_MULTIPLE = 3.0  # of the expected response time, after which an attempt counts as unresponsive
 
 
-class _SizedClass(NamedTuple):
-    class_name: str
-    size: int
-
-
 def size_of(units: float) -> int:
     """Return the size by which response times of requests are distinguished."""
     return min(MAX_SIZE, math.ceil(units))
@@ -43,7 +37,7 @@
     def __init__(self) -> None:
         """Start without responses."""
         self.by_class: dict[str, float] = {}
-        self._by_size: dict[_SizedClass, float] = {}
+        self._by_size: dict[str, dict[int, float]] = {}  # by class and size
         self._overall_ms = INITIAL_MS  # over all classes and sizes
 
     def add_classes(self, classes: tuple[RequestClass, ...]) -> None:
@@ -51,10 +45,11 @@
         for request_class in classes:
             initial = min(INITIAL_MS, request_class.latency_objective_ms * INITIAL_FRACTION)
             self.by_class.setdefault(request_class.name, initial)
+            self._by_size.setdefault(request_class.name, {})
 
     def expected_ms(self, class_name: str, size: int) -> float:
         """Return the expected response time of an attempt."""
-        return self._by_size.get((class_name, size), self.by_class[class_name])
+        return self._by_size[class_name].get(size, self.by_class[class_name])
 
     def reserved_ms(self, request_class: RequestClass, size: int) -> float:
         """Return the time that is left for a response.
@@ -69,9 +64,10 @@
         """Return the load of an attempt of this expected response time, in average attempts."""
         return min(MAX_LOAD, max(MIN_LOAD, expected_ms / self._overall_ms))
 
-    def record(self, class_name: str, size: int, duration_ms: float) -> None:
-        """Take in the duration of an attempt that succeeded."""
+    def record(self, class_name: str, size: int, duration_ms: float) -> float:
+        """Take in the duration of an attempt that succeeded, and return its ratio to the expected one."""
         expected = self.expected_ms(class_name, size)
-        self._by_size[_SizedClass(class_name, size)] = expected + (duration_ms - expected) * EWMA_GAIN
+        self._by_size[class_name][size] = expected + (duration_ms - expected) * EWMA_GAIN
         self.by_class[class_name] += (duration_ms - self.by_class[class_name]) * EWMA_GAIN
         self._overall_ms += (duration_ms - self._overall_ms) * EWMA_GAIN
+        return duration_ms / expected
--- a/anisefront/policy/timers.py
+++ b/anisefront/policy/timers.py
@@ -7,8 +7,9 @@
 from __future__ import annotations
 
 import heapq
+from collections.abc import Callable
 from enum import Enum, auto
-from typing import NamedTuple
+from typing import TypeAlias
 
 from anisefront.policy.actions import Action, SetTimer
 
@@ -30,13 +31,9 @@
     OUTBOX_FLUSH = auto()
 
 
-class Timer(NamedTuple):
-    """A timer that was set; timers of one time expire in the order in which they were set."""
-
-    expires_ms: float
-    serial: int
-    kind: TimerKind
-    subject: int
+# Expiry, serial, kind, subject: timers of one time expire in the order in which they were set. A plain tuple, since
+# several are made for each request.
+_Timer: TypeAlias = tuple[float, int, TimerKind, int]
 
 
 class TimerQueue:
@@ -46,7 +43,7 @@
 
     def __init__(self) -> None:
         """Start without timers."""
-        self.pending: list[Timer] = []  # a heap
+        self.pending: list[_Timer] = []  # a heap
         self._actions: list[Action] = []
         self._now_ms = 0.0
         self._serial = 0
@@ -59,11 +56,13 @@
     def set(self, kind: TimerKind, expires_ms: float, subject: int = NO_SUBJECT) -> None:
         """Set a timer."""
         self._serial += 1
-        heapq.heappush(self.pending, Timer(expires_ms, self._serial, kind, subject))
+        heapq.heappush(self.pending, (expires_ms, self._serial, kind, subject))
         self._actions.append(SetTimer(max(0.0, expires_ms - self._now_ms), TIMER_NAME))
 
-    def pop_expired(self) -> Timer | None:
-        """Remove and return the first timer that has expired, None if there is none."""
-        if self.pending and self.pending[0].expires_ms <= self._now_ms + CLOCK_RESOLUTION_MS:
-            return heapq.heappop(self.pending)
-        return None
+    def expire(self, handle: Callable[[TimerKind, int], None]) -> None:
+        """Remove the timers that have expired, and call the handler with the kind and subject of each in turn."""
+        pending = self.pending
+        limit_ms = self._now_ms + CLOCK_RESOLUTION_MS
+        while pending and pending[0][0] <= limit_ms:
+            _, _, kind, subject = heapq.heappop(pending)
+            handle(kind, subject)
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -520,13 +520,14 @@
         units = 1 + 3 * (number % 2)
         (send,) = of(StartAttempt, c.handle(now, [ask(number, units=units, customer=f"f{number}", due=now + 4000.0)]))
         c.handle(now + 50 * units, [outcome(send, AttemptResult.OK, took=50.0 * units)])
-    assert 49 < c.response_times._by_size["look", 1] < 52 and 198 < c.response_times._by_size["look", 4] < 202
+    times = c.response_times
+    assert 49 < times.expected_ms("look", 1) < 52 and 198 < times.expected_ms("look", 4) < 202
     assert all(0.95 < state.health.latency_ratio_at(now) < 1.05 for state in c.endpoints.known.values())
 
 
 def test_servers_are_compared_by_the_work_that_is_out_not_by_how_many_attempts():
     c = gateway(gateways=1)
-    c.response_times._by_size.update({("look", 1): 50.0, ("look", 4): 200.0})
+    c.response_times._by_size["look"].update({1: 50.0, 4: 200.0})
     c.response_times._overall_ms = 50.0
     c.handle(1000, [EndpointList(tuple(Endpoint(f"s{n}", "z0", 0, EndpointStatus.READY) for n in range(2)))])
     sends = [
--- a/tests/test_policy_quotas.py
+++ b/tests/test_policy_quotas.py
@@ -26,6 +26,11 @@
     return QuotaMessage(kind, TAG, serial, units, 0.0, class_index, plan_index)
 
 
+def pending(timers):
+    """The kinds of the timers that are set."""
+    return [kind for _, _, kind, _ in timers.pending]
+
+
 class OwnerSide:
     """A quota owner with what it sends."""
 
@@ -59,7 +64,7 @@
     replies = [side.receive(0.0, REQUEST, serial) for serial in range(1, 5)]
     assert replies == [[GRANT], [GRANT], [GRANT], [QUEUED]]
     assert side.bucket.level == 0.0
-    assert [timer.kind for timer in side.timers.pending] == [TimerKind.BUCKET_REFILLED]
+    assert pending(side.timers) == [TimerKind.BUCKET_REFILLED]
 
 
 def test_a_queued_request_is_granted_when_the_bucket_has_filled():
@@ -241,7 +246,7 @@
     side = BorrowerSide(peer_messages_enabled=False)
     one = side.request()
     side.borrower.request_units(0.0, one)
-    assert [timer.expires_ms for timer in side.timers.pending] == [0.0]
+    assert [expires_ms for expires_ms, *_ in side.timers.pending] == [0.0]
     side.borrower.reply_overdue(0.0, one)
     assert side.decisions == [QuotaDecision.GRANTED]
 
@@ -306,5 +311,5 @@
     outbox.add(1, message(REQUEST, 2))
     outbox.add(2, message(REQUEST, 3))
     assert [action.receiver for action in outbox.flush(1.0, 2.0, [])] == [2]
-    assert [timer.kind for timer in timers.pending] == [TimerKind.OUTBOX_FLUSH]
+    assert pending(timers) == [TimerKind.OUTBOX_FLUSH]
     assert [action.receiver for action in outbox.flush(MAX_GAP_MS + 1, 2.0, [])] == [1]
--- a/tests/test_policy_timers.py
+++ b/tests/test_policy_timers.py
@@ -4,6 +4,13 @@
 from anisefront.policy.timers import CLOCK_RESOLUTION_MS, TimerKind, TimerQueue
 
 
+def expired(timers):
+    """The kinds and subjects of the timers that expire now."""
+    found = []
+    timers.expire(lambda kind, subject: found.append((kind, subject)))
+    return found
+
+
 def queue_at(now_ms):
     timers, actions = TimerQueue(), []
     timers.begin_batch(now_ms, actions)
@@ -28,15 +35,29 @@
         timers.set(TimerKind.RESPONSE_DEADLINE, 10.0, subject)
     timers.set(TimerKind.HEDGE_DELAY, 5.0, 9)
     timers.begin_batch(10.0, [])
-    expired = [timers.pop_expired() for _ in range(4)]
-    assert [timer.subject for timer in expired] == [9, 3, 1, 2]
-    assert timers.pop_expired() is None
+    assert [subject for _, subject in expired(timers)] == [9, 3, 1, 2]
+    assert not expired(timers)
+
+
+def test_a_timer_that_is_set_while_others_expire_expires_with_them():
+    timers, _ = queue_at(0.0)
+    timers.set(TimerKind.SUBSCRIBE, 10.0, 1)
+    timers.begin_batch(10.0, [])
+    found = []
+
+    def handle(kind, subject):
+        found.append(subject)
+        if subject < 3:
+            timers.set(kind, 10.0, subject + 1)
+
+    timers.expire(handle)
+    assert found == [1, 2, 3]
 
 
 def test_a_timer_may_fire_by_the_clock_resolution_early_and_no_more():
     timers, _ = queue_at(0.0)
     timers.set(TimerKind.SUBSCRIBE, 10.0)
     timers.begin_batch(10.0 - 2 * CLOCK_RESOLUTION_MS, [])
-    assert timers.pop_expired() is None
+    assert not expired(timers)
     timers.begin_batch(10.0 - CLOCK_RESOLUTION_MS / 2, [])
-    assert timers.pop_expired().kind is TimerKind.SUBSCRIBE
+    assert expired(timers) == [(TimerKind.SUBSCRIBE, -1)]
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -23,7 +23,7 @@
 from anisefront.policy.peer_codec import QuotaMessageKind, customer_tag, decode, encode
 from anisefront.policy.quota_request_queue import QuotaRequest, QuotaRequestKey, QuotaRequestQueue
 from anisefront.policy.request import Request
-from anisefront.policy.request_queue import MIN_REMOVED, QueueGroup, QueueKey, RequestQueue
+from anisefront.policy.request_queue import MIN_REMOVED, QueueGroup, RequestQueue
 from anisefront.policy.settings import Idempotency, Plan, RequestClass
 
 
@@ -37,9 +37,9 @@
     for number in range(600):
         one = request(number, rng.choice(kinds), rng.choice((1.5, 2.25, 3.0)))
         group = QueueGroup(one.request_class.name, rng.random() < 0.7)
-        key = QueueKey(rng.choice((-1.0, -2.0)), -one.arrived_ms)
-        held.add(one, group, key)
-        plain.append((key, number, group, one))
+        one.priority_weight = rng.choice((1.0, 2.0))
+        held.add(one, group)
+        plain.append(((-one.priority_weight, -one.arrived_ms), number, group, one))
         while plain and rng.random() < 0.45:
             if rng.random() < 0.5:
                 gone = plain.pop(rng.randrange(len(plain)))[3]
@@ -65,7 +65,7 @@
     group = QueueGroup(kind.name, True)
     many = [request(number, kind) for number in range(40_000)]
     for one in many:
-        held.add(one, group, QueueKey(0.0, 0.0))
+        held.add(one, group)
     for one in many[1:]:  # none of them ever first
         held.remove(one)
     assert len(held) == 1 and len(held._heaps[group]) <= 2 + 2 * MIN_REMOVED and held.first([group]) is many[0]
