--- /dev/null
+++ b/tests/wire_samples.py
@@ -0,0 +1,1084 @@
+"""Samples of all that leaves a process: datagrams, RESP, JSON-RPC, gRPC, HTTP, traces, the state report.
+
+The one place of these tests that imports names of the project: a rename touches this file and nothing else of them.
+A sample is written to bytes, and read from bytes into plain values; what both are is recorded in `data/wire`, one file
+a group. `PYTHONPATH=.:tests python tests/wire_samples.py GROUP` records a group that has no file. It refuses one that
+has: recorded data is what other versions send and keep, so it never follows the program.
+"""
+
+import dataclasses
+import json
+import pathlib
+import struct
+import sys
+import tempfile
+import zlib
+from collections.abc import Callable
+from types import SimpleNamespace
+from typing import Any, NamedTuple
+from unittest import mock
+
+import h2.config
+import h2.connection
+from envoy.data.accesslog.v3 import accesslog_pb2
+from envoy.service.accesslog.v3 import als_pb2
+from envoy.service.auth.v3 import external_auth_pb2
+from google.protobuf.json_format import MessageToDict
+from processes import SETTINGS
+from test_config_corpus import found as settings_read
+from test_node_front import House
+from test_node_wire import ASK, DO, SERVED, WIRE_SETTINGS, change, found, row
+from test_rules import settings
+from twisted.internet.testing import MemoryReactorClock, StringTransport
+
+from anisefront.carriers import own, proxied, returning
+from anisefront.config.reading import Outcome as Reading
+from anisefront.config.types import Recording
+from anisefront.core.routing import Unmapped, first_gateway
+from anisefront.core.standing import Lag
+from anisefront.core.versions import at_once, next_steps
+from anisefront.daemon import keepers
+from anisefront.daemon.gatekeeper import Gatekeeper
+from anisefront.daemon.recorder import Recorder
+from anisefront.fleet import datagrams, keeping, members, membership
+from anisefront.fleet.keeper import Kept
+from anisefront.fronts import accesslog, authorization, health, jsonrpc
+from anisefront.fronts.grpcserver import GrpcFactory
+from anisefront.node import resp, terms
+from anisefront.node.carrier import FAILED, outcome, refusal
+from anisefront.node.config import node_config
+from anisefront.node.discovery import Book, WatchReader, watch_request
+from anisefront.node.gatekeeper import NodeGatekeeper
+from anisefront.policy import messages
+from anisefront.policy.interface import (
+    Arrival,
+    ClientGone,
+    Fail,
+    Fleet,
+    Outcome,
+    Reason,
+    Refuse,
+    Result,
+    Send,
+    Server,
+    State,
+)
+from anisefront.wire import grpc, http1, orca, trace
+from anisefront.wire import jsonrpc as jsonrpc_wire
+
+FOLDER = pathlib.Path(__file__).parent / "data" / "wire"
+SECRET, NOW_MS, LIFE = b"sixteen bytes at least", 1.8e12, "0123456789ab"
+WORKER, REPORTED = "10.0.0.1:8080", ("util", "inflight")
+
+
+class Sample(NamedTuple):
+    """One message or report. `same` is what two writings of it must have in common, in general all bytes."""
+
+    write: Callable[[], bytes]
+    read: Callable[[bytes], Any]
+    same: Callable[[bytes], bytes] = bytes
+
+
+def plain(value: Any) -> Any:
+    """The value in JSON's types: records become lists of their values, enumerations numbers or texts."""
+    if isinstance(value, bytes):
+        return value.hex()
+    if hasattr(value, "_fields"):
+        return [plain(each) for each in value]
+    if isinstance(value, int | float | str | type(None)) and not hasattr(value, "value"):
+        return value
+    if isinstance(value, dict):
+        return {str(name): plain(each) for name, each in value.items()}
+    if isinstance(value, list | tuple):
+        return [plain(each) for each in value]
+    if hasattr(value, "value"):
+        return value.value
+    return [plain(getattr(value, field.name)) for field in dataclasses.fields(value) if field.compare]
+
+
+def shape(value: Any) -> Any:
+    """Keys and nesting with the type of each value. What depends on the machine's speed is an object, no more."""
+    if isinstance(value, dict):
+        return {
+            name: "object" if name in ("late", "slices", "notable_ms_by_cause") else shape(each)
+            for name, each in value.items()
+        }
+    if isinstance(value, list | tuple):
+        return [shape(each) for each in value]
+    return type(value).__name__
+
+
+# ---- datagrams between peers ---------------------------------------------------------------------
+
+
+def _quota_read(data: bytes) -> Any:
+    news = messages.decode(data)
+    items = [
+        [int(i.kind), i.tag, i.serial, i.units, i.asked_per_s, i.class_index, i.plan_index]  # by name: see MESSAGES
+        for i in news.items
+    ]
+    return [news.boot, news.room, items, [[seen.server, seen.class_index, seen.grade] for seen in news.sightings]]
+
+
+def quota_samples() -> dict[str, Sample]:
+    """Every kind of item, observations of servers, a full message, and the short forms of names."""
+    kinds = messages.Kind
+    items = [
+        messages.Item(
+            kind=kind,
+            tag=messages.tag_of(f"customer-{kind}", SECRET),
+            serial=40_000 + kind,
+            units=1.5,
+            asked_per_s=12.25,
+            class_index=3,
+            plan_index=2,
+        )
+        for kind in kinds
+    ]
+    seen = [
+        messages.sighting(WORKER, 5, float("inf")),
+        messages.sighting("10.0.0.2:8080", 1, 1.0),
+        messages.sighting("10.0.0.3:8080", 0, 0.25),
+        messages.sighting("10.0.0.4:8080", 15, 32.0),
+    ]
+
+    def sample(boot: int, room: float, rows: list, others: list) -> Sample:
+        return Sample(lambda: messages.encode(boot, room, rows, others), _quota_read)
+
+    out = {f"item of kind {int(item.kind)}": sample(1000, 3.25, [item], []) for item in items}
+    out["no items"] = sample(0xFFFF, 0.0, [], [])
+    out["observations of servers"] = sample(7, 1.0, [], seen)
+    out["more than a message holds"] = sample(70_000, 5000.0, items * 3, seen * 2)
+    out["customer's tag"] = Sample(lambda: b"%x" % messages.tag_of("customer-1", SECRET), lambda data: int(data, 16))
+    out["server's tag"] = Sample(lambda: b"%x" % messages.server_tag(WORKER), lambda data: int(data, 16))
+    out["ratios of grades"] = Sample(
+        lambda: json.dumps([messages.ratio_of(messages.Sighting(1, 1, grade)) for grade in range(15)]).encode(),
+        json.loads,
+    )
+    return out
+
+
+def _member(number: int) -> membership.Membership:
+    return membership.Membership(number, 100 + number, range(4), 7, 100.0)
+
+
+def _row(number: int, life: int, incarnation: int, status: int) -> members.Row:
+    return members.Row(number=number, life=life, incarnation=incarnation, status=members.Status(status))
+
+
+def _rows_read(rows: Any) -> list[Any]:
+    return [[row.number, row.life, row.incarnation, int(row.status)] for row in rows]
+
+
+def membership_traffic() -> dict[int, bytes]:
+    """The first message of each kind, by its second byte, of a member that hears from two others and not the third."""
+    made, out, now = _member(0), dict[int, bytes](), 0.0
+    rows = [
+        _row(1, 101, 2, 0),
+        _row(2, 102, 0, 1),
+        _row(3, 103, 1, 2),
+    ]
+    ask = struct.Struct(">BBIH")
+    heard = [
+        (1, 101, ask.pack(0x4D, 5, 0, 0) + members.pack(rows)),
+        (2, 102, ask.pack(0x4D, 1, 9, 0)),
+        (1, 101, ask.pack(0x4D, 3, 11, 3)),
+    ]
+    sent = made.handle(now) + made.handle(now, heard)
+    while len(out) < 6 and now < 10_000:
+        for _, data in sent:
+            out.setdefault(data[1], data)
+        now += 5.0
+        sent = made.handle(now)
+    return out
+
+
+def membership_read(data: bytes) -> Any:
+    """What one that hears it knows then, and what it answers at once."""
+    made = _member(1)
+    replies = made.handle(0.0, [(0, 100, data)])
+    return [_rows_read(made.rows.values()), [[receiver, reply.hex()] for receiver, reply in replies]]
+
+
+def membership_samples() -> dict[str, Sample]:
+    """A message of every kind, the last one of a member that leaves, and rows of every status."""
+    traffic = membership_traffic()
+    out = {
+        f"message of kind {kind}": Sample(lambda data=data: data, membership_read)
+        for kind, data in sorted(traffic.items())
+    }
+
+    def leaving() -> bytes:
+        made = _member(0)
+        made.handle(0.0, [(1, 101, traffic[1])])
+        return made.leave()[0][1]
+
+    rows = [_row(number, 2**40 + number, 7, number) for number in range(len(members.Status))]
+    out["leave"] = Sample(leaving, membership_read)
+    out["rows"] = Sample(lambda: members.pack(rows), lambda data: _rows_read(members.unpack(data)))
+    return out
+
+
+# Fields are named, here and in all samples of records that are packed in the order of their fields: with places alone a
+# field that changed its place would be written and read alike.
+ENTRIES = (
+    keeping.Taken(request=7, bound=True, left_ms=900, name=b"12345678", record=b"record"),
+    keeping.Sent(request=7, attempt=0, worker="10.0.0.1:80"),
+    keeping.Sent(request=7, attempt=1, worker="w", waits=False),
+    keeping.Ended(request=7, attempt=0),
+    keeping.Over(request=7),
+)
+MESSAGES = (
+    keeping.Feed(epoch=3, keeper_life=2**40, witness=4, witness_life=2**41, oldest=1, first=9, entries=ENTRIES),
+    keeping.Feed(epoch=1, keeper_life=1, witness=-1, witness_life=0, oldest=1, first=1, entries=()),
+    keeping.Ack(epoch=3, upto=12),
+    keeping.NotYours(epoch=3),
+    keeping.Leave(epoch=3, witness_life=5),
+    keeping.Close(origin=4, life=2**41, epoch=3, witness_life=5),
+    keeping.Ruled(origin=4, life=2**41, epoch=3, closed=True),
+    keeping.Ruled(origin=0, life=1, epoch=3, closed=False),
+    keeping.Elsewhere(epoch=3, request=2**33),
+    keeping.Full(epoch=3, request=2**33),
+    keeping.Asked(name=b"the name"),
+    *(keeping.Settled(name=b"the name", word=word, data=b"answer" if word else b"") for word in keeping.Word),
+)
+
+
+def _feed(*entries: Any) -> keeping.Feed:
+    return keeping.Feed(epoch=2, keeper_life=5, witness=-1, witness_life=0, oldest=1, first=1, entries=entries)
+
+
+def replication_samples() -> dict[str, Sample]:
+    """Messages and entries of every kind."""
+    every = {f"message {number}": message for number, message in enumerate(MESSAGES)}
+    every |= {f"entry {number}": _feed(entry) for number, entry in enumerate(ENTRIES)}
+
+    def read(data: bytes) -> Any:
+        message = keeping.unpack(data)
+        return [keeping.pack(message).hex(), plain(message)]
+
+    return {name: Sample(lambda message=message: keeping.pack(message), read) for name, message in every.items()}
+
+
+def _gatekeeper(reactor: MemoryReactorClock | None = None, settings_more: str = "") -> Gatekeeper:
+    more = (
+        "members period 100ms\nkeepers lease 600ms\nseed 7\n"
+        "class order aim 4s deadline 8s worth 2 repeat keyed window 20s\n" + settings_more
+    )
+    text = SETTINGS.format(
+        number=0,
+        count=2,
+        room="a",
+        port=7001,
+        more=more,
+        pool="embedded 4 cores 4 service 1ms",
+        peers="peer 0 127.0.0.1:7001\npeer 1 127.0.0.1:7002",
+        routes="route POST /order class order pool main",
+    )
+    config = settings_read(text).config
+    reactor = reactor or MemoryReactorClock()
+    read = Reading(config, (), (), "digest", (config.routes,))
+    with mock.patch("secrets.token_hex", return_value=LIFE), mock.patch("secrets.randbits", return_value=7):
+        return Gatekeeper(at_once(next_steps(None, read)), reactor, lambda: 1e6 + reactor.seconds() * 1000)
+
+
+CALL = {
+    "method": "POST",
+    "path": "/order",
+    "body": "two\nlines",
+    "headers": {"X-Api-Key": "stall-7", "x-idempotency-key": "key-1"},
+}
+
+
+def _taken(ask: Callable[[Gatekeeper], Any]) -> Any:
+    """What a peer would be told of a request that comes in."""
+    made, out = _gatekeeper(), []
+    made.keepers.origin.take = lambda now, taken: bool(out.append(taken)) or True
+    ask(made)
+    return out[0]
+
+
+def _ask_own(made: Gatekeeper) -> None:
+    made.desk.ask(CALL, lambda answer: None)
+
+
+def _ask_proxied(made: Gatekeeper) -> None:
+    made.proxied.ask(
+        "request-1", lambda answer: None, "stall-7", "order", "wide", 1_004_000.0, 2.5, 1, 1, False, "h", "key-1"
+    )
+
+
+def _answer_read(data: bytes) -> Any:
+    answer = keepers.read(data)
+    rest = [answer.worker, answer.attempts, answer.refused, answer.retry_in_ms, answer.reason]
+    return [plain(answer.message), *rest]
+
+
+def _taken_over(data: bytes) -> Any:
+    """What a gatekeeper that takes a request over by its record goes on with, and under which mark of its content."""
+    made = _gatekeeper()
+    kept = Kept(request=9, bound=True, until_ms=1_005_000.0, name=b"the name", record=data, sent={1: (WORKER, 900.0)})
+    made.keepers._take_over(1, 101, kept)
+    inherited = made.keepers._inherited.get(b"the name")
+    if inherited is not None:
+        return [list(inherited.token), inherited.identity, list(inherited.terms), plain(inherited.sent)]
+    (entry,) = made.ledger.entries.values()
+    a, past = entry.arrival, entry.arrival.past
+    return [
+        [a.customer, a.class_name, a.plan_name, a.due_ms, a.units, a.first_gateway, a.spread],
+        [past.attempts, past.uncertain, past.server, past.server_ms, past.paid],
+        [entry.work.kind, entry.work.identity, entry.work.data],
+        b"the name" in made.keepers.returning,
+    ]
+
+
+def takeover_samples() -> dict[str, Sample]:
+    """Records of requests, and what becomes of them at the gatekeeper that takes over."""
+    return {
+        "own": Sample(lambda: _taken(_ask_own).record, _taken_over),
+        "proxied": Sample(lambda: _taken(_ask_proxied).record, _taken_over),
+    }
+
+
+def record_samples() -> dict[str, Sample]:
+    """What is kept of a request for the case that its gatekeeper is lost, of answers, and the short names."""
+    kinds = {"view": None, "order": None}
+    out = {}
+    for name, ask in (("own", _ask_own), ("proxied", _ask_proxied)):
+        out[f"record of a request, {name}"] = Sample(
+            lambda ask=ask: _taken(ask).record, lambda data: keepers.read_record(data, kinds)
+        )
+        out[f"entry of a request, {name}"] = Sample(
+            lambda ask=ask: keeping.pack(keeping.Feed(1, 2, -1, 0, 1, 1, (_taken(ask),))),
+            lambda data: plain(keeping.unpack(data)),
+        )
+    answers = {
+        "served": own.Answer(
+            message=http1.Message("", "", 201, {"a": "b"}, b"\0body", True), worker=WORKER, attempts=2
+        ),
+        "refused": own.Answer(refused=True, retry_in_ms=250.0, reason="quota"),
+        "failed": own.Answer(reason="failed"),
+    }
+    out |= {
+        f"answer, {name}": Sample(lambda answer=answer: keepers.written(answer), _answer_read)
+        for name, answer in answers.items()
+    }
+    job = own.Job("POST", "/order", {"x": "y"}, b"body")
+    out["name"] = Sample(lambda: returning.name_of("stall-7", "key-1", SECRET), bytes.hex)
+    out["mark of what is asked"] = Sample(lambda: keepers.mark_of(job), bytes.hex)
+    out["first gateways"] = Sample(
+        lambda: json.dumps([first_gateway(f"customer-{n}", SECRET, 1000) for n in range(8)]).encode(), json.loads
+    )
+    return out
+
+
+def sealed_samples() -> dict[str, Sample]:
+    """Authenticated datagrams: time and sequence are handed in, so all bytes are the same each time."""
+
+    def write(count: int, data: bytes) -> bytes:
+        seal = datagrams.Seal(SECRET, 3, 2**41 + 5)
+        return [seal.write(9, data, NOW_MS + 0.75) for _ in range(count)][-1]
+
+    def read(data: bytes) -> Any:
+        seal = datagrams.Seal(SECRET, 9, 1)
+        taken = seal.read(data, NOW_MS + 10.0)
+        return [plain(taken), seal.peers[3].incarnation, dict(seal.counts)]
+
+    return {"first": Sample(lambda: write(1, b"news"), read), "third": Sample(lambda: write(3, b""), read)}
+
+
+def _sealed_read(data: bytes) -> Any:
+    seal = datagrams.Seal(SECRET, 9, 1)
+    return [seal.read(data, NOW_MS + 10.0), dict(seal.counts)]
+
+
+def rejected_samples() -> dict[str, Sample]:
+    """What is not taken: of another version, kind or class, cut off, too long, forged, misdirected, too old."""
+    quota = quota_samples()["item of kind 1"].write()
+    reply = membership_traffic()[2]
+    feed, sealed = keeping.pack(MESSAGES[0]), sealed_samples()["first"].write()
+    kinds = {"order": None}
+    other, late = datagrams.Seal(SECRET, 3, 1), datagrams.Seal(SECRET, 3, 1)
+    made: dict[str, tuple[bytes, Callable[[bytes], Any]]] = {
+        "quota: version": (b"\x02" + quota[1:], messages.decode),
+        "quota: kind": (quota[:6] + b"\x07" + quota[7:], messages.decode),
+        "quota: cut off": (quota[:-1], messages.decode),
+        "quota: too long": (quota + bytes(255), messages.decode),
+        "membership: mark": (b"\x4e" + reply[1:], membership_read),
+        "membership: kind": (reply[:1] + b"\x09" + reply[2:], membership_read),
+        "membership: cut off": (reply[:-1], membership_read),
+        "replication: mark": (b"\x4c" + feed[1:], keeping.unpack),
+        "replication: kind": (feed[:1] + b"\x0b" + feed[2:], keeping.unpack),
+        "replication: cut off": (feed[:-1], keeping.unpack),
+        "replication: too long": (feed + b"x", keeping.unpack),
+        "replication: entry": (feed[:33] + b"\x05" + feed[34:], keeping.unpack),
+        "sealed: version": (b"\x02" + sealed[1:], _sealed_read),
+        "sealed: forged": (sealed[:-1] + b"x", _sealed_read),
+        "sealed: misdirected": (other.write(8, b"news", NOW_MS), _sealed_read),
+        "sealed: too old": (late.write(9, b"news", NOW_MS - 10_000.0), _sealed_read),
+        "record: version": (
+            b'[2,"own","","c","order","wide",1.0,0,1,{}]',
+            lambda data: keepers.read_record(data, kinds),
+        ),
+        "record: class": (b'[1,"own","","c","x","wide",1.0,0,1,{}]', lambda data: keepers.read_record(data, kinds)),
+        "record: too short": (
+            b'[1,"own","","c","order","wide",1.0,0,1]',
+            lambda data: keepers.read_record(data, kinds),
+        ),
+        "answer: no list": (b"{}", keepers.read),
+        "trace: version": (b"anisefront trace 2\n", lambda data: plain(trace.read(data))),
+        "trace: cut off": (trace.HEAD + b"AT\0", lambda data: plain(trace.read(data))),
+    }
+    return {name: Sample(lambda data=data: data, read) for name, (data, read) in made.items()}
+
+
+# ---- RESP and discovery --------------------------------------------------------------------------
+
+
+def _front(*commands: list[bytes], action: Any = None, worker: bytes = b"", raw: bytes = b"") -> tuple[bytes, bytes]:
+    """What a worker and a client are sent."""
+    house = House()
+    client = house.client()
+    house.say(client, *commands)
+    if raw:
+        client.protocol.dataReceived(raw)
+        house.turn()
+    if action is not None:
+        house.turn(action)
+    asked = b""
+    if worker:
+        link = house.worker()
+        asked = link.take()
+        link.protocol.dataReceived(worker)
+        house.turn()
+    return asked, client.take()
+
+
+def _commands(data: bytes) -> Any:
+    reader = resp.CommandReader()
+    return [plain(reader.feed(data)), reader.fault is None]
+
+
+def _wanted(data: bytes) -> Any:
+    (command,) = resp.CommandReader().feed(data)
+    wanted = terms.Reader(settings()).read(command)
+    return plain(wanted)
+
+
+def _answer(data: bytes) -> Any:
+    reader = resp.AnswerReader()
+    answer = reader.feed(data)
+    return [plain(answer), plain(outcome(answer)), plain(terms.report_row(answer.report, ("util", "inflight")))]
+
+
+def resp_samples() -> dict[str, Sample]:
+    """Commands of clients and to workers, answers of workers and to clients."""
+    go = Send(1, "s1", 400.0)
+    client = {
+        "served": _f(ASK, action=go, worker=SERVED),
+        "failed": _f(ASK, action=Fail(1)),
+        **{f"refused for {reason.value}": _f(ASK, action=Refuse(1, 120.4, reason)) for reason in Reason},
+        "refused without a time": _f(ASK, action=Refuse(1)),
+        "ping": _f([b"PING"]),
+        "ping with a text": _f([b"ping", b"x"]),
+        "client": _f([b"CLIENT", b"SETNAME", b"x"]),
+        "select": _f([b"SELECT", b"0"]),
+        "unknown": _f([b"GET", b"x"]),
+        "too few parts": _f([b"Q.ASK", b"x"]),
+        "bad customer": _f([b"Q.ASK", b"x", *ASK[2:]]),
+        "bad id": _f([*ASK[:2], b"x", ASK[3]]),
+        "no such class": _f([*ASK[:3], b"c=x,t=rated,d=1"]),
+        "term not known": _f([*ASK[:3], b"c=look,t=rated,d=1,z=1"]),
+        "wrong verb": _f([b"Q.DO", *ASK[1:]]),
+        "no such plan": _f([*ASK[:3], b"c=look,t=x,d=1"]),
+        "no key": _f([*DO[:3], b"c=book,t=rated,d=1"]),
+        "bad deadline": _f([*ASK[:3], b"c=look,t=rated,d=0"]),
+        "open id": _f(ASK, ASK, action=Refuse(1)),
+        "unreadable": _f(raw=b"GET / HTTP/1.1\r\n\r\n"),
+        "bad length": _f(raw=b"*1\r\n$x\r\n"),
+        "too many parts": _f(raw=b"*99\r\n"),
+    }
+    out = {f"to a client, {name}": Sample(lambda make=make: make()[1], bytes.hex) for name, make in client.items()}
+    worker = {"asked": _f(ASK, action=go, worker=SERVED), "done": _f(DO, action=go, worker=SERVED)}
+    out |= {f"to a worker, {name}": Sample(lambda make=make: make()[0], _wanted) for name, make in worker.items()}
+    out["commands"] = Sample(lambda: resp.command(ASK) + resp.command(DO) + resp.command([b"PING"]), _commands)
+    answers = {
+        "served": SERVED,
+        "busy": b"-BUSY util=0.5,inflight=3\r\n",
+        "failed": b"-ERR failed util=1,inflight=2\r\n",
+        "error not known": b"-ERR what\r\n",
+        "figures": b"*3\r\n$1\r\nx\r\n:5\r\n+util=1,inflight=2\r\n",
+    }
+    out |= {f"from a worker, {name}": Sample(lambda data=data: data, _answer) for name, data in answers.items()}
+    out["refusal"] = Sample(lambda: refusal(0.0) + refusal(0.2) + refusal(250.0) + FAILED, bytes.hex)
+    out["error of two lines"] = Sample(lambda: resp.error(b"ERR a\r\nb"), bytes.hex)
+    return out
+
+
+def _f(*commands: list[bytes], **more: Any) -> Callable[[], tuple[bytes, bytes]]:
+    return lambda: _front(*commands, **more)
+
+
+def _told(data: bytes) -> Any:
+    """What is known of the workers after the answer to a watch."""
+    reader, book, out = WatchReader(), Book(), []
+    for told in reader.feed(data):
+        fleet, moved = book.apply(told)
+        out.append([book.index, plain(fleet), moved, {name: list(each.address) for name, each in book.entries.items()}])
+    return out
+
+
+def discovery_samples() -> dict[str, Sample]:
+    """The request that opens a watch, and answers to it."""
+    request = Sample(lambda: watch_request(41, "127.0.0.1:8500"), lambda data: plain(http1.Reader(True).feed(data)[0]))
+    lines = [
+        json.dumps(each).encode() + b"\n"
+        for each in (
+            change(41, row("s1", "10.0.0.1:80"), row("s2", "10.0.0.2:80", since=7), snapshot=True),
+            change(42, row("s2", "10.0.0.2:81", status="leaving")),
+            change(43, row("s1", "10.0.0.1:80", status="left")),
+        )
+    ]
+    head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
+    answer = head + b"".join(b"%x\r\n%b\r\n" % (len(line), line) for line in lines)
+    return {"watch request": request, "changes": Sample(lambda: answer, _told)}
+
+
+# ---- JSON-RPC, gRPC, HTTP ------------------------------------------------------------------------
+
+OWN_ANSWERS = {
+    "served": own.Answer(
+        http1.Message("", "", 200, {"content-type": "text/plain"}, "gr\u00fc\u00df".encode(), True), WORKER, 2
+    ),
+    "served bytes": own.Answer(http1.Message("", "", 500, {}, b"\xff\0", True), WORKER, 1),
+    **{
+        f"refused for {reason}": own.Answer(refused=True, retry_in_ms=1234.5, reason=reason)
+        for reason in (
+            *(each.value for each in Reason),
+            "draining",
+            "held-requests",
+            "in-progress",
+            "another-request-under-this-name",
+        )
+    },
+    "failed": own.Answer(reason="failed"),
+    "ended elsewhere": own.Answer(reason="ended-elsewhere"),
+}
+CALL_LINE = {"jsonrpc": "2.0", "id": 1, "method": "call", "params": CALL}
+
+
+class _Transport(StringTransport):
+    def setTcpNoDelay(self, wanted: bool) -> None:
+        """Nothing to set."""
+
+    setTcpKeepAlive = setTcpNoDelay
+
+
+class _Own:
+    """Answers each request with the same."""
+
+    def __init__(self, answer: own.Answer) -> None:
+        self._answer = answer
+
+    def ask(self, job: Any, done: Callable[[Any], None], *more: Any) -> None:
+        done(self._answer)
+
+
+def _map(method: str, host: str, target: str, headers: dict) -> Any:
+    if target != "/order":
+        raise Unmapped(404, "no-route")
+    return SimpleNamespace(
+        target=target,
+        customer="stall-7",
+        class_name="order",
+        plan="wide",
+        deadline_ms=8000.0,
+        units=1.0,
+        is_repeat=False,
+    )
+
+
+def _router() -> Any:
+    return SimpleNamespace(map=_map)
+
+
+def _unmapped(method: str, path: str, headers: dict[str, str]) -> bytes:
+    """The status and the word for a request that no settings map."""
+    try:
+        _gatekeeper().router().map(method, "shop", path, headers)
+    except Unmapped as problem:
+        return f"{problem.status} {problem}".encode()
+    raise AssertionError("it is mapped")
+
+
+def _rpc(line: bytes, answer: own.Answer = OWN_ANSWERS["served"], draining: bool = False, most: int = 512) -> bytes:
+    """What a client gets for a line."""
+    reactor = MemoryReactorClock()
+    desk = jsonrpc.Desk(_router, _Own(answer), lambda: 1e6, lambda customer: (0, 1), lambda: {"state": "serving"})
+    desk.closing = draining
+    connection = jsonrpc.JsonRpcFactory(reactor, desk, most).buildProtocol(None)
+    transport = _Transport()
+    transport.unregisterProducer = transport.loseWriteConnection = lambda: None
+    connection.makeConnection(transport)
+    connection.dataReceived(line)
+    reactor.advance(0)
+    return transport.value()
+
+
+def jsonrpc_samples() -> dict[str, Sample]:
+    """Answers to calls: served, refused for every reason, failed, and to what is no call."""
+    call = json.dumps(CALL_LINE).encode() + b"\n"
+
+    def line(**more: Any) -> bytes:
+        return json.dumps(CALL_LINE | more).encode() + b"\n"
+
+    def params(**more: Any) -> bytes:
+        return line(params=CALL | more)
+
+    out = {name: (call, answer) for name, answer in OWN_ANSWERS.items()}
+    lines = {
+        "no JSON": b"{\n",
+        "empty batch": b"[]\n",
+        "no object": b"1\n",
+        "long batch": b"[" + b"1," * 256 + b"1]\n",
+        "no version": line(jsonrpc="1.0"),
+        "bad id": line(id=[1]),
+        "bad method": line(method=1),
+        "bad parameters": line(params=1),
+        "no such method": line(method="x"),
+        "state": line(method="state"),
+        "batch": b'[1,{"jsonrpc":"2.0","method":"call","params":' + json.dumps(CALL).encode() + b',"id":"a"}]\n',
+        "unmapped": params(path="/x"),
+        "no path": params(path="x"),
+        "parameter not known": params(x=1),
+        "no string": params(body=1),
+        "bad headers": params(headers=[]),
+        "parameters in an array": line(params=[]),
+        "header twice": params(headers={"a": "1", "A": "2"}),
+        "bad header": params(headers={"a b": "1"}),
+    }
+    samples = {name: Sample(lambda each=each: _rpc(*each), json.loads) for name, each in out.items()}
+    samples |= {name: Sample(lambda each=each: _rpc(each), json.loads) for name, each in lines.items()}
+    samples["draining"] = Sample(lambda: _rpc(call, draining=True), json.loads)
+    samples["too many connections"] = Sample(lambda: _rpc(b"", most=0), json.loads)
+    samples["calls that are read"] = Sample(
+        lambda: b"[%b,%b]" % (call.strip(), line(method=1).strip()), lambda data: plain(jsonrpc_wire.read(data))
+    )
+    return samples
+
+
+class _Call:
+    """Keeps what a gRPC method ends its call with."""
+
+    peer = "127.0.0.1"
+
+    def __init__(self) -> None:
+        self.message = b""
+
+    def finish(self, message: bytes) -> None:
+        self.message = message
+
+
+def _check(answer: proxied.Answer | None, path: str = "/order", draining: bool = False) -> bytes:
+    """The answer to an authorization check."""
+
+    def ask(request_id: str, reply: Callable[[Any], None], *more: Any) -> None:
+        reply(answer)
+
+    request = external_auth_pb2.CheckRequest()
+    http = request.attributes.request.http
+    http.method, http.path, http.host = "POST", path, "shop"
+    gate = authorization.Gate(_router, SimpleNamespace(ask=ask), lambda: 1e6, lambda customer: (0, 1))
+    gate.closing = draining
+    call = _Call()
+    gate.method()(call).message(request.SerializeToString())
+    return call.message
+
+
+def _response(data: bytes) -> Any:
+    return MessageToDict(external_auth_pb2.CheckResponse.FromString(data), preserving_proto_field_name=True)
+
+
+def authorization_samples() -> dict[str, Sample]:
+    """Allowed with the endpoint, refused for every reason, failed, unmapped."""
+    verdict, answer = proxied.Verdict, proxied.Answer
+    go = answer(verdict.GO, WORKER, 412.7, f"{LIFE}.17.0")
+    reasons = (*(each.value for each in Reason), "in-progress", "held-requests")
+    made = {
+        "allowed": lambda: _check(go),
+        "unmapped": lambda: _check(None, "/x"),
+        "draining": lambda: _check(None, draining=True),
+        "allowed with another path": lambda: authorization.allowed(go, "/normal"),
+        **{
+            f"failed: {reason}": lambda reason=reason: _check(answer(verdict.FAILED, reason=reason))
+            for reason in ("failed", "unknown-attempt")
+        },
+        **{
+            f"refused for {reason}": lambda reason=reason: _check(
+                answer(verdict.REFUSED, retry_in_ms=1234.5, reason=reason)
+            )
+            for reason in reasons
+        },
+        **{
+            f"denied with {status}": lambda status=status: authorization.denied(status, "why", {})
+            for status in (400, 401, 403, 404, 409, 429, 502, 503)
+        },
+    }
+    out = {name: Sample(write, _response) for name, write in made.items()}
+    out["method paths"] = Sample(lambda: b" ".join(sorted(_gatekeeper().grpc.methods)), bytes.decode)
+    unmapped = {
+        "no route": ("GET", "/x", {}),
+        "no key": ("POST", "/order", {}),
+        "unclear path": ("POST", "/order/%2e%2e/%00", {"x-api-key": "stall-7"}),
+    }
+    return out | {
+        f"unmapped: {name}": Sample(lambda each=each: _unmapped(*each), bytes.decode) for name, each in unmapped.items()
+    }
+
+
+class _Logged:
+    """Keeps what is made of a proxy's log entries."""
+
+    def __init__(self) -> None:
+        self.seen: list[Any] = []
+
+    def log(self, token: str, result: Result, *more: Any) -> bool:
+        self.seen.append([token, result.value, *plain(more)])
+        return True
+
+    def log_unsent(self, *which: str) -> bool:
+        self.seen.append(list(which))
+        return True
+
+
+def _log_message(entries: list[Any]) -> bytes:
+    return als_pb2.StreamAccessLogsMessage(http_logs={"log_entry": entries}).SerializeToString()
+
+
+def _entry(status: int, flag: str = "", **headers: str) -> Any:
+    """An entry of a proxy's log for an attempt that took 12.5 ms."""
+    entry = accesslog_pb2.HTTPAccessLogEntry()
+    entry.request.request_headers["x-anisefront-attempt"] = f"{LIFE}.17.0"
+    entry.response.response_code.value = status
+    common = entry.common_properties
+    common.time_to_first_upstream_tx_byte.FromMicroseconds(1000)
+    common.time_to_last_upstream_rx_byte.FromMicroseconds(13_500)
+    for name, value in headers.items():
+        entry.response.response_headers[name.replace("_", "-")] = value
+    if flag == "unauthorized_details":
+        common.response_flags.unauthorized_details.SetInParent()
+    elif flag:
+        setattr(common.response_flags, flag, True)
+    return entry
+
+
+def _log_read(data: bytes) -> Any:
+    seen = _Logged()
+    accesslog.method(seen, REPORTED)(_Call()).message(data)
+    return seen.seen
+
+
+def access_log_samples() -> dict[str, Sample]:
+    """What a proxy's log entries say of attempts: statuses, the sign of an overloaded worker, every response flag."""
+    unsent = accesslog_pb2.HTTPAccessLogEntry()
+    unsent.request.request_id = "request-1"
+    unsent.common_properties.response_flags.unauthorized_details.SetInParent()
+    unsent.response.response_code_details = "ext_authz_error"
+    flags = sorted(field.name for field in accesslog_pb2.ResponseFlags.DESCRIPTOR.fields)
+    entries = {
+        "statuses": [_entry(status) for status in (0, 200, 404, 429, 500, 503)],
+        "overloaded": [_entry(status, x_envoy_overloaded="true") for status in (200, 429, 500, 503)],
+        "reports": [_entry(200, endpoint_load_metrics="TEXT cpu_utilization=0.5, named_metrics.inflight=3")],
+        "flags": [_entry(503, flag) for flag in flags],
+        "not sent": [unsent],
+    }
+    return {name: Sample(lambda rows=rows: _log_message(rows), _log_read) for name, rows in entries.items()}
+
+
+def _grpc(path: str, message: bytes | None, *, change: Any = None, **headers: str) -> bytes:
+    """All bytes of the server's side of a connection with one call."""
+    reactor, state = MemoryReactorClock(), health.Health(("one",))
+    connection = GrpcFactory(reactor, state.methods()).buildProtocol(None)
+    transport = _Transport()
+    connection.makeConnection(transport)
+    client = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
+    client.initiate_connection()
+    client.send_headers(
+        1,
+        [
+            (":method", "POST"),
+            (":scheme", "http"),
+            (":authority", "x"),
+            (":path", path),
+            ("content-type", "application/grpc"),
+            ("te", "trailers"),
+            *((name.replace("_", "-"), value) for name, value in headers.items()),
+        ],
+    )
+    client.send_data(1, b"" if message is None else grpc.pack(message), end_stream=change is None)
+    connection.dataReceived(client.data_to_send())
+    reactor.advance(0)
+    if change is not None:
+        state.set_all(change)
+        reactor.advance(0)
+    connection.connectionLost()
+    return transport.value()
+
+
+def _frames(data: bytes) -> Any:
+    """What a client of another make reads."""
+    client = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
+    client.initiate_connection()
+    client.send_headers(1, [(":method", "POST"), (":scheme", "http"), (":authority", "x"), (":path", "/")])
+    out = []
+    for event in client.receive_data(data):
+        if hasattr(event, "headers"):
+            out.append([[name.decode(), value.decode()] for name, value in event.headers])
+        elif hasattr(event, "data"):
+            out.append(event.data.hex())
+    return out
+
+
+def grpc_samples() -> dict[str, Sample]:
+    """Health checks and watches as frames, calls that end with another status, and the framing of messages."""
+    check, watch = "/grpc.health.v1.Health/Check", "/grpc.health.v1.Health/Watch"
+    made = {
+        "health of the server": (check, b""),
+        "health of a service": (check, b"\x0a\x03one"),
+        "health of a service not known": (check, b"\x0a\x01x"),
+        "no message": (check, None),
+        "unreadable message": (check, b"\x0a\x7f"),
+        "no such method": ("/a.B/C", b""),
+    }
+    out = {name: Sample(lambda each=each: _grpc(*each), _frames) for name, each in made.items()}
+    out["health watched"] = Sample(lambda: _grpc(watch, b"", change=health.Serving.NOT_SERVING), _frames)
+    out["health of a service not known, watched"] = Sample(
+        lambda: _grpc(watch, b"\x0a\x01x", change=health.Serving.NOT_SERVING), _frames
+    )
+    out["bad time-out"] = Sample(lambda: _grpc(check, b"", grpc_timeout="x"), _frames)
+    out["message"] = Sample(lambda: grpc.pack(b"message"), lambda data: plain(grpc.Unpacker(100).feed(data)))
+    out |= {
+        f"trailers of status {int(status)}": Sample(
+            lambda status=status: grpc.trailers(status, "50% \u00fc"), bytes.hex
+        )
+        for status in grpc.Status
+    }
+    out["only trailers"] = Sample(lambda: grpc.only_trailers(grpc.Status.UNAVAILABLE, "why"), bytes.hex)
+    out["time-outs"] = Sample(
+        lambda: b"1H 2M 3S 4m 5u 6n", lambda data: [grpc.timeout_ms(each) for each in data.split()]
+    )
+    return out
+
+
+def _orca(headers: dict[str, str]) -> Sample:
+    return Sample(
+        lambda: json.dumps(headers).encode(),
+        lambda data: [orca.read(json.loads(data)), plain(orca.row(orca.read(json.loads(data)), REPORTED))],
+    )
+
+
+def http_samples() -> dict[str, Sample]:
+    """Requests and responses that are written, and load reports that are read."""
+    carrier = own.Own(SimpleNamespace(), SimpleNamespace(), LIFE, REPORTED)
+    job = own.Job("POST", "/order?a=b", {"x-idempotency-key": "key-1"}, b"two\nlines")
+
+    def attempt(job: own.Job) -> bytes:
+        return carrier.written(SimpleNamespace(job=job), "17.0", WORKER, 400.0)[0]
+
+    def read(requests: bool) -> Callable[[bytes], Any]:
+        return lambda data: [plain(each) for each in http1.Reader(requests).feed(data)]
+
+    made = {
+        "attempt": lambda: attempt(job),
+        "attempt of HEAD": lambda: attempt(own.Job("HEAD", "/", {}, b"")),
+        "request with an empty body": lambda: http1.request("PUT", "/", {"host": "x"}),
+        "request without a body": lambda: http1.request("GET", "/", {"host": "x", "content-length": "9"}),
+    }
+    out = {name: Sample(write, read(True)) for name, write in made.items()}
+    out |= {
+        f"response {status}": Sample(lambda status=status: http1.response(status, {"a": "b"}, b"body"), read(False))
+        for status in (*sorted(http1.REASONS), 418)
+    }
+    out |= {
+        "report as text": _orca({"endpoint-load-metrics": "TEXT cpu_utilization=0.5, named_metrics.inflight=3"}),
+        "report as JSON": _orca(
+            {
+                "endpoint-load-metrics": 'JSON {"cpu_utilization": 0.5, "eps": 1, '
+                '"named_metrics": {"inflight": 3, "queue": 4}}'
+            }
+        ),
+        "report as bytes": _orca({"endpoint-load-metrics-bin": "CQAAAAAAAOA/QhMKCGluZmxpZ2h0EQAAAAAAAAhA"}),
+        "report that can't be read": _orca({"endpoint-load-metrics": "XML <a/>"}),
+    }
+    return out
+
+
+# ---- what is kept and shown ----------------------------------------------------------------------
+
+RECORDED = (
+    Fleet((Server(WORKER, "a", 1, State.READY), Server("10.0.0.2:8080", "b", 0, State.DRAINING, 1.0, 5.0))),
+    Arrival(1, "stall-7", "order", "wide", 1_004_000.0, 2.5, 1, 2, True, False),
+    Arrival(2, "", "view", "wide", 1e6),
+    Send(1, WORKER, 400.0),
+    Outcome(1, 0, WORKER, 12.345, Result.FULL, False),
+    Refuse(1, 10.0, Reason.QUOTA),
+    Send(2, WORKER, 400.0),
+    Outcome(2, 0, WORKER, 3.0, Result.OK, True),
+    Fail(3),
+    ClientGone(4),
+    *(Outcome(5, number, WORKER, 1.0, result, False) for number, result in enumerate(Result)),
+    *(Refuse(6, 0.0, reason) for reason in Reason),
+    Fleet((), failed=True),
+)
+
+
+def recorded_file() -> bytes:
+    """The file of a recorder that saw one of each kind."""
+    with tempfile.TemporaryDirectory() as folder:
+        path = str(pathlib.Path(folder) / "trace")
+        recorder = Recorder(Recording(path, 1 << 20, 2, b"key"), 3, LIFE, 1e6)
+        for number, thing in enumerate(RECORDED):
+            recorder.see(1e6 + number * 1.125, thing)
+            if number == 5:
+                recorder.flush()
+        recorder.flush()
+        return pathlib.Path(path).read_bytes()
+
+
+def unpacked(data: bytes) -> bytes:
+    """The file with its blocks unpacked: which bytes a list is packed to is a matter of the library's version."""
+    head, at = data.index(b"\n") + 1, data.index(b"\n") + 1
+    out = data[:head]
+    while at < len(data):
+        mark, size, check = struct.unpack_from(">2sLL", data, at)
+        packed = data[at + 10 : at + 10 + size]
+        assert len(packed) == size and zlib.crc32(packed) == check
+        out += mark + zlib.decompress(packed) + b"\n"
+        at += 10 + size
+    return out
+
+
+def trace_samples() -> dict[str, Sample]:
+    """A recorded trace, and the stand-in of a customer's name in it."""
+    return {
+        "file": Sample(recorded_file, lambda data: plain(trace.read(data)), unpacked),
+        "text of the file": Sample(lambda: unpacked(recorded_file()), bytes.hex),
+        "pseudonym": Sample(lambda: trace.pseudonym(b"key", "stall-7").encode(), bytes.decode),
+    }
+
+
+def state_at_work() -> dict[str, Any]:
+    """The report of a gatekeeper that records, has a peer and open requests, and heard what it can't take."""
+    reactor = MemoryReactorClock()
+    with tempfile.TemporaryDirectory() as folder:
+        made = _gatekeeper(reactor, f'record "{folder}/trace" key "sixteen bytes at least"\n')
+    life, peer = int(NOW_MS), datagrams.Seal(SECRET, 1, int(NOW_MS))
+    made.peer_port.transport = SimpleNamespace(write=lambda data, address: None)
+    made.members.start()
+    made.ledger.roster(Fleet((Server(WORKER, "a", 0, State.READY),)))
+    for data in (membership_traffic()[1], keeping.pack(keeping.Ack(1, 1)), b"K", b"M", messages.encode(1, 1, [], [])):
+        with mock.patch("time.time", return_value=NOW_MS / 1000):
+            made.peer_port.datagramReceived(peer.write(0, data, NOW_MS), ("127.0.0.1", 7002))
+    made.peer_port.datagramReceived(b"x", ("127.0.0.1", 7002))
+    reactor.advance(0.01)
+    assert made.seal.peers[1].incarnation == life
+    for number in range(3):
+        made.desk.ask(
+            CALL | {"headers": {"x-api-key": "stall-7", "x-idempotency-key": f"key-{number}"}}, lambda answer: None
+        )
+    made.proxied.ask_again("x", lambda answer: None)
+    made.keepers.members([membership.Change(_row(1, life, 0, 0), None)])
+    reactor.advance(0.2)
+    return made.state()
+
+
+def node_state() -> dict[str, Any]:
+    """The report of a gatekeeper of the platform that has served a request, refused one and heard what is none."""
+    reactor = MemoryReactorClock()
+    known = change(41, row("s1", "127.0.0.1:7001"), snapshot=True)
+    own_settings = WIRE_SETTINGS | {"balancers": 1, "myNumber": 0}
+    made = NodeGatekeeper(
+        node_config(found(settings=own_settings, known=known, peers=[], peer_listen=None), {}),
+        reactor,
+        lambda: 1e6 + reactor.seconds() * 1000,
+    )
+    made.prepare()
+    client = House.worker_transport(made.front)
+    terms_ = b"c=look,t=rated,d=480"
+    client.protocol.dataReceived(resp.command([*ASK[:3], terms_]) + resp.command([b"GET", b"x"]))
+    reactor.advance(0.01)
+    worker = House.worker_transport(reactor.tcpClients[-1][2])
+    worker.protocol.dataReceived(SERVED.replace(b",x", b"").replace(b"$22", b"$20"))
+    reactor.advance(0.05)
+    assert client.take().startswith(b"$5")
+    return made.state()
+
+
+def _lag() -> dict[str, Any]:
+    lag = Lag()
+    for late in (0.1, 3.0, 30.0, 300.0, 3000.0, 30_000.0, 300_000.0):
+        lag.take(late, None)
+    return lag.report()
+
+
+def _shown(make: Callable[[], Any]) -> Sample:
+    return Sample(lambda: json.dumps(make(), indent=1).encode(), json.loads)
+
+
+def state_samples() -> dict[str, Sample]:
+    """Keys, nesting and types of the state reports, and one histogram as it is."""
+    return {
+        "fresh": _shown(lambda: shape(_gatekeeper().state())),
+        "at work": _shown(lambda: shape(state_at_work())),
+        "platform": _shown(lambda: shape(node_state())),
+        "lateness": _shown(_lag),
+    }
+
+
+GROUPS = {
+    "quota": quota_samples,
+    "membership": membership_samples,
+    "replication": replication_samples,
+    "record": record_samples,
+    "takeover": takeover_samples,
+    "rejected": rejected_samples,
+    "sealed": sealed_samples,
+    "resp": resp_samples,
+    "discovery": discovery_samples,
+    "jsonrpc": jsonrpc_samples,
+    "authorization": authorization_samples,
+    "grpc": grpc_samples,
+    "access-log": access_log_samples,
+    "http": http_samples,
+    "trace": trace_samples,
+    "state": state_samples,
+}
+
+
+def recorded(group: str, folder: pathlib.Path = FOLDER) -> dict[str, tuple[bytes, Any]]:
+    """The bytes and the values of each sample of a group, as they were recorded."""
+    rows = json.loads((folder / f"{group}.json").read_text())
+    return {
+        name: (bytes.fromhex(row["hex"]) if "hex" in row else row["text"].encode(), row["values"])
+        for name, row in rows.items()
+    }
+
+
+def record(group: str, folder: pathlib.Path = FOLDER) -> None:
+    """Record a group. `FileExistsError` where it has been: what is recorded stays."""
+    rows = []
+    for name, sample in GROUPS[group]().items():
+        data = sample.write()
+        shown = (
+            {"text": data.decode()}
+            if all(byte in b"\r\n" or 32 <= byte < 127 for byte in data)
+            else {"hex": data.hex()}
+        )
+        rows.append(f"{json.dumps(name)}: {json.dumps(shown | {'values': sample.read(data)})}")
+    with open(folder / f"{group}.json", "x") as file:
+        file.write("{\n" + ",\n".join(rows) + "\n}\n")
+
+
+if __name__ == "__main__":
+    for each in sys.argv[1:]:
+        record(each)
