--- a/Makefile
+++ b/Makefile
@@ -13,6 +13,7 @@
 	$(RUN) -m pytest -q
 
 lint: .venv/made
+	$(RUN) -m ruff format --check .
 	$(RUN) -m ruff check .
 
 day: .venv/made
