--- a/anisefront/carriers/own.py
+++ b/anisefront/carriers/own.py
@@ -11,7 +11,8 @@
 from anisefront.carriers.pool import Pool
 from anisefront.carriers.pooled import Open, Pooled
 from anisefront.core.ledger import Ledger, Work
-from anisefront.policy.interface import Arrival, Past, Reason, Result
+from anisefront.policy.actions import RejectionReason
+from anisefront.policy.events import Arrival, AttemptResult, PriorAttempts
 from anisefront.wire import http1, orca
 
 
@@ -33,7 +34,7 @@
     worker: str = ""
     attempts: int = 0
     refused: bool = False
-    retry_in_ms: float = 0.0
+    retry_after_ms: float = 0.0
     reason: str = ""
 
 
@@ -45,7 +46,7 @@
         customer: str,
         identity: str,
         class_name: str,
-        due_ms: float,
+        deadline_at_ms: float,
         job: Job,
         done: Callable[[Answer], None],
         go_on: Callable[[], None],
@@ -56,7 +57,7 @@
         self,
         customer: str,
         identity: str,
-        due_ms: float,
+        deadline_at_ms: float,
         job: Job,
         done: Callable[[Answer], None],
         go_on: Callable[[], None],
@@ -73,9 +74,9 @@
 class Own(Pooled):
     """The carrier for requests whose attempts we make."""
 
-    def __init__(self, ledger: Ledger, pool: Pool, life: str, report_fields: tuple[str, ...]) -> None:
+    def __init__(self, ledger: Ledger, pool: Pool, life: str, load_report_fields: tuple[str, ...]) -> None:
         super().__init__(ledger, pool)
-        self._life, self._fields = life, report_fields
+        self._life, self._fields = life, load_report_fields
         self.returning: Joins | None = None
 
     def ask(
@@ -85,35 +86,35 @@
         customer: str,
         class_name: str,
         plan_name: str,
-        due_ms: float,
+        deadline_at_ms: float,
         units: float,
         first_gateway: int,
         spread: int,
-        is_repeat: bool,
+        is_retry: bool,
     ) -> int | None:
         """Take a request in. `done` hears its one final answer; the number is for `withdraw`."""
 
-        def take(past: Past | None = None) -> int | None:
+        def take(prior_attempts: PriorAttempts | None = None) -> int | None:
             return self._take(
                 job,
                 done,
                 customer,
                 class_name,
                 plan_name,
-                due_ms,
+                deadline_at_ms,
                 units,
                 first_gateway,
                 spread,
-                is_repeat,
+                is_retry,
                 identity,
-                past,
+                prior_attempts,
             )
 
         identity = job.headers.get("x-idempotency-key") or job.headers.get("x-request-id", "")
         joined = (
             self.returning is not None
             and identity
-            and self.returning.joins(customer, identity, class_name, due_ms, job, done, take)
+            and self.returning.joins(customer, identity, class_name, deadline_at_ms, job, done, take)
         )
         return None if joined else take()
 
@@ -124,16 +125,27 @@
         customer: str,
         class_name: str,
         plan_name: str,
-        due_ms: float,
+        deadline_at_ms: float,
         units: float,
         first_gateway: int,
         spread: int,
         identity: str,
-        past: Past,
+        prior_attempts: PriorAttempts,
     ) -> None:
         """A request that another gatekeeper had before. `done` hears its one final answer."""
         self._take(
-            job, done, customer, class_name, plan_name, due_ms, units, first_gateway, spread, False, identity, past
+            job,
+            done,
+            customer,
+            class_name,
+            plan_name,
+            deadline_at_ms,
+            units,
+            first_gateway,
+            spread,
+            False,
+            identity,
+            prior_attempts,
         )
 
     def _take(
@@ -143,13 +155,13 @@
         customer: str,
         class_name: str,
         plan_name: str,
-        due_ms: float,
+        deadline_at_ms: float,
         units: float,
         first_gateway: int,
         spread: int,
-        is_repeat: bool,
+        is_retry: bool,
         identity: str,
-        past: Past | None,
+        prior_attempts: PriorAttempts | None,
     ) -> int | None:
         work = None
         if self.returning is not None:
@@ -164,18 +176,28 @@
                 },
             )
         number = self._ledger.accept(
-            self, customer, class_name, plan_name, due_ms, units, first_gateway, spread, is_repeat, past=past, work=work
+            self,
+            customer,
+            class_name,
+            plan_name,
+            deadline_at_ms,
+            units,
+            first_gateway,
+            spread,
+            is_retry,
+            prior_attempts=prior_attempts,
+            work=work,
         )
         if number is None:
             # What was sent before may have run: then nothing may be promised.
             done(
                 Answer(reason="failed")
-                if past is not None and past.uncertain
-                else Answer(refused=True, retry_in_ms=1000.0, reason="held-requests")
+                if prior_attempts is not None and prior_attempts.uncertain
+                else Answer(refused=True, retry_after_ms=1000.0, reason="held-requests")
             )
             return None
         opened = self.open[number] = _Open(job, done)
-        opened.attempts = past.attempts if past is not None else 0
+        opened.attempts = prior_attempts.attempts if prior_attempts is not None else 0
         return number
 
     def stand_back(self, arrival: Arrival, identity: str) -> None:
@@ -192,24 +214,24 @@
                 arrival.customer,
                 arrival.class_name,
                 arrival.plan_name,
-                arrival.due_ms,
+                arrival.deadline_at_ms,
                 arrival.units,
                 arrival.first_gateway,
                 arrival.spread,
-                arrival.is_repeat,
+                arrival.is_retry,
                 identity,
-                arrival.past,
+                arrival.prior_attempts,
             )
 
-        self.returning.waits(arrival.customer, identity, arrival.due_ms, opened.job, opened.done, again)
+        self.returning.waits(arrival.customer, identity, arrival.deadline_at_ms, opened.job, opened.done, again)
 
-    def written(self, entry: _Open, name: str, worker: str, allow_ms: float) -> tuple[bytes, bool]:
+    def written(self, entry: _Open, name: str, worker: str, timeout_ms: float) -> tuple[bytes, bool]:
         """An HTTP/1.1 request."""
         job = entry.job
         headers = {"host": worker, **job.headers, "x-anisefront-attempt": f"{self._life}.{name}"}
         return http1.request(job.method, job.target, headers, job.body), job.method == "HEAD"
 
-    def read(self, answer: http1.Message) -> tuple[Result, tuple[float, ...]]:
+    def read(self, answer: http1.Message) -> tuple[AttemptResult, tuple[float, ...]]:
         """By status and headers."""
         return of_answer(answer.status, answer.headers), orca.row(orca.read(answer.headers), self._fields)
 
@@ -217,9 +239,9 @@
         """Final: the worker's answer."""
         entry.done(Answer(answer, worker, entry.attempts))
 
-    def refuse(self, request: int, retry_in_ms: float, reason: Reason) -> None:
+    def refuse(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
         """Final: not done, safe to try again."""
-        self._final(request, Answer(refused=True, retry_in_ms=retry_in_ms, reason=reason.value))
+        self._final(request, Answer(refused=True, retry_after_ms=retry_after_ms, reason=reason.value))
 
     def fail(self, request: int) -> None:
         """Final: no promise."""
--- a/anisefront/carriers/pool.py
+++ b/anisefront/carriers/pool.py
@@ -19,9 +19,9 @@
 from twisted.python.failure import Failure
 
 from anisefront.carriers.http import HttpAnswers
-from anisefront.policy.interface import Result
+from anisefront.policy.events import AttemptResult
 
-Done = Callable[[Result | None, Any], None]  # a result where no whole answer came, else the answer
+Done = Callable[[AttemptResult | None, Any], None]  # a result where no whole answer came, else the answer
 
 
 class Answers(Protocol):
@@ -103,13 +103,13 @@
             # Danger: what came between the look at an idle connection and the write would pass for the answer to a
             # command that its worker has not read.
             self.pool.counts["unasked"] += 1
-            self._give_up(exchange, Result.CONNECT_FAILED)
+            self._give_up(exchange, AttemptResult.CONNECT_FAILED)
             return
         try:
             found = self.answers.feed(data)
         except self.answers.fault:
             self.pool.counts["spoilt"] += 1
-            self._give_up(exchange, Result.ERROR)
+            self._give_up(exchange, AttemptResult.ERROR)
             return
         if found is None:
             if self.pool.limits.stall_s:
@@ -123,7 +123,7 @@
             self.transport.loseConnection()
         exchange.finish(None, found[0])
 
-    def _give_up(self, exchange: Exchange, result: Result) -> None:
+    def _give_up(self, exchange: Exchange, result: AttemptResult) -> None:
         self._unwatch()
         self.exchange = None
         self.transport.abortConnection()
@@ -143,7 +143,7 @@
     def _stalled(self) -> None:
         if self.exchange is not None:
             self.pool.counts["stalled"] += 1
-            self._give_up(self.exchange, Result.ERROR)
+            self._give_up(self.exchange, AttemptResult.ERROR)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
         self._unwatch()
@@ -156,7 +156,7 @@
         if whole is not None:
             exchange.finish(None, whole)
         else:
-            exchange.finish(Result.CONNECT_FAILED if self.writing else Result.RESET, None)
+            exchange.finish(AttemptResult.CONNECT_FAILED if self.writing else AttemptResult.RESET, None)
 
     def dead(self) -> bool:
         """Whether the other side has closed or said more, though the event loop has not told yet."""
@@ -184,7 +184,7 @@
         self._pool, self._worker, self._data, self._done = pool, worker, data, done
         self._head_only, self._may_begin, self._client = head_only, may_begin, None
         self._stop_connecting: Callable[[], object] | None = None  # while we are
-        self._timer = pool.reactor.callLater(max(0.001, allow_s), self._end, Result.TIMEOUT)
+        self._timer = pool.reactor.callLater(max(0.001, allow_s), self._end, AttemptResult.TIMEOUT)
 
     def start(self) -> None:
         client = self._pool.take(self._worker)
@@ -194,7 +194,7 @@
         address = self._pool.address_of(self._worker)
         if address is None or not self._pool.make_room():
             self._pool.counts["no_room" if address else "no_address"] += 1
-            self._pool.reactor.callLater(0, self.finish, Result.MOOT, None)  # the caller has not got us yet
+            self._pool.reactor.callLater(0, self.finish, AttemptResult.DISCARDED, None)  # the caller has not got us yet
             return
         self._stop_connecting = self._pool.connect(address, _Factory(self._pool, self._worker, address, self))
 
@@ -209,7 +209,9 @@
         if moved or not self._may_begin():
             self._pool.counts["not_begun"] += 1
             client.transport.loseConnection()
-            self._pool.reactor.callLater(0, self.finish, Result.MOOT, None)  # the caller may not have got us yet
+            self._pool.reactor.callLater(
+                0, self.finish, AttemptResult.DISCARDED, None
+            )  # the caller may not have got us yet
             return
         self._client, client.exchange = client, self
         client.answers.begin(self._head_only)
@@ -218,27 +220,27 @@
     def unconnected(self) -> None:
         """No connection came up: nothing was written."""
         self._stop_connecting = None
-        self.finish(Result.CONNECT_FAILED, None)
+        self.finish(AttemptResult.CONNECT_FAILED, None)
 
     def cancel(self) -> None:
         """Give it up; the connection, if there is one, is closed."""
-        self._end(Result.CANCELLED)
+        self._end(AttemptResult.CANCELLED)
 
-    def _end(self, result: Result) -> None:
+    def _end(self, result: AttemptResult) -> None:
         stop, client = self._stop_connecting, self._client
         self._stop_connecting = self._client = None
         if stop is not None:  # nothing was written
-            self.finish(Result.CONNECT_FAILED if result is Result.TIMEOUT else result, None)
+            self.finish(AttemptResult.CONNECT_FAILED if result is AttemptResult.TIMEOUT else result, None)
             stop()
             return
         if client is not None and client.exchange is self:
             client.exchange = None
-            if client.writing and result is Result.TIMEOUT:
-                result = Result.CONNECT_FAILED
+            if client.writing and result is AttemptResult.TIMEOUT:
+                result = AttemptResult.CONNECT_FAILED
             client.transport.abortConnection()
         self.finish(result, None)
 
-    def finish(self, result: Result | None, answer: Any) -> None:
+    def finish(self, result: AttemptResult | None, answer: Any) -> None:
         """The end: the answer, or how it failed."""
         done, self._done = self._done, None
         if self._timer.active():
--- a/anisefront/carriers/pooled.py
+++ b/anisefront/carriers/pooled.py
@@ -7,7 +7,7 @@
 
 from anisefront.carriers.pool import Exchange, Pool
 from anisefront.core.ledger import Ledger
-from anisefront.policy.interface import Result
+from anisefront.policy.events import AttemptResult
 
 
 @dataclass(slots=True, eq=False)
@@ -25,11 +25,11 @@
         self.open: dict[int, Any] = {}  # `Open` of the kind, by number
         self._exchanges: dict[tuple[int, int], Exchange] = {}  # copies outlive the answer until called off
 
-    def written(self, entry: Any, name: str, worker: str, allow_ms: float) -> tuple[bytes, bool]:
+    def written(self, entry: Any, name: str, worker: str, timeout_ms: float) -> tuple[bytes, bool]:
         """The request of the attempt that is called `name`, and whether its answer has a head only."""
         raise NotImplementedError
 
-    def read(self, answer: Any) -> tuple[Result, tuple[float, ...]]:
+    def read(self, answer: Any) -> tuple[AttemptResult, tuple[float, ...]]:
         """What a whole answer proves, and the load report in it."""
         raise NotImplementedError
 
@@ -46,26 +46,26 @@
         if self.close(number) is not None:
             self._ledger.leave(number)
 
-    def send(self, request: int, attempt: int, worker: str, allow_ms: float) -> None:
+    def send(self, request: int, attempt: int, worker: str, timeout_ms: float) -> None:
         """One attempt over a connection of the pool."""
         entry = self.open.get(request)
         if entry is None:
-            self._ledger.outcome(request, attempt, Result.MOOT, 0.0)
+            self._ledger.outcome(request, attempt, AttemptResult.DISCARDED, 0.0)
             return
         entry.attempts += 1
-        data, head_only = self.written(entry, f"{request}.{attempt}", worker, allow_ms)
+        data, head_only = self.written(entry, f"{request}.{attempt}", worker, timeout_ms)
 
-        def ended(result: Result | None, answer: Any) -> None:
+        def ended(result: AttemptResult | None, answer: Any) -> None:
             self._ended(request, attempt, worker, result, answer)
 
         def may_begin() -> bool:
             return self._ledger.may_begin(request, attempt) and not self.left(entry)
 
         self._exchanges[request, attempt] = self._pool.request(
-            worker, data, allow_ms / 1000, ended, head_only, may_begin
+            worker, data, timeout_ms / 1000, ended, head_only, may_begin
         )
 
-    def _ended(self, request: int, attempt: int, worker: str, result: Result | None, answer: Any) -> None:
+    def _ended(self, request: int, attempt: int, worker: str, result: AttemptResult | None, answer: Any) -> None:
         load: tuple[float, ...] = ()
         if answer is not None:
             result, load = self.read(answer)
--- a/anisefront/carriers/proxied.py
+++ b/anisefront/carriers/proxied.py
@@ -17,7 +17,8 @@
 from enum import Enum
 
 from anisefront.core.ledger import Ledger, Timers, Work
-from anisefront.policy.interface import Arrival, Past, Reason, Result
+from anisefront.policy.actions import RejectionReason
+from anisefront.policy.events import Arrival, AttemptResult, PriorAttempts
 
 
 class Verdict(Enum):
@@ -34,9 +35,9 @@
 
     verdict: Verdict
     worker: str = ""
-    allow_ms: float = 0.0
+    timeout_ms: float = 0.0
     attempt: str = ""
-    retry_in_ms: float = 0.0
+    retry_after_ms: float = 0.0
     reason: str = ""
 
 
@@ -67,7 +68,7 @@
     token: tuple[str, int]  # the life and the number by which the proxy knows it
     identity: str
     terms: tuple[str, str, str, float, float, int, int]  # customer, class, plan, due, units, first gateway, spread
-    past: Past
+    prior_attempts: PriorAttempts
     sent: dict[int, tuple[str, float]]  # attempts that may have run: where, and since when
     reply: Reply | None = None  # a proxy that is ahead of its log
     waits: bool = True  # nobody has come back for it yet, and its time is not over
@@ -107,11 +108,11 @@
         customer: str,
         class_name: str,
         plan_name: str,
-        due_ms: float,
+        deadline_at_ms: float,
         units: float,
         first_gateway: int,
         spread: int,
-        is_repeat: bool,
+        is_retry: bool,
         peer: str = "",
         identity: str = "",
     ) -> int | None:
@@ -129,13 +130,13 @@
             self.counts["same_id_twice"] += 1
             if customer in of_id:
                 self.exchanges[of_id[customer]].contested = True
-            reply(Answer(Verdict.REFUSED, retry_in_ms=1000.0, reason="in-progress"))
+            reply(Answer(Verdict.REFUSED, retry_after_ms=1000.0, reason="in-progress"))
             return None
         number = self._accept(
-            identity, customer, class_name, plan_name, due_ms, units, first_gateway, spread, is_repeat
+            identity, customer, class_name, plan_name, deadline_at_ms, units, first_gateway, spread, is_retry
         )
         if number is None:
-            reply(Answer(Verdict.REFUSED, retry_in_ms=1000.0, reason="held-requests"))
+            reply(Answer(Verdict.REFUSED, retry_after_ms=1000.0, reason="held-requests"))
             return None
         self._begin(number, request_id, reply, peer, customer)
         return number
@@ -146,12 +147,12 @@
         customer: str,
         class_name: str,
         plan_name: str,
-        due_ms: float,
+        deadline_at_ms: float,
         units: float,
         first_gateway: int,
         spread: int,
-        is_repeat: bool,
-        past: Past | None = None,
+        is_retry: bool,
+        prior_attempts: PriorAttempts | None = None,
     ) -> int | None:
         work = Work("proxied", identity, {"life": self._life}) if self.kept is not None else None
         return self._ledger.accept(
@@ -159,13 +160,13 @@
             customer,
             class_name,
             plan_name,
-            due_ms,
+            deadline_at_ms,
             units,
             first_gateway,
             spread,
-            is_repeat,
-            copies=False,
-            past=past,
+            is_retry,
+            allows_hedging=False,
+            prior_attempts=prior_attempts,
             work=work,
         )
 
@@ -202,7 +203,7 @@
             waited = self._ledger.now_ms() - parked_ms
             if waited > self.limits.park_ms or not self._ledger.may_begin(exchange.number, number):
                 # Danger: what was right then may break a drain or a repeat's time now: it is decided anew.
-                self._ledger.outcome(exchange.number, number, Result.MOOT, 0.0)
+                self._ledger.outcome(exchange.number, number, AttemptResult.DISCARDED, 0.0)
             else:
                 self._go(exchange, number, worker, allow - waited)
         elif exchange.out:  # the proxy is ahead of its log
@@ -219,7 +220,9 @@
                 self._close(exchange)
             self._ledger.leave(number)
 
-    def log(self, token: str, result: Result, took_ms: float | None, load: tuple[float, ...], over: bool) -> bool:
+    def log(
+        self, token: str, result: AttemptResult, duration_ms: float | None, load: tuple[float, ...], over: bool
+    ) -> bool:
         """The end of an attempt as a proxy logged it; `over` says that the client has its answer or has left.
 
         False where the attempt is not known or was logged before: nothing changes."""
@@ -234,10 +237,10 @@
             return False
         exchange.out = False
         exchange.moment += 1
-        if over and result is not Result.OK:
+        if over and result is not AttemptResult.OK:
             self._ledger.leave(exchange.number)
-        served = self._ledger.outcome(exchange.number, exchange.attempt, result, took_ms, load)
-        if served or over or result is Result.OK:
+        served = self._ledger.outcome(exchange.number, exchange.attempt, result, duration_ms, load)
+        if served or over or result is AttemptResult.OK:
             self._close(exchange)
         elif exchange.reply is None:
             self._after(self.limits.ask_again_ms, exchange, self._not_asked_again)
@@ -257,7 +260,7 @@
         self._ledger.leave(exchange.number)
         if exchange.out:
             exchange.out = False
-            self._ledger.outcome(exchange.number, exchange.attempt, Result.MOOT, 0.0)
+            self._ledger.outcome(exchange.number, exchange.attempt, AttemptResult.DISCARDED, 0.0)
         self._close(exchange)
         return True
 
@@ -271,7 +274,7 @@
             reply, exchange.reply = exchange.reply, None
             self._close(exchange)
             if reply is not None:
-                reply(Answer(Verdict.REFUSED, retry_in_ms=1000.0, reason="in-progress"))
+                reply(Answer(Verdict.REFUSED, retry_after_ms=1000.0, reason="in-progress"))
 
     def go_on(
         self,
@@ -281,25 +284,25 @@
         customer: str,
         class_name: str,
         plan_name: str,
-        due_ms: float,
+        deadline_at_ms: float,
         units: float,
         first_gateway: int,
         spread: int,
-        past: Past,
+        prior_attempts: PriorAttempts,
         sent: dict[int, tuple[str, float]],
     ) -> Inherited:
         """A request that another gatekeeper had: nothing can leave before its proxy or its client comes back."""
         inherited = self._inherited[life, number] = Inherited(
             (life, number),
             identity,
-            (customer, class_name, plan_name, due_ms, units, first_gateway, spread),
-            past,
+            (customer, class_name, plan_name, deadline_at_ms, units, first_gateway, spread),
+            prior_attempts,
             sent,
         )
         if identity:
             self._awaited[customer, identity] = inherited
         self.counts["inherited"] += 1
-        self._timers.callLater(max(0.0, due_ms - self._ledger.now_ms()) / 1000, self.let_go, inherited)
+        self._timers.callLater(max(0.0, deadline_at_ms - self._ledger.now_ms()) / 1000, self.let_go, inherited)
         return inherited
 
     def _inherited_by(self, token: str) -> tuple[Inherited | None, int]:
@@ -325,30 +328,30 @@
         if waiting is not None and waiting is not reply:
             waiting(Answer(Verdict.FAILED, reason="unknown-attempt"))  # another check took its place
         sent = sorted(inherited.sent.items())
-        past = Past(
-            inherited.past.attempts,
+        prior_attempts = PriorAttempts(
+            inherited.prior_attempts.attempts,
             len(sent),
-            *(sent[0][1] if sent else (inherited.past.server, 0.0)),
-            inherited.past.paid,
+            *(sent[0][1] if sent else (inherited.prior_attempts.endpoint, 0.0)),
+            inherited.prior_attempts.quota_debited,
         )
-        number = self._accept(inherited.identity, *inherited.terms, False, past)
+        number = self._accept(inherited.identity, *inherited.terms, False, prior_attempts)
         if number is None:
             reply(
                 Answer(Verdict.FAILED, reason="failed")
                 if sent
-                else Answer(Verdict.REFUSED, retry_in_ms=1000.0, reason="held-requests")
+                else Answer(Verdict.REFUSED, retry_after_ms=1000.0, reason="held-requests")
             )
             return None
-        self._begin(number, request_id, reply, peer, inherited.terms[0]).attempt = past.attempts - 1
+        self._begin(number, request_id, reply, peer, inherited.terms[0]).attempt = prior_attempts.attempts - 1
         return number
 
-    def _settle(self, inherited: Inherited, attempt: int, result: Result, over: bool) -> None:
+    def _settle(self, inherited: Inherited, attempt: int, result: AttemptResult, over: bool) -> None:
         """The late log of an attempt that the lost gatekeeper had let go."""
         self.counts["logs_settled"] += 1
         reply = inherited.reply
-        if result.never_ran:
+        if result.never_executed:
             del inherited.sent[attempt]
-        if over or result is Result.OK:
+        if over or result is AttemptResult.OK:
             inherited.reply = None
             self.let_go(inherited)
             if reply is not None:
@@ -362,22 +365,22 @@
 
     # ---- what the ledger says ------------------------------------------------------------------
 
-    def send(self, request: int, attempt: int, worker: str, allow_ms: float) -> None:
+    def send(self, request: int, attempt: int, worker: str, timeout_ms: float) -> None:
         """An attempt may go: to the open check, or to the next one that comes soon."""
         exchange = self.exchanges.get(request)
         if exchange is None:
-            self._ledger.outcome(request, attempt, Result.MOOT, 0.0)
+            self._ledger.outcome(request, attempt, AttemptResult.DISCARDED, 0.0)
         elif exchange.reply is not None:
-            self._go(exchange, attempt, worker, allow_ms)
+            self._go(exchange, attempt, worker, timeout_ms)
         else:
-            exchange.parked = (attempt, worker, allow_ms, self._ledger.now_ms())
+            exchange.parked = (attempt, worker, timeout_ms, self._ledger.now_ms())
 
     def cancel(self, request: int, attempt: int) -> None:
         """A proxy can't be called off: the log will tell, or its time runs out."""
 
-    def refuse(self, request: int, retry_in_ms: float, reason: Reason) -> None:
+    def refuse(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
         """Final: for the open check, or kept for the next."""
-        self._answer(request, Answer(Verdict.REFUSED, retry_in_ms=retry_in_ms, reason=reason.value))
+        self._answer(request, Answer(Verdict.REFUSED, retry_after_ms=retry_after_ms, reason=reason.value))
 
     def fail(self, request: int) -> None:
         """Final, without a promise."""
@@ -392,13 +395,13 @@
             return None
         return int(number), int(attempt)
 
-    def _go(self, exchange: Exchange, attempt: int, worker: str, allow_ms: float) -> None:
+    def _go(self, exchange: Exchange, attempt: int, worker: str, timeout_ms: float) -> None:
         reply, exchange.reply = exchange.reply, None
         exchange.attempt, exchange.out = attempt, True
         exchange.moment += 1
-        allow_ms = max(1.0, allow_ms - self.limits.path_ms)
-        reply(Answer(Verdict.GO, worker, allow_ms, f"{self._life}.{exchange.number}.{attempt}"))
-        self._after(allow_ms + self.limits.log_ms, exchange, self._no_log)
+        timeout_ms = max(1.0, timeout_ms - self.limits.path_ms)
+        reply(Answer(Verdict.GO, worker, timeout_ms, f"{self._life}.{exchange.number}.{attempt}"))
+        self._after(timeout_ms + self.limits.log_ms, exchange, self._no_log)
 
     def _answer(self, request: int, answer: Answer) -> None:
         exchange = self.exchanges.get(request)
@@ -429,10 +432,10 @@
                 del self._by_id[exchange.request_id]
         if exchange.out:  # its end will not be heard any more
             exchange.out = False
-            self._ledger.outcome(exchange.number, exchange.attempt, Result.TIMEOUT)
+            self._ledger.outcome(exchange.number, exchange.attempt, AttemptResult.TIMEOUT)
         if exchange.parked is not None:
             parked, exchange.parked = exchange.parked, None
-            self._ledger.outcome(exchange.number, parked[0], Result.MOOT, 0.0)
+            self._ledger.outcome(exchange.number, parked[0], AttemptResult.DISCARDED, 0.0)
 
     def _after(self, delay_ms: float, exchange: Exchange, call: Callable[[Exchange], None]) -> None:
         self._timers.callLater(delay_ms / 1000, self._due, exchange, exchange.moment, call)
@@ -448,7 +451,7 @@
             self.counts["logs_missing"] += 1
             exchange.out = False
             exchange.moment += 1
-            self._ledger.outcome(exchange.number, exchange.attempt, Result.TIMEOUT)
+            self._ledger.outcome(exchange.number, exchange.attempt, AttemptResult.TIMEOUT)
             if exchange.reply is None:
                 self._after(self.limits.ask_again_ms, exchange, self._not_asked_again)
 
--- a/anisefront/carriers/returning.py
+++ b/anisefront/carriers/returning.py
@@ -108,12 +108,12 @@
         for waiter in self._expected.pop(name, ()):
             waiter.done(answer)
 
-    def expect(self, name: bytes, mark: bytes, due_ms: float, done: Done, go_on: Callable[[], None]) -> None:
+    def expect(self, name: bytes, mark: bytes, deadline_at_ms: float, done: Done, go_on: Callable[[], None]) -> None:
         """A try whose request another gatekeeper has in hand: wait for what becomes of it, until its own time is up."""
         waiter = _Waiter(mark, done, go_on)
         self._expected.setdefault(name, []).append(waiter)
         self.counts["expected"] += 1
-        self._timers.callLater(max(0.0, due_ms - self._now()) / 1000, self._too_late, name, waiter)
+        self._timers.callLater(max(0.0, deadline_at_ms - self._now()) / 1000, self._too_late, name, waiter)
 
     def expects(self, name: bytes) -> bool:
         """Whether a try waits here for what becomes of this name elsewhere."""
@@ -131,7 +131,7 @@
         if mark != work.mark:
             # Danger: one name for two things. Whichever answer it got would be the other's.
             self.counts["another_under_name"] += 1
-            done(Answer(refused=True, retry_in_ms=0.0, reason="another-request-under-this-name"))
+            done(Answer(refused=True, retry_after_ms=0.0, reason="another-request-under-this-name"))
         elif work.answer is not None:
             self.counts["joined_answer"] += 1
             done(work.answer)
@@ -145,7 +145,7 @@
             waiting.remove(waiter)
             if not waiting:
                 del self._expected[name]
-            waiter.done(Answer(refused=True, retry_in_ms=1000.0, reason="in-progress"))
+            waiter.done(Answer(refused=True, retry_after_ms=1000.0, reason="in-progress"))
 
     @staticmethod
     def _size(answer: Answer) -> int:
--- a/anisefront/config/diff.py
+++ b/anisefront/config/diff.py
@@ -44,8 +44,42 @@
     ]
 
 
+# The names under which the command has always printed these fields; others read its output.
+_PRINTED_NAMES = {
+    "latency_objective_ms": "aim_ms",
+    "priority_weight": "worth",
+    "late_priority_weight": "late_worth",
+    "idempotency": "repeat",
+    "deduplication_scope": "scope",
+    "deduplication_window_ms": "window_ms",
+    "latency_objective_stretch": "aim_stretch",
+    "max_in_flight": "max_out",
+    "priority_multiplier": "value",
+    "over_quota_multiplier": "over_worth",
+    "over_quota_cost": "over_cost",
+    "slow_start_initial_factor": "cold_from",
+    "overload_multiple": "fall_multiple",
+    "overload_window_ms": "fall_window_ms",
+    "cancellation_enabled": "may_cancel",
+    "peer_messages_enabled": "may_tell",
+    "probing_enabled": "may_probe",
+    "hedging_enabled": "second_copies",
+    "subscription_required": "must_subscribe",
+    "postpaid": "settles",
+    "poll_within_ms": "ask_within_ms",
+    "load_report_mode": "report_how",
+    "load_report_fields": "report_fields",
+    "peer_message_price": "peer_price",
+    "max_customers": "most_customers",
+}
+
+
 def _fields(value: object, left_out: tuple[str, ...] = ()) -> dict[str, object]:
-    return {each.name: getattr(value, each.name) for each in dataclasses.fields(value) if each.name not in left_out}
+    return {
+        _PRINTED_NAMES.get(each.name, each.name): getattr(value, each.name)
+        for each in dataclasses.fields(value)
+        if each.name not in left_out
+    }
 
 
 def _settings(before: Config, after: Config) -> Iterator[Change]:
--- a/anisefront/config/explain.py
+++ b/anisefront/config/explain.py
@@ -45,8 +45,8 @@
     classes, plans, quotas = model.named("class"), model.named("plan"), model.named("quota")
     kind = next(each for each in config.settings.classes if each.name == route.class_name)
     out.append(
-        f"class   {where(classes[kind.name].word.place)}: aim {write_time(kind.aim_ms)}, deadline "
-        f"{write_time(kind.deadline_ms)}, {kind.repeat.value}"
+        f"class   {where(classes[kind.name].word.place)}: aim {write_time(kind.latency_objective_ms)}, deadline "
+        f"{write_time(kind.deadline_ms)}, {kind.idempotency.value}"
     )
     router = Router(
         config.routes,
@@ -73,7 +73,7 @@
     out.append(f"quota   {where(quota.word.place)}: {quota.arguments['name']}: {limits}")
     out.append(
         f"counts  {mapped.units:g} units, {write_time(mapped.deadline_ms)} left"
-        + (", a client's repeat" if mapped.is_repeat else "")
+        + (", a client's repeat" if mapped.is_retry else "")
     )
     return out
 
--- a/anisefront/config/model.py
+++ b/anisefront/config/model.py
@@ -13,7 +13,7 @@
 from anisefront.config.types import Address, Config, Embedded, Recording
 from anisefront.core.patterns import Pattern
 from anisefront.core.routing import Key, Route
-from anisefront.policy.interface import Plan, Repeat, RequestClass, Scope, Settings
+from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 _METHODS = {(method,): (method,) for method in ("GET", "POST", "PUT", "PATCH", "DELETE", "HEAD", "OPTIONS", "*")}
 # Danger: where the module hears more than three eighths of it, questions to homes and their answers wait up to 60 ms
@@ -226,18 +226,18 @@
         classes=tuple(_class(entry, park) for entry in model.of("class")),
         plans=tuple(_plan(entry, model) for entry in model.of("plan")),
         warm_up_ms=pool.get("warm-up", 10_000.0),
-        cold_from=pool.get("cold-from", 0.2),
-        fall_multiple=pool.get("fall-multiple", 3.0),
-        fall_window_ms=pool.get("fall-window", 2000.0),
+        slow_start_initial_factor=pool.get("cold-from", 0.2),
+        overload_multiple=pool.get("fall-multiple", 3.0),
+        overload_window_ms=pool.get("fall-window", 2000.0),
         max_attempts=attempts.arguments.get("most", 3),
-        second_copies=attempts.get("second-copies", "yes") == "yes",
+        hedging_enabled=attempts.get("second-copies", "yes") == "yes",
         tick_ms=TICK_MS,
         max_units=limits.get("units", 1000.0),
-        may_tell=count > 1,
+        peer_messages_enabled=count > 1,
         max_retry_after_ms=limits.get("retry-after", 5000.0),
         inbox_per_s=model.one("messages").arguments.get("rate", MESSAGES_PER_S) if count > 1 else 0.0,
-        report_how="answers" if fields else "none",
-        report_fields=fields,
+        load_report_mode="answers" if fields else "none",
+        load_report_fields=fields,
         # Of the secret, so that nobody outside can tell which names fall on one tag.
         tag_key=hashlib.blake2b(secret.encode(), digest_size=32, person=b"anisefront tags").digest() if secret else b"",
     )
@@ -394,9 +394,9 @@
         entry.options["aim"],
         entry.options["deadline"],
         entry.get("worth", 1.0),
-        Repeat(entry.options["repeat"]),
+        Idempotency(entry.options["repeat"]),
         entry.get("late-worth", 0.0),
-        Scope(entry.get("scope", "all")),
+        DeduplicationScope(entry.get("scope", "all")),
         window,
     )
 
--- a/anisefront/config/types.py
+++ b/anisefront/config/types.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from anisefront.core.routing import Key, Route
-from anisefront.policy.interface import Settings
+from anisefront.policy.settings import Settings
 
 
 @dataclass(frozen=True, slots=True)
--- a/anisefront/core/ledger.py
+++ b/anisefront/core/ledger.py
@@ -17,30 +17,32 @@
 from typing import Protocol
 
 from anisefront.core.standing import Lag
+from anisefront.policy.actions import (
+    CancelAttempt,
+    Fail,
+    ProbeEndpoint,
+    Reject,
+    RejectionReason,
+    SendToPeer,
+    SetTimer,
+    StartAttempt,
+    Subscribe,
+)
 from anisefront.policy.control import Controller
-from anisefront.policy.interface import (
+from anisefront.policy.events import (
     Arrival,
-    Away,
-    Cancel,
-    ClientGone,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    EndpointList,
+    EndpointStatus,
     Event,
-    Fail,
-    Fleet,
-    Heard,
-    Outcome,
-    Past,
-    Probe,
-    Reason,
-    Refuse,
-    Result,
-    Send,
-    Settings,
-    State,
-    Subscribe,
-    Tell,
-    Wake,
-    Woken,
+    PeerMessage,
+    PeersUnreachable,
+    PriorAttempts,
+    TimerFired,
 )
+from anisefront.policy.settings import Settings
 
 GRAIN_MS = 5.0  # wake-ups are kept to this grain, so that those of one moment are one turn and not many
 STANDSTILL_MS = 250.0  # a turn so late after its time means that the whole process stood still
@@ -61,13 +63,13 @@
 class Carrier(Protocol):
     """Who takes a request's attempts out and its final answer back."""
 
-    def send(self, request: int, attempt: int, worker: str, allow_ms: float) -> None:
+    def send(self, request: int, attempt: int, worker: str, timeout_ms: float) -> None:
         """Start an attempt. Its end must come back as `Ledger.outcome`, whatever happens."""
 
     def cancel(self, request: int, attempt: int) -> None:
         """Stop waiting for an attempt; its outcome is still owed."""
 
-    def refuse(self, request: int, retry_in_ms: float, reason: Reason) -> None:
+    def refuse(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
         """The final answer: not done, and safe to try again."""
 
     def fail(self, request: int) -> None:
@@ -90,7 +92,7 @@
     def refusing(self, request: int) -> bool:
         """False: not yet; `Ledger.answer` is called when it may be said, or `Ledger.lose`."""
 
-    def never_ran(self, request: int, attempt: int) -> None:
+    def never_executed(self, request: int, attempt: int) -> None:
         """An attempt is proved never to have run."""
 
     def over(self, request: int) -> None:
@@ -129,7 +131,7 @@
     out: dict[int, Attempt] = field(default_factory=dict)
     ended: bool = False
     lost: bool = False  # another gatekeeper has it: nothing more leaves here
-    refusal: Refuse | None = None  # waits for the guard's word
+    refusal: Reject | None = None  # waits for the guard's word
     work: Work | None = None
 
 
@@ -156,7 +158,7 @@
         self.before_turn: list[Callable[[], None]] = []  # fronts that write all answers of a turn at once
         self.after_turn: list[Callable[[], None]] = []
         self.entries: dict[int, Entry] = {}
-        self.servers: dict[str, State] = {}
+        self.servers: dict[str, EndpointStatus] = {}
         self.counts: Counter[str] = Counter()
         self.open = 0  # accepted and not ended
         self.turns_late_ms = 0.0  # how late the last turn was
@@ -181,13 +183,13 @@
         customer: str,
         class_name: str,
         plan_name: str,
-        due_ms: float,
+        deadline_at_ms: float,
         units: float = 1.0,
         first_gateway: int = 0,
         spread: int = 1,
-        is_repeat: bool = False,
-        copies: bool = True,
-        past: Past | None = None,
+        is_retry: bool = False,
+        allows_hedging: bool = True,
+        prior_attempts: PriorAttempts | None = None,
         work: Work | None = None,
     ) -> int | None:
         """Take a request in and return its number; it is owed one final answer by `due_ms`.
@@ -199,9 +201,19 @@
             return None
         self._serial += 1
         arrival = Arrival(
-            self._serial, customer, class_name, plan_name, due_ms, units, first_gateway, spread, is_repeat, copies, past
+            self._serial,
+            customer,
+            class_name,
+            plan_name,
+            deadline_at_ms,
+            units,
+            first_gateway,
+            spread,
+            is_retry,
+            allows_hedging,
+            prior_attempts,
         )
-        entry = Entry(arrival, carrier, self.now_ms(), past.attempts if past else 0, work=work)
+        entry = Entry(arrival, carrier, self.now_ms(), prior_attempts.attempts if prior_attempts else 0, work=work)
         if self.guard is not None and not self.guard.taken(entry):
             self.counts["unprotected_refused"] += 1
             return None
@@ -215,10 +227,10 @@
         self,
         request: int,
         attempt: int,
-        result: Result,
-        took_ms: float | None = None,
+        result: AttemptResult,
+        duration_ms: float | None = None,
         load: tuple[float, ...] = (),
-        true_units: float = 0.0,
+        actual_units: float = 0.0,
     ) -> bool:
         """An attempt has ended. True where this ended the request: the answer is the client's.
 
@@ -228,15 +240,15 @@
         if entry is None or out is None:
             self.counts["outcomes_unknown"] += 1
             return False
-        served = result is Result.OK and not entry.ended
+        served = result is AttemptResult.OK and not entry.ended
         if served:
             self._end(entry)
             self.counts["served"] += 1
         self.counts[f"attempts_{result.value}"] += 1
-        if self.guard is not None and result.never_ran:
-            self.guard.never_ran(request, attempt)
-        took = self.now_ms() - out.sent_ms if took_ms is None else took_ms
-        self._post(Outcome(request, attempt, out.worker, took, result, entry.ended, true_units, 0, load))
+        if self.guard is not None and result.never_executed:
+            self.guard.never_executed(request, attempt)
+        took = self.now_ms() - out.sent_ms if duration_ms is None else duration_ms
+        self._post(AttemptEnded(request, attempt, out.worker, took, result, entry.ended, actual_units, 0, load))
         if entry.lost and not entry.out and not entry.ended:
             self._fail(entry)
         self._forget(request, entry)
@@ -248,7 +260,7 @@
         if entry is not None and not entry.ended:
             self._end(entry)
             self.counts["left"] += 1
-            self._post(ClientGone(request))
+            self._post(ClientDisconnected(request))
             self._forget(request, entry)
 
     def fail_open(self) -> None:
@@ -265,11 +277,11 @@
         out = entry.out.get(attempt) if entry is not None else None
         if out is None or out.parked_ms is None:
             return
-        allow_ms, out.parked_ms, out.sent_ms = out.parked_ms - self.now_ms(), None, self.now_ms()
-        if allow_ms <= 0 or not self.may_begin(request, attempt):  # it is decided anew
-            self.outcome(request, attempt, Result.MOOT, 0.0)
+        timeout_ms, out.parked_ms, out.sent_ms = out.parked_ms - self.now_ms(), None, self.now_ms()
+        if timeout_ms <= 0 or not self.may_begin(request, attempt):  # it is decided anew
+            self.outcome(request, attempt, AttemptResult.DISCARDED, 0.0)
         else:
-            entry.carrier.send(request, attempt, out.worker, allow_ms)
+            entry.carrier.send(request, attempt, out.worker, timeout_ms)
 
     def answer(self, request: int) -> None:
         """Another gatekeeper knows that this request is refused: it may be said."""
@@ -285,10 +297,10 @@
         if entry is None or entry.ended or any(out.parked_ms is None for out in entry.out.values()):
             return
         self.counts["unprotected_refused"] += 1
-        self._ends.append(ClientGone(request))
+        self._ends.append(ClientDisconnected(request))
         self._came += 1
         self._plan_turn()
-        self._refuse(entry, Refuse(request, TURNED_AWAY_MS, Reason.CAPACITY))
+        self._refuse(entry, Reject(request, TURNED_AWAY_MS, RejectionReason.CAPACITY))
         self._forget(request, entry)
 
     def lose(self, request: int) -> None:
@@ -299,17 +311,19 @@
         entry.lost = True
         self.counts["lost"] += 1
         # Danger: told of the ends below first, the module would make a further attempt for it.
-        self._ends.append(ClientGone(request))
+        self._ends.append(ClientDisconnected(request))
         self._came += 1
         self._plan_turn()
         for attempt in [number for number, out in entry.out.items() if out.parked_ms is not None]:
-            self.outcome(request, attempt, Result.MOOT, 0.0)
+            self.outcome(request, attempt, AttemptResult.DISCARDED, 0.0)
         if not entry.ended:
             if not entry.out:
                 self._fail(entry)
                 self._forget(request, entry)
             else:
-                self._timers.callLater(max(0.0, entry.arrival.due_ms - self.now_ms()) / 1000, self._too_late, request)
+                self._timers.callLater(
+                    max(0.0, entry.arrival.deadline_at_ms - self.now_ms()) / 1000, self._too_late, request
+                )
 
     def _too_late(self, request: int) -> None:
         """The guard of rule 1 for what the module does not see to any more."""
@@ -320,17 +334,17 @@
 
     def hear(self, sender: int, data: bytes) -> None:
         """Bytes from a peer that are proved to be its own."""
-        self._post(Heard(sender, data))
+        self._post(PeerMessage(sender, data))
 
     def away(self, gatekeepers: frozenset[int]) -> None:
         """All other gatekeepers that are known to be gone."""
-        self._post(Away(gatekeepers))
+        self._post(PeersUnreachable(gatekeepers))
 
-    def roster(self, fleet: Fleet) -> None:
+    def roster(self, fleet: EndpointList) -> None:
         """A complete fleet list."""
         if not fleet.failed:
-            listed = {server.id: server.state for server in fleet.servers}
-            self.servers = dict.fromkeys(self.servers, State.GONE) | listed
+            listed = {server.id: server.status for server in fleet.endpoints}
+            self.servers = dict.fromkeys(self.servers, EndpointStatus.REMOVED) | listed
             if len(self.servers) > 4 * len(listed) + 256:  # names of the long gone are let go
                 self.servers = listed
         self._post(fleet)
@@ -351,7 +365,7 @@
             and not entry.ended
             and not entry.lost
             and self.now_ms() <= out.begin_by_ms
-            and self.servers.get(out.worker) is State.READY
+            and self.servers.get(out.worker) is EndpointStatus.READY
         )
 
     # ---- turns ---------------------------------------------------------------------------------
@@ -364,11 +378,11 @@
     def _post(self, event: Event) -> None:
         line = (
             self._lists
-            if isinstance(event, Fleet)
+            if isinstance(event, EndpointList)
             else self._ends
-            if isinstance(event, Outcome)
+            if isinstance(event, AttemptEnded)
             else self._peers
-            if isinstance(event, Heard)
+            if isinstance(event, PeerMessage)
             else self._requests
         )
         if line is self._peers and len(line) >= MOST_HEARD:
@@ -423,7 +437,7 @@
             wake = heapq.heappop(self._wakes)
             self._known_wakes.discard(wake)
             names.add(wake[1])
-        woken = [Woken(name) for name in sorted(names)]
+        woken = [TimerFired(name) for name in sorted(names)]
         self._turning, began = True, now
         for call in self.before_turn:
             call()
@@ -463,8 +477,10 @@
         self.counts["raised"] += 1
         self._on_raise(problem)
         entry = self.entries.get(getattr(action, "id", None))
-        if entry is not None and isinstance(action, Send) and entry.out:  # it may have left: its end is owed still
-            self.outcome(action.id, max(entry.out), Result.ERROR)
+        if (
+            entry is not None and isinstance(action, StartAttempt) and entry.out
+        ):  # it may have left: its end is owed still
+            self.outcome(action.id, max(entry.out), AttemptResult.ERROR)
         elif entry is not None:
             self._forget(action.id, entry)
 
@@ -490,24 +506,24 @@
             self._alarm_ms = first
             self._timers.callLater(max(0.0, first - now) / 1000, self._rise_at, first)
 
-    def _rise_at(self, due_ms: float) -> None:
-        if due_ms == self._alarm_ms:  # an earlier one has been set meanwhile: that one rules
+    def _rise_at(self, deadline_at_ms: float) -> None:
+        if deadline_at_ms == self._alarm_ms:  # an earlier one has been set meanwhile: that one rules
             self._rise()
 
     # ---- actions -------------------------------------------------------------------------------
 
     def _carry_out(self, now: float, action: object) -> None:
-        if isinstance(action, Wake):
-            at = -(-(now + action.after_ms) // GRAIN_MS) * GRAIN_MS
+        if isinstance(action, SetTimer):
+            at = -(-(now + action.delay_ms) // GRAIN_MS) * GRAIN_MS
             wake = (at, action.name)
             if wake not in self._known_wakes:
                 self._known_wakes.add(wake)
                 heapq.heappush(self._wakes, wake)
-        elif isinstance(action, Send):
+        elif isinstance(action, StartAttempt):
             self._send(now, action)
-        elif isinstance(action, Tell):
+        elif isinstance(action, SendToPeer):
             self._tell(action.receiver, action.data)
-        elif isinstance(action, Refuse | Fail):
+        elif isinstance(action, Reject | Fail):
             entry = self.entries.get(action.id)
             if entry is None or entry.ended or entry.lost:
                 self.counts["answers_moot"] += 1
@@ -518,41 +534,41 @@
                 self._refuse(entry, action)
             else:
                 entry.refusal = action
-                self._timers.callLater(max(0.0, entry.arrival.due_ms - now) / 1000, self._too_late, action.id)
+                self._timers.callLater(max(0.0, entry.arrival.deadline_at_ms - now) / 1000, self._too_late, action.id)
             self._forget(action.id, entry)
-        elif isinstance(action, Cancel):
+        elif isinstance(action, CancelAttempt):
             entry = self.entries.get(action.id)
             out = entry.out.get(action.attempt) if entry is not None and not entry.lost else None
             if out is not None and out.parked_ms is not None:
-                self.outcome(action.id, action.attempt, Result.MOOT, 0.0)
+                self.outcome(action.id, action.attempt, AttemptResult.DISCARDED, 0.0)
             elif out is not None:
                 entry.carrier.cancel(action.id, action.attempt)
         elif isinstance(action, Subscribe):
             self._subscribe()
-        elif isinstance(action, Probe):
+        elif isinstance(action, ProbeEndpoint):
             self.counts["probes_dropped"] += 1  # settings never allow them here
 
-    def _send(self, now: float, action: Send) -> None:
+    def _send(self, now: float, action: StartAttempt) -> None:
         entry = self.entries.get(action.id)
         if entry is None:
             return
         number, entry.attempts = entry.attempts, entry.attempts + 1
-        entry.out[number] = Attempt(action.server, now, now + action.begin_ms)
+        entry.out[number] = Attempt(action.endpoint, now, now + action.start_within_ms)
         self.counts["attempts"] += 1
         if entry.ended or entry.lost:
             # The guard of rule 1: nothing goes out for a request that has its final answer or is another's.
-            self.outcome(action.id, number, Result.MOOT, 0.0)
+            self.outcome(action.id, number, AttemptResult.DISCARDED, 0.0)
             return
-        if self.guard is not None and not self.guard.sending(action.id, number, action.server):
-            entry.out[number].parked_ms = now + action.allow_ms
+        if self.guard is not None and not self.guard.sending(action.id, number, action.endpoint):
+            entry.out[number].parked_ms = now + action.timeout_ms
             return
-        entry.carrier.send(action.id, number, action.server, action.allow_ms)
+        entry.carrier.send(action.id, number, action.endpoint, action.timeout_ms)
 
-    def _refuse(self, entry: Entry, action: Refuse) -> None:
+    def _refuse(self, entry: Entry, action: Reject) -> None:
         self._end(entry)
         self.counts["refused"] += 1
         self.counts[f"refused_{action.reason.value}"] += 1
-        entry.carrier.refuse(action.id, action.retry_in_ms, action.reason)
+        entry.carrier.refuse(action.id, action.retry_after_ms, action.reason)
 
     def _fail(self, entry: Entry) -> None:
         self._end(entry)
@@ -565,7 +581,7 @@
         if self.guard is not None:
             self.guard.over(entry.arrival.id)
         for attempt in [number for number, out in entry.out.items() if out.parked_ms is not None]:
-            self.outcome(entry.arrival.id, attempt, Result.MOOT, 0.0)  # it never left
+            self.outcome(entry.arrival.id, attempt, AttemptResult.DISCARDED, 0.0)  # it never left
 
     def _forget(self, request: int, entry: Entry) -> None:
         if entry.ended and not entry.out:
--- a/anisefront/core/routing.py
+++ b/anisefront/core/routing.py
@@ -52,7 +52,7 @@
     class_name: str
     units: float
     deadline_ms: float
-    is_repeat: bool
+    is_retry: bool
     target: str  # path and query in normal form: what matched, and what a worker may be sent
 
 
--- a/anisefront/daemon/gatekeeper.py
+++ b/anisefront/daemon/gatekeeper.py
@@ -40,7 +40,8 @@
 from anisefront.fronts.health import Health, Serving
 from anisefront.fronts.jsonrpc import Desk, JsonRpcFactory
 from anisefront.policy.control import Controller
-from anisefront.policy.interface import Fleet, Plan, RequestClass, Settings
+from anisefront.policy.events import EndpointList
+from anisefront.policy.settings import Plan, RequestClass, Settings
 from anisefront.policy.state import Account, Backend
 
 _SHARED = (
@@ -56,7 +57,7 @@
     Backend,
     GrpcFactory,
     JsonRpcFactory,
-    Fleet,
+    EndpointList,
 )  # things that many refer to: none of them is any one's own
 MEASURE_MS = 1000.0
 PEER_BUFFER = 4 << 20  # bytes of datagrams that the system may hold for us; it may allow less
@@ -129,7 +130,7 @@
             self.members.tell_gone = self.ledger.away
         self.proxied = proxied.Proxied(self.ledger, reactor, self.life, limits)
         self.pool = Pool(reactor)
-        self.own = Own(self.ledger, self.pool, self.life, settings.report_fields)
+        self.own = Own(self.ledger, self.pool, self.life, settings.load_report_fields)
         self.gate = authorization.Gate(self.router, self.proxied, self.clock, self.gateways_of)
         self.desk = Desk(self.router, self.own, self.clock, self.gateways_of, self.state)
         self.health = Health(SERVICES)
@@ -137,7 +138,7 @@
             reactor,
             {
                 authorization.PATH: self.gate.method(),
-                accesslog.PATH: accesslog.method(self.proxied, settings.report_fields),
+                accesslog.PATH: accesslog.method(self.proxied, settings.load_report_fields),
                 **self.health.methods(),
             },
             ServerLimits(config.most_connections),
@@ -168,8 +169,8 @@
         self.collector = Collector(reactor, lambda: self.ledger.open)
         controller, self._measured = self.ledger.controller, (0.0, {})
         self._purposes = (
-            memory.Purpose("accounts", lambda: controller.quota.accounts, lambda: self.config.settings.most_customers),
-            memory.Purpose("stores", lambda: controller.quota.stores, lambda: self.config.settings.most_customers),
+            memory.Purpose("accounts", lambda: controller.quota.accounts, lambda: self.config.settings.max_customers),
+            memory.Purpose("stores", lambda: controller.quota.stores, lambda: self.config.settings.max_customers),
             memory.Purpose("requests", lambda: self.ledger.entries, lambda: self.config.most_open),
             memory.Purpose("attempts", lambda: controller.attempts),
             memory.Purpose("exchanges", lambda: self.proxied.exchanges, lambda: self.config.most_open),
@@ -353,7 +354,7 @@
                 self.log.warning("roster_not_taken", file=path, fault=self.roster_fault)
             return
         self._roster_mark, self.roster_fault = mark, ""
-        self.log.info("roster", servers=len(fleet.servers))
+        self.log.info("roster", servers=len(fleet.endpoints))
         self.ledger.roster(fleet)
 
     # ---- state ---------------------------------------------------------------------------------
--- a/anisefront/daemon/keepers.py
+++ b/anisefront/daemon/keepers.py
@@ -23,7 +23,8 @@
 from anisefront.fleet.members import Status
 from anisefront.fleet.membership import Change, Membership
 from anisefront.fleet.origin import Member, Origin
-from anisefront.policy.interface import Past, Repeat
+from anisefront.policy.events import PriorAttempts
+from anisefront.policy.settings import Idempotency
 from anisefront.wire import http1
 
 RECORD_VERSION = 1
@@ -54,7 +55,7 @@
         self.returning = Returning(clock, reactor)
         self.counts: Counter[str] = Counter()
         # Of our bound requests in hand, by number: the name, and what a repeat does by the settings they came under.
-        self._names: dict[int, tuple[bytes, Repeat]] = {}
+        self._names: dict[int, tuple[bytes, Idempotency]] = {}
         self._numbers: dict[bytes, int] = {}
         self._inherited: dict[bytes, Inherited] = {}  # proxies' requests taken over, that nobody came back for yet
         self._turned: dict[bytes, set[int]] = {}  # whom to tell what becomes of a name
@@ -69,7 +70,7 @@
         """Whether a request of this name is in hand here, or its answer."""
         inherited = self._inherited.pop(name, None)
         if inherited is not None and inherited.waits:
-            if inherited.sent and self._kinds[inherited.terms[1]].repeat is Repeat.UNSAFE:
+            if inherited.sent and self._kinds[inherited.terms[1]].idempotency is Idempotency.NON_IDEMPOTENT:
                 self._inherited[name] = inherited
                 return True
             # Its proxy went to another gatekeeper, and nothing stands in the way there: it goes on without us.
@@ -100,7 +101,7 @@
         arrival, kind = entry.arrival, self._kinds[entry.arrival.class_name]
         if entry.work is None:
             return True
-        bound, name = kind.repeat is not Repeat.SAFE, NO_NAME
+        bound, name = kind.idempotency is not Idempotency.IDEMPOTENT, NO_NAME
         record = json.dumps(
             [
                 RECORD_VERSION,
@@ -119,11 +120,11 @@
         if entry.work.identity:
             name = name_of(arrival.customer, entry.work.identity, self._settings.tag_key)
         if name != NO_NAME and bound:
-            self._names[arrival.id] = name, kind.repeat
+            self._names[arrival.id] = name, kind.idempotency
             self._numbers.setdefault(name, arrival.id)
         why = "too_large" if len(record) > MOST_RECORD else ""
         now = self._clock()
-        left_ms = max(0, int(arrival.due_ms - now))
+        left_ms = max(0, int(arrival.deadline_at_ms - now))
         if not why:
             if self.origin.take(now, Taken(arrival.id, bound, left_ms, name, record)):
                 self.counts["protected"] += 1
@@ -143,9 +144,9 @@
         """Whether a refusal may be said now."""
         return self.origin.refuse(self._clock(), request)
 
-    def never_ran(self, request: int, attempt: int) -> None:
+    def never_executed(self, request: int, attempt: int) -> None:
         """An attempt is proved never to have run."""
-        self.origin.never_ran(self._clock(), request, attempt)
+        self.origin.never_executed(self._clock(), request, attempt)
 
     def over(self, request: int) -> None:
         """A request has ended."""
@@ -153,9 +154,11 @@
         (name, repeat), entry = self._forget_name(request), self._ledger.entries.get(request)
         if name is not None and name not in self.returning:
             # Danger: by its class's new settings an unsafe request that ran would be said never to have run.
-            self._settled(name, Word.MAY_HAVE_RUN if repeat is Repeat.UNSAFE and entry.attempts else Word.NEVER_RAN)
+            self._settled(
+                name, Word.MAY_HAVE_RUN if repeat is Idempotency.NON_IDEMPOTENT and entry.attempts else Word.NEVER_RAN
+            )
 
-    def _forget_name(self, request: int) -> tuple[bytes, Repeat] | tuple[None, None]:
+    def _forget_name(self, request: int) -> tuple[bytes, Idempotency] | tuple[None, None]:
         name, repeat = self._names.pop(request, (None, None))
         if name is not None and self._numbers.get(name) == request:
             del self._numbers[name]
@@ -190,7 +193,7 @@
         customer: str,
         identity: str,
         class_name: str,
-        due_ms: float,
+        deadline_at_ms: float,
         job: Job,
         done: Callable[[Answer], None],
         go_on: Callable[[], None],
@@ -199,8 +202,8 @@
         name = name_of(customer, identity, self._settings.tag_key)
         if self.returning.join(name, mark_of(job), done):
             return True
-        if name in self.keeper.names and self._kinds[class_name].repeat is not Repeat.SAFE:
-            self.returning.expect(name, mark_of(job), due_ms, done, go_on)
+        if name in self.keeper.names and self._kinds[class_name].idempotency is not Idempotency.IDEMPOTENT:
+            self.returning.expect(name, mark_of(job), deadline_at_ms, done, go_on)
             return True
         return False
 
@@ -208,14 +211,14 @@
         self,
         customer: str,
         identity: str,
-        due_ms: float,
+        deadline_at_ms: float,
         job: Job,
         done: Callable[[Answer], None],
         go_on: Callable[[], None],
     ) -> None:
         """A client's try whose keeper knows another of its name: it waits for the keeper's word."""
         name = name_of(customer, identity, self._settings.tag_key)
-        self.returning.expect(name, mark_of(job), due_ms, done, go_on)
+        self.returning.expect(name, mark_of(job), deadline_at_ms, done, go_on)
         if self._standing_back is not None:
             self._reactor.callLater(ASK_S, self._ask, name, self._standing_back, ASK_S)
 
@@ -306,7 +309,7 @@
                     break
         finally:
             self._working = False
-        self._wake.at(min(self.origin.due_ms, self.keeper.due_ms))
+        self._wake.at(min(self.origin.next_timer_ms, self.keeper.next_timer_ms))
 
     def _carry_out(self) -> bool:
         origin, keeper = self.origin, self.keeper
@@ -351,7 +354,7 @@
 
     def _keyed(self, kept: Kept) -> bool:
         fields = read_record(kept.record, self._kinds)
-        return fields is not None and self._kinds[fields[3]].repeat is Repeat.KEYED
+        return fields is not None and self._kinds[fields[3]].idempotency is Idempotency.KEYED
 
     # ---- taking over -----------------------------------------------------------------------------
 
@@ -368,7 +371,7 @@
         carrier, identity, customer, class_name, plan, units, first, spread, data = fields
         sent = sorted(kept.sent.items())
         server, server_ms = sent[0][1] if sent else ("", 0.0)
-        past = Past(sent[-1][0] + 1 if sent else 0, len(sent), server, server_ms, bool(sent))
+        prior_attempts = PriorAttempts(sent[-1][0] + 1 if sent else 0, len(sent), server, server_ms, bool(sent))
         number = self._numbers.get(kept.name)
         if number is not None:
             # Danger: ours had given way to the lost one, and is still here. One of them goes on, not both.
@@ -376,7 +379,7 @@
             if kept.sent and not self._keyed(kept):
                 self._ledger.lose(number)
             return
-        self._log.info("taken_over", origin=origin, life=life, request=kept.request, attempts=past.attempts)
+        self._log.info("taken_over", origin=origin, life=life, request=kept.request, attempts=prior_attempts.attempts)
         if carrier == "own":
             job = Job(data["method"], data["target"], data["headers"], base64.b64decode(data["body"]))
             if kept.name != NO_NAME and not self.returning.begin(kept.name, mark_of(job), kept.until_ms):
@@ -392,7 +395,7 @@
                 first,
                 spread,
                 identity,
-                past,
+                prior_attempts,
             )
             if self._numbers.get(kept.name) is not None:  # who keeps it for us may have clients of that name waiting
                 keeper = self.origin.kept_by(self._numbers[kept.name])
@@ -409,7 +412,7 @@
                 units,
                 first,
                 spread,
-                past,
+                prior_attempts,
                 dict(kept.sent),
             )
             if kept.name == NO_NAME or not kept.bound:
@@ -455,7 +458,7 @@
     message = answer.message
     served = None if message is None else [message.status, message.headers, base64.b64encode(message.body).decode()]
     return json.dumps(
-        [served, answer.worker, answer.attempts, answer.refused, answer.retry_in_ms, answer.reason],
+        [served, answer.worker, answer.attempts, answer.refused, answer.retry_after_ms, answer.reason],
         separators=(",", ":"),
     ).encode()
 
--- a/anisefront/daemon/members.py
+++ b/anisefront/daemon/members.py
@@ -69,7 +69,7 @@
 
     def _turn(self) -> None:
         self._call, now = None, self._clock()
-        if now - self.membership.due_ms > LATE_PART * self.membership.period_ms and self._put_off < PUT_OFF:
+        if now - self.membership.next_timer_ms > LATE_PART * self.membership.period_ms and self._put_off < PUT_OFF:
             # Danger: after a standstill the loop runs timers first: all others would be accused of not having
             # answered while their answers wait in our socket.
             self._put_off += 1
@@ -89,7 +89,7 @@
         if changes:
             self.listener(changes)
             self._look_who_is_gone()
-        due = self.membership.due_ms
+        due = self.membership.next_timer_ms
         if due < math.inf:
             self._plan(max(0.0, due - self._clock()))
 
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -14,17 +14,19 @@
 
 from anisefront.daemon import logs, signals
 from anisefront.daemon.lifecycle import Do, Lifecycle, Phase, Step
+from anisefront.policy.events import EndpointList
 
 if TYPE_CHECKING:  # a gatekeeper of another front must not pay for these
     from anisefront.config.reading import Outcome
     from anisefront.daemon.source import Source
-    from anisefront.policy.interface import Fleet
 
 
 SETTLE_S = 0.002  # one wait of the loop between the work of starting and listening
 
 
-def serve(source: Source, read: list[Outcome], log_level: str, workers: Callable[[Any], Fleet] | None = None) -> int:
+def serve(
+    source: Source, read: list[Outcome], log_level: str, workers: Callable[[Any], EndpointList] | None = None
+) -> int:
     """Run the gatekeeper of the settings language; the exit code. `read` has what `source` came to at the start, with
     no error, and is emptied: what a caller names would be held for life, however often the settings change.
     `workers` starts an embedded fleet on the reactor."""
--- a/anisefront/daemon/recorder.py
+++ b/anisefront/daemon/recorder.py
@@ -6,7 +6,8 @@
 import os
 
 from anisefront.config.types import Recording
-from anisefront.policy.interface import Arrival, ClientGone, Fail, Fleet, Outcome, Refuse, Result, Send
+from anisefront.policy.actions import Fail, Reject, StartAttempt
+from anisefront.policy.events import Arrival, AttemptEnded, AttemptResult, ClientDisconnected, EndpointList
 from anisefront.wire import trace
 
 MOST_WAITING = 20_000  # records not yet written; more are dropped and counted
@@ -60,24 +61,24 @@
                     thing.class_name,
                     thing.plan_name,
                     thing.units,
-                    round(thing.due_ms - at, 1),
-                    int(thing.is_repeat),
-                    int(thing.copies),
+                    round(thing.deadline_at_ms - at, 1),
+                    int(thing.is_retry),
+                    int(thing.allows_hedging),
                 ]
-            case Send():
-                return ["send", at, thing.id, -1, thing.server]
-            case Outcome():
-                if thing.result is Result.OK and thing.final:
+            case StartAttempt():
+                return ["send", at, thing.id, -1, thing.endpoint]
+            case AttemptEnded():
+                if thing.result is AttemptResult.OK and thing.final:
                     self._waiting.append(["answer", at, thing.id, "served", ""])
-                return ["end", at, thing.id, thing.attempt, thing.result.value, round(thing.took_ms, 2)]
-            case Refuse():
+                return ["end", at, thing.id, thing.attempt, thing.result.value, round(thing.duration_ms, 2)]
+            case Reject():
                 return ["answer", at, thing.id, "refused", thing.reason.value]
             case Fail():
                 return ["answer", at, thing.id, "failed", ""]
-            case ClientGone():
+            case ClientDisconnected():
                 return ["answer", at, thing.id, "left", ""]
-            case Fleet() if not thing.failed:
-                return ["fleet", at, [[s.id, s.zone, s.cell, s.state.value, s.started_ms] for s in thing.servers]]
+            case EndpointList() if not thing.failed:
+                return ["fleet", at, [[s.id, s.zone, s.cell, s.status.value, s.started_ms] for s in thing.endpoints]]
         return None
 
     def _name(self, customer: str) -> str:
--- a/anisefront/daemon/reload.py
+++ b/anisefront/daemon/reload.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from anisefront.policy.interface import Settings
+from anisefront.policy.settings import Settings
 
 if TYPE_CHECKING:  # a gatekeeper of another front must not pay for these
     from anisefront.config.types import Config
@@ -32,11 +32,11 @@
     "number": "gatekeeper",
     "zone": "gatekeeper zone",
     "warm_up_ms": "pool",
-    "cold_from": "pool",
-    "fall_multiple": "pool",
-    "fall_window_ms": "pool",
+    "slow_start_initial_factor": "pool",
+    "overload_multiple": "pool",
+    "overload_window_ms": "pool",
     "inbox_per_s": "messages",
-    "report_fields": "report",
+    "load_report_fields": "report",
 }
 
 
--- a/anisefront/fleet/keeper.py
+++ b/anisefront/fleet/keeper.py
@@ -318,7 +318,7 @@
                     self._take(epoch, kept)
 
     @property
-    def due_ms(self) -> float:
+    def next_timer_ms(self) -> float:
         """When `look` is to be called at the latest."""
         asked = min((epoch.asked_ms for epoch in self._closing.values()), default=math.inf) + ASK_AGAIN_MS
         return min(asked, self._leases[0][0]) if self._leases else asked
--- a/anisefront/fleet/membership.py
+++ b/anisefront/fleet/membership.py
@@ -10,7 +10,7 @@
 travel on the pings and answers that go anyway, each a number of times that grows with the logarithm of the fleet; so
 the messages a member sends a second do not grow with it.
 
-`handle(now_ms, heard)` takes in datagrams and returns what to send; it is to be called again at `due_ms`.
+`handle(now_ms, heard)` takes in datagrams and returns what to send; it is to be called again at `next_timer_ms`.
 """
 
 from __future__ import annotations
@@ -115,7 +115,7 @@
         return [number for number, row in self.rows.items() if row.status <= Status.SUSPECTED]
 
     @property
-    def due_ms(self) -> float:
+    def next_timer_ms(self) -> float:
         """When `handle` is to be called again at the latest."""
         return self._agenda[0][0] if self._agenda else math.inf
 
--- a/anisefront/fleet/origin.py
+++ b/anisefront/fleet/origin.py
@@ -62,7 +62,7 @@
 
     taken: Taken
     slot: int
-    due_ms: float
+    deadline_at_ms: float
     epoch: int = 0
     sent: dict[int, str] = field(default_factory=dict)  # attempts, by number, not proved never to have run
     waiting: set[int] = field(default_factory=set)  # attempts that wait for the keeper's word
@@ -161,7 +161,7 @@
             self._add(link, Sent(request, attempt, worker), at_once=work.taken.bound)
         return not work.taken.bound
 
-    def never_ran(self, now: float, request: int, attempt: int) -> None:
+    def never_executed(self, now: float, request: int, attempt: int) -> None:
         """An attempt is proved never to have run."""
         work = self._works.get(request)
         if work is not None and work.sent.pop(attempt, None) is not None:
@@ -323,7 +323,7 @@
             self.go += [(request, attempt) for attempt in sorted(work.waiting)]
             work.waiting.clear()
             return
-        self._begin(now, link, replace(work.taken, left_ms=max(0, int(work.due_ms - now))))
+        self._begin(now, link, replace(work.taken, left_ms=max(0, int(work.deadline_at_ms - now))))
         for attempt, worker in sorted(work.sent.items()):
             self._add(link, Sent(request, attempt, worker, attempt in work.waiting))
 
@@ -526,7 +526,7 @@
         )
 
     @property
-    def due_ms(self) -> float:
+    def next_timer_ms(self) -> float:
         """When `look` is to be called at the latest; infinite where nothing is waited for."""
         return self._agenda[0][0] if self._agenda else float("inf")
 
--- a/anisefront/fleet/roster.py
+++ b/anisefront/fleet/roster.py
@@ -13,7 +13,7 @@
 from envoy.config.endpoint.v3 import endpoint_pb2
 from google.protobuf import json_format
 
-from anisefront.policy.interface import Fleet, Server, State
+from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
 
 _READY = {health_check_pb2.HEALTHY, health_check_pb2.UNKNOWN, health_check_pb2.DEGRADED}
 MOST_BYTES = 4 << 20
@@ -23,7 +23,7 @@
     """A list that can't be taken; the one before stays in force."""
 
 
-def parse(text: bytes) -> Fleet:
+def parse(text: bytes) -> EndpointList:
     """The complete list in these bytes; raises `RosterFault` with the place and the fault."""
     if len(text) > MOST_BYTES:
         raise RosterFault(f"{len(text)} bytes, at most {MOST_BYTES}")
@@ -31,7 +31,7 @@
         listed = json_format.Parse(text, endpoint_pb2.ClusterLoadAssignment(), ignore_unknown_fields=True)
     except (json_format.ParseError, UnicodeDecodeError) as problem:
         raise RosterFault(f"no ClusterLoadAssignment: {' '.join(str(problem).split())[:200]}") from problem
-    servers: dict[str, Server] = {}
+    servers: dict[str, Endpoint] = {}
     for row, group in enumerate(listed.endpoints):
         cell = zlib.crc32(group.locality.sub_zone.encode())
         for column, entry in enumerate(group.lb_endpoints):
@@ -49,20 +49,20 @@
             )
             if not isinstance(started, float) or not 0 <= started < 1e11:
                 raise RosterFault(f"{place}: started: Unix seconds are due")
-            state = State.READY if entry.health_status in _READY else State.DRAINING
+            state = EndpointStatus.READY if entry.health_status in _READY else EndpointStatus.DRAINING
             weight = float(entry.load_balancing_weight.value) or 1.0
-            servers[name] = Server(name, group.locality.zone, cell, state, weight, started * 1000)
+            servers[name] = Endpoint(name, group.locality.zone, cell, state, weight, started * 1000)
     if not servers:
         # Danger: a file cut off to nothing, or a template that rendered no rows, would take the fleet away.
         raise RosterFault("no endpoints: an empty list is taken for a fault")
-    return Fleet(tuple(servers.values()))
+    return EndpointList(tuple(servers.values()))
 
 
-def write(cluster: str, servers: list[Server], cells: dict[int, str]) -> str:
+def write(cluster: str, servers: list[Endpoint], cells: dict[int, str]) -> str:
     """The list as such a file; `cells` names each `Server.cell`."""
     message = endpoint_pb2.ClusterLoadAssignment(cluster_name=cluster)
     for server in servers:
-        if server.state is State.GONE:
+        if server.status is EndpointStatus.REMOVED:
             continue
         group = message.endpoints.add()
         group.locality.zone, group.locality.sub_zone = server.zone, cells.get(server.cell, "")
@@ -71,7 +71,9 @@
         entry.endpoint.address.socket_address.address = address
         entry.endpoint.address.socket_address.port_value = int(port)
         entry.load_balancing_weight.value = max(1, round(server.weight))
-        entry.health_status = health_check_pb2.HEALTHY if server.state is State.READY else health_check_pb2.DRAINING
+        entry.health_status = (
+            health_check_pb2.HEALTHY if server.status is EndpointStatus.READY else health_check_pb2.DRAINING
+        )
         if server.started_ms:
             entry.metadata.filter_metadata["anisefront"]["started"] = server.started_ms / 1000
     return json_format.MessageToJson(message)
--- a/anisefront/fronts/accesslog.py
+++ b/anisefront/fronts/accesslog.py
@@ -22,9 +22,9 @@
 _DONE = als_pb2.StreamAccessLogsResponse().SerializeToString()
 
 
-def method(proxied: Proxied, report_fields: tuple[str, ...]) -> Method:
+def method(proxied: Proxied, load_report_fields: tuple[str, ...]) -> Method:
     """The method's entry for a `GrpcFactory`."""
-    return lambda call: _Stream(proxied, report_fields, call)
+    return lambda call: _Stream(proxied, load_report_fields, call)
 
 
 class _Stream:
--- a/anisefront/fronts/authorization.py
+++ b/anisefront/fronts/authorization.py
@@ -71,7 +71,7 @@
             return
         self._target = "" if mapped.target == http.path else mapped.target
         if gate.closing:
-            self._reply(Answer(Verdict.REFUSED, retry_in_ms=1000.0, reason="draining"))
+            self._reply(Answer(Verdict.REFUSED, retry_after_ms=1000.0, reason="draining"))
             return
         first, spread = gate.gateways_of(mapped.customer)
         self._number = gate.proxied.ask(
@@ -84,7 +84,7 @@
             mapped.units,
             first,
             spread,
-            mapped.is_repeat,
+            mapped.is_retry,
             self._call.peer,
             headers.get("x-idempotency-key", ""),
         )
@@ -112,7 +112,7 @@
             self._call.finish(allowed(answer, self._target))
         elif answer.verdict is Verdict.REFUSED:
             status = 429 if answer.reason == "quota" else 409 if answer.reason == "in-progress" else 503
-            retry = {"retry-after": str(max(1, math.ceil(answer.retry_in_ms / 1000)))}
+            retry = {"retry-after": str(max(1, math.ceil(answer.retry_after_ms / 1000)))}
             self._call.finish(denied(status, answer.reason, retry | {FINAL: "refused"}))
         else:
             self._call.finish(denied(502, answer.reason, {FINAL: "failed"}))
@@ -124,7 +124,7 @@
     response.status.code = 0
     for name, value in (
         ("x-envoy-original-dst-host", answer.worker),
-        ("x-envoy-upstream-rq-timeout-ms", str(max(1, int(answer.allow_ms)))),
+        ("x-envoy-upstream-rq-timeout-ms", str(max(1, int(answer.timeout_ms)))),
         (ATTEMPT, answer.attempt),
         *(((":path", target),) if target else ()),
     ):
--- a/anisefront/fronts/jsonrpc.py
+++ b/anisefront/fronts/jsonrpc.py
@@ -95,7 +95,7 @@
         mapped = self.router().map(job.method, host, job.target, job.headers)
         job = replace(job, target=mapped.target)
         if self.closing:
-            done(Answer(refused=True, retry_in_ms=1000.0, reason="draining"))
+            done(Answer(refused=True, retry_after_ms=1000.0, reason="draining"))
             return None
         first, spread = self.gateways_of(mapped.customer)
         return self.own.ask(
@@ -108,7 +108,7 @@
             mapped.units,
             first,
             spread,
-            mapped.is_repeat,
+            mapped.is_retry,
         )
 
 
@@ -131,7 +131,7 @@
             },
         )
     if answer.refused:
-        data = {"final": "refused", "reason": answer.reason, "retry_after_ms": round(answer.retry_in_ms)}
+        data = {"final": "refused", "reason": answer.reason, "retry_after_ms": round(answer.retry_after_ms)}
         return jsonrpc.error(call_id, REFUSED, "refused: safe to try again", data)
     return jsonrpc.error(call_id, FAILED, "failed: it may have run", {"final": "failed", "reason": answer.reason})
 
@@ -242,7 +242,7 @@
                 self.transport.loseConnection()
 
         if self._waiting >= self.factory.most_waiting:
-            answer = Answer(refused=True, retry_in_ms=1000.0, reason="too-many-calls")
+            answer = Answer(refused=True, retry_after_ms=1000.0, reason="too-many-calls")
             batch.add(None if call.notification else written(call.id, answer))
             return
         self._waiting += 1
--- a/anisefront/lab/clients.py
+++ b/anisefront/lab/clients.py
@@ -16,7 +16,7 @@
 
 from anisefront.carriers.pool import Pool
 from anisefront.lab.records import Record, now_ms
-from anisefront.policy.interface import Result
+from anisefront.policy.events import AttemptResult
 from anisefront.wire import http1
 
 PATIENCE_MS = 1000.0  # how long after its time a client still listens, so that a late answer is seen as late
@@ -134,9 +134,9 @@
             self._by_proxy(gatekeeper, wish, headers, deadline, ended)
 
     def _by_proxy(self, gatekeeper: int, wish: Wish, headers: dict[str, str], deadline: float, ended: Any) -> None:
-        def done(result: Result | None, answer: http1.Message | None) -> None:
+        def done(result: AttemptResult | None, answer: http1.Message | None) -> None:
             if answer is None:
-                ended("none" if result is Result.TIMEOUT else "lost", reason=result.value)
+                ended("none" if result is AttemptResult.TIMEOUT else "lost", reason=result.value)
                 return
             final = answer.headers.get("x-anisefront-final", "")
             how = final or (
--- a/anisefront/lab/day.py
+++ b/anisefront/lab/day.py
@@ -27,7 +27,8 @@
 from anisefront.lab.script import WORKER_FIGURES, Crowd, Script, Trouble
 from anisefront.lab.watch import Watch
 from anisefront.lab.workers import Cell, Kind, Worker
-from anisefront.policy.interface import Repeat, Server, State
+from anisefront.policy.events import Endpoint, EndpointStatus
+from anisefront.policy.settings import Idempotency
 
 ROSTER_LAG_S = 0.5  # discovery tells of a new worker so late; a drain is told at once
 WORKERS = "warm-up 6s cold-from 20% fall-multiple 2 fall-window 2s"
@@ -114,15 +115,15 @@
 
     def _worker_kind(self) -> Kind:
         wanted, settings = self.script.workers, self.config.settings
-        keyed = {kind.name for kind in settings.classes if kind.repeat is Repeat.KEYED}
+        keyed = {kind.name for kind in settings.classes if kind.idempotency is Idempotency.KEYED}
         return Kind(
             cores=wanted.get("cores", 2),
             queue=wanted.get("queue", 32),
             service_ms=wanted.get("service", 20.0),
             warm_up_ms=settings.warm_up_ms,
-            cold_from=settings.cold_from,
-            fall_multiple=settings.fall_multiple,
-            fall_window_ms=settings.fall_window_ms,
+            cold_from=settings.slow_start_initial_factor,
+            fall_multiple=settings.overload_multiple,
+            fall_window_ms=settings.overload_window_ms,
             keep_ms=wanted.get("drops-repeats", 5000.0),
             keyed_paths=tuple(route.pattern.path for route in self.config.routes if route.class_name in keyed),
         )
@@ -133,7 +134,7 @@
         """Begin; `done` fires when the day is over and its records are written."""
         note = self._records["day"].write
         for kind in self.config.settings.classes:
-            note("class", name=kind.name, repeat=kind.repeat.value, scope=kind.scope.value)
+            note("class", name=kind.name, repeat=kind.idempotency.value, scope=kind.deduplication_scope.value)
         for plan in self.config.settings.plans:
             note(
                 "plan",
@@ -143,7 +144,7 @@
                 ceiling=plan.ceiling_per_s,
                 ceiling_burst=plan.ceiling_burst,
                 ceiling_slack=plan.ceiling_slack,
-                max_out=plan.max_out,
+                max_in_flight=plan.max_in_flight,
             )
         for route in self.config.routes:
             note("route", path=route.pattern.path, cls=route.class_name)
@@ -269,9 +270,9 @@
         self._workers.append(worker)
         return worker
 
-    def _listed(self) -> list[Server]:
+    def _listed(self) -> list[Endpoint]:
         return [worker.listed() for worker in self._workers] + [
-            worker.listed(State.DRAINING) for worker in self._draining
+            worker.listed(EndpointStatus.DRAINING) for worker in self._draining
         ]
 
     def _write_roster(self) -> None:
--- a/anisefront/lab/load/plan.py
+++ b/anisefront/lab/load/plan.py
@@ -51,7 +51,7 @@
         ]
         if route.units_header:
             headers.append((route.units_header, f"{each.units:g}"))
-        if config.repeat_header and each.is_repeat:
+        if config.repeat_header and each.is_retry:
             headers.append((config.repeat_header, "1"))
         method = route.pattern.methods[0] if route.pattern.methods[0] != "*" else "GET"
         out.append(
--- a/anisefront/lab/model/calibrate.py
+++ b/anisefront/lab/model/calibrate.py
@@ -56,9 +56,9 @@
 def observed(folder: Path, settings: str) -> dict[str, float]:
     """The measures of a day that was played with `--record`."""
     config = config_of(settings, "settings").settings
-    worth = {kind.name: kind.worth for kind in config.classes}
-    aims = {kind.name: kind.aim_ms for kind in config.classes}
-    values = {plan.name: plan.value for plan in config.plans}
+    worth = {kind.name: kind.priority_weight for kind in config.classes}
+    aims = {kind.name: kind.latency_objective_ms for kind in config.classes}
+    values = {plan.name: plan.priority_multiplier for plan in config.plans}
     wishes: dict[str, float] = {}
     served: dict[str, float] = {}
     tries: dict[str, dict[str, Any]] = {}
--- a/anisefront/lab/model/imported.py
+++ b/anisefront/lab/model/imported.py
@@ -10,7 +10,7 @@
 
 from anisefront.carriers.outcomes import of_flags
 from anisefront.lab.model.traces import Arrival, Attempt, Trace
-from anisefront.policy.interface import Result
+from anisefront.policy.events import AttemptResult
 from anisefront.wire import trace
 
 MOST_PROBLEMS = 20
@@ -78,6 +78,6 @@
     result = of_flags(flags, entry.response.response_code.value, entry.response.response_headers).result
     return (
         Attempt(at + sent, f"{where.address}:{where.port_value}", name, 1.0, result.value, max(0.0, took), 0.0)
-        if result is not Result.MOOT
+        if result is not AttemptResult.DISCARDED
         else None
     )
--- a/anisefront/lab/model/pool.py
+++ b/anisefront/lab/model/pool.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from anisefront.lab.model.draws import lognormal, quantile
-from anisefront.policy.interface import Result, Server, State
+from anisefront.policy.events import AttemptResult, Endpoint, EndpointStatus
 
 NORMAL = lognormal(0.5)
 
@@ -79,7 +79,7 @@
 
     def __init__(self, number: int, started: float, zone: str, cell: int) -> None:
         self.id, self.started, self.zone = f"10.0.{number >> 8}.{number & 255}:80", started, zone
-        self.busy, self.queue, self.state, self.cell = 0, deque[Job](), State.READY, cell
+        self.busy, self.queue, self.state, self.cell = 0, deque[Job](), EndpointStatus.READY, cell
         self.slow, self.error_share, self.silent, self.frozen, self.fallen = 1.0, 0.0, False, False, False
         self.broken_share = 0.0  # of answers that are errors though the work was done
         self.waiting: list[Callable[[], None]] = []  # what came or ended while it stood still
@@ -94,7 +94,7 @@
         kind: Workers,
         zones: tuple[str, ...],
         at: Callable[..., None],
-        ended: Callable[[Job, Result, tuple[float, ...]], None],
+        ended: Callable[[Job, AttemptResult, tuple[float, ...]], None],
     ) -> None:
         self.kind, self._zones, self._at, self._ended = kind, zones, at, ended
         self.now = 0.0  # set by the world before each call
@@ -110,9 +110,9 @@
         self.workers[worker.id] = worker
         return worker
 
-    def listed(self) -> tuple[Server, ...]:
+    def listed(self) -> tuple[Endpoint, ...]:
         """What a fleet list says."""
-        return tuple(Server(w.id, w.zone, w.cell, w.state, 1.0, w.started) for w in self.workers.values())
+        return tuple(Endpoint(w.id, w.zone, w.cell, w.state, 1.0, w.started) for w in self.workers.values())
 
     def remove(self, name: str) -> None:
         """The process is gone; what it held is reset."""
@@ -120,7 +120,7 @@
         if worker is not None:
             worker.fallen = True
             for job in worker.queue:
-                self._end(job, Result.RESET)
+                self._end(job, AttemptResult.RESET)
             worker.queue.clear()
 
     # ---- an attempt ----------------------------------------------------------------------------
@@ -129,7 +129,7 @@
         """An attempt has come over the network."""
         worker = self.workers.get(job.server)
         if worker is None:
-            self._end(job, Result.CONNECT_FAILED)
+            self._end(job, AttemptResult.CONNECT_FAILED)
         elif worker.frozen:
             worker.waiting.append(lambda: self._take(worker, job))
         else:
@@ -142,9 +142,9 @@
         if worker.fallen or worker.silent:
             return
         if worker.error_share and job.u * 997 % 1 < worker.error_share:
-            self._end(job, Result.ERROR)
+            self._end(job, AttemptResult.ERROR)
         elif worker.busy + len(worker.queue) >= kind.cores + kind.queue:
-            self._end(job, Result.FULL)
+            self._end(job, AttemptResult.OVERLOADED)
         else:
             worker.queue.append(job)
             self._next(worker)
@@ -172,7 +172,7 @@
             if job.over:
                 continue
             if job.key >= 0 and self._repeated(worker.cell, job.key):
-                self._end(job, Result.OK)
+                self._end(job, AttemptResult.OK)
                 continue
             worker.busy += 1
             took = kind.service_ms * job.units * worker.slow * quantile(kind.shape, job.u) / self.warmth(worker)
@@ -193,7 +193,7 @@
             return
         worker.busy -= 1
         if worker.id not in self.workers:
-            self._end(job, Result.RESET)
+            self._end(job, AttemptResult.RESET)
             return
         self._next(worker)
         if not worker.fallen and not worker.silent:
@@ -201,9 +201,9 @@
             if self.kind.reports:
                 load = (min(1.0, worker.busy / self.kind.cores), float(worker.busy + len(worker.queue)))
             broken = worker.broken_share and job.u * 991 % 1 < worker.broken_share
-            self._ended(job, Result.ERROR if broken else Result.OK, load)
+            self._ended(job, AttemptResult.ERROR if broken else AttemptResult.OK, load)
 
-    def _end(self, job: Job, result: Result) -> None:
+    def _end(self, job: Job, result: AttemptResult) -> None:
         self._ended(job, result, ())
 
     # ---- what goes wrong -----------------------------------------------------------------------
--- a/anisefront/lab/model/study.py
+++ b/anisefront/lab/model/study.py
@@ -105,7 +105,7 @@
         troubles += tuple(each for each in script.troubles if each.name != "surge")
     chosen = made[seed % len(made)]
     if chosen.clients.retries:
-        arrivals = [each for each in arrivals if not each.is_repeat]  # these the model's clients make themselves
+        arrivals = [each for each in arrivals if not each.is_retry]  # these the model's clients make themselves
     world = World(chosen, arrivals, troubles, seed)
     try:
         played = world.run()
@@ -147,11 +147,11 @@
         spec.queue,
         spec.service_ms,
         warm_up_ms=settings.warm_up_ms,
-        cold_from=settings.cold_from,
-        fall_multiple=settings.fall_multiple,
-        fall_window_ms=settings.fall_window_ms,
+        cold_from=settings.slow_start_initial_factor,
+        fall_multiple=settings.overload_multiple,
+        fall_window_ms=settings.overload_window_ms,
         cells=spec.cells,
-        reports=bool(settings.report_fields),
+        reports=bool(settings.load_report_fields),
     )
     return Option(
         settings,
@@ -187,7 +187,7 @@
     if found.config is None:
         raise Unfit("\n".join(messages.text(found.load, each) for each in found.problems if each.severity == 2))
     config = found.config
-    settings = replace(config.settings, may_tell=True, inbox_per_s=config.settings.inbox_per_s or 200.0)
+    settings = replace(config.settings, peer_messages_enabled=True, inbox_per_s=config.settings.inbox_per_s or 200.0)
     return replace(config, settings=settings)
 
 
--- a/anisefront/lab/model/traces.py
+++ b/anisefront/lab/model/traces.py
@@ -25,7 +25,7 @@
     units: float
     left: float
     gateway: int  # -1: any
-    is_repeat: bool = False
+    is_retry: bool = False
     copies: bool = True  # its way allows two attempts out at once
 
 
@@ -213,7 +213,7 @@
                     each.plan,
                     each.units,
                     each.left,
-                    int(each.is_repeat),
+                    int(each.is_retry),
                     int(each.copies),
                     each.gateway,
                 ],
--- a/anisefront/lab/model/troubles.py
+++ b/anisefront/lab/model/troubles.py
@@ -12,7 +12,7 @@
 from anisefront.lab.model.draws import Cause
 from anisefront.lab.model.pool import Worker
 from anisefront.lab.script import WORKER_FIGURES, Trouble
-from anisefront.policy.interface import State
+from anisefront.policy.events import EndpointStatus
 
 if TYPE_CHECKING:
     from anisefront.lab.model.traces import Arrival
@@ -59,7 +59,7 @@
 
     def _some(self, number: int, values: dict[str, Any]) -> list[Worker]:
         row = self._world.draws.row(Cause.TROUBLE, number)
-        ready = [worker for worker in self._world.pool.workers.values() if worker.state is State.READY]
+        ready = [worker for worker in self._world.pool.workers.values() if worker.state is EndpointStatus.READY]
         ranked = sorted(range(len(ready)), key=lambda place: row[place % len(row)] + place // len(row))
         return [ready[place] for place in ranked[: values.get("workers", 1)]]
 
@@ -87,7 +87,7 @@
     def _on_preempt(self, number: int, values: dict[str, Any]) -> None:
         """Workers are taken away after a short notice, and cold ones come in their place after a while."""
         for place, worker in enumerate(self._some(number, values)):
-            worker.state = State.DRAINING
+            worker.state = EndpointStatus.DRAINING
             self._world.at(self._world.now + values.get("notice", 2000.0), self._retire, worker.id)
             self._world.at(self._world.now + values.get("for", 5000.0), self._cold, place)
         self._world.tell_fleet(TOLD_MS)
@@ -124,13 +124,13 @@
         self._for(values, self._surges.pop, values["plan"], None)
 
     def _on_deploy(self, number: int, values: dict[str, Any]) -> None:
-        old = [worker for worker in self._world.pool.workers.values() if worker.state is State.READY]
+        old = [worker for worker in self._world.pool.workers.values() if worker.state is EndpointStatus.READY]
         for place, worker in enumerate(old):
             at = self._world.now + values.get("over", 10_000.0) * place / len(old)
             self._world.at(at, self._replace, place, worker, values.get("drain", 2000.0))
 
     def _replace(self, place: int, old: Worker, drain_ms: float) -> None:
-        old.state = State.DRAINING
+        old.state = EndpointStatus.DRAINING
         self._world.tell_fleet(TOLD_MS)
         self._world.pool.add(place, self._world.now)
         self._world.tell_fleet()
--- a/anisefront/lab/model/world.py
+++ b/anisefront/lab/model/world.py
@@ -19,24 +19,10 @@
 from anisefront.lab.model.traces import Attempt
 from anisefront.lab.model.troubles import Troubles
 from anisefront.lab.script import Trouble
+from anisefront.policy.actions import CancelAttempt, Fail, Reject, SendToPeer, SetTimer, StartAttempt
 from anisefront.policy.control import Controller
-from anisefront.policy.interface import (
-    Arrival,
-    Cancel,
-    Event,
-    Fail,
-    Fleet,
-    Heard,
-    Outcome,
-    Refuse,
-    Repeat,
-    Result,
-    Send,
-    Settings,
-    Tell,
-    Wake,
-    Woken,
-)
+from anisefront.policy.events import Arrival, AttemptEnded, AttemptResult, EndpointList, Event, PeerMessage, TimerFired
+from anisefront.policy.settings import Idempotency, Settings
 
 GRAIN_MS = 5.0  # wake-ups are kept to it, as the gatekeeper's ledger does
 LAST_MS = 30_000.0  # after the last arrival: longer than any deadline
@@ -183,7 +169,7 @@
         if gate.dead:
             return
         if gate.frozen is not None:
-            if isinstance(events[0], Heard):
+            if isinstance(events[0], PeerMessage):
                 gate.unread += 1
                 if gate.unread > SOCKET_HOLDS:
                     return  # nobody reads the socket, and it is full
@@ -194,31 +180,31 @@
             if type(event) is Arrival and event.id in self._tries:
                 self._tries[event.id].heard = now
         for action in gate.controller.handle(now, list(events)):
-            if isinstance(action, Wake):
-                at = -(-(now + action.after_ms) // GRAIN_MS) * GRAIN_MS
+            if isinstance(action, SetTimer):
+                at = -(-(now + action.delay_ms) // GRAIN_MS) * GRAIN_MS
                 if at not in gate.wakes:
                     gate.wakes.add(at)
                     self.at(max(at, now + 0.01), self._wake, number, gate.life, at, action.name)
-            elif isinstance(action, Send):
+            elif isinstance(action, StartAttempt):
                 self._send(number, gate, action)
-            elif isinstance(action, Tell):
+            elif isinstance(action, SendToPeer):
                 self._tell(number, action)
-            elif isinstance(action, Refuse):
+            elif isinstance(action, Reject):
                 self._answer(action.id, "refused", action.reason.value)
             elif isinstance(action, Fail):
                 self._answer(action.id, "failed")
-            elif isinstance(action, Cancel):
+            elif isinstance(action, CancelAttempt):
                 job = self._jobs.get((action.id, action.attempt))
                 if job is not None:
-                    self.at(now, self._ended, job, Result.CANCELLED, ())
+                    self.at(now, self._ended, job, AttemptResult.CANCELLED, ())
 
     def _wake(self, number: int, life: int, at: float, name: str) -> None:
         gate = self.gates[number]
         if gate.life == life:
             gate.wakes.discard(at)
-            self.hand(number, Woken(name))
+            self.hand(number, TimerFired(name))
 
-    def _tell(self, sender: int, action: Tell) -> None:
+    def _tell(self, sender: int, action: SendToPeer) -> None:
         pair = sender * len(self.gates) + action.receiver
         self._told[pair] += 1
         network, index = self.option.network, pair << 32 | self._told[pair]
@@ -228,7 +214,7 @@
         low, high = network.peers_ms
         for copy in range(1 + (double > 0 and self.draws.one(Cause.MESSAGES, index, 1) < double)):
             delay = low + (high - low) * self.draws.one(Cause.MESSAGES, index, 2 + copy)
-            self.at(self.now + delay, self.hand, action.receiver, Heard(sender, action.data))
+            self.at(self.now + delay, self.hand, action.receiver, PeerMessage(sender, action.data))
 
     def stop(self, number: int) -> None:
         """The process is killed: what it held is lost."""
@@ -294,13 +280,17 @@
                 recorded.units,
                 first,
                 spread,
-                tries > 0 or recorded.is_repeat,
+                tries > 0 or recorded.is_retry,
                 recorded.copies,
             ),
         )
 
     def _worth(self, recorded: Recorded) -> float:
-        return self._classes[recorded.class_name].worth * self._plans[recorded.plan].value * recorded.units
+        return (
+            self._classes[recorded.class_name].priority_weight
+            * self._plans[recorded.plan].priority_multiplier
+            * recorded.units
+        )
 
     def _answer(self, name: int, how: str, reason: str = "") -> None:
         each = self._tries.get(name)
@@ -309,7 +299,7 @@
         each.ended = True
         recorded, came = each.recorded, self.now + self.option.network.front_ms
         self.played.answered(int(recorded.at // 1000), how, reason)
-        if how == "served" and came - each.at <= self._classes[recorded.class_name].aim_ms:
+        if how == "served" and came - each.at <= self._classes[recorded.class_name].latency_objective_ms:
             self.played.granted(int(recorded.at // 1000), recorded.class_name, recorded.plan, self._worth(recorded))
         elif how == "refused" and each.tries < min(self.option.clients.retries, MOST_TRIES - 1):
             row, (low, high) = self.draws.row(Cause.REQUESTS, abs(each.wish)), self.option.clients.pause_ms
@@ -326,25 +316,25 @@
 
     # ---- attempts ------------------------------------------------------------------------------
 
-    def _send(self, number: int, gate: Gate, action: Send) -> None:
+    def _send(self, number: int, gate: Gate, action: StartAttempt) -> None:
         each = self._tries.get(action.id)
         if each is None:
-            self.hand(number, Outcome(action.id, 0, action.server, 0.0, Result.MOOT, True))
+            self.hand(number, AttemptEnded(action.id, 0, action.endpoint, 0.0, AttemptResult.DISCARDED, True))
             return
         recorded, attempt = each.recorded, self._attempt(action.id)
         if attempt == 0:
             self.played.waited(int(recorded.at // 1000), self.now - each.heard)
             self.played.units[recorded.plan] = self.played.units.get(recorded.plan, 0.0) + recorded.units
         row = self.draws.row(Cause.REQUESTS, abs(each.wish))
-        keyed = self._classes[recorded.class_name].repeat is Repeat.KEYED
+        keyed = self._classes[recorded.class_name].idempotency is Idempotency.KEYED
         job = Job(
             number,
             gate.life,
             action.id,
             attempt,
-            action.server,
+            action.endpoint,
             self.now,
-            self.now + action.allow_ms,
+            self.now + action.timeout_ms,
             recorded.units,
             each.wish if keyed else -1,
             row[_SERVICE + (4 * each.tries + attempt) % 16],
@@ -353,22 +343,22 @@
         each.attempts += 1
         self._out += 1
         self.at(self.now + self.option.network.worker_ms, self.pool.reach, job)
-        self.at(job.allow_until, self._ended, job, Result.TIMEOUT, ())
+        self.at(job.allow_until, self._ended, job, AttemptResult.TIMEOUT, ())
 
     def _attempt(self, name: int) -> int:
         count = self._counts.get(name, 0)
         self._counts[name] = count + 1
         return count
 
-    def _ended(self, job: Job, result: Result, load: tuple[float, ...]) -> None:
+    def _ended(self, job: Job, result: AttemptResult, load: tuple[float, ...]) -> None:
         """The first end of an attempt counts; the gatekeeper hears of it after the way back."""
         if job.over:
             return
         job.over = True
-        delay = 0.0 if result in (Result.TIMEOUT, Result.CANCELLED) else self.option.network.worker_ms
+        delay = 0.0 if result in (AttemptResult.TIMEOUT, AttemptResult.CANCELLED) else self.option.network.worker_ms
         self.at(self.now + delay, self._heard, job, result, load)
 
-    def _heard(self, job: Job, result: Result, load: tuple[float, ...]) -> None:
+    def _heard(self, job: Job, result: AttemptResult, load: tuple[float, ...]) -> None:
         self._jobs.pop((job.number, job.attempt), None)
         self._out -= 1
         each, gate = self._tries.get(job.number), self.gates[job.gate]
@@ -385,7 +375,7 @@
                     worker.started if worker else 0.0,
                 )
             )
-        if gate.life == job.life and gate.frozen is None and result is Result.OK:
+        if gate.life == job.life and gate.frozen is None and result is AttemptResult.OK:
             self._answer(job.number, "served")
         if each is not None:
             each.attempts -= 1
@@ -395,7 +385,7 @@
         if gate.life == job.life:
             self.hand(
                 job.gate,
-                Outcome(
+                AttemptEnded(
                     job.number,
                     job.attempt,
                     job.server,
@@ -410,9 +400,9 @@
 
     # ---- discovery -----------------------------------------------------------------------------
 
-    def fleet(self) -> Fleet:
+    def fleet(self) -> EndpointList:
         """A complete list of now."""
-        return Fleet(self.pool.listed())
+        return EndpointList(self.pool.listed())
 
     def tell_fleet(self, after_ms: float | None = None) -> None:
         """All gatekeepers hear of the workers as they are now, after a while."""
--- a/anisefront/lab/proxy.py
+++ b/anisefront/lab/proxy.py
@@ -21,18 +21,18 @@
 
 from anisefront.carriers.pool import Exchange, Pool, PoolLimits
 from anisefront.lab.records import Record, now_ms
-from anisefront.policy.interface import Result
+from anisefront.policy.events import AttemptResult
 from anisefront.wire import http1
 
 ATTEMPT = "x-anisefront-attempt"
 _CHECK = "/envoy.service.auth.v3.Authorization/Check"
 _LOG = "/envoy.service.accesslog.v3.AccessLogService/StreamAccessLogs"
 _FLAGS = {
-    Result.CONNECT_FAILED: "upstream_connection_failure",
-    Result.RESET: "upstream_connection_termination",
-    Result.TIMEOUT: "upstream_request_timeout",
-    Result.ERROR: "upstream_protocol_error",
-    Result.CANCELLED: "downstream_connection_termination",
+    AttemptResult.CONNECT_FAILED: "upstream_connection_failure",
+    AttemptResult.RESET: "upstream_connection_termination",
+    AttemptResult.TIMEOUT: "upstream_request_timeout",
+    AttemptResult.ERROR: "upstream_protocol_error",
+    AttemptResult.CANCELLED: "downstream_connection_termination",
 }
 _LOGGED = ("endpoint-load-metrics", "endpoint-load-metrics-bin", "x-envoy-overloaded")
 MOST_CHECKS = 8
@@ -220,7 +220,7 @@
         data = http1.request(message.method, told.get(":path", message.target), headers, message.body)
         self._exchange: Exchange | None = self._proxy.pool.request(self._worker, data, allow_s, self._ended)
 
-    def _ended(self, result: Result | None, answer: http1.Message | None) -> None:
+    def _ended(self, result: AttemptResult | None, answer: http1.Message | None) -> None:
         self._exchange = None
         flag = "" if result is None else _FLAGS[result]
         self._proxy.log(self._token, self._message, self._worker, flag, answer, now_ms() - self._sent_ms)
--- a/anisefront/lab/sabotage.py
+++ b/anisefront/lab/sabotage.py
@@ -14,7 +14,10 @@
 
 from anisefront.core.ledger import Ledger
 from anisefront.fleet import roster
-from anisefront.policy import control, interface
+from anisefront.policy import control
+from anisefront.policy.actions import Fail, Reject
+from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
+from anisefront.policy.settings import Idempotency, Plan, RequestClass
 
 
 def _answers_lost() -> None:
@@ -22,7 +25,7 @@
     kept, count = Ledger._carry_out, [0]
 
     def carry_out(self: Ledger, now: float, action: object) -> None:
-        if isinstance(action, interface.Refuse | interface.Fail):
+        if isinstance(action, Reject | Fail):
             count[0] += 1
             if count[0] % 3 == 0:
                 return
@@ -47,30 +50,27 @@
 def _repeats_anywhere() -> None:
     """Rule 2: every class is taken for safe to repeat, and may be refused whatever ran."""
     control.Controller.allowed = lambda self, request: None
-    made = interface.RequestClass.__post_init__
+    made = RequestClass.__post_init__
 
-    def post_init(self: interface.RequestClass) -> None:
+    def post_init(self: RequestClass) -> None:
         made(self)
-        object.__setattr__(self, "repeat", interface.Repeat.SAFE)
+        object.__setattr__(self, "idempotency", Idempotency.IDEMPOTENT)
 
-    interface.RequestClass.__post_init__ = post_init
+    RequestClass.__post_init__ = post_init
 
 
 def _drains_ignored() -> None:
     """Rule 3: what the list says drains is taken for ready, and what is gone for still there."""
     parse = roster.parse
 
-    def blind(text: bytes) -> interface.Fleet:
-        servers = {server.id: server for server in parse(text).servers}
+    def blind(text: bytes) -> EndpointList:
+        servers = {server.id: server for server in parse(text).endpoints}
         known.update(servers)
-        return interface.Fleet(
-            tuple(
-                interface.Server(s.id, s.zone, s.cell, interface.State.READY, s.weight, s.started_ms)
-                for s in known.values()
-            )
+        return EndpointList(
+            tuple(Endpoint(s.id, s.zone, s.cell, EndpointStatus.READY, s.weight, s.started_ms) for s in known.values())
         )
 
-    known: dict[str, interface.Server] = {}
+    known: dict[str, Endpoint] = {}
     roster.parse = blind
 
 
@@ -89,16 +89,16 @@
 
 def _ceilings_open() -> None:
     """Rule 5: no plan has a quota or a ceiling."""
-    made = interface.Plan.__post_init__
+    made = Plan.__post_init__
 
-    def post_init(self: interface.Plan) -> None:
+    def post_init(self: Plan) -> None:
         made(self)
         for name in ("ceiling_per_s", "ceiling_burst"):
             object.__setattr__(self, name, 0.0)
         object.__setattr__(self, "rate_per_s", 1e6)
         object.__setattr__(self, "burst", 1e6)
 
-    interface.Plan.__post_init__ = post_init
+    Plan.__post_init__ = post_init
 
 
 GUARDS: dict[str, Callable[[], None]] = {
--- a/anisefront/lab/workers.py
+++ b/anisefront/lab/workers.py
@@ -17,7 +17,7 @@
 
 from anisefront.config.types import Embedded
 from anisefront.lab.records import Record, now_ms
-from anisefront.policy.interface import Fleet, Server, State
+from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
 from anisefront.wire import http1
 
 ANSWER = {"content-type": "application/json"}
@@ -220,11 +220,11 @@
         for connection in list(self.connections):
             connection.transport.abortConnection()
 
-    def listed(self, state: State = State.READY) -> Server:
+    def listed(self, state: EndpointStatus = EndpointStatus.READY) -> Endpoint:
         """This worker as a line of a fleet list."""
         import zlib
 
-        return Server(self.id, self.zone, zlib.crc32(self.cell.name.encode()), state, 1.0, self.started_ms)
+        return Endpoint(self.id, self.zone, zlib.crc32(self.cell.name.encode()), state, 1.0, self.started_ms)
 
 
 class _Connection(protocol.Protocol):
@@ -265,15 +265,15 @@
         return _Connection(self._worker)
 
 
-def embedded(wanted: Embedded, zone: str) -> Callable[[Any], Fleet]:
+def embedded(wanted: Embedded, zone: str) -> Callable[[Any], EndpointList]:
     """Starts warm workers inside a gatekeeper's own process, for a first try and for benchmarks."""
 
-    def start(reactor: Any) -> Fleet:
+    def start(reactor: Any) -> EndpointList:
         kind = Kind(wanted.cores, 1024, wanted.service_ms)
         cell, record = Cell("embedded"), Record(None)
         workers = [
             Worker(reactor, kind, zone, cell, random.Random(number), record, False) for number in range(wanted.count)
         ]
-        return Fleet(tuple(worker.listed() for worker in workers))
+        return EndpointList(tuple(worker.listed() for worker in workers))
 
     return start
--- a/anisefront/node/carrier.py
+++ b/anisefront/node/carrier.py
@@ -11,7 +11,8 @@
 from anisefront.core.ledger import Ledger
 from anisefront.node import resp
 from anisefront.node.terms import Wanted, report_row
-from anisefront.policy.interface import Reason, Result
+from anisefront.policy.actions import RejectionReason
+from anisefront.policy.events import AttemptResult
 
 Final = Callable[[bytes], None]  # hears the one answer, written for the client
 FAILED = resp.error(b"ERR failed")
@@ -41,22 +42,22 @@
         """No answer is ended by the end of its connection."""
 
 
-def outcome(answer: resp.Answer) -> tuple[Result | None, bytes]:
+def outcome(answer: resp.Answer) -> tuple[AttemptResult | None, bytes]:
     """What a whole answer proves, and its load report. None: an error line that the platform does not name, which
     proves nothing and leaves the connection in doubt."""
     if answer.value is not None:
-        return Result.OK, answer.report
+        return AttemptResult.OK, answer.report
     word, _, report = answer.error.partition(b" ")
     if word == b"BUSY":
-        return Result.FULL, report
+        return AttemptResult.OVERLOADED, report
     if answer.error == b"ERR failed" or answer.error.startswith(b"ERR failed "):
-        return Result.ERROR, report.partition(b" ")[2]
+        return AttemptResult.ERROR, report.partition(b" ")[2]
     return None, b""
 
 
-def refusal(retry_in_ms: float) -> bytes:
+def refusal(retry_after_ms: float) -> bytes:
     """`-BUSY`, with a time to come back where there is one."""
-    return resp.error(b"BUSY %d" % max(1, round(retry_in_ms)) if retry_in_ms > 0 else b"BUSY")
+    return resp.error(b"BUSY %d" % max(1, round(retry_after_ms)) if retry_after_ms > 0 else b"BUSY")
 
 
 @dataclass(slots=True, eq=False)
@@ -71,9 +72,9 @@
 class NodeCarrier(Pooled):
     """The carrier for what comes over the platform's front."""
 
-    def __init__(self, ledger: Ledger, pool: Pool, report_fields: tuple[str, ...]) -> None:
+    def __init__(self, ledger: Ledger, pool: Pool, load_report_fields: tuple[str, ...]) -> None:
         super().__init__(ledger, pool)
-        self._fields = report_fields
+        self._fields = load_report_fields
         self._ids: set[bytes] = set()
         self.seen = Counter[str]()  # sums of what served attempts took and what workers reported, for the state report
 
@@ -81,7 +82,9 @@
         """Whether a request with this id is open."""
         return wanted_id in self._ids
 
-    def ask(self, wanted: Wanted, due_ms: float, final: Final, left: Callable[[], bool] = lambda: False) -> int | None:
+    def ask(
+        self, wanted: Wanted, deadline_at_ms: float, final: Final, left: Callable[[], bool] = lambda: False
+    ) -> int | None:
         """Take a request in. `final` hears its one answer, `left` is asked whether its client has closed; the number
         is for `withdraw`, None where it was refused."""
         number = self._ledger.accept(
@@ -89,11 +92,11 @@
             wanted.customer,
             wanted.class_name,
             wanted.plan_name,
-            due_ms,
+            deadline_at_ms,
             wanted.units,
             wanted.first_gateway,
             wanted.spread,
-            wanted.is_repeat,
+            wanted.is_retry,
         )
         if number is not None:
             self.open[number] = _Open(wanted, final, self._ledger.now_ms(), left)
@@ -104,17 +107,17 @@
         """Asked at the last moment before an attempt begins."""
         return entry.left()
 
-    def written(self, entry: _Open, name: str, worker: str, allow_ms: float) -> tuple[bytes, bool]:
+    def written(self, entry: _Open, name: str, worker: str, timeout_ms: float) -> tuple[bytes, bool]:
         """The client's command with the time that is left."""
         entry.sent_ms = entry.sent_ms or self._ledger.now_ms()
-        return entry.wanted.command(allow_ms), False
+        return entry.wanted.command(timeout_ms), False
 
-    def read(self, answer: resp.Answer) -> tuple[Result, tuple[float, ...]]:
+    def read(self, answer: resp.Answer) -> tuple[AttemptResult, tuple[float, ...]]:
         """By its form; an error line that the platform does not name may have run."""
         result, report = outcome(answer)
         if result is None:
             self._pool.counts["unknown_error"] += 1
-            result = Result.ERROR
+            result = AttemptResult.ERROR
         load = report_row(report, self._fields)
         if load:
             self.seen["reports"] += 1
@@ -130,17 +133,17 @@
         seen[f"served {wanted.class_name} {wanted.plan_name}"] += 1
         seen["wait_ms"] += waited
         seen["took_ms"] += took
-        seen["late"] += waited + took > wanted.aim_ms  # and whether by waiting or at the worker
-        seen["late_by_wait"] += waited > wanted.aim_ms / 2
-        seen["late_took"] += took > wanted.aim_ms
+        seen["late"] += waited + took > wanted.latency_objective_ms  # and whether by waiting or at the worker
+        seen["late_by_wait"] += waited > wanted.latency_objective_ms / 2
+        seen["late_took"] += took > wanted.latency_objective_ms
         entry.final(resp.bulk(answer.value))
 
-    def refuse(self, request: int, retry_in_ms: float, reason: Reason) -> None:
+    def refuse(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
         """Final: not done, safe to try again."""
         entry = self.close(request)
         if entry is not None:
             self.seen[f"refused {entry.wanted.class_name} {entry.wanted.plan_name} {reason.value}"] += 1
-            entry.final(refusal(retry_in_ms))
+            entry.final(refusal(retry_after_ms))
 
     def fail(self, request: int) -> None:
         """Final: no promise."""
--- a/anisefront/node/config.py
+++ b/anisefront/node/config.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from anisefront.node.discovery import Change, DiscoveryFault, address, read_change
-from anisefront.policy.interface import Settings
-from anisefront.policy.settings import settings_of
+from anisefront.policy.settings import Settings
+from anisefront.policy.settings_document import settings_of
 
 MOST_BYTES = 16 << 20
 BASE_MB = 28.0  # what a gatekeeper takes before it knows anybody; half of the rest is for customers
@@ -72,7 +72,7 @@
         raise ConfigFault(f"settings: {problem}") from problem
     # Danger: the module's own cap on customers is for a large machine; here strangers' names would fill the memory.
     most = max(LEAST_CUSTOMERS, int((memory_mb - BASE_MB) * CUSTOMERS_PER_MB))
-    settings = replace(settings, most_customers=min(settings.most_customers, most))
+    settings = replace(settings, max_customers=min(settings.max_customers, most))
     peers = found.get("peers")
     peers = peers if isinstance(peers, list) else []
     if peers and len(peers) < settings.gateways:
--- a/anisefront/node/discovery.py
+++ b/anisefront/node/discovery.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from anisefront.policy.interface import Fleet, Server, State
+from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
 from anisefront.wire.http1 import Head, Message, MessageFault, Part, Reader
 
-STATES = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
+STATES = {"active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING, "left": EndpointStatus.REMOVED}
 MOST_LINE = 4 << 20  # bytes of one change
 MOST_WORKERS = 10_000
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
@@ -30,7 +30,7 @@
 class Entry:
     """One worker as discovery tells of it."""
 
-    server: Server
+    endpoint: Endpoint
     address: tuple[str, int]
 
 
@@ -71,7 +71,7 @@
     state = STATES.get(row.get("status"))
     if state is None:
         raise DiscoveryFault(f"status: {row.get('status')!r} is not known")
-    server = Server(
+    server = Endpoint(
         _text(row, "name"),
         str(row.get("zone", "")),
         int(_number(row, "group", 0)),
@@ -100,24 +100,24 @@
         self.index = 0
         self.entries: dict[str, Entry] = {}
 
-    def apply(self, change: Change) -> tuple[Fleet | None, list[str]]:
+    def apply(self, change: Change) -> tuple[EndpointList | None, list[str]]:
         """Take a change in: the list for the module (None where the change is older than what is known), and the
         names of workers that have gone, have moved or were started anew."""
         if not change.snapshot and change.index <= self.index and self.index:
             return None, []  # a change that was told before, as after a reconnect
         before, after = self.entries, {} if change.snapshot else dict(self.entries)
         for entry in change.entries:
-            if entry.server.state is State.GONE:
-                after.pop(entry.server.id, None)
+            if entry.endpoint.status is EndpointStatus.REMOVED:
+                after.pop(entry.endpoint.id, None)
             else:
-                after[entry.server.id] = entry
+                after[entry.endpoint.id] = entry
         self.index, self.entries = change.index, after
         moved = [name for name, old in before.items() if self._moved(old, after.get(name))]
-        return Fleet(tuple(entry.server for entry in after.values())), moved
+        return EndpointList(tuple(entry.endpoint for entry in after.values())), moved
 
     @staticmethod
     def _moved(old: Entry, new: Entry | None) -> bool:
-        return new is None or new.address != old.address or new.server.started_ms != old.server.started_ms
+        return new is None or new.address != old.address or new.endpoint.started_ms != old.endpoint.started_ms
 
     def forget_version(self) -> None:
         """What is told next comes from a discovery that counts its versions anew; the list stays in force."""
--- a/anisefront/node/front.py
+++ b/anisefront/node/front.py
@@ -218,7 +218,7 @@
 
         slot.size = len(wanted.tail)
         front.bodies += slot.size
-        slot.number = front.carrier.ask(wanted, front.due_ms(wanted.wait_ms), final, self.left)
+        slot.number = front.carrier.ask(wanted, front.deadline_at_ms(wanted.wait_ms), final, self.left)
         if slot.number is None:
             front.counts["full"] += 1
             slot.answer = REFUSED.answer
@@ -403,7 +403,7 @@
         """How many connections are open; those that are closing are counted apart."""
         return sum(len(kept) for place, kept in self.places.items() if place != CLOSING)
 
-    def due_ms(self, wait_ms: float) -> float:
+    def deadline_at_ms(self, wait_ms: float) -> float:
         """When a request that is read now is to be answered.
 
         Danger: its time counts from when it was sent. Until it is read it is on its way, and waits here while the loop
--- a/anisefront/node/gatekeeper.py
+++ b/anisefront/node/gatekeeper.py
@@ -54,7 +54,7 @@
         self.log = structlog.get_logger().bind(gatekeeper=config.name)
         settings = config.settings
         self.peer_port = None
-        if config.peer_listen is not None and settings.may_tell:
+        if config.peer_listen is not None and settings.peer_messages_enabled:
             self.peer_port = PeerPort(
                 settings.number, config.peers, lambda sender, data: self.ledger.hear(sender, data)
             )
@@ -84,7 +84,7 @@
             RespAnswers,
             self.book.address_of,
         )
-        self.carrier = NodeCarrier(self.ledger, self.pool, settings.report_fields)
+        self.carrier = NodeCarrier(self.ledger, self.pool, settings.load_report_fields)
         self.front = Front(
             reactor,
             self.carrier,
--- a/anisefront/node/terms.py
+++ b/anisefront/node/terms.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from anisefront.node import resp
-from anisefront.policy.interface import Repeat, Settings
+from anisefront.policy.settings import Idempotency, Settings
 
 VERBS = (b"Q.ASK", b"Q.DO")
 PARTS = (4, 5)  # of a command: the verb, the customer, the id, the terms, and a body or none
@@ -35,21 +35,21 @@
     id: bytes
     customer: str
     class_name: str
-    aim_ms: float
+    latency_objective_ms: float
     plan_name: str
     wait_ms: float
     units: float
     first_gateway: int
     spread: int
-    is_repeat: bool
+    is_retry: bool
     head: bytes  # of the worker's command, up to the terms
     before: bytes  # terms before the deadline's figure, and after it
     after: bytes
     tail: bytes  # what follows the terms
 
-    def command(self, allow_ms: float) -> bytes:
+    def command(self, timeout_ms: float) -> bytes:
         """The command for a worker that has `allow_ms` to answer."""
-        return self.head + resp.bulk(b"%b%d%b" % (self.before, max(1, int(allow_ms)), self.after)) + self.tail
+        return self.head + resp.bulk(b"%b%d%b" % (self.before, max(1, int(timeout_ms)), self.after)) + self.tail
 
 
 class Reader:
@@ -82,11 +82,11 @@
         kind = self._kinds.get(found.get("c", ""))
         if kind is None:
             raise TermsFault("c: no such class")
-        if (verb == b"Q.ASK") is not (kind.repeat is Repeat.SAFE):
+        if (verb == b"Q.ASK") is not (kind.idempotency is Idempotency.IDEMPOTENT):
             raise TermsFault(f"c: the class {kind.name} does not go with {verb.decode()}")
         if found.get("t") not in self._plans:
             raise TermsFault("t: no such plan")
-        if kind.repeat is Repeat.KEYED and not _KEY.match(found.get("k", "")):
+        if kind.idempotency is Idempotency.KEYED and not _KEY.match(found.get("k", "")):
             raise TermsFault("k: the class needs an idempotency key")
         wait = self._number("d", found.get("d", ""), 0.0, MOST_WAIT_MS)
         units = self._number("units", found.get("units", "1"), 0.0, self.settings.max_units)
@@ -99,7 +99,7 @@
             number,
             customer.decode(),
             kind.name,
-            kind.aim_ms,
+            kind.latency_objective_ms,
             found["t"],
             wait,
             units,
--- a/anisefront/policy/control.py
+++ b/anisefront/policy/control.py
@@ -11,32 +11,6 @@
 import math
 import random
 from dataclasses import replace
-
-from anisefront.policy.interface import (
-    Action,
-    Arrival,
-    Away,
-    Cancel,
-    ClientGone,
-    Event,
-    Fail,
-    Fleet,
-    Heard,
-    Outcome,
-    Plan,
-    Reason,
-    Refuse,
-    Repeat,
-    Result,
-    Scope,
-    Send,
-    Settings,
-    Started,
-    State,
-    Subscribe,
-    Tell,
-    Wake,
-)
 from anisefront.policy.messages import (
     MAX_ITEMS,
     MAX_SIGHTINGS,
@@ -61,6 +35,30 @@
     Store,
     WindowState,
 )
+from anisefront.policy.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    Reject,
+    RejectionReason,
+    SendToPeer,
+    SetTimer,
+    StartAttempt,
+    Subscribe,
+)
+from anisefront.policy.events import (
+    Arrival,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    EndpointList,
+    EndpointStatus,
+    Event,
+    PeerMessage,
+    PeersUnreachable,
+    ResponseStarted,
+)
+from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, Settings
 
 # Fuzzy shares (paper, Tables 6 and 7, absolute delay).
 ERROR_GAIN, CHANGE_GAIN, OUTPUT_GAIN = 0.4, 3.0, 0.01  # per second of error, of its change; share per output
@@ -137,8 +135,8 @@
 class FuzzyShare:
     """A Mamdani PI-type controller: the wait of one class against its aim moves the class's share."""
 
-    def __init__(self, aim_ms: float, share: float) -> None:
-        self.aim_s, self.share, self.last_error = aim_ms / 1000, share, None
+    def __init__(self, latency_objective_ms: float, share: float) -> None:
+        self.aim_s, self.share, self.last_error = latency_objective_ms / 1000, share, None
 
     def step(self, wait_ms: float) -> None:
         """One period: a late class gains; one under its aim keeps what it has."""
@@ -244,7 +242,7 @@
         for at their home the two would share one quota, and where as many are known as may be."""
         account = self.accounts.get(arrival.customer)
         if account is None:
-            if len(self.accounts) >= self.settings.most_customers:
+            if len(self.accounts) >= self.settings.max_customers:
                 return None
             spread = max(1, min(arrival.spread, self.settings.gateways))
             tag = tag_of(arrival.customer, self.settings.tag_key)
@@ -267,7 +265,7 @@
     def request(self, now: float, request: Request) -> bool:
         """May this try go on? Where the bucket here lacks units, its home is asked."""
         account, plan, units = request.account, request.plan, request.arrival.units
-        if plan.rate_per_s and not plan.max_out and units <= account.own and self.draw(now, request):
+        if plan.rate_per_s and not plan.max_in_flight and units <= account.own and self.draw(now, request):
             return True
         # Danger: who asks for many times its quota, or repeats without end, floods its home's inbox, and
         # what is lost there is everyone's. So only so many ask as a home can hear.
@@ -287,9 +285,9 @@
 
     def ask(self, now: float, request: Request) -> None:
         request.asks, request.asked_ms = request.asks + 1, now
-        self.tell_home(now, Kind.AGAIN if request.arrival.is_repeat else Kind.ASK, request)
+        self.tell_home(now, Kind.AGAIN if request.arrival.is_retry else Kind.ASK, request)
         if not request.answered:
-            wait = max(ASK_LEAST_MS, min(ASK_TIMES * self.rtt_ms, ASK_PART * request.kind.aim_ms))
+            wait = max(ASK_LEAST_MS, min(ASK_TIMES * self.rtt_ms, ASK_PART * request.kind.latency_objective_ms))
             self.plan_at(now + wait * (self.home(request)[0] not in self.silent), "ask", request.arrival.id)
 
     def home(self, request: Request) -> tuple[int, float]:
@@ -297,7 +295,7 @@
         its set stands in. Danger: each part of a cut fleet has one. So ceilings and slots stay with the home,
         and elsewhere a unit counts for more, the fewer are left: all parts lend the quota once more."""
         account, plan, units = request.account, request.plan, request.arrival.units
-        if account.home not in self.away or plan.ceiling_per_s or plan.max_out:
+        if account.home not in self.away or plan.ceiling_per_s or plan.max_in_flight:
             return account.home, units
         count, dearest = self.settings.gateways, max(units, RESERVE * plan.burst)  # more is never granted
         left = (each for each in account.others(count) if each not in self.away)
@@ -319,7 +317,7 @@
         if len(self.silent) < len(self.heard_ms) and request.arrival.units > account.own:
             self.tell_home(now, Kind.ASK, request)
             return False
-        return account.own >= 0 and not (request.plan.max_out and account.out) and self.draw(now, request)
+        return account.own >= 0 and not (request.plan.max_in_flight and account.out) and self.draw(now, request)
 
     def tell_home(self, now: float, kind: Kind, request: Request) -> None:
         account = request.account
@@ -344,13 +342,13 @@
     def close(self, now: float, request: Request) -> None:
         """The request has ended: what it drew and did not use goes back, and its slot is free."""
         self.asking.pop(request.serial, None)
-        if request.paid and (not request.attempts or request.plan.max_out):
+        if request.paid and (not request.attempts or request.plan.max_in_flight):
             self.tell_home(now, Kind.BACK, request)
 
     def say(self, now: float, gateway: int, item: Item) -> None:
         if gateway == self.settings.number:
             self.hear(now, gateway, self.boot, item)
-        elif self.settings.may_tell:
+        elif self.settings.peer_messages_enabled:
             self.outbox.setdefault(gateway, []).append(item)
 
     def post(self, now: float) -> list[tuple[int, list[Item]]]:
@@ -389,7 +387,7 @@
     def at_home(self, now: float, key: tuple[int, int, int], item: Item) -> None:
         plan, kind = self.settings.plans[item.plan_index], self.settings.classes[item.class_index]
         store = self.stores.get(item.tag)
-        if store is None and len(self.stores) >= self.settings.most_customers:
+        if store is None and len(self.stores) >= self.settings.max_customers:
             # Danger: a flood of names must not push out one that owes, nor make us seem gone to who asks.
             if item.kind in (Kind.ASK, Kind.AGAIN):
                 self.say(now, key[0], item._replace(kind=Kind.WAIT, asked_per_s=0.0))
@@ -402,8 +400,8 @@
             self.reply(now, Kind.GRANT, key, item._replace(units=0.0), store)
         elif asked and not queued:
             store.asked += item.units
-            worth = kind.worth if item.kind is Kind.ASK else 0.0
-            store.waiting.put(Ask(key, item, worth, now, now + kind.aim_ms * (1 - ANSWER_PART)))
+            worth = kind.priority_weight if item.kind is Kind.ASK else 0.0
+            store.waiting.put(Ask(key, item, worth, now, now + kind.latency_objective_ms * (1 - ANSWER_PART)))
             self.serve(now, item.tag)
             if key in store.waiting:
                 self.reply(now, Kind.WAIT, key, item, store)
@@ -412,13 +410,13 @@
             store.asked += 0.0 if queued else item.units
             self.book(now, store, key, item, 0.0)
         elif item.kind is Kind.BACK:
-            if store.leases.pop(key, None) is None and key in store.done and not plan.max_out:
+            if store.leases.pop(key, None) is None and key in store.done and not plan.max_in_flight:
                 store.level = min(plan.burst, store.level + item.units)
             self.serve(now, item.tag)
 
     def serve(self, now: float, tag: int) -> None:
         """Lend to those that wait, the worthiest first, of equal worth the newest."""
-        store, top = self.stores[tag], max(kind.worth for kind in self.settings.classes) or 1.0
+        store, top = self.stores[tag], max(kind.priority_weight for kind in self.settings.classes) or 1.0
         gone_s, plan, store.at_ms = (now - store.at_ms) / 1000, store.plan, now
         store.asked *= math.exp(-gone_s * 1000 / DEMAND_MEMORY_MS)
         store.level = min(plan.burst, store.level + plan.rate_per_s * gone_s)
@@ -434,7 +432,7 @@
                 wait_s = (ask.item.units + spare - store.level) / plan.rate_per_s
             if plan.ceiling_per_s:
                 wait_s = max(wait_s, (ask.item.units - store.ceiling) / ceiling_per_s)
-            if plan.max_out and len(store.leases) >= plan.max_out:
+            if plan.max_in_flight and len(store.leases) >= plan.max_in_flight:
                 wait_s = max(wait_s, (min(store.leases.values()) - now) / 1000)
             if wait_s > 0:
                 if not now < store.wake_ms <= now + wait_s * 1000 + PERIOD_MS:
@@ -451,8 +449,8 @@
                 del store.done[old]
         store.done[key] = now
         store.level, store.ceiling = max(-store.plan.burst, store.level - item.units), store.ceiling - ceiling
-        if store.plan.max_out:
-            store.leases[key] = now + LEASE_AIMS * self.settings.classes[item.class_index].aim_ms
+        if store.plan.max_in_flight:
+            store.leases[key] = now + LEASE_AIMS * self.settings.classes[item.class_index].latency_objective_ms
 
     def reply(self, now: float, kind: Kind, key: tuple[int, int, int], item: Item, store: Store) -> None:
         asked = store.asked * 1000 / DEMAND_MEMORY_MS
@@ -462,27 +460,27 @@
 class Servers(ServersState):
     """Which server gets an attempt: the least expected time, by load, speed, failures and zone."""
 
-    def update(self, now: float, fleet: Fleet) -> list[Backend]:
+    def update(self, now: float, fleet: EndpointList) -> list[Backend]:
         """Take in discovery's view; the answer is the servers that just left service."""
         before = self.warm + self.cold
-        listed = {server.id for server in fleet.servers}
+        listed = {server.id for server in fleet.endpoints}
         for name, backend in self.known.items():
             if fleet.complete and name not in listed:
-                backend.entry = replace(backend.entry, state=State.GONE)
-        for server in fleet.servers:
+                backend.entry = replace(backend.entry, status=EndpointStatus.REMOVED)
+        for server in fleet.endpoints:
             backend = self.known.get(server.id)
             if backend is None or backend.entry.started_ms != server.started_ms:  # what restarted has no past
                 backend = Backend(server)
                 self.known[server.id] = self.by_tag[server_tag(server.id)] = backend
             backend.entry = server
         self.sort(now)
-        return [backend for backend in before if backend.entry.state is not State.READY]
+        return [backend for backend in before if backend.entry.status is not EndpointStatus.READY]
 
     def sort(self, now: float) -> None:
         """The servers that are ready, by warmth."""
         self.warm, self.cold, self.capacity = [], [], 0.0
         for backend in self.known.values():
-            if backend.entry.state is State.READY:
+            if backend.entry.status is EndpointStatus.READY:
                 share = self.warmth(now, backend)
                 (self.warm if share >= 1 else self.cold).append(backend)
                 self.capacity += share
@@ -500,7 +498,10 @@
         age, warm_up = now - backend.entry.started_ms, self.settings.warm_up_ms
         if not backend.entry.started_ms or age >= warm_up:
             return 1.0
-        return self.settings.cold_from + (1 - self.settings.cold_from) * max(0.0, age) / warm_up
+        return (
+            self.settings.slow_start_initial_factor
+            + (1 - self.settings.slow_start_initial_factor) * max(0.0, age) / warm_up
+        )
 
     @staticmethod
     def slow(now: float, backend: Backend) -> float:
@@ -536,7 +537,7 @@
         # Danger: one gateway of many sees few answers, and chance alone leaves some idle beside crowded ones.
         # Who has just answered has a place free, and we know how full it is (balancing with memory).
         latest = [each for each in self.latest if now - each.report_ms <= LATEST_MS and each in pool]
-        fragile = 2 if request.kind.repeat is Repeat.UNSAFE else 1
+        fragile = 2 if request.kind.idempotency is Idempotency.NON_IDEMPOTENT else 1
         zone, chance = self.settings.zone, self.rng.uniform
         for backend in latest + self.rng.sample(pool, count) if count < len(pool) else pool:
             # What was reported fades to what is usual: one of which nothing is known is no idle one.
@@ -552,7 +553,7 @@
         return best
 
     def report(self, now: float, backend: Backend, load: tuple[float, ...]) -> None:
-        values = dict(zip(self.settings.report_fields, load, strict=False))
+        values = dict(zip(self.settings.load_report_fields, load, strict=False))
         busy = UTIL_LOAD * max(0.0, min(1.0, values.get("util", 0.0)))
         backend.others = max(0.0, values["inflight"] - backend.out) if "inflight" in values else busy
         backend.report_ms = now
@@ -623,31 +624,31 @@
             self.plan_at(now_ms, "subscribe")
         for event in events:
             match event:
-                case Outcome():
+                case AttemptEnded():
                     self.on_outcome(event)
                 case Arrival():
                     self.on_arrival(event)
-                case Started() if event.id in self.requests:
+                case ResponseStarted() if event.id in self.requests:
                     self.requests[event.id].streaming = True
                     self.cancel_others(self.requests[event.id], event.attempt)
-                case ClientGone() if event.id in self.requests:
+                case ClientDisconnected() if event.id in self.requests:
                     self.close(self.requests[event.id])
-                case Heard():
+                case PeerMessage():
                     self.on_heard(event)
-                case Fleet() if not event.failed:
+                case EndpointList() if not event.failed:
                     left += self.servers.update(now_ms, event)
                     self.window.set_limit(self.servers.capacity)
                 case Settings():
                     self.change(event)
-                case Away():
+                case PeersUnreachable():
                     self.quota.away = event.gateways
-                case Fleet():
-                    self.plan_at(now_ms + self.settings.ask_within_ms / 4, "subscribe")
+                case EndpointList():
+                    self.plan_at(now_ms + self.settings.poll_within_ms / 4, "subscribe")
         # A server that leaves may be dead before it has answered: safe work out there is sent elsewhere too.
         risky = {request.order: request for backend in left for request in backend.requests.values()}
-        for _, request in sorted(risky.items()) if self.settings.second_copies else ():
+        for _, request in sorted(risky.items()) if self.settings.hedging_enabled else ():
             at_risk = len(request.out) == 1 and next(iter(request.out.values())) in left
-            safe = request.kind.repeat is Repeat.SAFE and request.arrival.copies
+            safe = request.kind.idempotency is Idempotency.IDEMPOTENT and request.arrival.allows_hedging
             if at_risk and safe and not request.streaming:
                 self.again(request)
         while self.agenda and self.agenda[0][0] <= now_ms + CLOCK_GRAIN_MS:
@@ -656,7 +657,7 @@
         self.release()
         seen = [seen for ms, seen in self.servers.sightings if now_ms - ms <= SIGHTING_MS]
         for gateway, items in self.quota.post(now_ms) if self.quota.outbox else ():
-            self.actions.append(Tell(gateway, encode(self.quota.boot, self.window.room, items, seen)))
+            self.actions.append(SendToPeer(gateway, encode(self.quota.boot, self.window.room, items, seen)))
         return self.actions
 
     def change(self, settings: Settings) -> None:
@@ -675,16 +676,16 @@
         self.plans = {plan.name: plan for plan in settings.plans}
         for kind in settings.classes:
             own = self.shares.setdefault(kind.name, FuzzyShare(0.0, 1 / len(settings.classes)))
-            own.aim_s = kind.aim_ms * (1 - ANSWER_PART) / 1000
+            own.aim_s = kind.latency_objective_ms * (1 - ANSWER_PART) / 1000
             self.waits.setdefault(kind.name, [])
-            self.usual.setdefault(kind.name, min(USUAL_START_MS, kind.aim_ms / 4))
+            self.usual.setdefault(kind.name, min(USUAL_START_MS, kind.latency_objective_ms / 4))
             self.out.setdefault(kind.name, 0)
 
     def plan_at(self, at_ms: float, what: str, number: int = -1) -> None:
         """Put a thing on the agenda; one wake-up each, since they cannot be withdrawn."""
         self.serial += 1
         heapq.heappush(self.agenda, (at_ms, self.serial, what, number))
-        self.actions.append(Wake(max(0.0, at_ms - self.now), "agenda"))
+        self.actions.append(SetTimer(max(0.0, at_ms - self.now), "agenda"))
 
     def due(self, what: str, number: int) -> None:
         request = self.requests.get(number)
@@ -700,7 +701,7 @@
                 self.quota.stores[number].wake_ms = math.inf
                 self.quota.serve(self.now, number)
         elif what == "subscribe":
-            self.actions += [Subscribe()] * self.settings.must_subscribe
+            self.actions += [Subscribe()] * self.settings.subscription_required
         elif request is None or request.streaming:
             return
         elif what == "ask":
@@ -709,8 +710,8 @@
         elif what == "hedge":  # a second copy for an attempt that takes too long, while there is room
             for backend in request.out.values() if not self.stalled else ():  # silence is a failure too
                 self.servers.learn(self.now, backend, request.kind.name, math.inf, SUSPECT)
-            room = self.settings.second_copies and self.window.mean_out < HEDGE_ROOM * self.window.limit
-            if room and len(request.out) == 1 and request.arrival.copies:
+            room = self.settings.hedging_enabled and self.window.mean_out < HEDGE_ROOM * self.window.limit
+            if room and len(request.out) == 1 and request.arrival.allows_hedging:
                 self.again(request)
         elif what == "due" or request.held or request.waiting:
             # The guard of rule 1: an answer before the client's time is up. And what can no longer be
@@ -725,7 +726,7 @@
             share.step(waits / count if count else 0.0)
             self.waits[name] = []
 
-    def on_heard(self, event: Heard) -> None:
+    def on_heard(self, event: PeerMessage) -> None:
         """What another gateway tells; bytes that cannot be read and unknown senders change nothing."""
         news = decode(event.data)
         if news is None or event.sender == self.settings.number or event.sender >= self.settings.gateways:
@@ -741,22 +742,25 @@
 
     def on_arrival(self, arrival: Arrival) -> None:
         kind, plan = self.classes.get(arrival.class_name), self.plans.get(arrival.plan_name)
-        if kind is None or plan is None or arrival.due_ms <= self.now or arrival.id in self.requests:
-            self.actions.append(Refuse(arrival.id, 0.0, Reason.UNFIT))
+        if kind is None or plan is None or arrival.deadline_at_ms <= self.now or arrival.id in self.requests:
+            self.actions.append(Reject(arrival.id, 0.0, RejectionReason.INVALID))
             return
         account = self.quota.account(self.now, arrival, plan)
         if account is None:
             met = self.quota.holders.get(tag_of(arrival.customer, self.settings.tag_key)) is not None
-            self.actions.append(Refuse(arrival.id, 0.0, Reason.UNFIT if met else Reason.CAPACITY))
+            self.actions.append(Reject(arrival.id, 0.0, RejectionReason.INVALID if met else RejectionReason.CAPACITY))
             return
         account.asked += arrival.units
         # An answer just after the aim is worth little or nothing, so waiting must leave time for the answer.
-        aim_ms, worth = self.now + kind.aim_ms, kind.worth * plan.value
+        latency_objective_ms, worth = (
+            self.now + kind.latency_objective_ms,
+            kind.priority_weight * plan.priority_multiplier,
+        )
         request = self.requests[arrival.id] = Request(
-            arrival, kind, plan, account, self.now, aim_ms, worth, order=self.serial
+            arrival, kind, plan, account, self.now, latency_objective_ms, worth, order=self.serial
         )
-        self.plan_at(arrival.due_ms - 2 * self.settings.tick_ms, "due", arrival.id)
-        last = min(arrival.due_ms, request.aim_ms)
+        self.plan_at(arrival.deadline_at_ms - 2 * self.settings.tick_ms, "due", arrival.id)
+        last = min(arrival.deadline_at_ms, request.latency_objective_ms)
         impatient = self.now + ANSWER_PART * (last - self.now)  # it leaves less than an answer usually takes
         self.plan_at(max(last - self.answer_time(request), impatient), "hopeless", arrival.id)
         request.inherit(self.servers.known)  # what may have run at another gateway must not run again
@@ -769,9 +773,9 @@
         """A home's word. What it makes wait goes on beyond its quota where that pays."""
         if granted:
             self.let_in(request)
-        elif request.plan.over_worth > request.plan.over_cost and not request.plan.ceiling_per_s:
+        elif request.plan.over_quota_multiplier > request.plan.over_quota_cost and not request.plan.ceiling_per_s:
             self.quota.asking.pop(request.serial)
-            request.inside, request.rank = False, request.rank * request.plan.over_worth
+            request.inside, request.rank = False, request.rank * request.plan.over_quota_multiplier
             self.let_in(request)
 
     def let_in(self, request: Request) -> None:
@@ -820,12 +824,12 @@
         backend = self.servers.choose(self.now, request, self.allowed(request), load)
         if backend is None or request.attempts >= self.settings.max_attempts:
             return False
-        number, due_ms = request.arrival.id, request.arrival.due_ms
+        number, due_ms = request.arrival.id, request.arrival.deadline_at_ms
         if request.held:
             self.waits[request.kind.name].append(self.now - request.came_ms)
             self.budget = min(RETRY_MOST, self.budget + RETRY_PART)
             request.held, request.toss_ms = False, 0.0
-        self.actions.append(Send(number, backend.entry.id, max(1.0, due_ms - self.now), request.begin_ms))
+        self.actions.append(StartAttempt(number, backend.entry.id, max(1.0, due_ms - self.now), request.begin_ms))
         self.attempts[number, request.attempts] = (backend, request.kind.name, size, load)
         self.out[request.kind.name] += 1
         request.out[request.attempts] = backend
@@ -844,19 +848,20 @@
     def allowed(self, request: Request) -> list[Backend] | None:
         """The only servers that rule 2 (its group and window) leaves to this request now; None for all."""
         kind, anchor, request.begin_ms = request.kind, request.anchor, math.inf
-        if anchor is None or not request.uncertain or kind.repeat is Repeat.SAFE:
+        if anchor is None or not request.uncertain or kind.idempotency is Idempotency.IDEMPOTENT:
             return None
-        request.begin_ms = request.anchor_ms + kind.window_ms - self.settings.tick_ms - self.now
-        if kind.repeat is Repeat.UNSAFE or request.begin_ms <= 0:
+        request.begin_ms = request.anchor_ms + kind.deduplication_window_ms - self.settings.tick_ms - self.now
+        if kind.idempotency is Idempotency.NON_IDEMPOTENT or request.begin_ms <= 0:
             return []
-        same, group = anchor.entry, kind.scope
+        same, group = anchor.entry, kind.deduplication_scope
         return (
             None
-            if group is Scope.ALL
+            if group is DeduplicationScope.ALL
             else [
                 backend
                 for backend in self.servers.warm + self.servers.cold
-                if backend.entry.zone == same.zone and (group is Scope.ZONE or backend.entry.cell == same.cell)
+                if backend.entry.zone == same.zone
+                and (group is DeduplicationScope.ZONE or backend.entry.cell == same.cell)
             ]
         )
 
@@ -867,44 +872,44 @@
     def answer_time(self, request: Request) -> float:
         """What an attempt is taken to need. Bounded: past the aim all would be refused, and nothing heal."""
         usual = self.expected(request.kind.name, size_of(request))
-        return min(SAFE_TIMES * usual, ANSWER_PART * request.kind.aim_ms)
+        return min(SAFE_TIMES * usual, ANSWER_PART * request.kind.latency_objective_ms)
 
     def again(self, request: Request) -> bool:
         """A further attempt, where it can still be in time and the budget allows it."""
-        late = self.now + self.answer_time(request) > min(request.aim_ms, request.arrival.due_ms)
+        late = self.now + self.answer_time(request) > min(request.latency_objective_ms, request.arrival.deadline_at_ms)
         if late or self.budget < 1 or not self.send(request):
             return False
         self.budget -= 1
         return True
 
-    def on_outcome(self, event: Outcome) -> None:
+    def on_outcome(self, event: AttemptEnded) -> None:
         if (event.id, event.attempt) not in self.attempts:
             return
         backend, class_name, size, load = self.attempts.pop((event.id, event.attempt))
         self.out[class_name] -= 1
         request = self.requests.get(event.id)
-        backend.out, full = backend.out - 1, event.result is Result.FULL
+        backend.out, full = backend.out - 1, event.result is AttemptResult.OVERLOADED
         backend.load = max(0.0, backend.load - load) if backend.out else 0.0
         self.window.count(self.now, -1)
         self.window.full, self.window.ended = self.window.full + full, self.window.ended + 1
         usual, ratio = self.expected(class_name, size), math.inf
         if event.load:
             self.servers.report(self.now, backend, event.load)
-        if event.result is Result.OK:
-            self.window.answered_ms += self.classes[class_name].aim_ms
-            ratio = event.took_ms / usual
+        if event.result is AttemptResult.OK:
+            self.window.answered_ms += self.classes[class_name].latency_objective_ms
+            ratio = event.duration_ms / usual
             if not self.stalled:
-                self.sized[class_name, size] = usual + (event.took_ms - usual) * USUAL_GAIN
-                self.usual[class_name] += (event.took_ms - self.usual[class_name]) * USUAL_GAIN
-                self.usual_any += (event.took_ms - self.usual_any) * USUAL_GAIN
+                self.sized[class_name, size] = usual + (event.duration_ms - usual) * USUAL_GAIN
+                self.usual[class_name] += (event.duration_ms - self.usual[class_name]) * USUAL_GAIN
+                self.usual_any += (event.duration_ms - self.usual_any) * USUAL_GAIN
         # After a standstill our own pause would be taken for the server's slowness.
-        if event.result not in (Result.CANCELLED, Result.MOOT) and not self.stalled:
+        if event.result not in (AttemptResult.CANCELLED, AttemptResult.DISCARDED) and not self.stalled:
             self.servers.learn(self.now, backend, class_name, ratio, 1.0)
         if request is None:
             return
         if request.out.pop(event.attempt, None) is backend and backend not in request.out.values():
             backend.requests.pop(event.id, None)
-        request.uncertain -= event.result.never_ran
+        request.uncertain -= event.result.never_executed
         if event.final:
             self.close(request)
         elif not request.out and not self.again(request):
@@ -912,13 +917,15 @@
 
     def refuse_or_fail(self, request: Request) -> None:
         """The final answer. A refusal says that a retry is harmless, so only where that is certain."""
-        keyed = request.kind.repeat is Repeat.KEYED and request.kind.scope is Scope.ALL
-        if request.kind.repeat is Repeat.SAFE or keyed or not request.uncertain:
+        keyed = (
+            request.kind.idempotency is Idempotency.KEYED and request.kind.deduplication_scope is DeduplicationScope.ALL
+        )
+        if request.kind.idempotency is Idempotency.IDEMPOTENT or keyed or not request.uncertain:
             advice = max(TELL_MS, request.arrival.units * 1000 / (request.plan.rate_per_s or math.inf))
-            tried = Reason.ATTEMPTS if request.attempts else Reason.CAPACITY
-            reason = Reason.QUOTA if request.waiting else tried
+            tried = RejectionReason.ATTEMPTS if request.attempts else RejectionReason.CAPACITY
+            reason = RejectionReason.QUOTA if request.waiting else tried
             advice = min(advice, self.settings.max_retry_after_ms)
-            self.actions.append(Refuse(request.arrival.id, advice, reason))
+            self.actions.append(Reject(request.arrival.id, advice, reason))
         else:
             self.actions.append(Fail(request.arrival.id))
         self.close(request)
@@ -935,5 +942,5 @@
         self.cancel_others(request, -1)
 
     def cancel_others(self, request: Request, keep: int) -> None:
-        copies = request.out if self.settings.may_cancel else ()
-        self.actions.extend(Cancel(request.arrival.id, n) for n in copies if n != keep)
+        copies = request.out if self.settings.cancellation_enabled else ()
+        self.actions.extend(CancelAttempt(request.arrival.id, n) for n in copies if n != keep)
--- a/anisefront/policy/settings.py
+++ b/anisefront/policy/settings.py
@@ -1,123 +1,146 @@
-"""The settings object of the simulator's first message, which a gatekeeper in service finds in its configuration too.
+"""Settings of one gateway instance: request classes, plans and limits.
 
-Nothing here decides anything: names and units are read, and what is missing or wrong is named.
+Names and units of the settings document are mapped to these types in `settings_document`. Durations are milliseconds.
 """
 
 from __future__ import annotations
 
-import math
-from typing import Any
-
-from anisefront.policy import interface as face
-
-_REPEATS = {"retryable": face.Repeat.SAFE, "dedup": face.Repeat.KEYED, "fragile": face.Repeat.UNSAFE}
-
-
-class _Table:
-    """A JSON object of the settings, which names the key that is missing or wrong."""
-
-    def __init__(self, value: Any, path: str) -> None:
-        if not isinstance(value, dict):
-            raise ValueError(f"{path}: an object is due")
-        self.value, self.path = value, path
-
-    def _get(self, key: str, kinds: tuple[type, ...], fallback: Any) -> Any:
-        value = self.value.get(key, fallback)
-        if value is None:
-            raise ValueError(f"{self.path}.{key} is missing")
-        if not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds):
-            raise ValueError(f"{self.path}.{key}: cannot read {value!r}")
-        return value
-
-    def number(self, key: str, fallback: float | None = None) -> float:
-        value = float(self._get(key, (int, float), fallback))
-        if not math.isfinite(value):
-            raise ValueError(f"{self.path}.{key}: cannot read {value!r}")
-        return value
-
-    def text(self, key: str, fallback: str | None = None) -> str:
-        return self._get(key, (str,), fallback)
-
-    def flag(self, key: str, fallback: bool | None = None) -> bool:
-        return bool(self._get(key, (bool, int), fallback))
-
-    def table(self, key: str, fallback: dict[str, Any] | None = None) -> _Table:
-        return _Table(self._get(key, (dict,), fallback), f"{self.path}.{key}")
-
-    def rows(self, key: str) -> list[_Table]:
-        rows = self._get(key, (list,), None)
-        return [_Table(row, f"{self.path}.{key}[{n}]") for n, row in enumerate(rows)]
-
-    def words(self, key: str) -> tuple[str, ...]:
-        return tuple(str(word) for word in self._get(key, (list,), []))
-
-
-def _request_class(row: _Table) -> face.RequestClass:
-    repeat = row.text("repeat")
-    if repeat not in _REPEATS:
-        raise ValueError(f"{row.path}.repeat: {repeat!r} is no kind of repeat")
-    scope = row.text("keyScope", "all")
-    if scope not in ("all", "zone", "cell"):
-        raise ValueError(f"{row.path}.keyScope: {scope!r} is no group")
-    return face.RequestClass(
-        name=row.text("name"),
-        aim_ms=row.number("aimMs"),
-        deadline_ms=row.number("deadlineMs"),
-        worth=row.number("worth", 1.0),
-        repeat=_REPEATS[repeat],
-        late_worth=row.number("lateWorth", 0.0),
-        scope=face.Scope(scope),
-        window_ms=row.number("dedupWindowMs", 0.0),
-        streamed=row.flag("streamed", False),
-        aim_stretch=row.number("aimStretch", 0.0),
-    )
-
-
-def _plan(row: _Table) -> face.Plan:
-    return face.Plan(
-        name=row.text("name"),
-        rate_per_s=row.number("perSecond", 0.0),
-        burst=row.number("storeSize", 0.0),
-        max_out=int(row.number("concurrency", 0.0)),
-        value=row.number("valueFactor", 1.0),
-        over_worth=row.number("overWorth", 0.0),
-        over_cost=row.number("overrunCost", 0.0),
-        ceiling_per_s=row.number("hardRate", 0.0),
-        ceiling_burst=row.number("hardBurst", 0.0),
-        ceiling_slack=row.number("capSlack", 0.0),
-    )
-
-
-def settings_of(info: object) -> face.Settings:
-    """The settings that this object holds; keys that are not known are skipped. `ValueError` names the field."""
-    top = _Table(info, "info")
-    rules, limits = top.table("rules"), top.table("limits")
-    domain, report = top.table("domain", {}), top.table("report", {})
-    prices = top.table("penalties", {})
-    return face.Settings(
-        gateways=int(top.number("balancers")),
-        number=int(top.number("myNumber")),
-        zone=top.text("locality", ""),
-        classes=tuple(_request_class(row) for row in top.rows("classes")),
-        plans=tuple(_plan(row) for row in top.rows("packages")),
-        warm_up_ms=rules.number("warmUpMs"),
-        cold_from=rules.number("coldFrom"),
-        fall_multiple=rules.number("fallMultiple"),
-        fall_window_ms=rules.number("tipAfterMs"),
-        ask_within_ms=rules.number("askWithinMs", 10_000.0),
-        max_attempts=int(limits.number("maxAttempts")),
-        tick_ms=top.number("tickMs", 1.0),
-        max_units=domain.number("maxUnits", 1.0),
-        may_cancel=limits.flag("cancel", False),
-        may_tell=limits.flag("mayTell", False),
-        may_probe=limits.flag("probing", False),
-        second_copies=limits.flag("secondCopies", False),
-        must_subscribe=top.text("discovery", "automatic") == "subscribe",
-        settles=domain.flag("postPaid", False),
-        max_retry_after_ms=limits.number("maxRetryAfterMs", 0.0) if limits.flag("retryAfter", False) else 0.0,
-        inbox_per_s=domain.number("inboxPerS", 0.0),
-        report_how=report.text("how", "none"),
-        report_fields=report.words("fields"),
-        cross_zone_price=prices.number("crossZone", 0.0),
-        peer_price=prices.number("peer", 0.0),
-    )
+from dataclasses import dataclass, field
+from enum import Enum
+
+MAX_TAG_KEY_BYTES = 64  # the longest key that BLAKE2b takes
+
+
+class Idempotency(Enum):
+    """What a second execution of a request does."""
+
+    IDEMPOTENT = "safe"  # may be executed any number of times
+    KEYED = "keyed"  # a group of endpoints drops repeated executions for a while
+    NON_IDEMPOTENT = "unsafe"  # must never be executed twice
+
+
+class DeduplicationScope(Enum):
+    """Which endpoints drop repeated executions of a keyed request together."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+def check_minimum(minimum: float, **values: float) -> None:
+    """Raise `ValueError` naming the first value that is below the minimum."""
+    for name, value in values.items():
+        if not value >= minimum:
+            raise ValueError(f"{name}: {value!r} is below {minimum}")
+
+
+@dataclass(frozen=True, slots=True)
+class RequestClass:
+    """A class of requests: its latency objective, its priority and how often it may be executed."""
+
+    name: str
+    latency_objective_ms: float
+    deadline_ms: float
+    priority_weight: float
+    idempotency: Idempotency
+    late_priority_weight: float = 0.0
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_ms: float = 0.0
+    streamed: bool = False
+    latency_objective_stretch: float = 0.0
+
+    def __post_init__(self) -> None:
+        check_minimum(
+            0,
+            latency_objective_ms=self.latency_objective_ms,
+            deadline_ms=self.deadline_ms,
+            priority_weight=self.priority_weight,
+            late_priority_weight=self.late_priority_weight,
+            deduplication_window_ms=self.deduplication_window_ms,
+        )
+        if not isinstance(self.idempotency, Idempotency):
+            raise ValueError(f"idempotency: {self.idempotency!r} is no kind of idempotency")
+
+
+@dataclass(frozen=True, slots=True)
+class Plan:
+    """A plan: the quota of each of its customers over all gateway instances, and the price of exceeding it."""
+
+    name: str
+    rate_per_s: float = 0.0  # units; 0: no quota on the rate
+    burst: float = 0.0  # units
+    max_in_flight: int = 0  # requests; 0: no quota on requests in flight
+    priority_multiplier: float = 1.0
+    over_quota_multiplier: float = 0.0  # of the priority weight, for requests beyond the quota
+    over_quota_cost: float = 0.0
+    ceiling_per_s: float = 0.0  # units; 0: no ceiling
+    ceiling_burst: float = 0.0
+    ceiling_slack: float = 0.0
+
+    def __post_init__(self) -> None:
+        check_minimum(
+            0,
+            rate_per_s=self.rate_per_s,
+            burst=self.burst,
+            max_in_flight=self.max_in_flight,
+            priority_multiplier=self.priority_multiplier,
+            over_quota_multiplier=self.over_quota_multiplier,
+            over_quota_cost=self.over_quota_cost,
+            ceiling_per_s=self.ceiling_per_s,
+            ceiling_burst=self.ceiling_burst,
+            ceiling_slack=self.ceiling_slack,
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class Settings:
+    """What a gateway instance is configured with, at its start and, as an event, while it runs."""
+
+    gateways: int  # instances in the cluster
+    number: int  # of this instance, from 0
+    zone: str
+    classes: tuple[RequestClass, ...]
+    plans: tuple[Plan, ...]
+    warm_up_ms: float
+    slow_start_initial_factor: float  # of its capacity that an endpoint bears at its start
+    overload_multiple: float
+    overload_window_ms: float
+    max_attempts: int
+    tick_ms: float = 1.0  # resolution of the timers
+    max_units: float = 1.0
+    cancellation_enabled: bool = True
+    peer_messages_enabled: bool = False
+    probing_enabled: bool = False
+    hedging_enabled: bool = False
+    subscription_required: bool = False
+    postpaid: bool = False
+    max_retry_after_ms: float = 0.0
+    inbox_per_s: float = 0.0  # messages that an instance can receive; 0: not known
+    poll_within_ms: float = 10_000.0
+    load_report_mode: str = "none"
+    load_report_fields: tuple[str, ...] = ()
+    cross_zone_price: float = 0.0
+    peer_message_price: float = 0.0
+    max_customers: int = 200_000  # known at once, as gateway and as quota owner; more are rejected
+    tag_key: bytes = field(default=b"", repr=False)  # the cluster's own, for customers' tags
+
+    def __post_init__(self) -> None:
+        if not self.classes:
+            raise ValueError("classes: there are none")
+        if not self.plans:
+            raise ValueError("plans: there are none")
+        check_minimum(1, gateways=self.gateways, max_attempts=self.max_attempts)
+        check_minimum(
+            0,
+            number=self.number,
+            warm_up_ms=self.warm_up_ms,
+            slow_start_initial_factor=self.slow_start_initial_factor,
+            overload_multiple=self.overload_multiple,
+            overload_window_ms=self.overload_window_ms,
+            max_units=self.max_units,
+            inbox_per_s=self.inbox_per_s,
+        )
+        if len(self.tag_key) > MAX_TAG_KEY_BYTES:
+            raise ValueError(f"tag_key: {len(self.tag_key)} bytes are more than {MAX_TAG_KEY_BYTES}")
+        if self.number >= self.gateways:
+            raise ValueError(f"number: {self.number} is not below gateways ({self.gateways})")
--- a/anisefront/policy/state.py
+++ b/anisefront/policy/state.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 from typing import Any
-
-from anisefront.policy.interface import Arrival, Plan, RequestClass, Server, Settings, State
 from anisefront.policy.messages import Item, Sighting
+from anisefront.policy.events import Arrival, Endpoint, EndpointStatus
+from anisefront.policy.settings import Plan, RequestClass, Settings
 
 
 @dataclass(slots=True, eq=False)
@@ -64,7 +64,7 @@
 class Backend:
     """What is known of one server."""
 
-    entry: Server
+    entry: Endpoint
     out: int = 0
     load: float = 0.0  # of these, in usual attempts
     slow: float = 1.0  # answer times against those of the fleet,
@@ -85,7 +85,7 @@
     plan: Plan
     account: Account
     came_ms: float
-    aim_ms: float  # clock time
+    latency_objective_ms: float  # clock time
     rank: float
     attempts: int = 0
     order: int = 0  # of its arrival among all
@@ -108,16 +108,16 @@
 
     def inherit(self, known: dict[str, Backend]) -> None:
         """What another gateway that had this request before knew of its attempts, if there was one."""
-        past = self.arrival.past
+        past = self.arrival.prior_attempts
         if past is None:
             return
         self.attempts, self.uncertain = past.attempts, past.uncertain
-        self.paid = self.arrival.units * past.paid
-        if past.server:  # of one that nobody lists no group is known
-            first = known.get(past.server) or Backend(Server(past.server, "?", -1, State.GONE))
+        self.paid = self.arrival.units * past.quota_debited
+        if past.endpoint:  # of one that nobody lists no group is known
+            first = known.get(past.endpoint) or Backend(Endpoint(past.endpoint, "?", -1, EndpointStatus.REMOVED))
             self.tried.append(first)
             if past.uncertain:
-                self.anchor, self.anchor_ms = first, past.server_ms
+                self.anchor, self.anchor_ms = first, past.started_ms
 
 
 @dataclass(slots=True, eq=False)
@@ -165,7 +165,7 @@
 
     def __post_init__(self) -> None:
         self.number_names()
-        if not self.settings.may_tell:  # who can't be asked leaves all questions unanswered
+        if not self.settings.peer_messages_enabled:  # who can't be asked leaves all questions unanswered
             self.silent |= set(range(self.settings.gateways)) - {self.settings.number}
 
     def number_names(self) -> None:
--- a/anisefront/simhost.py
+++ b/anisefront/simhost.py
@@ -11,11 +11,36 @@
 from collections.abc import Callable, Iterator
 from typing import Any, TextIO
 
-from anisefront.policy import interface as face
+from anisefront.policy.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    ProbeEndpoint,
+    Reject,
+    SendToPeer,
+    SetTimer,
+    StartAttempt,
+    Subscribe,
+)
 from anisefront.policy.control import Controller
-from anisefront.policy.settings import settings_of
-
-_STATES = {"Running": face.State.READY, "Stopping": face.State.DRAINING, "Deleted": face.State.GONE}
+from anisefront.policy.events import (
+    Arrival,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    CounterReply,
+    Endpoint,
+    EndpointList,
+    EndpointStatus,
+    Event,
+    PeerMessage,
+    ProbeEnded,
+    ResponseStarted,
+    TimerFired,
+)
+from anisefront.policy.settings_document import settings_of
+
+_STATES = {"Running": EndpointStatus.READY, "Stopping": EndpointStatus.DRAINING, "Deleted": EndpointStatus.REMOVED}
 _REPEATED_BIT = 2
 
 
@@ -74,8 +99,8 @@
     return () if text in ("-", "") else tuple(_number(part) for part in text.split(","))
 
 
-def _result(text: str) -> face.Result:
-    return face.Result(text)
+def _result(text: str) -> AttemptResult:
+    return AttemptResult(text)
 
 
 def _mode(text: str) -> str:
@@ -84,7 +109,7 @@
     return text
 
 
-def _state(text: str) -> face.State:
+def _state(text: str) -> EndpointStatus:
     return _STATES[text]
 
 
@@ -164,48 +189,48 @@
         raise ValueError("info: no JSON") from problem
 
 
-def _event(name: str, values: list[Any]) -> face.Event:
+def _event(name: str, values: list[Any]) -> Event:
     """The module's event for one message of an instance."""
     if name == "REQUEST":
         number, first, spread, units, due, bits, customer, category, plan = values
-        return face.Arrival(
+        return Arrival(
             number, customer, category, plan, due, units, int(first), int(spread), bool(bits & _REPEATED_BIT)
         )
     if name == "VERDICT":
         number, attempt, actual, worker, took, result, final, used, load = values
-        return face.Outcome(number, attempt, worker, took, result, final, actual, used, load)
+        return AttemptEnded(number, attempt, worker, took, result, final, actual, used, load)
     if name == "ACK_FIRST":
         number, worker, _took, attempt = values
-        return face.Started(number, attempt, worker)
+        return ResponseStarted(number, attempt, worker)
     if name == "CLIENT_GONE":
-        return face.ClientGone(values[0])
+        return ClientDisconnected(values[0])
     if name == "FIRED":
-        return face.Woken(values[0])
+        return TimerFired(values[0])
     if name == "FROM_PEER":
-        return face.Heard(values[0], values[1])
+        return PeerMessage(values[0], values[1])
     if name == "PONG":
-        return face.Probed(*values)
-    return face.Counted(values[3])
+        return ProbeEnded(*values)
+    return CounterReply(values[3])
 
 
-def _reply(action: face.Action) -> str:
+def _reply(action: Action) -> str:
     """The wire's line for one action."""
     match action:
-        case face.Send(number, server, allow):
+        case StartAttempt(number, server, allow):
             return f"HAND_OFF\t{number}\t{server}\t{allow:.3f}"
-        case face.Refuse(number, retry):
+        case Reject(number, retry):
             return f"DENY\t{number}\t{retry:.3f}"
-        case face.Fail(number):
+        case Fail(number):
             return f"FINISH_ERROR\t{number}"
-        case face.Cancel(number, attempt):
+        case CancelAttempt(number, attempt):
             return f"DROP_ATTEMPT\t{number}\t{attempt}"
-        case face.Wake(after, name):
+        case SetTimer(after, name):
             return f"SET_ALARM\t{after:.3f}\t{name}"
-        case face.Tell(receiver, data):
+        case SendToPeer(receiver, data):
             return f"NOTIFY\t{receiver}\t{data.hex() or '-'}"
-        case face.Probe(server):
+        case ProbeEndpoint(server):
             return f"INSPECT\t{server}"
-        case face.Subscribe():
+        case Subscribe():
             return "TRACK\t1"
 
 
@@ -237,7 +262,7 @@
 
     def _batch(self, now: float) -> bool:
         """Read one batch to its end and answer it; False when the input ends inside it."""
-        events: dict[int, list[face.Event]] = {}
+        events: dict[int, list[Event]] = {}
         replies: list[str] = []
         current: int | None = None
         for line in self._source:
@@ -270,7 +295,7 @@
                 events.setdefault(current, []).append(_event(name, values))
         return False
 
-    def _fleet(self, mode: str, _rev: int, count: int) -> face.Fleet:
+    def _fleet(self, mode: str, _rev: int, count: int) -> EndpointList:
         servers = []
         while len(servers) < count:
             line = next(self._source, None)
@@ -278,8 +303,8 @@
             if name != "WORKER":
                 raise WireError(f"FLEET: field rows: {count} told, {len(servers)} came")
             worker, zone, _sku, cell, state, weight, started = _values("WORKER", parts)
-            servers.append(face.Server(worker, zone, cell, state, weight, started))
-        return face.Fleet(tuple(servers), complete=mode in ("full", "cached"), failed=mode == "failed")
+            servers.append(Endpoint(worker, zone, cell, state, weight, started))
+        return EndpointList(tuple(servers), complete=mode in ("full", "cached"), failed=mode == "failed")
 
     def _start(self, number: int, salt: int, info: str) -> None:
         try:
@@ -287,7 +312,7 @@
         except ValueError as problem:
             raise WireError(f"CONFIGURE: field {problem}") from problem
 
-    def _turn(self, number: int, now: float, events: list[face.Event], replies: list[str]) -> None:
+    def _turn(self, number: int, now: float, events: list[Event], replies: list[str]) -> None:
         if number not in self._instances:
             raise WireError(f"SWITCH_TO: field gatekeeper: {number} was not configured")
         try:
--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -24,6 +24,7 @@
 import threading
 import time
 from dataclasses import dataclass, field
+from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
 
 ROUTES, KEYS, KEY_FILES, PER_S, MOST_S = 5_800, 22_000, 22, 160.0, 60.0
 NOWHERE, AFTER_S = "/nowhere/probe", 0.1  # what a change leaves to be done counts as its cost for so long
@@ -303,7 +304,6 @@
     """Milliseconds for which the module stops the loop where its own settings change (plans, quotas, classes), with so
     many customers that it is the home of."""
     from anisefront.policy.control import Controller
-    from anisefront.policy.interface import Plan, Repeat, RequestClass, Settings
     from anisefront.policy.messages import Item, Kind
 
     def settings(rate: float) -> Settings:
@@ -311,14 +311,14 @@
             850,
             0,
             "here",
-            (RequestClass("look", 1000, 5000, 1.0, Repeat.SAFE),),
+            (RequestClass("look", 1000, 5000, 1.0, Idempotency.IDEMPOTENT),),
             (Plan("small", rate, 120),),
             10_000,
             0.2,
             3.0,
             2000,
             3,
-            may_tell=True,
+            peer_messages_enabled=True,
             inbox_per_s=200,
         )
 
--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -6,6 +6,9 @@
 import subprocess
 import sys
 import time
+from anisefront.policy.actions import StartAttempt
+from anisefront.policy.events import Arrival, AttemptEnded, AttemptResult as R, Endpoint, EndpointList, EndpointStatus
+from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
 
 SIZES, TURNS = (0, 1000, 10_000, 40_000), 400
 
@@ -13,34 +16,21 @@
 def run(held):
     """Seconds of intake, its worst turn, mean and worst turn of one arrival, all in ms but the first."""
     from anisefront.policy.control import Controller
-    from anisefront.policy.interface import (
-        Arrival,
-        Fleet,
-        Outcome,
-        Plan,
-        Repeat,
-        RequestClass,
-        Send,
-        Server,
-        Settings,
-        State,
-    )
-    from anisefront.policy.interface import Result as R
 
     settings = Settings(
         gateways=1,
         number=0,
         zone="a",
-        classes=(RequestClass("r", 60_000, 300_000, 1.0, Repeat.SAFE),),
+        classes=(RequestClass("r", 60_000, 300_000, 1.0, Idempotency.IDEMPOTENT),),
         plans=(Plan("none", 0.001, 1), Plan("wide", 1e6, 1e6)),
         warm_up_ms=1000,
-        cold_from=0.2,
-        fall_multiple=3,
-        fall_window_ms=1000,
+        slow_start_initial_factor=0.2,
+        overload_multiple=3,
+        overload_window_ms=1000,
         max_attempts=3,
     )
     controller, now, number = Controller(settings, 1), 1000.0, 0
-    controller.handle(now, [Fleet(tuple(Server(f"s{n}", "a", 0, State.READY) for n in range(20)))])
+    controller.handle(now, [EndpointList(tuple(Endpoint(f"s{n}", "a", 0, EndpointStatus.READY) for n in range(20)))])
 
     def turn(events):
         began = time.perf_counter()
@@ -57,8 +47,8 @@
         took, actions = turn(events)
         intake, worst_in = intake + took, max(worst_in, took)
         for action in actions:
-            if isinstance(action, Send):
-                controller.handle(now, [Outcome(action.id, 0, action.server, 1.0, R.OK, True)])
+            if isinstance(action, StartAttempt):
+                controller.handle(now, [AttemptEnded(action.id, 0, action.endpoint, 1.0, R.OK, True)])
     spent, worst = 0.0, 0.0
     for _ in range(TURNS):
         now += 1.0
@@ -66,8 +56,8 @@
         took, actions = turn([Arrival(number, f"w{number % 50}", "r", "wide", now + 5000)])
         spent, worst = spent + took, max(worst, took)
         for action in actions:
-            if isinstance(action, Send):
-                controller.handle(now, [Outcome(action.id, 0, action.server, 1.0, R.OK, True)])
+            if isinstance(action, StartAttempt):
+                controller.handle(now, [AttemptEnded(action.id, 0, action.endpoint, 1.0, R.OK, True)])
     return intake / 1000, worst_in, spent / TURNS, worst
 
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -33,7 +33,7 @@
 
     while not ended:
         now = time.time() * 1000
-        wait = max(0.0, min(known.due_ms - now, 1000.0)) / 1000
+        wait = max(0.0, min(known.next_timer_ms - now, 1000.0)) / 1000
         ready = select.select([link], (), (), wait)[0]
         heard = []
         if ready:
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -16,26 +16,34 @@
 from anisefront.lab.model.pool import Workers
 from anisefront.lab.model.traces import Arrival
 from anisefront.lab.model.world import Network, Option, World
-from anisefront.policy import interface as face
+from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 TURNS = 3
-SETTINGS = face.Settings(
+SETTINGS = Settings(
     gateways=3,
     number=0,
     zone="a",
     classes=(
-        face.RequestClass("view", 800, 2500, 2.0, face.Repeat.SAFE),
-        face.RequestClass("order", 1000, 2500, 6.0, face.Repeat.KEYED, scope=face.Scope.CELL, window_ms=4800),
-        face.RequestClass("pickup", 1000, 3000, 4.0, face.Repeat.UNSAFE),
+        RequestClass("view", 800, 2500, 2.0, Idempotency.IDEMPOTENT),
+        RequestClass(
+            "order",
+            1000,
+            2500,
+            6.0,
+            Idempotency.KEYED,
+            deduplication_scope=DeduplicationScope.CELL,
+            deduplication_window_ms=4800,
+        ),
+        RequestClass("pickup", 1000, 3000, 4.0, Idempotency.NON_IDEMPOTENT),
     ),
-    plans=(face.Plan("stall", 6, 12, over_cost=1.0), face.Plan("market", 40, 50, value=2.0)),
+    plans=(Plan("stall", 6, 12, over_quota_cost=1.0), Plan("market", 40, 50, priority_multiplier=2.0)),
     warm_up_ms=6000,
-    cold_from=0.2,
-    fall_multiple=2,
-    fall_window_ms=2000,
+    slow_start_initial_factor=0.2,
+    overload_multiple=2,
+    overload_window_ms=2000,
     max_attempts=4,
-    second_copies=True,
-    may_tell=True,
+    hedging_enabled=True,
+    peer_messages_enabled=True,
     inbox_per_s=200,
     max_retry_after_ms=1000,
 )
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -12,6 +12,9 @@
 import subprocess
 import sys
 import time
+from anisefront.policy.actions import StartAttempt
+from anisefront.policy.events import Arrival, AttemptEnded, AttemptResult, Endpoint, EndpointList, EndpointStatus
+from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
 
 ROOT = pathlib.Path(__file__).parent.parent
 CORES = sorted(os.sched_getaffinity(0))
@@ -142,36 +145,23 @@
 def module(gateways, requests=20_000):
     """Microseconds a request (arrival, send, outcome) that the module alone takes, told of so many gateways."""
     from anisefront.policy.control import Controller
-    from anisefront.policy.interface import (
-        Arrival,
-        Fleet,
-        Outcome,
-        Plan,
-        Repeat,
-        RequestClass,
-        Result,
-        Send,
-        Server,
-        Settings,
-        State,
-    )
 
     settings = Settings(
         gateways=gateways,
         number=0,
         zone="a",
-        classes=(RequestClass("r", 1000, 5000, 1.0, Repeat.SAFE),),
+        classes=(RequestClass("r", 1000, 5000, 1.0, Idempotency.IDEMPOTENT),),
         plans=(Plan("p", 1e6, 1e6),),
         warm_up_ms=1000,
-        cold_from=0.2,
-        fall_multiple=3,
-        fall_window_ms=1000,
+        slow_start_initial_factor=0.2,
+        overload_multiple=3,
+        overload_window_ms=1000,
         max_attempts=3,
-        may_tell=gateways > 1,
+        peer_messages_enabled=gateways > 1,
         inbox_per_s=200 if gateways > 1 else 0,
     )
     controller, rng, now = Controller(settings, 1), random.Random(1), 1000.0
-    controller.handle(now, [Fleet(tuple(Server(f"s{n}", "a", 0, State.READY) for n in range(86)))])
+    controller.handle(now, [EndpointList(tuple(Endpoint(f"s{n}", "a", 0, EndpointStatus.READY) for n in range(86)))])
     spent, due = 0.0, []
     for number in range(1, requests + 1):
         now += 10.0  # a hundred requests a second, well under the window: held work is measured elsewhere
@@ -182,8 +172,8 @@
         actions = controller.handle(now, events)
         spent += time.perf_counter() - began
         for action in actions:
-            if isinstance(action, Send):
-                due.append((now + 5, Outcome(action.id, 0, action.server, 5.0, Result.OK, True)))
+            if isinstance(action, StartAttempt):
+                due.append((now + 5, AttemptEnded(action.id, 0, action.endpoint, 5.0, AttemptResult.OK, True)))
     return spent / requests * 1e6
 
 
--- a/benchmarks/scale/apart.py
+++ b/benchmarks/scale/apart.py
@@ -11,27 +11,22 @@
 from dataclasses import dataclass
 
 from anisefront.policy.control import DEMAND_MEMORY_MS, OWN_PART, RESERVE, Controller
-from anisefront.policy.interface import (
+from benchmarks.scale.plan import REGIONS
+from benchmarks.scale.roles import out_after_s
+from anisefront.policy.actions import SendToPeer, SetTimer, StartAttempt
+from anisefront.policy.events import (
     Arrival,
-    Away,
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointList,
+    EndpointStatus,
     Event,
-    Fleet,
-    Heard,
-    Outcome,
-    Plan,
-    Repeat,
-    RequestClass,
-    Result,
-    Send,
-    Server,
-    Settings,
-    State,
-    Tell,
-    Wake,
-    Woken,
+    PeerMessage,
+    PeersUnreachable,
+    TimerFired,
 )
-from benchmarks.scale.plan import REGIONS
-from benchmarks.scale.roles import out_after_s
+from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
 
 SEED = 37
 KNOWN_S = out_after_s()
@@ -88,7 +83,7 @@
     ) -> None:
         self.rng, self.now, self.spread, self.away_ms = random.Random(SEED), 1000.0, spread, away_ms
         plan = Plan("small", rate_per_s, burst)
-        kind = RequestClass("view", 300.0, 600.0, 1.0, Repeat.SAFE)
+        kind = RequestClass("view", 300.0, 600.0, 1.0, Idempotency.IDEMPOTENT)
         self.each = [
             Controller(
                 Settings(
@@ -98,11 +93,11 @@
                     classes=(kind,),
                     plans=(plan,),
                     warm_up_ms=1000.0,
-                    cold_from=0.2,
-                    fall_multiple=3.0,
-                    fall_window_ms=1000.0,
+                    slow_start_initial_factor=0.2,
+                    overload_multiple=3.0,
+                    overload_window_ms=1000.0,
                     max_attempts=1,
-                    may_tell=True,
+                    peer_messages_enabled=True,
                 ),
                 number,
             )
@@ -116,7 +111,7 @@
         self.owners: dict[int, str] = {}
         self.per_ms = customers * rate_per_s * demand / 1000
         self.customers = customers
-        servers = Fleet(tuple(Server(f"s{n}", "a", 0, State.READY) for n in range(20)))
+        servers = EndpointList(tuple(Endpoint(f"s{n}", "a", 0, EndpointStatus.READY) for n in range(20)))
         for number in range(spread):
             self._turn(number, servers)
 
@@ -127,7 +122,7 @@
     def tell(self, gone: Callable[[int], set[int]]) -> None:
         """Each hears who is gone."""
         for number in range(self.spread):
-            self._turn(number, Away(frozenset(gone(number))))
+            self._turn(number, PeersUnreachable(frozenset(gone(number))))
 
     def _later(self, after_ms: float, number: int, event: Event) -> None:
         self.serial += 1
@@ -137,16 +132,16 @@
         if number == self.gone:
             return
         for action in self.each[number].handle(self.now, [event]):
-            if isinstance(action, Send):
+            if isinstance(action, StartAttempt):
                 self.passed[number] += 1
                 self.by_customer[self.owners.pop(action.id, "")] += 1
-                self._later(20.0, number, Outcome(action.id, 0, action.server, 20.0, Result.OK, True))
-            elif isinstance(action, Wake):
-                self._later(max(1.0, action.after_ms), number, Woken(action.name))
-            elif isinstance(action, Tell):
+                self._later(20.0, number, AttemptEnded(action.id, 0, action.endpoint, 20.0, AttemptResult.OK, True))
+            elif isinstance(action, SetTimer):
+                self._later(max(1.0, action.delay_ms), number, TimerFired(action.name))
+            elif isinstance(action, SendToPeer):
                 away = self.region(action.receiver) != self.region(number)
                 if not (self.cut and away):
-                    self._later(self.away_ms if away else 1.0, action.receiver, Heard(number, action.data))
+                    self._later(self.away_ms if away else 1.0, action.receiver, PeerMessage(number, action.data))
 
     def run(self, seconds: float) -> float:
         """Units passed by all meanwhile."""
--- a/benchmarks/scale/files.py
+++ b/benchmarks/scale/files.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from anisefront.core.routing import LISTED, first_gateway
-from anisefront.policy.interface import Settings
+from anisefront.policy.settings import Settings
 
 ZONES, SPREAD, PER_SERVICE, KEYS_A_FILE = 8, 8, 13, 1000
 SECRET = "sixteen bytes at least"
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -35,10 +35,11 @@
 from anisefront.fleet.datagrams import Seal
 from anisefront.fleet.members import MOST_ROWS, Row, Status, pack
 from anisefront.policy.control import Controller
-from anisefront.policy.interface import Fleet, Reason, Result
 from benchmarks.scale import child, counting
 from benchmarks.scale.files import SPREAD, Sizes, customers_of, zone
 from benchmarks.scale.tap import crosses
+from anisefront.policy.actions import RejectionReason
+from anisefront.policy.events import AttemptResult, EndpointList
 
 WORK_S = 0.02  # of an attempt
 BUFFER = 1 << 20
@@ -74,13 +75,13 @@
     def __init__(self, ledger: Ledger) -> None:
         self._ledger = ledger
 
-    def send(self, request: int, number: int, worker: str, allow_ms: float) -> None:
-        reactor.callLater(WORK_S, self._ledger.outcome, request, number, Result.OK)
+    def send(self, request: int, number: int, worker: str, timeout_ms: float) -> None:
+        reactor.callLater(WORK_S, self._ledger.outcome, request, number, AttemptResult.OK)
 
     def cancel(self, request: int, attempt: int) -> None:
         """It ends by itself."""
 
-    def refuse(self, request: int, retry_in_ms: float, reason: Reason) -> None:
+    def refuse(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
         """Nobody waits for the answer."""
 
     def fail(self, request: int) -> None:
@@ -191,7 +192,7 @@
         self.chance = random.Random(self.seed ^ self.numbers[0])
         self.config: Config = checked(self.settings).config
         self.version, self.digest = 1, self._digest()
-        self.fleet: Fleet | None = None
+        self.fleet: EndpointList | None = None
         self.peers: dict[int, Address] = {}
         self.hollow: dict[int, Hollow] = {}
         self.tally, self.cut, self.rate = counting.Tally(), None, 0.0
--- a/benchmarks/scale/services.py
+++ b/benchmarks/scale/services.py
@@ -16,25 +16,21 @@
 
 from anisefront.fleet import roster
 from anisefront.policy.control import Controller
-from anisefront.policy.interface import (
-    Arrival,
-    Event,
-    Fleet,
-    Outcome,
-    Plan,
-    Repeat,
-    RequestClass,
-    Result,
-    Send,
-    Server,
-    Settings,
-    State,
-    Wake,
-    Woken,
-)
 from benchmarks.scale import child
 from benchmarks.scale.files import Files, Sizes
 from benchmarks.scale.fleet import quantile, rss_mb
+from anisefront.policy.actions import SetTimer, StartAttempt
+from anisefront.policy.events import (
+    Arrival,
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointList,
+    EndpointStatus,
+    Event,
+    TimerFired,
+)
+from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
 
 WORKERS, IDLE_S, TURNS, GRAIN_MS = 24, 3.0, 2000, 5.0
 
@@ -46,27 +42,32 @@
         number=0,
         zone="zone-0",
         classes=(
-            RequestClass("view", 1000, 5000, 1, Repeat.SAFE),
-            RequestClass("order", 1000, 5000, 2, Repeat.KEYED, window_ms=4800),
+            RequestClass("view", 1000, 5000, 1, Idempotency.IDEMPOTENT),
+            RequestClass("order", 1000, 5000, 2, Idempotency.KEYED, deduplication_window_ms=4800),
         ),
         plans=(Plan("tenant", 100, 16),),
         warm_up_ms=10_000,
-        cold_from=0.2,
-        fall_multiple=3,
-        fall_window_ms=2000,
+        slow_start_initial_factor=0.2,
+        overload_multiple=3,
+        overload_window_ms=2000,
         max_attempts=3,
         tick_ms=5,
         max_units=1000,
-        may_tell=True,
-        second_copies=True,
+        peer_messages_enabled=True,
+        hedging_enabled=True,
         max_retry_after_ms=5000,
         inbox_per_s=200,
     )
 
 
-def workers(count: int, first: int = 0) -> tuple[Server, ...]:
+def workers(count: int, first: int = 0) -> tuple[Endpoint, ...]:
     return tuple(
-        Server(f"127.{1 + at // 62500}.{at // 250 % 250}.{at % 250 + 1}:8000", f"zone-{at % 8}", at // 24, State.READY)
+        Endpoint(
+            f"127.{1 + at // 62500}.{at // 250 % 250}.{at % 250 + 1}:8000",
+            f"zone-{at % 8}",
+            at // 24,
+            EndpointStatus.READY,
+        )
         for at in range(first, first + count)
     )
 
@@ -81,8 +82,8 @@
         """One turn of one module."""
         actions = self.modules[which].handle(now, events)
         for action in actions:
-            if isinstance(action, Wake):
-                wake = (-(-(now + action.after_ms) // GRAIN_MS) * GRAIN_MS, which)
+            if isinstance(action, SetTimer):
+                wake = (-(-(now + action.delay_ms) // GRAIN_MS) * GRAIN_MS, which)
                 if wake not in self.known:
                     self.known.add(wake)
                     heapq.heappush(self.wakes, wake)
@@ -94,7 +95,7 @@
         while self.wakes and self.wakes[0][0] <= until:
             wake = heapq.heappop(self.wakes)
             self.known.discard(wake)
-            self.hand(wake[0], wake[1], [Woken("agenda")])
+            self.hand(wake[0], wake[1], [TimerFired("agenda")])
         return until
 
 
@@ -103,8 +104,8 @@
     for action in driver.hand(
         now, which, [Arrival(number, f"customer:tenant-{number % 200:05}", "view", "tenant", now + 5000, 1.0, 0, 1)]
     ):
-        if isinstance(action, Send):
-            driver.hand(now + GRAIN_MS, which, [Outcome(number, 0, action.server, 4.0, Result.OK, True)])
+        if isinstance(action, StartAttempt):
+            driver.hand(now + GRAIN_MS, which, [AttemptEnded(number, 0, action.endpoint, 4.0, AttemptResult.OK, True)])
     return now + GRAIN_MS
 
 
@@ -113,7 +114,7 @@
     servers = workers(count)
     driver, began = Driver([Controller(settings(gatekeepers), 1)]), time.perf_counter()
     now = time.time() * 1000 // GRAIN_MS * GRAIN_MS
-    driver.hand(now, 0, [Fleet(servers)])
+    driver.hand(now, 0, [EndpointList(servers)])
     first = time.perf_counter() - began
     took, listed = [], []
     for number in range(1, turns + 1):
@@ -122,9 +123,9 @@
         took.append((time.perf_counter() - began) * 1e6)
         now = driver.idle(now, now + 7)
     for number in range(5):
-        changed = (replace(servers[number], state=State.DRAINING), *servers[:number], *servers[number + 1 :])
+        changed = (replace(servers[number], status=EndpointStatus.DRAINING), *servers[:number], *servers[number + 1 :])
         began = time.perf_counter()
-        driver.hand(now, 0, [Fleet(changed)])
+        driver.hand(now, 0, [EndpointList(changed)])
         listed.append((time.perf_counter() - began) * 1e3)
         now = driver.idle(now, now + 100)
     return {
@@ -170,7 +171,7 @@
     driver = Driver([Controller(settings(850), number) for number in range(count)])
     now = time.time() * 1000 // GRAIN_MS * GRAIN_MS
     for number in range(count):
-        driver.hand(now, number, [Fleet(workers(WORKERS, number * WORKERS))])
+        driver.hand(now, number, [EndpointList(workers(WORKERS, number * WORKERS))])
     held = rss_mb(os.getpid()) - before
     gc.collect()
     gc.freeze()
--- a/tests/connection_model.py
+++ b/tests/connection_model.py
@@ -10,7 +10,8 @@
 
 from anisefront.node import front as fronts
 from anisefront.node import resp
-from anisefront.policy.interface import Fleet, Send, Server, State
+from anisefront.policy.actions import StartAttempt
+from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
 
 EVENTS = {
     "c": "a whole command",
@@ -233,13 +234,17 @@
 
     def _l(self):
         self.draining = True
-        self.house.ledger.roster(Fleet((Server("s1", "z", 0, State.DRAINING), Server("s2", "z", 0, State.READY))))
+        self.house.ledger.roster(
+            EndpointList(
+                (Endpoint("s1", "z", 0, EndpointStatus.DRAINING), Endpoint("s2", "z", 0, EndpointStatus.READY))
+            )
+        )
 
     def _g(self):
         waiting = [each.id for each in self.house.module.arrivals if each.id not in self.sent]
         if waiting:
             self.sent.add(waiting[0])
-            self.house.module.next = [Send(waiting[0], "s1", 1400.0)]
+            self.house.module.next = [StartAttempt(waiting[0], "s1", 1400.0)]
             self.house.ledger._plan_turn()
 
     def _k(self):
