--- a/tests/decision_schedule.py
+++ b/tests/decision_schedule.py
@@ -13,41 +13,68 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from anisefront.policy import interface, messages
+from anisefront.policy import messages
 from anisefront.policy.control import Controller
+from anisefront.policy.actions import (
+    CancelAttempt,
+    Fail,
+    Reject,
+    RejectionReason,
+    SendToPeer,
+    SetTimer,
+    StartAttempt,
+    Subscribe,
+)
+from anisefront.policy.events import (
+    Arrival,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    CounterReply,
+    Endpoint,
+    EndpointList,
+    EndpointStatus,
+    PeerMessage,
+    PeersUnreachable,
+    PriorAttempts,
+    ProbeEnded,
+    ResponseStarted,
+    TimerFired,
+)
+from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 # ---- ADAPTER: the only code here that uses names of the module ------------------------------------------------------
 
 REPEATS = {
-    "safe": interface.Repeat.SAFE,
-    "keyed": interface.Repeat.KEYED,
-    "unsafe": interface.Repeat.UNSAFE,
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.KEYED,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
 }
 SCOPES = {
-    "all": interface.Scope.ALL,
-    "zone": interface.Scope.ZONE,
-    "cell": interface.Scope.CELL,
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
 }
 STATES = {
-    "ready": interface.State.READY,
-    "draining": interface.State.DRAINING,
-    "gone": interface.State.GONE,
+    "ready": EndpointStatus.READY,
+    "draining": EndpointStatus.DRAINING,
+    "gone": EndpointStatus.REMOVED,
 }
 RESULTS = {
-    "ok": interface.Result.OK,
-    "error": interface.Result.ERROR,
-    "full": interface.Result.FULL,
-    "timeout": interface.Result.TIMEOUT,
-    "connect_failed": interface.Result.CONNECT_FAILED,
-    "reset": interface.Result.RESET,
-    "cancelled": interface.Result.CANCELLED,
-    "moot": interface.Result.MOOT,
+    "ok": AttemptResult.OK,
+    "error": AttemptResult.ERROR,
+    "full": AttemptResult.OVERLOADED,
+    "timeout": AttemptResult.TIMEOUT,
+    "connect_failed": AttemptResult.CONNECT_FAILED,
+    "reset": AttemptResult.RESET,
+    "cancelled": AttemptResult.CANCELLED,
+    "moot": AttemptResult.DISCARDED,
 }
 REASONS = {
-    interface.Reason.QUOTA: "quota",
-    interface.Reason.CAPACITY: "capacity",
-    interface.Reason.ATTEMPTS: "attempts",
-    interface.Reason.UNFIT: "unfit",
+    RejectionReason.QUOTA: "quota",
+    RejectionReason.CAPACITY: "capacity",
+    RejectionReason.ATTEMPTS: "attempts",
+    RejectionReason.INVALID: "unfit",
 }
 PEER_KINDS = {
     messages.Kind.ASK: "ask",
@@ -59,32 +86,54 @@
 }
 
 
-def make_class(name, aim_ms, deadline_ms, worth, repeat, late_worth, scope, window_ms, streamed, aim_stretch):
+def make_class(
+    name,
+    latency_objective_ms,
+    deadline_ms,
+    worth,
+    repeat,
+    late_priority_weight,
+    scope,
+    window_ms,
+    streamed,
+    latency_objective_stretch,
+):
     """A class of requests."""
-    return interface.RequestClass(
+    return RequestClass(
         name=name,
-        aim_ms=aim_ms,
+        latency_objective_ms=latency_objective_ms,
         deadline_ms=deadline_ms,
-        worth=worth,
-        repeat=REPEATS[repeat],
-        late_worth=late_worth,
-        scope=SCOPES[scope],
-        window_ms=window_ms,
+        priority_weight=worth,
+        idempotency=REPEATS[repeat],
+        late_priority_weight=late_priority_weight,
+        deduplication_scope=SCOPES[scope],
+        deduplication_window_ms=window_ms,
         streamed=streamed,
-        aim_stretch=aim_stretch,
+        latency_objective_stretch=latency_objective_stretch,
     )
 
 
-def make_plan(name, rate, burst, max_out, value, over_worth, over_cost, ceiling, ceiling_burst, ceiling_slack):
+def make_plan(
+    name,
+    rate,
+    burst,
+    max_in_flight,
+    value,
+    over_quota_multiplier,
+    over_quota_cost,
+    ceiling,
+    ceiling_burst,
+    ceiling_slack,
+):
     """A plan of customers."""
-    return interface.Plan(
+    return Plan(
         name=name,
         rate_per_s=rate,
         burst=burst,
-        max_out=max_out,
-        value=value,
-        over_worth=over_worth,
-        over_cost=over_cost,
+        max_in_flight=max_in_flight,
+        priority_multiplier=value,
+        over_quota_multiplier=over_quota_multiplier,
+        over_quota_cost=over_quota_cost,
         ceiling_per_s=ceiling,
         ceiling_burst=ceiling_burst,
         ceiling_slack=ceiling_slack,
@@ -93,33 +142,33 @@
 
 def make_settings(figures):
     """The settings of one instance, from a plain dictionary."""
-    return interface.Settings(
+    return Settings(
         gateways=figures["instances"],
         number=figures["number"],
         zone=figures["zone"],
         classes=tuple(make_class(*row) for row in figures["classes"]),
         plans=tuple(make_plan(*row) for row in figures["plans"]),
         warm_up_ms=figures["warm_up_ms"],
-        cold_from=figures["cold_from"],
-        fall_multiple=figures["fall_multiple"],
-        fall_window_ms=figures["fall_window_ms"],
+        slow_start_initial_factor=figures["cold_from"],
+        overload_multiple=figures["fall_multiple"],
+        overload_window_ms=figures["fall_window_ms"],
         max_attempts=figures["max_attempts"],
         tick_ms=figures["tick_ms"],
         max_units=figures["max_units"],
-        may_cancel=figures["may_cancel"],
-        may_tell=figures["may_tell"],
-        may_probe=figures["may_probe"],
-        second_copies=figures["second_copies"],
-        must_subscribe=figures["must_subscribe"],
-        settles=figures["settles"],
+        cancellation_enabled=figures["may_cancel"],
+        peer_messages_enabled=figures["may_tell"],
+        probing_enabled=figures["may_probe"],
+        hedging_enabled=figures["second_copies"],
+        subscription_required=figures["must_subscribe"],
+        postpaid=figures["settles"],
         max_retry_after_ms=figures["max_retry_after_ms"],
         inbox_per_s=figures["inbox_per_s"],
-        ask_within_ms=figures["ask_within_ms"],
-        report_how=figures["report_how"],
-        report_fields=figures["report_fields"],
+        poll_within_ms=figures["ask_within_ms"],
+        load_report_mode=figures["report_how"],
+        load_report_fields=figures["report_fields"],
         cross_zone_price=figures["cross_zone_price"],
-        peer_price=figures["peer_price"],
-        most_customers=figures["most_customers"],
+        peer_message_price=figures["peer_price"],
+        max_customers=figures["most_customers"],
         tag_key=figures["tag_key"],
     )
 
@@ -127,86 +176,86 @@
 def make_fleet(endpoints, complete, failed):
     """A list of endpoints from discovery; each is (id, zone, cell, state, weight, started_ms)."""
     rows = tuple(
-        interface.Server(id=name, zone=zone, cell=cell, state=STATES[state], weight=weight, started_ms=started_ms)
+        Endpoint(id=name, zone=zone, cell=cell, status=STATES[state], weight=weight, started_ms=started_ms)
         for name, zone, cell, state, weight, started_ms in endpoints
     )
-    return interface.Fleet(servers=rows, complete=complete, failed=failed)
+    return EndpointList(endpoints=rows, complete=complete, failed=failed)
 
 
-def make_arrival(number, customer, class_name, plan_name, due_ms, units, first, spread, is_repeat, copies, past):
+def make_arrival(number, customer, class_name, plan_name, due_ms, units, first, spread, is_retry, copies, past):
     """A request of a client; `past` is None or (attempts, uncertain, endpoint, sent_ms, paid)."""
     inherited = None
     if past is not None:
-        inherited = interface.Past(
+        inherited = PriorAttempts(
             attempts=past[0],
             uncertain=past[1],
-            server=past[2],
-            server_ms=past[3],
-            paid=past[4],
+            endpoint=past[2],
+            started_ms=past[3],
+            quota_debited=past[4],
         )
-    return interface.Arrival(
+    return Arrival(
         id=number,
         customer=customer,
         class_name=class_name,
         plan_name=plan_name,
-        due_ms=due_ms,
+        deadline_at_ms=due_ms,
         units=units,
         first_gateway=first,
         spread=spread,
-        is_repeat=is_repeat,
-        copies=copies,
-        past=inherited,
+        is_retry=is_retry,
+        allows_hedging=copies,
+        prior_attempts=inherited,
     )
 
 
 def make_started(number, attempt, endpoint):
     """A streamed answer has begun."""
-    return interface.Started(id=number, attempt=attempt, server=endpoint)
+    return ResponseStarted(id=number, attempt=attempt, endpoint=endpoint)
 
 
-def make_outcome(number, attempt, endpoint, took_ms, result, final, true_units, used_percent, load):
+def make_outcome(number, attempt, endpoint, took_ms, result, final, actual_units, quota_use, load):
     """An attempt has ended."""
-    return interface.Outcome(
+    return AttemptEnded(
         id=number,
         attempt=attempt,
-        server=endpoint,
-        took_ms=took_ms,
+        endpoint=endpoint,
+        duration_ms=took_ms,
         result=RESULTS[result],
         final=final,
-        true_units=true_units,
-        used_percent=used_percent,
+        actual_units=actual_units,
+        quota_use=quota_use,
         load=load,
     )
 
 
 def make_client_gone(number):
     """The client has left."""
-    return interface.ClientGone(id=number)
+    return ClientDisconnected(id=number)
 
 
 def make_woken(name):
     """A timer has fired."""
-    return interface.Woken(name=name)
+    return TimerFired(name=name)
 
 
 def make_heard(sender, data):
     """Peer bytes have come in."""
-    return interface.Heard(sender=sender, data=data)
+    return PeerMessage(sender=sender, data=data)
 
 
 def make_away(numbers):
     """These instances are known to be gone."""
-    return interface.Away(gateways=frozenset(numbers))
+    return PeersUnreachable(gateways=frozenset(numbers))
 
 
 def make_probed(endpoint, took_ms, result, load):
     """The answer to a probe."""
-    return interface.Probed(server=endpoint, took_ms=took_ms, result=RESULTS[result], load=load)
+    return ProbeEnded(endpoint=endpoint, duration_ms=took_ms, result=RESULTS[result], load=load)
 
 
 def make_counted(name):
     """The answer of the shared counter."""
-    return interface.Counted(name=name)
+    return CounterReply(name=name)
 
 
 EVENT_MAKERS = {
@@ -223,13 +272,13 @@
     "COUNTED": make_counted,
 }
 ACTION_READERS = {
-    interface.Send: lambda it: ("ATTEMPT", it.id, it.server, it.allow_ms, it.begin_ms),
-    interface.Refuse: lambda it: ("REJECT", it.id, it.retry_in_ms, REASONS[it.reason]),
-    interface.Fail: lambda it: ("FAIL", it.id),
-    interface.Cancel: lambda it: ("CANCEL", it.id, it.attempt),
-    interface.Wake: lambda it: ("SET_TIMER", it.after_ms, it.name),
-    interface.Tell: lambda it: ("PEER_MESSAGE", it.receiver, it.data),
-    interface.Subscribe: lambda it: ("SUBSCRIBE",),
+    StartAttempt: lambda it: ("ATTEMPT", it.id, it.endpoint, it.timeout_ms, it.start_within_ms),
+    Reject: lambda it: ("REJECT", it.id, it.retry_after_ms, REASONS[it.reason]),
+    Fail: lambda it: ("FAIL", it.id),
+    CancelAttempt: lambda it: ("CANCEL", it.id, it.attempt),
+    SetTimer: lambda it: ("SET_TIMER", it.delay_ms, it.name),
+    SendToPeer: lambda it: ("PEER_MESSAGE", it.receiver, it.data),
+    Subscribe: lambda it: ("SUBSCRIBE",),
 }
 
 
@@ -315,7 +364,7 @@
 
 
 @dataclass
-class Endpoint:
+class SimulatedEndpoint:
     """A simulated endpoint."""
 
     name: str
@@ -376,7 +425,7 @@
         self.zones = zones
         count = rng.choice((4, 6, 9, 14))
         self.endpoints = [
-            Endpoint(
+            SimulatedEndpoint(
                 name=f"e{number}",
                 zone=rng.choice(zones),
                 cell=number % 3,
@@ -536,7 +585,7 @@
         units = self.rng.choice((0.0, 1.0, 2.5))
         return [("OUTCOME", number, attempt, name, self.now - sent_ms, result, final, units, 0, load)]
 
-    def load_of(self, endpoint: Endpoint, instance: int) -> tuple:
+    def load_of(self, endpoint: SimulatedEndpoint, instance: int) -> tuple:
         """The load report that goes along with an answer, if there is one."""
         fields = self.current[instance]["report_fields"]
         if not fields or self.rng.random() < 0.3:
@@ -546,7 +595,7 @@
 
     # -- actions
 
-    def do_attempt(self, instance: int, number: int, name: str, allow_ms: float, begin_ms: float) -> None:
+    def do_attempt(self, instance: int, number: int, name: str, timeout_ms: float, begin_ms: float) -> None:
         """An attempt goes out."""
         rng, endpoint = self.rng, self.by_name[name]
         key = (instance, self.epoch[instance], number)
@@ -575,8 +624,8 @@
             result = "error"
         if begin_ms < 2.0 and rng.random() < 0.8:
             result, took_ms = "moot", 1.0
-        if took_ms > allow_ms:
-            result, took_ms = "timeout", allow_ms
+        if took_ms > timeout_ms:
+            result, took_ms = "timeout", timeout_ms
         streamed = arrival is not None and arrival[3].startswith("stream")
         if streamed and result in ("ok", "reset") and rng.random() < 0.9:
             self.push(self.now + took_ms * 0.6, instance, ("STARTED", number, attempt, name))
@@ -587,13 +636,13 @@
         if rng.random() < 0.02:
             self.push(self.now + took_ms + 5, instance, item)
 
-    def do_reject(self, instance: int, number: int, retry_in_ms: float, reason: str) -> None:
+    def do_reject(self, instance: int, number: int, retry_after_ms: float, reason: str) -> None:
         """A client is told to come again; some do."""
         found = self.live.pop(number, None)
         if found is None or reason == "unfit" or self.rng.random() < 0.6:
             return
         _, _, customer, class_name, plan_name, _, units, first, spread, _, copies, _ = found[0]
-        at_ms = self.now + retry_in_ms + self.rng.uniform(1.0, 200.0)
+        at_ms = self.now + retry_after_ms + self.rng.uniform(1.0, 200.0)
         self.arrive(at_ms, customer, class_name, plan_name, units, first, spread, True, copies)
 
     def do_fail(self, instance: int, number: int) -> None:
@@ -690,7 +739,7 @@
             self.next_id += 1
             at_ms += 0.9
 
-    def arrive(self, at_ms, customer, class_name, plan_name, units, first, spread, is_repeat, copies) -> None:
+    def arrive(self, at_ms, customer, class_name, plan_name, units, first, spread, is_retry, copies) -> None:
         """One request of a client."""
         rng, number = self.rng, self.next_id
         self.next_id += 1
@@ -710,7 +759,7 @@
             units,
             first,
             spread,
-            is_repeat,
+            is_retry,
             copies,
             past,
         )
--- a/tests/members_net.py
+++ b/tests/members_net.py
@@ -52,7 +52,7 @@
             for change in node.changes:
                 self._note(number, change)
             node.changes.clear()
-            self._at(node.due_ms, "wake", number, self.lives[number])
+            self._at(node.next_timer_ms, "wake", number, self.lives[number])
         self.now = until
 
     def _note(self, number, change):
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -16,7 +16,8 @@
 from anisefront.node.carrier import NodeCarrier, RespAnswers
 from anisefront.node.front import Front, FrontLimits
 from anisefront.node.terms import Reader
-from anisefront.policy.interface import Fleet, Send, Server, State
+from anisefront.policy.actions import StartAttempt
+from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
 
 
 class Stage:
@@ -27,7 +28,7 @@
         self.reactor.seconds = lambda: self.time
         now = lambda: self.time * 1000 + 1000  # noqa: E731
         self.ledger = Ledger(self.module, now, self.reactor)
-        self.ledger.roster(Fleet(tuple(Server(name, "z", 0, State.READY) for name in ("s1", "s2"))))
+        self.ledger.roster(EndpointList(tuple(Endpoint(name, "z", 0, EndpointStatus.READY) for name in ("s1", "s2"))))
         self.listeners = {name: self._keep(socket.create_server(("127.0.0.1", 0))) for name in ("s1", "s2")}
         address = {name: listener.getsockname() for name, listener in self.listeners.items()}
         self.pool = Pool(self.reactor, PoolLimits(rest_s=0.01, stall_s=0.4), RespAnswers, address.get)
@@ -79,7 +80,7 @@
     def served(self):
         """A client, and a worker's connection that has carried its request and has not rested yet."""
         client = self.client(ASK)
-        self.say(Send(1, "s1", 400.0))
+        self.say(StartAttempt(1, "s1", 400.0))
         worker = self.accept()
         assert worker.recv(1000)
         worker.sendall(SERVED)
--- a/tests/test_capacity_figures.py
+++ b/tests/test_capacity_figures.py
@@ -10,20 +10,12 @@
 from anisefront.config.model import MESSAGES_PER_S
 from anisefront.policy import messages
 from anisefront.policy.control import RESERVE, Controller, Quota
-from anisefront.policy.interface import (
-    Arrival,
-    Fleet,
-    Heard,
-    Plan,
-    Repeat,
-    RequestClass,
-    Settings,
-    Tell,
-    Woken,
-)
 from benchmarks.scale import apart, axes, carrying, estimates, fit, subsets, warming
 from benchmarks.scale.plan import PLAN, ZONES
 from benchmarks.scale.results import Axis, Fit, Results
+from anisefront.policy.actions import SendToPeer
+from anisefront.policy.events import Arrival, EndpointList, PeerMessage, TimerFired
+from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
 
 NAMES = list(estimates.AXES)
 GATEKEEPERS, WORKERS = 200, 24
@@ -235,26 +227,26 @@
             gateways=15,
             number=0,
             zone="a",
-            classes=(RequestClass("view", 1000.0, 5000.0, 1.0, Repeat.SAFE),),
+            classes=(RequestClass("view", 1000.0, 5000.0, 1.0, Idempotency.IDEMPOTENT),),
             plans=(Plan("small", 100.0, 16.0),),
             warm_up_ms=1000.0,
-            cold_from=0.2,
-            fall_multiple=3.0,
-            fall_window_ms=1000.0,
+            slow_start_initial_factor=0.2,
+            overload_multiple=3.0,
+            overload_window_ms=1000.0,
             max_attempts=1,
-            may_tell=True,
+            peer_messages_enabled=True,
             inbox_per_s=rate,
         ),
         1,
     )
     now, gap_ms, nothing = 1000.0, 1000 / heard_per_s, messages.encode(1, 1.0, [], [])
-    one.handle(now, [Fleet(())])
+    one.handle(now, [EndpointList(())])
     for number in range(round(4 * heard_per_s)):
         now += gap_ms
-        one.handle(now, [Heard(1 + number % 14, nothing), Woken("agenda")])
+        one.handle(now, [PeerMessage(1 + number % 14, nothing), TimerFired("agenda")])
     told = [
         sum(
-            isinstance(action, Tell)
+            isinstance(action, SendToPeer)
             for action in one.handle(
                 now + 5 * place, [Arrival(place, f"c{place}", "view", "small", now + 5000.0, 1.0, 7, 1)]
             )
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -11,7 +11,7 @@
 
 from anisefront.node import front as fronts
 from anisefront.node import resp
-from anisefront.policy.interface import Refuse
+from anisefront.policy.actions import Reject
 
 
 @pytest.fixture
@@ -24,7 +24,7 @@
 def test_an_answer_is_not_lost_with_what_its_client_sends_in_that_moment(stage):
     client = stage.client(ASK)
     stage.front.close_idle()
-    stage.module.next = [Refuse(1, 0.0)]
+    stage.module.next = [Reject(1, 0.0)]
     stage.ledger._plan_turn()
     stage.reactor.iterate(0)  # the answer is written, the end begun
     stage.turns()
@@ -164,12 +164,12 @@
     """The transport says that its buffer is full at each write into it, and once only that it is free."""
     pong = [b"PING", b"x" * 20_000]
     client = stage.client(ASK, pong, other(2), pong, other(3))
-    stage.decide(Refuse(1, 0.0))
-    stage.decide(Refuse(2, 0.0))  # the loop has written nothing since
+    stage.decide(Reject(1, 0.0))
+    stage.decide(Reject(2, 0.0))  # the loop has written nothing since
     found = 0
     while found < 40_000:
         stage.turns()
         found += len(client.recv(65536))
     stage.wait(fronts.STUCK_S + 1)
-    stage.say(Refuse(3, 0.0))
+    stage.say(Reject(3, 0.0))
     assert client.recv(100) == b"-BUSY\r\n"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -404,7 +404,7 @@
     assert text.startswith("# the first gatekeeper\nlanguage 2\n") and "# the list" in text and "# small" in text
     config = found(text).config
     assert config.settings.plans[0].burst == 12 and config.settings.warm_up_ms == 6000
-    assert config.roster_file == "/etc/stalls.json" and config.settings.report_fields == ("util", "inflight")
+    assert config.roster_file == "/etc/stalls.json" and config.settings.load_report_fields == ("util", "inflight")
     assert migrate(parse(text)[0])[0].directives[0].name.text == "language"
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,27 +10,25 @@
 from anisefront.carriers.proxied import Proxied, Verdict
 from anisefront.core.ledger import Ledger
 from anisefront.policy.control import Controller
-from anisefront.policy.interface import (
-    Fleet,
-    Outcome,
-    Plan,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Result,
-    Scope,
-    Send,
-    Server,
-    Settings,
-    State,
-)
+from anisefront.policy.actions import Reject, StartAttempt
+from anisefront.policy.events import AttemptEnded
+from anisefront.policy.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
+from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 CLASSES = (
-    RequestClass("safe", 500, 2000, 1.0, Repeat.SAFE),
-    RequestClass("keyed", 500, 2000, 1.0, Repeat.KEYED, scope=Scope.CELL, window_ms=1500),
-    RequestClass("unsafe", 500, 2000, 1.0, Repeat.UNSAFE),
+    RequestClass("safe", 500, 2000, 1.0, Idempotency.IDEMPOTENT),
+    RequestClass(
+        "keyed",
+        500,
+        2000,
+        1.0,
+        Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.CELL,
+        deduplication_window_ms=1500,
+    ),
+    RequestClass("unsafe", 500, 2000, 1.0, Idempotency.NON_IDEMPOTENT),
 )
-SERVERS = tuple(Server(f"10.0.0.{n}:80", "a", n % 3, State.READY) for n in range(6))
+SERVERS = tuple(Endpoint(f"10.0.0.{n}:80", "a", n % 3, EndpointStatus.READY) for n in range(6))
 
 
 class Desk:
@@ -45,16 +43,16 @@
             classes=classes,
             plans=(plan or Plan("wide", 1000, 1000),),
             warm_up_ms=5000,
-            cold_from=0.2,
-            fall_multiple=3,
-            fall_window_ms=1000,
+            slow_start_initial_factor=0.2,
+            overload_multiple=3,
+            overload_window_ms=1000,
             max_attempts=3,
             tick_ms=5,
             **more,
         )
         self.ledger = Ledger(Controller(settings, 7), lambda: 1e6 + self.clock.seconds() * 1000, self.clock)
         self.proxied = Proxied(self.ledger, self.clock, "life")
-        self.ledger.roster(Fleet(SERVERS))
+        self.ledger.roster(EndpointList(SERVERS))
         self.told = []
         self.run(0.01)
 
@@ -92,23 +90,23 @@
 def test_served():
     desk = Desk()
     desk.ask()
-    assert desk.told[0].verdict is Verdict.GO and desk.told[0].allow_ms < 2000
-    assert desk.log(desk.told[0].attempt, Result.OK)
+    assert desk.told[0].verdict is Verdict.GO and desk.told[0].timeout_ms < 2000
+    assert desk.log(desk.told[0].attempt, AttemptResult.OK)
     assert desk.empty() and desk.ledger.counts["served"] == 1
 
 
 @pytest.mark.parametrize(
     ("kind", "result", "verdict"),
     [
-        ("safe", Result.RESET, Verdict.GO),
-        ("safe", Result.CONNECT_FAILED, Verdict.GO),
-        ("keyed", Result.RESET, Verdict.GO),
-        ("keyed", Result.ERROR, Verdict.GO),
-        ("unsafe", Result.CONNECT_FAILED, Verdict.GO),
-        ("unsafe", Result.FULL, Verdict.GO),
-        ("unsafe", Result.RESET, Verdict.FAILED),
-        ("unsafe", Result.ERROR, Verdict.FAILED),
-        ("unsafe", Result.TIMEOUT, Verdict.FAILED),
+        ("safe", AttemptResult.RESET, Verdict.GO),
+        ("safe", AttemptResult.CONNECT_FAILED, Verdict.GO),
+        ("keyed", AttemptResult.RESET, Verdict.GO),
+        ("keyed", AttemptResult.ERROR, Verdict.GO),
+        ("unsafe", AttemptResult.CONNECT_FAILED, Verdict.GO),
+        ("unsafe", AttemptResult.OVERLOADED, Verdict.GO),
+        ("unsafe", AttemptResult.RESET, Verdict.FAILED),
+        ("unsafe", AttemptResult.ERROR, Verdict.FAILED),
+        ("unsafe", AttemptResult.TIMEOUT, Verdict.FAILED),
     ],
 )
 def test_worker_fails_after_the_check_said_yes(kind, result, verdict):
@@ -123,7 +121,7 @@
         cells = {server.id: server.cell for server in SERVERS}
         assert cells[second.worker] == cells[first.worker]
     if verdict is Verdict.GO:
-        desk.log(second.attempt, Result.OK)
+        desk.log(second.attempt, AttemptResult.OK)
     assert desk.empty()
 
 
@@ -132,7 +130,7 @@
     desk.ask(kind="unsafe")
     desk.again(desk.told[0].attempt)
     assert len(desk.told) == 1
-    desk.log(desk.told[0].attempt, Result.CONNECT_FAILED)
+    desk.log(desk.told[0].attempt, AttemptResult.CONNECT_FAILED)
     assert desk.told[1].verdict is Verdict.GO and desk.told[1].attempt == "life.1.1"
 
 
@@ -144,7 +142,7 @@
     assert desk.proxied.log_unsent("r9", "p")
     desk.run(0.01)
     assert desk.empty() and desk.ledger.counts["attempts_moot"] == 1
-    assert not desk.log(desk.told[0].attempt, Result.OK)
+    assert not desk.log(desk.told[0].attempt, AttemptResult.OK)
 
 
 def test_unsent_is_no_proof_where_two_asked_with_one_id():
@@ -153,7 +151,7 @@
     desk.ask("r")
     assert desk.told[1].verdict is Verdict.REFUSED and desk.told[1].reason == "in-progress"
     assert not desk.proxied.log_unsent("r", "p")
-    desk.log(desk.told[0].attempt, Result.OK)
+    desk.log(desk.told[0].attempt, AttemptResult.OK)
     assert desk.empty() and desk.ledger.counts["attempts"] == 1
 
 
@@ -162,7 +160,7 @@
     desk.ask(kind="unsafe", due_ms=500)
     desk.run(2.5)
     assert desk.empty() and desk.ledger.counts["attempts_timeout"] == 1
-    assert not desk.log(desk.told[0].attempt, Result.OK)
+    assert not desk.log(desk.told[0].attempt, AttemptResult.OK)
 
 
 def test_late_log_of_a_request_that_has_its_answer_closes_the_books():
@@ -170,14 +168,14 @@
     desk.ask(kind="safe", due_ms=300)
     desk.run(0.4)  # the module's guard has answered; the proxy has not asked for it
     assert desk.ledger.counts["refused"] == 1 and not desk.empty()
-    desk.log(desk.told[0].attempt, Result.OK)
+    desk.log(desk.told[0].attempt, AttemptResult.OK)
     assert desk.empty() and desk.ledger.counts["served"] == 0
 
 
 def test_proxy_that_does_not_ask_again_gets_nothing_more():
     desk = Desk()
     desk.ask()
-    desk.log(desk.told[0].attempt, Result.RESET)
+    desk.log(desk.told[0].attempt, AttemptResult.RESET)
     assert not desk.empty()  # the next attempt waits for its check
     desk.run(0.6)
     assert desk.empty() and len(desk.told) == 1
@@ -188,14 +186,18 @@
 def test_send_that_waited_for_its_check_is_decided_anew_if_its_worker_drains():
     desk = Desk()
     desk.ask()
-    desk.log(desk.told[0].attempt, Result.RESET)
+    desk.log(desk.told[0].attempt, AttemptResult.RESET)
     parked = next(iter(desk.proxied.exchanges.values())).parked[1]
     desk.ledger.roster(
-        Fleet(tuple(Server(s.id, s.zone, s.cell, State.DRAINING if s.id == parked else s.state) for s in SERVERS))
+        EndpointList(
+            tuple(
+                Endpoint(s.id, s.zone, s.cell, EndpointStatus.DRAINING if s.id == parked else s.status) for s in SERVERS
+            )
+        )
     )
     desk.again(desk.told[0].attempt)
     assert desk.told[1].verdict is Verdict.GO and desk.told[1].worker != parked
-    desk.log(desk.told[1].attempt, Result.OK)
+    desk.log(desk.told[1].attempt, AttemptResult.OK)
     assert desk.empty()
 
 
@@ -205,7 +207,7 @@
     assert [answer.verdict for answer in desk.told] == [Verdict.GO]
     desk.proxied.withdraw(numbers[1])
     desk.run(1.0)
-    desk.log(desk.told[0].attempt, Result.OK)
+    desk.log(desk.told[0].attempt, AttemptResult.OK)
     desk.run(3.0)
     assert desk.empty() and desk.ledger.counts["left"] == 1
 
@@ -213,7 +215,7 @@
 def test_client_gone_midway_ends_the_request():
     desk = Desk()
     desk.ask(kind="safe")
-    desk.log(desk.told[0].attempt, Result.CANCELLED, over=True)
+    desk.log(desk.told[0].attempt, AttemptResult.CANCELLED, over=True)
     assert desk.empty() and len(desk.told) == 1
 
 
@@ -254,7 +256,7 @@
     late.rightNow = desk.clock.seconds()
     desk.ask(kind="unsafe", due_ms=1000)
     desk.clock.__class__ = Late
-    desk.clock.stand_still(1.5, lambda: desk.proxied.log(desk.told[0].attempt, Result.OK, 20.0, (), False))
+    desk.clock.stand_still(1.5, lambda: desk.proxied.log(desk.told[0].attempt, AttemptResult.OK, 20.0, (), False))
     assert desk.ledger.counts["served"] == 1 and desk.ledger.counts["failed"] == 0
     assert desk.ledger.counts["standstills"] == 1
 
@@ -263,19 +265,19 @@
 def test_response_flags(row):
     name, end = row
     assert of_flags({name}, 0, {}) == end
-    assert of_flags({name, "unauthorized_details"}, 0, {}).result is Result.MOOT
+    assert of_flags({name, "unauthorized_details"}, 0, {}).result is AttemptResult.DISCARDED
 
 
 @pytest.mark.parametrize(
     ("status", "headers", "result"),
     [
-        (200, {}, Result.OK),
-        (404, {}, Result.OK),
-        (500, {}, Result.ERROR),
-        (503, {}, Result.ERROR),
-        (503, {"x-envoy-overloaded": "true"}, Result.FULL),
-        (429, {}, Result.OK),
-        (0, {}, Result.ERROR),
+        (200, {}, AttemptResult.OK),
+        (404, {}, AttemptResult.OK),
+        (500, {}, AttemptResult.ERROR),
+        (503, {}, AttemptResult.ERROR),
+        (503, {"x-envoy-overloaded": "true"}, AttemptResult.OVERLOADED),
+        (429, {}, AttemptResult.OK),
+        (0, {}, AttemptResult.ERROR),
     ],
 )
 def test_statuses(status, headers, result):
@@ -302,7 +304,7 @@
     page = (pathlib.Path(__file__).parent.parent / "docs/operators/outcomes.md").read_text()
     rows = re.findall(r"^\| `(\w+)` \| `(\w+)` \| (yes|no) \| (yes|no) \|$", page, re.M)
     assert rows == [
-        (name, end.result.value, "no" if end.result.never_ran else "yes", "yes" if end.over else "no")
+        (name, end.result.value, "no" if end.result.never_executed else "yes", "yes" if end.over else "no")
         for name, end in FLAGS
     ]
 
@@ -318,7 +320,7 @@
 
         def cancel():
             exchange.called_off = True
-            done(Result.CANCELLED, None)
+            done(AttemptResult.CANCELLED, None)
 
         exchange.cancel = cancel
         self.asked.append(exchange)
@@ -329,8 +331,8 @@
     from anisefront.carriers.own import Job, Own
     from anisefront.wire.http1 import Message
 
-    patient = tuple(replace(kind, aim_ms=1900) for kind in CLASSES)
-    desk = Desk(classes=patient, second_copies=True)
+    patient = tuple(replace(kind, latency_objective_ms=1900) for kind in CLASSES)
+    desk = Desk(classes=patient, hedging_enabled=True)
     lines, answers = Lines(), []
     own = Own(desk.ledger, lines, "life", ())
     own.ask(
@@ -352,7 +354,7 @@
 
 
 def test_proxies_are_never_asked_for_a_second_copy():
-    desk = Desk(classes=tuple(replace(kind, aim_ms=1900) for kind in CLASSES), second_copies=True)
+    desk = Desk(classes=tuple(replace(kind, latency_objective_ms=1900) for kind in CLASSES), hedging_enabled=True)
     desk.ask(kind="safe")
     desk.run(1.0)
     assert len(desk.told) == 1 and desk.ledger.counts["attempts"] == 1
@@ -380,22 +382,26 @@
     ledger = desk.ledger
     slow = ledger.controller = Slow(desk, 0.05)
     for number in range(400):
-        ledger._post(ledgers.Outcome(number, 0, "w", 1.0, Result.OK, True))
+        ledger._post(AttemptEnded(number, 0, "w", 1.0, AttemptResult.OK, True))
     for _ in range(200):
         ledger.accept(desk.proxied, "c", "safe", "wide", ledger.now_ms() + 2000)
         ledger.hear(1, b"x")
-    ledger.roster(Fleet(SERVERS))
+    ledger.roster(EndpointList(SERVERS))
     ends = []
     ledger.after_turn.append(lambda: ends.append(len(slow.turns)))
     desk.clock.advance(0)
     first = [name for _, names in slow.turns[: ends[0]] for name in names]
-    assert first[0] == "Fleet" and len(first) < 200  # a turn's time is up after about 80 events of 50 microseconds
+    assert (
+        first[0] == "EndpointList" and len(first) < 200
+    )  # a turn's time is up after about 80 events of 50 microseconds
     assert len(ends) > 5  # between them the loop reads its sockets
     assert ledger.turn_ms.worst_ms < ledgers.TURN_MS + 3 * ledgers.SLICE * 0.05 + 0.1
-    assert abs(first.count("Outcome") - first.count("Arrival")) <= ledgers.SLICE and first.count("Heard") > 0
+    assert abs(first.count("AttemptEnded") - first.count("Arrival")) <= ledgers.SLICE and first.count("PeerMessage") > 0
     assert ledger.waiting == 0 and sum(len(names) for _, names in slow.turns) == 801
     order = slow.turns[0][1]
-    assert order[1:17] == ["Outcome"] * 16 and order[17:33] == ["Arrival"] * 16 and order[33:] == ["Heard"] * 16
+    assert (
+        order[1:17] == ["AttemptEnded"] * 16 and order[17:33] == ["Arrival"] * 16 and order[33:] == ["PeerMessage"] * 16
+    )
 
 
 def test_peers_messages_that_no_turn_takes_in_are_dropped_at_their_cap():
@@ -428,7 +434,7 @@
     desk.ledger.controller.handle = slow
     for _ in range(40):  # a flood that never lets a turn take all in
         for number in range(60):
-            desk.ledger.outcome(10**6 + number, 0, Result.OK)
+            desk.ledger.outcome(10**6 + number, 0, AttemptResult.OK)
             desk.ledger.hear(0, b"flood")
         desk.run(0.005)
     assert answers and answers[0] <= due
@@ -459,16 +465,16 @@
     reactor, raised = MemoryReactorClock(), []
     module, bad, good = Module(), Carrier(False), Carrier(True)
     ledger = Ledger(module, lambda: reactor.seconds() * 1000, reactor, on_raise=raised.append)
-    ledger.roster(Fleet((Server("s1", "z", 0, State.READY),)))
+    ledger.roster(EndpointList((Endpoint("s1", "z", 0, EndpointStatus.READY),)))
     for carrier in (bad, good, bad, good):
         ledger.accept(carrier, "f", "look", "rated", 5000.0)
-    module.next = [Send(1, "s1", 100.0), Send(2, "s1", 100.0), Refuse(3), Refuse(4)]
+    module.next = [StartAttempt(1, "s1", 100.0), StartAttempt(2, "s1", 100.0), Reject(3), Reject(4)]
     reactor.advance(0)
     reactor.advance(0)
     assert [type(each) for each in raised] == [OSError, OSError] and len(good.did) == 2
-    assert [each.result for each in module.events if isinstance(each, Outcome)] == [Result.ERROR]
+    assert [each.result for each in module.events if isinstance(each, AttemptEnded)] == [AttemptResult.ERROR]
     assert set(ledger.entries) == {1, 2} and ledger.open == 2
-    module.next = [Send(1, "s1", 100.0)]
+    module.next = [StartAttempt(1, "s1", 100.0)]
     ledger._on_raise = None
     ledger._plan_turn()
     with pytest.raises(OSError):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -18,14 +18,14 @@
 from anisefront.core.standing import Sample
 from anisefront.daemon import collector, memory, pulse
 from anisefront.policy.control import Controller
-from anisefront.policy.interface import Plan, RequestClass, Settings
 from anisefront.wire import grpc as wire_grpc
+from anisefront.policy.settings import Plan, RequestClass, Settings
 
 SHARED = (Settings, Plan, RequestClass, Controller)
 
 
 def test_bytes_of_accounts_are_near_what_the_allocator_counts():
-    c = gateway(gateways=1, may_tell=False, inbox_per_s=0)
+    c = gateway(gateways=1, peer_messages_enabled=False, inbox_per_s=0)
     c.handle(1000, [FLEET])
     c.handle(1001, [ask(1, customer="warm")])
     gc.collect()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 
 from anisefront.fleet import roster
 from anisefront.fleet.datagrams import MOST_AGE_MS, REMEMBERED, Seal
-from anisefront.policy.interface import Server, State
+from anisefront.policy.events import Endpoint, EndpointStatus
 
 SECRET, NOW = b"0123456789abcdef", 1.8e12
 
@@ -67,9 +67,9 @@
 
 
 SERVERS = [
-    Server("127.0.0.1:1", "a", 7, State.READY, 2.0, 1.7e12),
-    Server("127.0.0.1:2", "b", 8, State.DRAINING),
-    Server("127.0.0.1:3", "b", 8, State.GONE),
+    Endpoint("127.0.0.1:1", "a", 7, EndpointStatus.READY, 2.0, 1.7e12),
+    Endpoint("127.0.0.1:2", "b", 8, EndpointStatus.DRAINING),
+    Endpoint("127.0.0.1:3", "b", 8, EndpointStatus.REMOVED),
 ]
 
 
@@ -78,22 +78,22 @@
 
     cells = {zlib.crc32(name.encode()): name for name in ("x", "y")}
     rows = [
-        Server(s.id, s.zone, cell, s.state, s.weight, s.started_ms)
+        Endpoint(s.id, s.zone, cell, s.status, s.weight, s.started_ms)
         for s, cell in zip(SERVERS, [*cells, next(iter(cells))], strict=True)
     ]
     fleet = roster.parse(roster.write("c", rows, cells).encode())
-    assert fleet.servers == tuple(rows[:2]) and fleet.complete
+    assert fleet.endpoints == tuple(rows[:2]) and fleet.complete
 
 
 @pytest.mark.parametrize(
     ("health", "state"),
     [
-        ("HEALTHY", State.READY),
-        ("DEGRADED", State.READY),
-        ("UNKNOWN", State.READY),
-        ("DRAINING", State.DRAINING),
-        ("UNHEALTHY", State.DRAINING),
-        ("TIMEOUT", State.DRAINING),
+        ("HEALTHY", EndpointStatus.READY),
+        ("DEGRADED", EndpointStatus.READY),
+        ("UNKNOWN", EndpointStatus.READY),
+        ("DRAINING", EndpointStatus.DRAINING),
+        ("UNHEALTHY", EndpointStatus.DRAINING),
+        ("TIMEOUT", EndpointStatus.DRAINING),
     ],
 )
 def test_roster_health(health, state):
@@ -109,7 +109,7 @@
             }
         ]
     }
-    assert roster.parse(json.dumps(text).encode()).servers[0].state is state
+    assert roster.parse(json.dumps(text).encode()).endpoints[0].status is state
 
 
 @pytest.mark.parametrize(
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -12,9 +12,10 @@
 from anisefront.carriers.proxied import Verdict
 from anisefront.carriers.returning import Returning
 from anisefront.daemon.keepers import read_record
-from anisefront.policy.interface import Fail, Fleet, Past, Refuse, Result, Send, State, Tell
+from anisefront.policy.actions import Fail, Reject, SendToPeer, StartAttempt
+from anisefront.policy.events import AttemptResult, EndpointList, EndpointStatus, PriorAttempts
 
-FIRST = FLEET.servers[0].id
+FIRST = FLEET.endpoints[0].id
 
 
 class Guard:
@@ -34,7 +35,7 @@
         self.refusals.append(request)
         return False
 
-    def never_ran(self, request, attempt):
+    def never_executed(self, request, attempt):
         self.never.append((request, attempt))
 
     def over(self, request):
@@ -53,24 +54,25 @@
 @pytest.mark.parametrize(
     "name, past, kind",
     [
-        ("debit", Past(1, 1, FIRST, 900.0, True), Fail),  # it may have run
-        ("debit", Past(1, 0, FIRST, 900.0, True), Send),  # it is proved that it never ran
-        ("debit", Past(), Send),
-        ("look", Past(1, 1, FIRST, 900.0, True), Send),
-        ("look", Past(99, 1, FIRST, 900.0, True), Refuse),
+        ("debit", PriorAttempts(1, 1, FIRST, 900.0, True), Fail),  # it may have run
+        ("debit", PriorAttempts(1, 0, FIRST, 900.0, True), StartAttempt),  # it is proved that it never ran
+        ("debit", PriorAttempts(), StartAttempt),
+        ("look", PriorAttempts(1, 1, FIRST, 900.0, True), StartAttempt),
+        ("look", PriorAttempts(99, 1, FIRST, 900.0, True), Reject),
     ],
 )
 def test_a_request_that_another_gateway_had(name, past, kind):
-    actions = gateway().handle(1000.0, [FLEET, replace(ask(1, name), past=past)])
+    actions = gateway().handle(1000.0, [FLEET, replace(ask(1, name), prior_attempts=past)])
     assert of(kind, actions), actions
-    assert all(send.server != past.server for send in of(Send, actions))
+    assert all(send.endpoint != past.endpoint for send in of(StartAttempt, actions))
 
 
 def test_units_that_were_drawn_are_not_drawn_again():
     asked = of(
-        Tell,
-        gateway(gateways=3, number=0, may_tell=True).handle(
-            1000.0, [FLEET, replace(ask(1), past=Past(1, 1, FIRST, 900.0, True), first_gateway=1, spread=1)]
+        SendToPeer,
+        gateway(gateways=3, number=0, peer_messages_enabled=True).handle(
+            1000.0,
+            [FLEET, replace(ask(1), prior_attempts=PriorAttempts(1, 1, FIRST, 900.0, True), first_gateway=1, spread=1)],
         ),
     )
     assert asked == []
@@ -85,9 +87,9 @@
     desk.run(0.1)
     assert desk.told == [] and guard.asked[0][:2] == (number, 0)
     desk.ledger.go(number, 0)
-    assert desk.told[0].verdict is Verdict.GO and desk.told[0].allow_ms < 1900
+    assert desk.told[0].verdict is Verdict.GO and desk.told[0].timeout_ms < 1900
     desk.ledger.go(number, 0)  # said twice
-    desk.log(desk.told[0].attempt, Result.OK)
+    desk.log(desk.told[0].attempt, AttemptResult.OK)
     assert desk.empty() and guard.ended == [number] and len(desk.told) == 1
 
 
@@ -96,7 +98,9 @@
     number = desk.ask(kind="unsafe")
     gone = guard.asked[0][2]
     desk.ledger.roster(
-        Fleet(tuple(replace(each, state=State.DRAINING) if each.id == gone else each for each in SERVERS))
+        EndpointList(
+            tuple(replace(each, status=EndpointStatus.DRAINING) if each.id == gone else each for each in SERVERS)
+        )
     )
     desk.run(0.005)
     desk.ledger.go(number, 0)
@@ -120,18 +124,18 @@
     desk.ledger.go(number, 0)
     desk.ledger.lose(number)
     desk.run(0.01)
-    assert desk.log(desk.told[0].attempt, Result.OK) and desk.ledger.counts["served"] == 1 and desk.empty()
+    assert desk.log(desk.told[0].attempt, AttemptResult.OK) and desk.ledger.counts["served"] == 1 and desk.empty()
     other = desk.ask("r2", kind="unsafe")
     desk.ledger.go(other, 0)
     desk.ledger.lose(other)
-    desk.log(desk.told[1].attempt, Result.CONNECT_FAILED)
+    desk.log(desk.told[1].attempt, AttemptResult.CONNECT_FAILED)
     desk.again(desk.told[1].attempt)
     assert desk.told[-1].verdict is Verdict.FAILED and len(guard.asked) == 2
 
 
 def test_a_refusal_waits_for_the_guard_and_is_failed_where_no_word_comes_in_time():
     desk, guard = guarded()
-    desk.ledger.roster(Fleet(()))
+    desk.ledger.roster(EndpointList(()))
     number, other = desk.ask("r1", "unsafe", 600.0), desk.ask("r2", "unsafe", 600.0)
     desk.run(0.55)
     assert guard.refusals and desk.told == []
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -6,7 +6,8 @@
 from test_node_wire import SERVED
 
 from anisefront.node import resp
-from anisefront.policy.interface import Outcome, Result, Send
+from anisefront.policy.actions import StartAttempt
+from anisefront.policy.events import AttemptEnded, AttemptResult
 
 
 @pytest.fixture
@@ -36,13 +37,16 @@
         stage.turns()
     client.sendall(resp.command(other(2)))
     stage.reactor.iterate(0)
-    stage.decide(Send(2, "s1", 400.0))
+    stage.decide(StartAttempt(2, "s1", 400.0))
     fresh = stage.accept()
     assert b"%016x" % 2 in fresh.recv(1000)
     fresh.sendall(SERVED)
     stage.turns()
     assert client.recv(1000) == b"$5\r\nva\r\nl\r\n" and stage.pool.connections == 1
-    assert [each.result for each in stage.module.ends if isinstance(each, Outcome)] == [Result.OK, Result.OK]
+    assert [each.result for each in stage.module.ends if isinstance(each, AttemptEnded)] == [
+        AttemptResult.OK,
+        AttemptResult.OK,
+    ]
 
 
 def test_one_that_was_idle_for_too_long_is_not_used_even_where_no_timer_has_run_yet():
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -148,9 +148,9 @@
         made.take(0.0, Taken(number, False, 1000, NO_NAME, b"r"))
         assert made.send(0.0, number, 0, "w")
     assert feeds(made) == []
-    made.never_ran(5.0, 2, 0)
+    made.never_executed(5.0, 2, 0)
     made.over(10.0, 1)
-    assert made.due_ms <= LATE_MS and len(made) == 2
+    assert made.next_timer_ms <= LATE_MS and len(made) == 2
     made.look(LATE_MS)
     told = [entry for _, feed in feeds(made, LATE_MS) for entry in feed.entries]
     assert sorted(told, key=lambda entry: (entry.request, str(type(entry)))) == sorted(
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,7 +9,8 @@
 
 from anisefront.node import front as fronts
 from anisefront.node import resp
-from anisefront.policy.interface import ClientGone, Outcome, Refuse, Result, Send
+from anisefront.policy.actions import Reject, StartAttempt
+from anisefront.policy.events import AttemptEnded, AttemptResult, ClientDisconnected
 
 UNFIT = [b"FLUSHALL"]
 
@@ -38,7 +39,7 @@
     stage.turns(1)
     leave(client)
     stage.turns()
-    ends = [end for end in stage.module.ends if isinstance(end, ClientGone)]
+    ends = [end for end in stage.module.ends if isinstance(end, ClientDisconnected)]
     assert len(ends) == len(stage.module.arrivals) >= 1
     assert not stage.carrier.open and not stage.ledger.entries and not stage.front.connections
     assert stage.front.bodies == 0
@@ -51,7 +52,7 @@
     assert len(stage.module.arrivals) == 1  # the others wait
     client.close()
     stage.turns()
-    assert [type(end) for end in stage.module.ends] == [ClientGone]
+    assert [type(end) for end in stage.module.ends] == [ClientDisconnected]
     stage.wait(fronts.MOST_PAUSE_S)
     assert len(stage.module.arrivals) == 1 and stage.front.bodies == 0
 
@@ -62,10 +63,10 @@
     client.sendall(resp.command(other(3)) * 600)
     stage.turns(40)
     assert not stage.module.ends and len(stage.module.arrivals) == 1 and stage.front.bodies <= fronts.MOST_UNREAD
-    stage.say(Refuse(1, 40.0))
+    stage.say(Reject(1, 40.0))
     for _ in range(4):
         stage.wait(0.1)
-    stage.say(*[Refuse(each.id, 40.0) for each in stage.module.arrivals[1:]])
+    stage.say(*[Reject(each.id, 40.0) for each in stage.module.arrivals[1:]])
     stage.front.fail_all()
     stage.turns(40)
     lines = rest(client).split(b"\r\n")
@@ -79,20 +80,20 @@
     house = House()
     client = house.client()
     house.say(client, ASK)
-    house.turn(Send(1, "s1", 400.0))
+    house.turn(StartAttempt(1, "s1", 400.0))
     client.protocol.connectionLost(Failure(error.ConnectionDone()))
     house.turn()  # and the module calls nothing off, as where the settings forbid it
     house.reactor.advance(after_s)
     worker = house.worker()
     house.turn()
     assert worker.take() == b"" and worker.disconnecting and not house.ledger.entries
-    assert [each.result for each in house.module.ends if isinstance(each, Outcome)] == [Result.MOOT]
+    assert [each.result for each in house.module.ends if isinstance(each, AttemptEnded)] == [AttemptResult.DISCARDED]
 
 
 def test_a_first_attempt_that_was_decided_for_one_that_has_left_does_not_leave(stage):
     client = stage.client(ASK)
     client.close()
-    stage.module.next = [Send(1, "s1", 400.0)]
+    stage.module.next = [StartAttempt(1, "s1", 400.0)]
     stage.ledger._plan_turn()
     stage.turns()
     stage.listeners["s1"].setblocking(False)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -14,25 +14,26 @@
 from anisefront.lab.model.pool import Workers
 from anisefront.lab.model.world import Option, World
 from anisefront.lab.script import Trouble
-from anisefront.policy import interface as face
 from anisefront.wire import trace
+from anisefront.policy import events
+from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
 
-SETTINGS = face.Settings(
+SETTINGS = Settings(
     gateways=3,
     number=0,
     zone="a",
     classes=(
-        face.RequestClass("view", 300, 1500, 1.0, face.Repeat.SAFE),
-        face.RequestClass("order", 300, 1500, 3.0, face.Repeat.UNSAFE),
+        RequestClass("view", 300, 1500, 1.0, Idempotency.IDEMPOTENT),
+        RequestClass("order", 300, 1500, 3.0, Idempotency.NON_IDEMPOTENT),
     ),
-    plans=(face.Plan("small", 8, 16),),
+    plans=(Plan("small", 8, 16),),
     warm_up_ms=5000,
-    cold_from=0.2,
-    fall_multiple=3,
-    fall_window_ms=2000,
+    slow_start_initial_factor=0.2,
+    overload_multiple=3,
+    overload_window_ms=2000,
     max_attempts=3,
-    second_copies=True,
-    may_tell=True,
+    hedging_enabled=True,
+    peer_messages_enabled=True,
     inbox_per_s=200,
     max_retry_after_ms=1000,
 )
@@ -55,7 +56,7 @@
 
 
 def seen(number):
-    return face.Arrival(number, f"c{number % 7}", "view", "small", 1e12 + number + 1000)
+    return events.Arrival(number, f"c{number % 7}", "view", "small", 1e12 + number + 1000)
 
 
 def test_a_trace_is_read_up_to_where_it_was_cut(tmp_path):
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -7,31 +7,22 @@
 
 from anisefront.policy import messages
 from anisefront.policy.control import CENTRES, Controller, FuzzyShare, Window
-from anisefront.policy.interface import (
+from anisefront.policy.actions import CancelAttempt, Fail, Reject, RejectionReason, SendToPeer, StartAttempt, Subscribe
+from anisefront.policy.events import (
     Arrival,
-    Cancel,
-    ClientGone,
-    Fail,
-    Fleet,
-    Heard,
-    Outcome,
-    Plan,
-    Reason,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Result,
-    Scope,
-    Send,
-    Server,
-    Started,
-    State,
-    Subscribe,
-    Tell,
-    Woken,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Endpoint,
+    EndpointList,
+    EndpointStatus,
+    PeerMessage,
+    ResponseStarted,
+    TimerFired,
 )
+from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass
 
-FLEET = Fleet(tuple(Server(f"s{n}", f"z{n % 2}", n % 4, State.READY) for n in range(6)))
+FLEET = EndpointList(tuple(Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointStatus.READY) for n in range(6)))
 
 
 def gateway(**more):
@@ -47,83 +38,87 @@
 
 
 def outcome(send, result, attempt=0, took=50.0, final=None):
-    final = result is Result.OK if final is None else final
-    return Outcome(send.id, attempt, send.server, took, result, final)
+    final = result is AttemptResult.OK if final is None else final
+    return AttemptEnded(send.id, attempt, send.endpoint, took, result, final)
 
 
 def test_ordinary_request_is_sent_and_ends():
     c = gateway()
-    sends = of(Send, c.handle(1000, [FLEET, ask(1)]))
+    sends = of(StartAttempt, c.handle(1000, [FLEET, ask(1)]))
     assert [send.id for send in sends] == [1]
-    assert not of(Fail, c.handle(1050, [outcome(sends[0], Result.OK)]))
+    assert not of(Fail, c.handle(1050, [outcome(sends[0], AttemptResult.OK)]))
     assert not c.requests and not c.window.out
 
 
 def test_error_is_tried_again_elsewhere_if_safe_and_failed_if_unsafe():
     c = gateway()
-    safe, unsafe = of(Send, c.handle(1000, [FLEET, ask(1), ask(2, "debit")]))
+    safe, unsafe = of(StartAttempt, c.handle(1000, [FLEET, ask(1), ask(2, "debit")]))
     if safe.id != 1:
         safe, unsafe = unsafe, safe
-    actions = c.handle(1050, [outcome(safe, Result.ERROR), outcome(unsafe, Result.ERROR)])
-    again = of(Send, actions)
-    assert [send.id for send in again] == [1] and again[0].server != safe.server
+    actions = c.handle(1050, [outcome(safe, AttemptResult.ERROR), outcome(unsafe, AttemptResult.ERROR)])
+    again = of(StartAttempt, actions)
+    assert [send.id for send in again] == [1] and again[0].endpoint != safe.endpoint
     assert of(Fail, actions) == [Fail(2)]
 
 
 def test_unsafe_is_tried_again_when_it_never_ran():
     c = gateway()
-    (send,) = of(Send, c.handle(1000, [FLEET, ask(1, "debit")]))
-    (again,) = of(Send, c.handle(1010, [outcome(send, Result.FULL)]))
+    (send,) = of(StartAttempt, c.handle(1000, [FLEET, ask(1, "debit")]))
+    (again,) = of(StartAttempt, c.handle(1010, [outcome(send, AttemptResult.OVERLOADED)]))
     assert again.id == 1
 
 
 def test_a_disproved_attempt_does_not_clear_one_that_may_have_run():
     """An error, then a full at the same server: the first may have run all the same."""
-    c = Controller(settings(may_tell=False), 1)
-    one = Fleet((Server("s0", "z0", 0, State.READY),))
-    (send,) = of(Send, c.handle(1000, [one, ask(1, "book", due=1900)]))
-    (again,) = of(Send, c.handle(1010, [outcome(send, Result.ERROR)]))
-    other = Fleet((Server("s0", "z0", 0, State.DRAINING), Server("s9", "z0", 3, State.READY)))
-    actions = c.handle(1020, [other, outcome(again, Result.FULL, 1)])
-    assert not of(Send, actions) and of(Fail, actions) == [Fail(1)]
+    c = Controller(settings(peer_messages_enabled=False), 1)
+    one = EndpointList((Endpoint("s0", "z0", 0, EndpointStatus.READY),))
+    (send,) = of(StartAttempt, c.handle(1000, [one, ask(1, "book", due=1900)]))
+    (again,) = of(StartAttempt, c.handle(1010, [outcome(send, AttemptResult.ERROR)]))
+    other = EndpointList(
+        (Endpoint("s0", "z0", 0, EndpointStatus.DRAINING), Endpoint("s9", "z0", 3, EndpointStatus.READY))
+    )
+    actions = c.handle(1020, [other, outcome(again, AttemptResult.OVERLOADED, 1)])
+    assert not of(StartAttempt, actions) and of(Fail, actions) == [Fail(1)]
 
 
 def test_odd_rounds_are_handled():
     c = gateway()
-    c.handle(1000, [Fleet(()), Fleet((), failed=True), Woken("never asked"), ClientGone(77)])
-    assert of(Refuse, c.handle(1001, [ask(1, "no such class"), ask(2, plan="no such plan")])) == [
-        Refuse(1, 0.0, Reason.UNFIT),
-        Refuse(2, 0.0, Reason.UNFIT),
+    c.handle(1000, [EndpointList(()), EndpointList((), failed=True), TimerFired("never asked"), ClientDisconnected(77)])
+    assert of(Reject, c.handle(1001, [ask(1, "no such class"), ask(2, plan="no such plan")])) == [
+        Reject(1, 0.0, RejectionReason.INVALID),
+        Reject(2, 0.0, RejectionReason.INVALID),
     ]
-    assert of(Refuse, c.handle(1002, [ask(3, due=900.0)])) == [Refuse(3, 0.0, Reason.UNFIT)]
+    assert of(Reject, c.handle(1002, [ask(3, due=900.0)])) == [Reject(3, 0.0, RejectionReason.INVALID)]
     c.handle(1003, [ask(4)])  # no servers: held
     assert 4 in c.requests
-    (send,) = of(Send, c.handle(1004, [FLEET]))
-    assert of(Cancel, c.handle(1005, [ClientGone(4)])) == [Cancel(4, 0)]
-    assert c.handle(1006, [ClientGone(4), Started(4, 0, send.server)]) == []
-    c.handle(1007, [outcome(send, Result.OK), outcome(send, Result.OK), outcome(send, Result.ERROR, 3)])
+    (send,) = of(StartAttempt, c.handle(1004, [FLEET]))
+    assert of(CancelAttempt, c.handle(1005, [ClientDisconnected(4)])) == [CancelAttempt(4, 0)]
+    assert c.handle(1006, [ClientDisconnected(4), ResponseStarted(4, 0, send.endpoint)]) == []
+    c.handle(
+        1007, [outcome(send, AttemptResult.OK), outcome(send, AttemptResult.OK), outcome(send, AttemptResult.ERROR, 3)]
+    )
     assert c.window.out == 0 and not c.requests
 
 
 def test_held_without_servers_is_refused_before_its_time_is_up():
     c = gateway()
-    c.handle(1000, [Fleet(()), ask(1, due=1600.0), ask(2, "debit", due=1500)])
+    c.handle(1000, [EndpointList(()), ask(1, due=1600.0), ask(2, "debit", due=1500)])
     refused = {}
     for now in range(1004, 1700, 4):
-        refused.update((action.id, now) for action in of(Refuse, c.handle(now, [Woken("agenda")])))
+        refused.update((action.id, now) for action in of(Reject, c.handle(now, [TimerFired("agenda")])))
     assert set(refused) == {1, 2} and refused[1] <= 1600 and refused[2] <= 1500
 
 
 def test_held_work_is_given_up_before_its_aim_where_a_late_answer_is_worth_something():
     """Held to near its deadline it cost 0.3 of its worth, kept its client's connection and took new work's slots."""
     base = settings()
-    kinds = tuple(replace(kind, late_worth=0.2) for kind in base.classes)
+    kinds = tuple(replace(kind, late_priority_weight=0.2) for kind in base.classes)
     c = gateway(classes=kinds)
-    c.handle(1000, [Fleet(()), ask(1, due=6000.0)])
+    c.handle(1000, [EndpointList(()), ask(1, due=6000.0)])
     refused = {}
     for now in range(1004, 2000, 4):
-        refused.update((action.id, now) for action in of(Refuse, c.handle(now, [Woken("agenda")])))
-    assert 1000 < refused[1] < 1000 + kinds[0].aim_ms
+        refused.update((action.id, now) for action in of(Reject, c.handle(now, [TimerFired("agenda")])))
+    assert 1000 < refused[1] < 1000 + kinds[0].latency_objective_ms
 
 
 def item(kind, customer="f", serial=1, units=1.0, asked=0.0, class_index=0, plan_index=0):
@@ -147,10 +142,10 @@
     bad_kind = bytearray(good)
     bad_kind[6] = 99
     for data in (b"", b"\x00", good[:-1], b"\xff" + good[1:], bytes(300), bytes(bad_kind), *odd):
-        assert not of(Send, c.handle(1001, [Heard(1, data)]))
-    c.handle(1001, [Heard(9, good), Heard(0, good)])
+        assert not of(StartAttempt, c.handle(1001, [PeerMessage(1, data)]))
+    c.handle(1001, [PeerMessage(9, good), PeerMessage(0, good)])
     assert not c.quota.stores and not c.requests
-    c.handle(1001, [Heard(1, good), Heard(1, good)])  # repeated: counted once
+    c.handle(1001, [PeerMessage(1, good), PeerMessage(1, good)])  # repeated: counted once
     assert c.quota.stores[messages.tag_of("f")].level == pytest.approx(12 - 4, abs=0.1)
 
 
@@ -184,10 +179,10 @@
 def test_plans_and_classes_that_cannot_be_right_are_named():
     with pytest.raises(ValueError, match="rate_per_s"):
         Plan("p", rate_per_s=-1)
-    with pytest.raises(ValueError, match="repeat"):
-        RequestClass("k", 1, 1, 1, "sometimes", scope=Scope.ALL)
-    with pytest.raises(ValueError, match="aim_ms"):
-        RequestClass("k", float("nan"), 1, 1, Repeat.SAFE)
+    with pytest.raises(ValueError, match="idempotency"):
+        RequestClass("k", 1, 1, 1, "sometimes", deduplication_scope=DeduplicationScope.ALL)
+    with pytest.raises(ValueError, match="latency_objective_ms"):
+        RequestClass("k", float("nan"), 1, 1, Idempotency.IDEMPOTENT)
 
 
 def test_fuzzy_surface_is_the_diagonal_table():
@@ -214,7 +209,7 @@
     c = gateway()
     c.handle(1000, [FLEET])
     c.usual["look"] = 5000.0
-    assert of(Send, c.handle(1001, [ask(1)]))
+    assert of(StartAttempt, c.handle(1001, [ask(1)]))
 
 
 def test_window_is_shared_out_over_gateways():
@@ -242,11 +237,11 @@
     c = gateway(gateways=1)
     c.handle(1000, [FLEET])
     calm = [ask(n, customer=f"c{n}") for n in range(1, 200)]
-    first = of(Send, c.handle(1001, calm))
+    first = of(StartAttempt, c.handle(1001, calm))
     assert c.window.limit <= len(first) <= c.window.limit + 2
     assert len(c.held) == 199 - len(first)
     c.handle(1002, [ask(500, "feed", customer="a"), ask(501, "book", customer="b")])
-    sent = of(Send, c.handle(1010, [outcome(send, Result.OK) for send in first[:3]]))
+    sent = of(StartAttempt, c.handle(1010, [outcome(send, AttemptResult.OK) for send in first[:3]]))
     assert sent[0].id == 501
 
 
@@ -255,10 +250,10 @@
     c = gateway(number=number)
     peer = (number + 1) % 3
     asks = [item(messages.Kind.ASK, "o", n, plan_index=2) for n in (1, 2, 3)]
-    c.handle(1000, [FLEET, Heard(peer, messages.encode(1, 1.0, asks, []))])
-    assert len(of(Send, c.handle(1001, [ask(n, plan="open", customer="o") for n in range(1, 9)]))) == 1
+    c.handle(1000, [FLEET, PeerMessage(peer, messages.encode(1, 1.0, asks, []))])
+    assert len(of(StartAttempt, c.handle(1001, [ask(n, plan="open", customer="o") for n in range(1, 9)]))) == 1
     free = messages.encode(1, 1.0, [item(messages.Kind.BACK, "o", 2, plan_index=2)], [])
-    assert len(of(Send, c.handle(1002, [Heard(peer, free)]))) == 1
+    assert len(of(StartAttempt, c.handle(1002, [PeerMessage(peer, free)]))) == 1
 
 
 def test_home_lends_to_all_gateways_together_no_more_than_the_quota():
@@ -269,7 +264,7 @@
     for n in range(300):
         data = messages.encode(1, 1.0, [item(messages.Kind.ASK, serial=9)], [])
         if n != 7:
-            for tell in of(Tell, c.handle(1001 + n / 100, [Heard(n, data), Heard(n, data)])):
+            for tell in of(SendToPeer, c.handle(1001 + n / 100, [PeerMessage(n, data), PeerMessage(n, data)])):
                 news = messages.decode(tell.data)
                 granted |= {tell.receiver for told in news.items if told.kind is messages.Kind.GRANT}
     # The class is worth half the worthiest: it leaves a quarter of the burst in store for that one.
@@ -283,7 +278,7 @@
         c = gateway(gateways=300, number=7)
         c.handle(1000, [FLEET])
         asks = [item(kind, serial=n, class_index=worthiest) for n in range(1, 16)]
-        c.handle(1001, [Heard(1, messages.encode(1, 1.0, asks, []))])
+        c.handle(1001, [PeerMessage(1, messages.encode(1, 1.0, asks, []))])
         granted[kind] = len(c.quota.stores[messages.tag_of("f")].done)
     assert granted[messages.Kind.AGAIN] <= 7 and granted[messages.Kind.ASK] >= 11
 
@@ -294,8 +289,8 @@
     c = gateway(number=number)
     events, told, sent = [FLEET, *(ask(n, units=4, due=9000.0) for n in (1, 2, 3))], [], []
     for now in range(1000, 1500, 4):
-        actions = c.handle(now, [*events, Woken("agenda")])
-        events, told, sent = [], told + of(Tell, actions), sent + of(Send, actions)
+        actions = c.handle(now, [*events, TimerFired("agenda")])
+        events, told, sent = [], told + of(SendToPeer, actions), sent + of(StartAttempt, actions)
     kinds = [told.kind for tell in told for told in messages.decode(tell.data).items]
     assert len(sent) == 1 and kinds.count(messages.Kind.ASK) >= 6 and kinds.count(messages.Kind.SPENT) == 1
 
@@ -304,8 +299,8 @@
     """What is sent of these by then, nothing being heard from anybody."""
     events, sent = [FLEET, *arrivals], []
     for now in range(1000, until, 4):
-        actions = c.handle(now, [*events, Woken("agenda")])
-        events, sent = [], sent + of(Send, actions)
+        actions = c.handle(now, [*events, TimerFired("agenda")])
+        events, sent = [], sent + of(StartAttempt, actions)
     return sent
 
 
@@ -313,16 +308,16 @@
     """Two questions of 150 ms each took longer than a request with an aim of 400 ms may wait: it was refused for a
     silent home, and the home was never found silent. With no peers at all nobody was served that is not at home."""
     number = (home_of("f") + 1) % 3
-    short = tuple(replace(kind, aim_ms=400.0, deadline_ms=700.0) for kind in settings().classes)
+    short = tuple(replace(kind, latency_objective_ms=400.0, deadline_ms=700.0) for kind in settings().classes)
     assert len(sent_of(gateway(number=number, classes=short), [ask(1, due=1700.0)])) == 1
     assert len(sent_of(gateway(number=number, classes=short), [ask(n, due=1700.0) for n in (1, 2, 3)])) == 1
 
 
 def test_without_peers_nobody_is_asked_and_credit_is_given_at_once():
     number = (home_of("f") + 1) % 3
-    c = gateway(number=number, may_tell=False)
+    c = gateway(number=number, peer_messages_enabled=False)
     assert len(sent_of(c, [ask(n, due=1700.0) for n in (1, 2)], 1010)) == 1
-    at_home = gateway(number=home_of("f"), may_tell=False)
+    at_home = gateway(number=home_of("f"), peer_messages_enabled=False)
     assert len(sent_of(at_home, [ask(n, due=1700.0) for n in (1, 2)], 1010)) == 2
 
 
@@ -334,32 +329,32 @@
     c, told, sent = gateway(number=number, gateways=9), [], []
     events = [FLEET, ask(1, units=4, due=9000.0)]
     for now in range(1000, 2000, 4):
-        heard = [Heard(other, messages.encode(1, 1.0, [], [])) for other in others if now % 100 == 0]
-        actions = c.handle(now, [*events, *heard, Woken("agenda")])
-        events, told, sent = [], told + of(Tell, actions), sent + of(Send, actions)
+        heard = [PeerMessage(other, messages.encode(1, 1.0, [], [])) for other in others if now % 100 == 0]
+        actions = c.handle(now, [*events, *heard, TimerFired("agenda")])
+        events, told, sent = [], told + of(SendToPeer, actions), sent + of(StartAttempt, actions)
     kinds = [told.kind for tell in told for told in messages.decode(tell.data).items]
     assert not sent and kinds.count(messages.Kind.ASK) >= 3 and messages.Kind.SPENT not in kinds
 
 
 def test_what_was_granted_and_not_used_goes_back():
     c = gateway(number=(home_of("f") + 1) % 3)
-    tells = of(Tell, c.handle(1000, [Fleet(()), ask(1, units=4)]))
+    tells = of(SendToPeer, c.handle(1000, [EndpointList(()), ask(1, units=4)]))
     (asked,) = [told for tell in tells for told in messages.decode(tell.data).items]
     data = messages.encode(1, 1.0, [asked._replace(kind=messages.Kind.GRANT)], [])
-    c.handle(1010, [Heard(home_of("f"), data)])
-    tells = of(Tell, c.handle(1200, [ClientGone(1), Woken("agenda")]))
+    c.handle(1010, [PeerMessage(home_of("f"), data)])
+    tells = of(SendToPeer, c.handle(1200, [ClientDisconnected(1), TimerFired("agenda")]))
     assert [told.kind for tell in tells for told in messages.decode(tell.data).items] == [messages.Kind.BACK]
 
 
 def test_cold_server_is_bounded_over_hundreds_of_gateways_even_after_a_stall():
     """Rule 4 counts all gateways together: one send from each of 400 would push it over."""
-    cold = Server("cold", "z0", 0, State.READY, 1.0, 50_000.0)
+    cold = Endpoint("cold", "z0", 0, EndpointStatus.READY, 1.0, 50_000.0)
     count = 0
     for n in range(400):
-        c = Controller(settings(number=n, gateways=400, may_tell=False), n)
-        c.handle(50_000, [Fleet((*FLEET.servers, cold))])
+        c = Controller(settings(number=n, gateways=400, peer_messages_enabled=False), n)
+        c.handle(50_000, [EndpointList((*FLEET.endpoints, cold))])
         burst = [Arrival(k, f"c{k}", "look", "rated", 53_400.0, 1, n, 1) for k in range(1, 4)]
-        count += sum(send.server == "cold" for send in of(Send, c.handle(52_000, burst)))
+        count += sum(send.endpoint == "cold" for send in of(StartAttempt, c.handle(52_000, burst)))
     warm = 400 * 3 / 7
     assert 0 < count < 0.45 * 2 * warm
 
@@ -370,20 +365,20 @@
     c.handle(now, [FLEET])
     for _ in range(200):
         number, now = number + 1, now + 20
-        for send in of(Send, c.handle(now, [ask(number, due=now + 4000, customer=f"c{number}")])):
-            sent.append(send.server)
-            result, took = (Result.ERROR, 2) if send.server == "s1" else (Result.OK, 90)
+        for send in of(StartAttempt, c.handle(now, [ask(number, due=now + 4000, customer=f"c{number}")])):
+            sent.append(send.endpoint)
+            result, took = (AttemptResult.ERROR, 2) if send.endpoint == "s1" else (AttemptResult.OK, 90)
             more = c.handle(now + 5, [outcome(send, result, took=took)])
-            for n, retry in enumerate(of(Send, more)):
-                c.handle(now + 10, [outcome(retry, Result.OK, n + 1)])
+            for n, retry in enumerate(of(StartAttempt, more)):
+                c.handle(now + 10, [outcome(retry, AttemptResult.OK, n + 1)])
     assert sent.count("s1") < len(sent) / 15
 
 
 def test_ceiling_starts_empty_so_that_a_restart_grants_nothing_twice():
     c = gateway(number=home_of("k"))
     c.handle(1000, [FLEET])
-    assert not of(Send, c.handle(1001, [ask(1, plan="capped", customer="k")]))
-    assert of(Send, c.handle(1250, [Woken("agenda")]))
+    assert not of(StartAttempt, c.handle(1001, [ask(1, plan="capped", customer="k")]))
+    assert of(StartAttempt, c.handle(1250, [TimerFired("agenda")]))
 
 
 def test_only_the_home_is_told_and_nothing_without_news():
@@ -391,7 +386,7 @@
     c.handle(1000, [FLEET])
     for now in range(1004, 3000, 4):
         events = [ask(now, due=now + 1500.0)] if now == 1500 else []
-        told += [tell.receiver for tell in of(Tell, c.handle(now, [*events, Woken("agenda")]))]
+        told += [tell.receiver for tell in of(SendToPeer, c.handle(now, [*events, TimerFired("agenda")]))]
     assert set(told) == {home_of("f")} and len(told) <= 4
 
 
@@ -399,10 +394,10 @@
     c = gateway(number=(home_of("f") + 1) % 3, inbox_per_s=20)
     c.handle(1000, [FLEET, ask(1)])
     wait = messages.encode(1, 1.0, [item(messages.Kind.WAIT, asked=400.0)], [])
-    c.handle(1010, [Heard(home_of("f"), wait)])
+    c.handle(1010, [PeerMessage(home_of("f"), wait)])
     asked = 0
     for n in range(400):
-        for tell in of(Tell, c.handle(1012 + n, [ask(n + 2)])):
+        for tell in of(SendToPeer, c.handle(1012 + n, [ask(n + 2)])):
             asked += sum(told.kind is messages.Kind.ASK for told in messages.decode(tell.data).items)
     assert 0 < asked < 100
 
@@ -416,33 +411,35 @@
         total = 0
         for now in range(1004, 3000, 4):
             came = Arrival(now, f"c{now}", "look", "rated", now + 1500.0, 1, 0, gateways)
-            total += len(c.handle(now, [*([came] if now % 40 == 0 else []), Woken("agenda")]))
+            total += len(c.handle(now, [*([came] if now % 40 == 0 else []), TimerFired("agenda")]))
         counts.append(total)
     assert counts[1] < 1.5 * counts[0]
 
 
 def test_discovery_that_must_be_asked_is_asked_and_asked_again():
-    c = gateway(must_subscribe=True, ask_within_ms=4000)
+    c = gateway(subscription_required=True, poll_within_ms=4000)
     assert of(Subscribe, c.handle(1000, [FLEET]))
-    c.handle(1010, [Fleet((), failed=True)])
-    assert of(Subscribe, c.handle(2100, [Woken("agenda")]))
+    c.handle(1010, [EndpointList((), failed=True)])
+    assert of(Subscribe, c.handle(2100, [TimerFired("agenda")]))
 
 
 def test_a_server_that_refuses_at_once_draws_no_load_and_does_not_close_the_window():
     """It answers in no time, so it looks idle; and its refusals say nothing of the rest of the fleet."""
-    for result in (Result.FULL, Result.CONNECT_FAILED):
+    for result in (AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED):
         c = gateway()
         now, sent = 1000.0, []
         c.handle(now, [FLEET])
         for number in range(1, 300):
             now += 10
-            sends = of(Send, c.handle(now, [ask(number, due=now + 1400, customer=f"c{number}")]))
+            sends = of(StartAttempt, c.handle(now, [ask(number, due=now + 1400, customer=f"c{number}")]))
             while sends:
                 send = sends.pop()
-                sent.append(send.server)
-                bad = send.server == "s2"
+                sent.append(send.endpoint)
+                bad = send.endpoint == "s2"
                 attempt = c.requests[send.id].attempts - 1
-                sends += of(Send, c.handle(now + 2, [outcome(send, result if bad else Result.OK, attempt)]))
+                sends += of(
+                    StartAttempt, c.handle(now + 2, [outcome(send, result if bad else AttemptResult.OK, attempt)])
+                )
         assert sent.count("s2") < len(sent) / 15
         assert c.window.cut == 1.0
 
@@ -450,11 +447,11 @@
 def test_an_old_report_of_an_idle_server_draws_no_herd():
     """Gateways that all believed reports of a second ago sent all to one server, then none for as long."""
     c = gateway(gateways=1)
-    servers = Fleet(tuple(Server(f"s{n}", "z0", 0, State.READY) for n in range(6)))
-    sends = of(Send, c.handle(1000, [servers, *[ask(n, customer=f"f{n}") for n in range(6)]]))
+    servers = EndpointList(tuple(Endpoint(f"s{n}", "z0", 0, EndpointStatus.READY) for n in range(6)))
+    sends = of(StartAttempt, c.handle(1000, [servers, *[ask(n, customer=f"f{n}") for n in range(6)]]))
     loads = [(0.9, 30.0) if n else (0.0, 0.0) for n in range(6)]  # the last report says: all busy but one
     done = [
-        Outcome(send.id, 0, send.server, 50.0, Result.OK, True, 0.0, 0, load)
+        AttemptEnded(send.id, 0, send.endpoint, 50.0, AttemptResult.OK, True, 0.0, 0, load)
         for send, load in zip(sends, loads, strict=True)
     ]
     c.handle(1050, done)
@@ -466,28 +463,34 @@
     """One of many gateways sees few answers: of a hundred servers chance compares two, and some stay idle by others
     that are crowded."""
     c = gateway(gateways=1)
-    c.handle(1000, [Fleet(tuple(Server(f"s{n}", "z0", 0, State.READY) for n in range(100)))])
+    c.handle(1000, [EndpointList(tuple(Endpoint(f"s{n}", "z0", 0, EndpointStatus.READY) for n in range(100)))])
     for n in range(30):  # what servers carry as a rule
-        (send,) = of(Send, c.handle(1000 + n, [ask(n, customer=f"f{n}")]))
-        c.handle(1000 + n, [Outcome(send.id, 0, send.server, 50.0, Result.OK, True, 0.0, 0, (0.9, 6.0))])
+        (send,) = of(StartAttempt, c.handle(1000 + n, [ask(n, customer=f"f{n}")]))
+        c.handle(1000 + n, [AttemptEnded(send.id, 0, send.endpoint, 50.0, AttemptResult.OK, True, 0.0, 0, (0.9, 6.0))])
     chosen = set()
     for n in range(30, 40):
-        (send,) = of(Send, c.handle(1000 + n, [ask(n, customer=f"f{n}")]))
-        chosen.add(send.server)
-        c.handle(1000 + n, [Outcome(send.id, 0, send.server, 50.0, Result.OK, True, 0.0, 0, (0.1, 0.0))])
+        (send,) = of(StartAttempt, c.handle(1000 + n, [ask(n, customer=f"f{n}")]))
+        chosen.add(send.endpoint)
+        c.handle(1000 + n, [AttemptEnded(send.id, 0, send.endpoint, 50.0, AttemptResult.OK, True, 0.0, 0, (0.1, 0.0))])
     assert len(chosen) <= 2  # the first that told of being idle is taken again
 
 
 def test_a_crowded_server_is_not_taken_for_a_slow_one():
     """All gateways that hear of it would flee it at once and crowd the others: some servers stood idle by turns."""
     c = gateway(gateways=1)
-    c.handle(1000, [Fleet(tuple(Server(f"s{n}", "z0", 0, State.READY) for n in range(2)))])
+    c.handle(1000, [EndpointList(tuple(Endpoint(f"s{n}", "z0", 0, EndpointStatus.READY) for n in range(2)))])
     for now in range(1000, 9000, 200):
-        for send in of(Send, c.handle(now, [ask(now + n, customer=f"f{now + n}", due=now + 4000.0) for n in (0, 1)])):
-            crowded = 12.0 if send.server == "s0" else 0.0
+        for send in of(
+            StartAttempt, c.handle(now, [ask(now + n, customer=f"f{now + n}", due=now + 4000.0) for n in (0, 1)])
+        ):
+            crowded = 12.0 if send.endpoint == "s0" else 0.0
             c.handle(
                 now + 100,
-                [Outcome(send.id, 0, send.server, 25.0 * (4 + crowded), Result.OK, True, 0.0, 0, (0.9, crowded))],
+                [
+                    AttemptEnded(
+                        send.id, 0, send.endpoint, 25.0 * (4 + crowded), AttemptResult.OK, True, 0.0, 0, (0.9, crowded)
+                    )
+                ],
             )
     assert all(0.8 < c.servers.slow(9000, backend) < 1.25 for backend in c.servers.known.values())
 
@@ -495,13 +498,13 @@
 def test_a_server_that_was_given_large_requests_is_not_taken_for_a_slow_one():
     """Answers take longer the more units; judged by one usual time, chance made servers fast or slow by turns."""
     c = gateway(gateways=1)
-    c.handle(1000, [Fleet(tuple(Server(f"s{n}", "z0", 0, State.READY) for n in range(2)))])
+    c.handle(1000, [EndpointList(tuple(Endpoint(f"s{n}", "z0", 0, EndpointStatus.READY) for n in range(2)))])
     now = 1000
     for number in range(200):
         now += 1000
         units = 1 + 3 * (number % 2)
-        (send,) = of(Send, c.handle(now, [ask(number, units=units, customer=f"f{number}", due=now + 4000.0)]))
-        c.handle(now + 50 * units, [outcome(send, Result.OK, took=50.0 * units)])
+        (send,) = of(StartAttempt, c.handle(now, [ask(number, units=units, customer=f"f{number}", due=now + 4000.0)]))
+        c.handle(now + 50 * units, [outcome(send, AttemptResult.OK, took=50.0 * units)])
     assert 49 < c.sized["look", 1] < 52 and 198 < c.sized["look", 4] < 202
     assert all(0.95 < c.servers.slow(now, backend) < 1.05 for backend in c.servers.known.values())
 
@@ -510,21 +513,23 @@
     c = gateway(gateways=1)
     c.sized.update({("look", 1): 50.0, ("look", 4): 200.0})
     c.usual_any = 50.0
-    c.handle(1000, [Fleet(tuple(Server(f"s{n}", "z0", 0, State.READY) for n in range(2)))])
-    sends = [of(Send, c.handle(1001 + n, [ask(n, units=4 if not n else 1, customer=f"f{n}")]))[0] for n in range(4)]
-    assert sends[0].server not in {send.server for send in sends[1:]}
+    c.handle(1000, [EndpointList(tuple(Endpoint(f"s{n}", "z0", 0, EndpointStatus.READY) for n in range(2)))])
+    sends = [
+        of(StartAttempt, c.handle(1001 + n, [ask(n, units=4 if not n else 1, customer=f"f{n}")]))[0] for n in range(4)
+    ]
+    assert sends[0].endpoint not in {send.endpoint for send in sends[1:]}
     loads = {backend.load for backend in c.servers.known.values()}
     assert loads == {4.0, 3.0}
     for send in sends:
-        c.handle(1100, [outcome(send, Result.OK)])
+        c.handle(1100, [outcome(send, AttemptResult.OK)])
     assert {backend.load for backend in c.servers.known.values()} == {0.0}
 
 
 def test_a_server_that_restarts_under_its_old_id_keeps_its_count_of_attempts_out():
     c = gateway()
-    (send,) = of(Send, c.handle(1000, [FLEET, ask(1)]))
-    old = c.servers.known[send.server].entry
-    back = Server(old.id, old.zone, old.cell, State.READY, 1.0, 1005.0)
-    c.handle(1010, [Fleet((back,), complete=False)])
-    c.handle(1020, [outcome(send, Result.RESET)])
-    assert c.servers.known[send.server].out == 0
+    (send,) = of(StartAttempt, c.handle(1000, [FLEET, ask(1)]))
+    old = c.servers.known[send.endpoint].entry
+    back = Endpoint(old.id, old.zone, old.cell, EndpointStatus.READY, 1.0, 1005.0)
+    c.handle(1010, [EndpointList((back,), complete=False)])
+    c.handle(1020, [outcome(send, AttemptResult.RESET)])
+    assert c.servers.known[send.endpoint].out == 0
--- a/tests/test_node_front.py
+++ b/tests/test_node_front.py
@@ -17,7 +17,8 @@
 from anisefront.node.peers import PeerPort
 from anisefront.node.terms import Reader
 from anisefront.node.watch import Watch
-from anisefront.policy.interface import Fail, Fleet, Outcome, Reason, Refuse, Result, Send, Server, State
+from anisefront.policy.actions import Fail, Reject, RejectionReason, StartAttempt
+from anisefront.policy.events import AttemptEnded, AttemptResult, Endpoint, EndpointList, EndpointStatus
 
 
 class Script:
@@ -31,7 +32,7 @@
             name = type(event).__name__
             if name == "Arrival":
                 self.arrivals.append(event)
-            elif name in ("Outcome", "ClientGone"):
+            elif name in ("AttemptEnded", "ClientDisconnected"):
                 self.ends.append(event)
         out, self.next = self.next, []
         return out
@@ -66,7 +67,7 @@
         self.address = {"s1": ("127.0.0.1", 7001), "s2": ("127.0.0.1", 7002)}
         now = lambda: self.reactor.seconds() * 1000 + 1000  # noqa: E731
         self.ledger = Ledger(self.module, now, self.reactor)
-        self.ledger.roster(Fleet(tuple(Server(name, "z", 0, State.READY) for name in self.address)))
+        self.ledger.roster(EndpointList(tuple(Endpoint(name, "z", 0, EndpointStatus.READY) for name in self.address)))
         self.pool = Pool(
             self.reactor,
             PoolLimits(rest_s=0.01, stall_s=0.4, most=limits.pop("most", 0)),
@@ -120,15 +121,15 @@
     house.say(client, ASK)
     (arrival,) = house.module.arrivals
     assert (arrival.customer, arrival.units, arrival.spread, arrival.first_gateway) == ("00000000b4d65521", 2.0, 3, 1)
-    house.turn(Send(arrival.id, "s1", 400.0))
+    house.turn(StartAttempt(arrival.id, "s1", 400.0))
     worker = house.worker()
     assert worker.take() == resp.command([*ASK[:3], ASK[3].replace(b"480", b"400")])
     worker.protocol.dataReceived(SERVED)
     house.turn()
-    assert client.take() == b"$5\r\nva\r\nl\r\n" and house.module.ends[0].result is Result.OK
+    assert client.take() == b"$5\r\nva\r\nl\r\n" and house.module.ends[0].result is AttemptResult.OK
     house.reactor.advance(0.02)
     house.say(client, other(2))
-    house.turn(Send(house.module.arrivals[1].id, "s1", 400.0))
+    house.turn(StartAttempt(house.module.arrivals[1].id, "s1", 400.0))
     assert len(house.reactor.tcpClients) == 1 and b"%016x" % 2 in worker.take()
 
 
@@ -137,7 +138,7 @@
     client = house.client()
     house.say(client, ASK, other(2), [b"PING"])
     first, second = house.module.arrivals
-    house.turn(Refuse(second.id, 250.0, Reason.CAPACITY))
+    house.turn(Reject(second.id, 250.0, RejectionReason.CAPACITY))
     assert client.take() == b""
     house.turn(Fail(first.id))
     assert client.take() == b"-ERR failed\r\n-BUSY 250\r\n+PONG\r\n"
@@ -163,7 +164,7 @@
     house.say(usual, ASK)
     house.say(rude, ASK)
     assert rude.take().startswith(b"-ERR id") and len(house.module.arrivals) == 1
-    house.turn(Refuse(house.module.arrivals[0].id, 0.0))
+    house.turn(Reject(house.module.arrivals[0].id, 0.0))
     assert usual.take() == b"-BUSY\r\n"
 
 
@@ -176,7 +177,7 @@
     house.turn()
     assert client.take() == b"" and not client.disconnecting and not house.module.ends
     client.protocol.dataReceived(resp.command(other(3)))
-    house.turn(Refuse(2, 0.0), Refuse(1, 40.0))
+    house.turn(Reject(2, 0.0), Reject(1, 40.0))
     assert client.take() == b"-BUSY 40\r\n+PONG\r\n-BUSY\r\n-ERR Protocol error: invalid bulk length\r\n"
     assert client.disconnecting and len(house.module.arrivals) == 2
 
@@ -189,7 +190,7 @@
     house.say(client, *[other(n) for n in range(60, 70)])
     most = fronts.MOST_OPEN
     assert len(house.module.arrivals) == most and client.take() == b"" and not client.disconnecting
-    house.turn(*[Refuse(each.id, 40.0) for each in house.module.arrivals])
+    house.turn(*[Reject(each.id, 40.0) for each in house.module.arrivals])
     assert client.take() == b"-BUSY 40\r\n" * most + b"-BUSY 250\r\n" * (70 - most)
     house.say(client, other(70))
     assert len(house.module.arrivals) == most + 1 and not client.disconnecting
@@ -266,7 +267,7 @@
     for _ in range(12):
         house.reactor.advance(0.1)
     assert not client.disconnecting and not house.module.ends
-    house.turn(Refuse(1, 0.0))
+    house.turn(Reject(1, 0.0))
     assert client.take().startswith(b"-BUSY\r\n-ERR Protocol error: a command did not") and client.disconnecting
 
 
@@ -296,7 +297,7 @@
     answers = client.take()
     assert answers.startswith(b"-ERR failed\r\n$30000") and answers.endswith(b"+PONG\r\n" * 500)
     assert answers.count(b"\r\n") == 1 + 10 + 3 + 10 * 500 and not client.disconnecting
-    assert [type(end).__name__ for end in house.module.ends] == ["ClientGone"] and house.front.bodies == 0
+    assert [type(end).__name__ for end in house.module.ends] == ["ClientDisconnected"] and house.front.bodies == 0
 
 
 def test_silent_and_half_commands_are_cut_within_their_time():
@@ -372,14 +373,14 @@
     house = House()
     client = house.client()
     house.say(client, ASK)
-    house.turn(Send(1, "s1", 400.0))
+    house.turn(StartAttempt(1, "s1", 400.0))
     worker = house.worker()
     client.protocol.connectionLost(Failure(error.ConnectionDone()))
     house.turn()
-    assert [type(end).__name__ for end in house.module.ends] == ["ClientGone"]
+    assert [type(end).__name__ for end in house.module.ends] == ["ClientDisconnected"]
     house.carrier.cancel(1, 0)
     house.turn()
-    assert worker.aborted and house.module.ends[1].result is Result.CANCELLED
+    assert worker.aborted and house.module.ends[1].result is AttemptResult.CANCELLED
     assert not house.front.connections and not house.carrier.open and not house.ledger.entries
 
 
@@ -389,7 +390,7 @@
     house.say(house.client(), ASK)
     (arrival,) = house.module.arrivals
     wait = float(ASK[3].split(b"d=")[1].split(b",")[0])
-    assert arrival.due_ms == house.ledger.now_ms() + wait - min(100.0, wait / 10)
+    assert arrival.deadline_at_ms == house.ledger.now_ms() + wait - min(100.0, wait / 10)
 
 
 def test_the_end_serves_what_still_comes_and_closes_between_requests():
@@ -402,8 +403,8 @@
     assert idle.disconnecting and not busy.disconnecting
     late = house.client()
     house.say(late, other(2))
-    assert house.module.arrivals[1].due_ms == 1200.0
-    house.turn(Refuse(1, 0.0), Refuse(2, 0.0))
+    assert house.module.arrivals[1].deadline_at_ms == 1200.0
+    house.turn(Reject(1, 0.0), Reject(2, 0.0))
     assert busy.disconnecting and late.disconnecting and late.take() == b"-BUSY\r\n"
 
 
@@ -422,7 +423,7 @@
     """A request whose attempt is out on a connection that has come up."""
     client = house.client()
     house.say(client, other(number))
-    house.turn(Send(house.module.arrivals[-1].id, "s1", 1400.0))
+    house.turn(StartAttempt(house.module.arrivals[-1].id, "s1", 1400.0))
     return client, house.worker()
 
 
@@ -432,7 +433,7 @@
     client, worker = sent(house)
     worker.protocol.dataReceived(noise)
     house.turn()
-    assert worker.aborted and house.module.ends[0].result is Result.ERROR and client.take() == b""
+    assert worker.aborted and house.module.ends[0].result is AttemptResult.ERROR and client.take() == b""
 
 
 def test_an_answer_that_stalls_is_spoilt_well_before_the_time_is_up():
@@ -441,7 +442,7 @@
     worker.protocol.dataReceived(b"*3\r\n$50\r\nshort\r\n")
     house.reactor.advance(0.41)
     house.turn()
-    assert worker.aborted and house.module.ends[0].result is Result.ERROR
+    assert worker.aborted and house.module.ends[0].result is AttemptResult.ERROR
 
 
 @pytest.mark.parametrize("more", [SERVED, b"noise"])
@@ -478,12 +479,14 @@
     house = House()
     client = house.client()
     house.say(client, ASK)
-    house.turn(Send(1, "s1", 400.0))
-    house.ledger.roster(Fleet((Server("s1", "z", 0, State.DRAINING), Server("s2", "z", 0, State.READY))))
+    house.turn(StartAttempt(1, "s1", 400.0))
+    house.ledger.roster(
+        EndpointList((Endpoint("s1", "z", 0, EndpointStatus.DRAINING), Endpoint("s2", "z", 0, EndpointStatus.READY)))
+    )
     worker = house.worker()
     house.turn()
     assert worker.take() == b"" and worker.disconnecting
-    assert [each.result for each in house.module.ends if isinstance(each, Outcome)] == [Result.MOOT]
+    assert [each.result for each in house.module.ends if isinstance(each, AttemptEnded)] == [AttemptResult.DISCARDED]
 
 
 def test_a_worker_that_moved_or_left_keeps_no_connection():
@@ -495,9 +498,9 @@
     del house.address["s1"]
     client = house.client()
     house.say(client, other(2))
-    house.turn(Send(2, "s1", 400.0))
+    house.turn(StartAttempt(2, "s1", 400.0))
     house.turn()
-    assert house.module.ends[-1].result is Result.MOOT
+    assert house.module.ends[-1].result is AttemptResult.DISCARDED
 
 
 def test_with_no_room_for_a_connection_an_idle_one_of_another_worker_goes():
@@ -506,12 +509,12 @@
     worker.protocol.dataReceived(SERVED)
     client = house.client()
     house.say(client, other(2))
-    house.turn(Send(2, "s2", 400.0))
+    house.turn(StartAttempt(2, "s2", 400.0))
     assert worker.aborted and len(house.reactor.tcpClients) == 2
     house.say(client, other(3))
-    house.turn(Send(3, "s1", 400.0))
+    house.turn(StartAttempt(3, "s1", 400.0))
     house.turn()
-    assert house.module.ends[-1].result is Result.MOOT and house.pool.counts["no_room"] == 1
+    assert house.module.ends[-1].result is AttemptResult.DISCARDED and house.pool.counts["no_room"] == 1
 
 
 # ---- discovery and peers -------------------------------------------------------------------------
--- a/tests/test_node_wire.py
+++ b/tests/test_node_wire.py
@@ -12,7 +12,7 @@
 from anisefront.node.config import ConfigFault, node_config
 from anisefront.node.discovery import Book, DiscoveryFault, WatchReader, read_change
 from anisefront.node.terms import Reader, TermsFault, report_row
-from anisefront.policy.interface import Result, State
+from anisefront.policy.events import AttemptResult, EndpointStatus
 
 ASK = [b"Q.ASK", b"00000000b4d65521", b"9b1f03aa5c7e2d41", b"c=look,t=rated,d=480,units=2,spread=3,first=1"]
 DO = [b"Q.DO", b"00000000b4d65521", b"9b1f03aa5c7e2d42", b"c=book,t=rated,d=480,k=5c0f6e1a2b3d4c59", b"\r\n$1 \0 body"]
@@ -104,10 +104,10 @@
 @pytest.mark.parametrize(
     ("data", "result", "report"),
     [
-        (b"-BUSY\r\n", Result.FULL, b""),
-        (b"-BUSY inflight=7\r\n", Result.FULL, b"inflight=7"),
-        (b"-ERR failed\r\n", Result.ERROR, b""),
-        (b"-ERR failed util=1\r\n", Result.ERROR, b"util=1"),
+        (b"-BUSY\r\n", AttemptResult.OVERLOADED, b""),
+        (b"-BUSY inflight=7\r\n", AttemptResult.OVERLOADED, b"inflight=7"),
+        (b"-ERR failed\r\n", AttemptResult.ERROR, b""),
+        (b"-ERR failed util=1\r\n", AttemptResult.ERROR, b"util=1"),
         (b"-SYNTAX\r\n", None, b""),
         (b"-BUSYBODY\r\n", None, b""),
         (b"-ERR\r\n", None, b""),
@@ -273,7 +273,7 @@
         reader = WatchReader()
         found = [each for at in range(0, len(data), step) for each in reader.feed(data[at : at + step])]
         assert [each.index for each in found] == [43, 44] and found[0].snapshot
-        assert found[1].entries[0].server.state is State.GONE
+        assert found[1].entries[0].endpoint.status is EndpointStatus.REMOVED
 
 
 @pytest.mark.parametrize(
@@ -297,10 +297,10 @@
 def test_names_and_addresses_are_apart_and_old_news_changes_nothing():
     book = Book()
     fleet, moved = book.apply(read_change(change(5, row("s1"), row("s2", "127.0.0.1:7001"), snapshot=True)))
-    assert [each.id for each in fleet.servers] == ["s1", "s2"] and moved == []
+    assert [each.id for each in fleet.endpoints] == ["s1", "s2"] and moved == []
     fleet, moved = book.apply(read_change(change(6, row("s1", status="left"), row("s3"))))  # a new one at its address
     assert moved == ["s1"] and book.address_of("s1") is None and book.address_of("s3") == ("127.0.0.1", 7000)
-    assert [each.id for each in fleet.servers] == ["s2", "s3"]
+    assert [each.id for each in fleet.endpoints] == ["s2", "s3"]
     assert book.apply(read_change(change(6, row("s1")))) == (None, [])
     _, moved = book.apply(read_change(change(7, row("s2", "127.0.0.1:7009"), row("s3", since=5))))
     assert sorted(moved) == ["s2", "s3"]
@@ -359,8 +359,8 @@
     assert (config.name, config.seed, config.listen) == ("n1", 0x8C1F, ("127.0.0.1", 6379))
     assert (config.memory_mb, config.sockets, config.known.index) == (64.0, 256, 41)
     assert (config.connect_timeout_ms, config.idle_ms) == (333.0, 15000.0)
-    assert config.settings.most_customers == (64 - 28) * 256
-    assert config.settings.number == 1 and config.settings.report_fields == ("util", "inflight")
+    assert config.settings.max_customers == (64 - 28) * 256
+    assert config.settings.number == 1 and config.settings.load_report_fields == ("util", "inflight")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -7,7 +7,7 @@
 from twisted.python.failure import Failure
 
 from anisefront.carriers.pool import Pool, PoolLimits
-from anisefront.policy.interface import Result
+from anisefront.policy.events import AttemptResult
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
@@ -124,7 +124,7 @@
     transport = line.connect()
     exchange.cancel()
     exchange.cancel()
-    assert transport.aborted and line.ends == [(Result.CANCELLED, None)]
+    assert transport.aborted and line.ends == [(AttemptResult.CANCELLED, None)]
 
 
 def test_time_out_and_what_it_proves():
@@ -134,7 +134,7 @@
     line.ask(0.5)
     line.connect()
     line.reactor.advance(0.6)
-    assert [result for result, _ in line.ends] == [Result.CONNECT_FAILED, Result.TIMEOUT]
+    assert [result for result, _ in line.ends] == [AttemptResult.CONNECT_FAILED, AttemptResult.TIMEOUT]
 
 
 def test_a_worker_that_has_a_name_is_reached_at_whatever_address_it_has():
@@ -166,19 +166,19 @@
     line.ask()
     factory = line.reactor.tcpClients[-1][2]
     factory.clientConnectionFailed(None, Failure(error.ConnectionRefusedError()))
-    assert line.ends == [(Result.CONNECT_FAILED, None)]
+    assert line.ends == [(AttemptResult.CONNECT_FAILED, None)]
 
 
 @pytest.mark.parametrize(
     ("data", "reason", "end"),
     [
         *[
-            (data, reason, (Result.RESET, None))
+            (data, reason, (AttemptResult.RESET, None))
             for data in (b"", ANSWER[:20], ANSWER[:-1])
             for reason in (error.ConnectionLost(), error.ConnectionDone())
         ],
         (b"HTTP/1.0 200 OK\r\n\r\nall", error.ConnectionDone(), (None, b"all")),
-        (b"HTTP/1.0 200 OK\r\n\r\nall", error.ConnectionLost(), (Result.RESET, None)),
+        (b"HTTP/1.0 200 OK\r\n\r\nall", error.ConnectionLost(), (AttemptResult.RESET, None)),
     ],
 )  # a reset is no end
 def test_connection_lost_before_headers_in_them_and_in_the_body(data, reason, end):
@@ -196,7 +196,7 @@
     line.ask()
     transport = line.connect()
     transport.protocol.dataReceived(b"SSH-2.0\r\n\r\n")
-    assert transport.aborted and line.ends == [(Result.ERROR, None)]
+    assert transport.aborted and line.ends == [(AttemptResult.ERROR, None)]
 
 
 def test_interim_answers_are_passed_over_and_unasked_bytes_close():
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -9,26 +9,21 @@
 
 from anisefront.policy import messages
 from anisefront.policy.control import Controller
-from anisefront.policy.interface import (
-    Arrival,
-    ClientGone,
-    Fleet,
-    Heard,
-    Outcome,
-    Plan,
-    Reason,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Result,
-    Send,
-    Server,
-    State,
-    Tell,
-    Woken,
-)
 from anisefront.policy.queues import LEAST_DEAD, Held, Waiting
 from anisefront.policy.state import Ask, Request
+from anisefront.policy.actions import Reject, RejectionReason, SendToPeer, StartAttempt
+from anisefront.policy.events import (
+    Arrival,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Endpoint,
+    EndpointList,
+    EndpointStatus,
+    PeerMessage,
+    TimerFired,
+)
+from anisefront.policy.settings import Idempotency, Plan, RequestClass
 
 
 def request(number, kind, came=0.0):
@@ -99,23 +94,24 @@
 
 def many_held(count, plan="none"):
     """A gateway that holds so many requests for the quota of 20 customers."""
-    kind = RequestClass("look", 60_000, 300_000, 1.0, Repeat.SAFE)
+    kind = RequestClass("look", 60_000, 300_000, 1.0, Idempotency.IDEMPOTENT)
     c = Controller(
         settings(
             gateways=1,
-            may_tell=False,
+            peer_messages_enabled=False,
             plans=(Plan("none", 0.001, 1), Plan("wide", 1e6, 1e6)),
             classes=(kind,),
             inbox_per_s=0,
         ),
         1,
     )
-    c.handle(1000, [Fleet(tuple(Server(f"s{n}", "z0", 0, State.READY) for n in range(20)))])
+    c.handle(1000, [EndpointList(tuple(Endpoint(f"s{n}", "z0", 0, EndpointStatus.READY) for n in range(20)))])
     for first in range(0, count, 1000):
         for send in of(
-            Send, c.handle(1000, [Arrival(n, f"c{n % 20}", "look", plan, 1e6) for n in range(first, first + 1000)])
+            StartAttempt,
+            c.handle(1000, [Arrival(n, f"c{n % 20}", "look", plan, 1e6) for n in range(first, first + 1000)]),
         ):
-            c.handle(1000, [Outcome(send.id, 0, send.server, 1.0, Result.OK, True)])
+            c.handle(1000, [AttemptEnded(send.id, 0, send.endpoint, 1.0, AttemptResult.OK, True)])
     return c
 
 
@@ -146,8 +142,8 @@
             count, actions = counted_steps(
                 lambda number=number, turn=turn, c=c: c.handle(1001 + turn, [Arrival(number, "w", "look", "wide", 1e6)])
             )
-            (send,) = of(Send, actions)
-            c.handle(1001 + turn, [Outcome(send.id, 0, send.server, 1.0, Result.OK, True)])
+            (send,) = of(StartAttempt, actions)
+            c.handle(1001 + turn, [AttemptEnded(send.id, 0, send.endpoint, 1.0, AttemptResult.OK, True)])
             steps.append(count)
         costs.append(sorted(steps)[10])
     assert costs[1] < 1.2 * costs[0], costs
@@ -158,27 +154,27 @@
     assert len(c.requests) > 19_000
     store_waits = sum(len(store.waiting) for store in c.quota.stores.values())
     assert store_waits > 19_000
-    c.handle(1002, [ClientGone(number) for number in list(c.requests)])
+    c.handle(1002, [ClientDisconnected(number) for number in list(c.requests)])
     assert not c.requests and not len(c.held) and not c.quota.asking
     assert not any(account.out for account in c.quota.accounts.values())
 
 
 def test_quiet_customers_are_let_go_and_those_that_owe_are_kept():
-    c = gateway(gateways=1, may_tell=False)
+    c = gateway(gateways=1, peer_messages_enabled=False)
     number, now = 0, 1000.0
     c.handle(now, [FLEET])
     sends = []
     for number in range(2000):
         now += 1
-        sends += of(Send, c.handle(now, [ask(number, customer=f"n{number}")]))
+        sends += of(StartAttempt, c.handle(now, [ask(number, customer=f"n{number}")]))
     busy = sends.pop()
-    c.handle(now, [Outcome(send.id, 0, send.server, 5.0, Result.OK, True) for send in sends])
+    c.handle(now, [AttemptEnded(send.id, 0, send.endpoint, 5.0, AttemptResult.OK, True) for send in sends])
     assert len(c.quota.accounts) == len(c.quota.holders) == 2000
     held = c.quota.accounts[f"n{busy.id}"]
     held.own = -0.5  # it went on credit
     for _ in range(1500):
         now += 100
-        c.handle(now, [Woken("agenda")])
+        c.handle(now, [TimerFired("agenda")])
     assert f"n{busy.id}" in c.quota.accounts and len(c.quota.accounts) < 3 and len(c.quota.stores) < 3
     assert len(c.quota.holders) == len(c.quota.accounts)
 
@@ -193,7 +189,7 @@
         *(item(messages.Kind.ASK, "waits", 10 + n) for n in range(9)),
         item(messages.Kind.ASK, "quiet", 3),
     ]
-    c.handle(now, [Heard(1, messages.encode(1, 1.0, rows, []))])
+    c.handle(now, [PeerMessage(1, messages.encode(1, 1.0, rows, []))])
     stores = c.quota.stores
     assert {leased, empty, waits, quiet} <= set(stores)
     stores[leased].leases = dict.fromkeys(stores[leased].leases, now + 200_000)
@@ -202,25 +198,25 @@
         ask_.until_ms = now + 200_000
     for _ in range(900):
         now += 100
-        c.handle(now, [Woken("agenda")])
+        c.handle(now, [TimerFired("agenda")])
     assert quiet not in stores and {leased, empty} <= set(stores)
     assert len(stores[leased].leases) == 1 and stores[empty].level == pytest.approx(5, abs=0.2)
 
 
 def test_a_flood_of_names_is_refused_at_the_cap_and_pushes_out_nobody():
-    c = gateway(gateways=1, may_tell=False, most_customers=50)
+    c = gateway(gateways=1, peer_messages_enabled=False, max_customers=50)
     c.handle(1000, [FLEET])
-    first = of(Send, c.handle(1001, [ask(1, customer="owner")]))
+    first = of(StartAttempt, c.handle(1001, [ask(1, customer="owner")]))
     actions = c.handle(1002, [ask(n, customer=f"flood-{n}") for n in range(2, 400)])
-    refused = of(Refuse, actions)
-    assert len(c.quota.accounts) == 50 and {each.reason for each in refused} == {Reason.CAPACITY} and first
+    refused = of(Reject, actions)
+    assert len(c.quota.accounts) == 50 and {each.reason for each in refused} == {RejectionReason.CAPACITY} and first
     assert len(refused) >= 398 - 49 and "owner" in c.quota.accounts
-    home = gateway(gateways=300, number=7, most_customers=10)
+    home = gateway(gateways=300, number=7, max_customers=10)
     home.handle(1000, [FLEET])
     rows = [item(messages.Kind.ASK, f"n{n}", n + 1) for n in range(13)]
     told = [
         each.kind
-        for tell in of(Tell, home.handle(1001, [Heard(1, messages.encode(1, 1.0, rows, []))]))
+        for tell in of(SendToPeer, home.handle(1001, [PeerMessage(1, messages.encode(1, 1.0, rows, []))]))
         for each in messages.decode(tell.data).items
     ]
     assert told.count(messages.Kind.GRANT) == 10 and told.count(messages.Kind.WAIT) == 3
@@ -229,10 +225,10 @@
 
 def test_a_server_that_leaves_is_looked_up_by_its_own_attempts():
     c = gateway()
-    sends = of(Send, c.handle(1000, [FLEET, *(ask(n, customer=f"c{n}") for n in range(40))]))
+    sends = of(StartAttempt, c.handle(1000, [FLEET, *(ask(n, customer=f"c{n}") for n in range(40))]))
     for backend in c.servers.known.values():
         assert {n for n, each in c.requests.items() if backend in each.out.values()} == set(backend.requests)
-    c.handle(1010, [Outcome(send.id, 0, send.server, 5.0, Result.OK, True) for send in sends])
+    c.handle(1010, [AttemptEnded(send.id, 0, send.endpoint, 5.0, AttemptResult.OK, True) for send in sends])
     assert not any(backend.requests for backend in c.servers.known.values())
 
 
@@ -241,25 +237,27 @@
     c, now = many_held(5000), 1002.0
     waited = set(c.requests)
     raised = replace(c.settings, plans=(Plan("none", 1e6, 1e6), c.settings.plans[1]))
-    out, sent, biggest = [], {send.id for send in of(Send, c.handle(now, [raised]))}, 0
+    out, sent, biggest = [], {send.id for send in of(StartAttempt, c.handle(now, [raised]))}, 0
     while len(sent) < len(waited) and now < 20_000:
         now += 5.0
-        actions = c.handle(now, [Woken("agenda"), *out])
-        sends = of(Send, actions)
+        actions = c.handle(now, [TimerFired("agenda"), *out])
+        sends = of(StartAttempt, actions)
         assert not sent & {send.id for send in sends}
         sent |= {send.id for send in sends}
         biggest = max(biggest, len(sends))
-        out = [Outcome(send.id, 0, send.server, 4.0, Result.OK, True) for send in sends]
+        out = [AttemptEnded(send.id, 0, send.endpoint, 4.0, AttemptResult.OK, True) for send in sends]
     # Raised quotas let go at once what had waited for the old ones; the window lets it out.
     assert sent == waited and biggest < 1500 and now < 5000, (len(sent), biggest, now)
 
 
 def test_all_due_in_one_millisecond_are_all_answered_in_that_turn():
-    c = gateway(gateways=1, may_tell=False, plans=(Plan("rated", 0.001, 1), *settings().plans[1:]), inbox_per_s=0)
+    c = gateway(
+        gateways=1, peer_messages_enabled=False, plans=(Plan("rated", 0.001, 1), *settings().plans[1:]), inbox_per_s=0
+    )
     c.handle(1000, [FLEET, *(ask(n, customer=f"c{n % 9}", due=1700.0) for n in range(5000))])
     answered = {}
     for now in range(1001, 1701):
-        for action in of(Refuse, c.handle(float(now), [Woken("agenda")])):
+        for action in of(Reject, c.handle(float(now), [TimerFired("agenda")])):
             assert action.id not in answered
             answered[action.id] = now
     assert len(answered) + len(c.requests) == 5000 and not [n for n, each in c.requests.items() if not each.attempts]
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -10,7 +10,8 @@
 from test_path import Running, told
 
 from anisefront.daemon import reload
-from anisefront.policy.interface import Plan, Repeat, RequestClass, Result
+from anisefront.policy.events import AttemptResult
+from anisefront.policy.settings import Idempotency, Plan, RequestClass
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -93,7 +94,7 @@
         desk.ask(f"r{number}", kind="unsafe")
     assert len(desk.told) == 5
     old = desk.ledger.controller.settings
-    kinds = tuple(RequestClass(kind.name, 500, 2000, 1.0, Repeat.SAFE) for kind in old.classes)
+    kinds = tuple(RequestClass(kind.name, 500, 2000, 1.0, Idempotency.IDEMPOTENT) for kind in old.classes)
     desk.ledger.change(
         type(old)(
             **{name: getattr(old, name) for name in old.__slots__}
@@ -103,11 +104,11 @@
     desk.run(0.02)
     desk.ask("r5", kind="unsafe")
     assert len(desk.told) == 5  # a larger burst is not granted at once
-    desk.log(desk.told[0].attempt, Result.RESET)
+    desk.log(desk.told[0].attempt, AttemptResult.RESET)
     desk.again(desk.told[0].attempt)
     assert desk.told[5].verdict.value == "failed"  # it arrived as unsafe
     desk.run(0.2)
     assert len(desk.told) == 7 and desk.told[6].verdict.value == "go"
-    desk.log(desk.told[6].attempt, Result.RESET)
+    desk.log(desk.told[6].attempt, AttemptResult.RESET)
     desk.again(desk.told[6].attempt)
     assert desk.told[7].verdict.value == "go"  # it arrived as safe
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -20,7 +20,7 @@
 from anisefront.daemon.reloader import Phase, Reloader
 from anisefront.daemon.source import Source
 from anisefront.fleet.keeping import Word
-from anisefront.policy.interface import Arrival
+from anisefront.policy.events import Arrival
 
 # ---- every order, on files in memory ------------------------------------------------------------------
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,29 +6,20 @@
 import pytest
 
 from anisefront.policy.control import Controller
-from anisefront.policy.interface import (
+from anisefront.policy.actions import CancelAttempt, Fail, Reject, SendToPeer, SetTimer, StartAttempt
+from anisefront.policy.events import (
     Arrival,
-    Away,
-    Cancel,
-    Fail,
-    Fleet,
-    Heard,
-    Outcome,
-    Plan,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Result,
-    Scope,
-    Send,
-    Server,
-    Settings,
-    Started,
-    State,
-    Tell,
-    Wake,
-    Woken,
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointList,
+    EndpointStatus,
+    PeerMessage,
+    PeersUnreachable,
+    ResponseStarted,
+    TimerFired,
 )
+from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 TICK, GRACE, SLACK = 4.0, 250.0, 16.0
 
@@ -41,31 +32,55 @@
         zone="z0",
         tick_ms=TICK,
         classes=(
-            RequestClass("look", 600, 1500, 2, Repeat.SAFE),
-            RequestClass("book", 900, 2500, 4, Repeat.KEYED, scope=Scope.CELL, window_ms=1200),
-            RequestClass("hold", 900, 2500, 4, Repeat.KEYED, scope=Scope.ZONE, window_ms=1200),
-            RequestClass("seat", 900, 2500, 4, Repeat.KEYED, scope=Scope.ALL, window_ms=1200),
-            RequestClass("debit", 900, 2500, 3, Repeat.UNSAFE),
-            RequestClass("feed", 900, 2500, 1, Repeat.SAFE, streamed=True),
+            RequestClass("look", 600, 1500, 2, Idempotency.IDEMPOTENT),
+            RequestClass(
+                "book",
+                900,
+                2500,
+                4,
+                Idempotency.KEYED,
+                deduplication_scope=DeduplicationScope.CELL,
+                deduplication_window_ms=1200,
+            ),
+            RequestClass(
+                "hold",
+                900,
+                2500,
+                4,
+                Idempotency.KEYED,
+                deduplication_scope=DeduplicationScope.ZONE,
+                deduplication_window_ms=1200,
+            ),
+            RequestClass(
+                "seat",
+                900,
+                2500,
+                4,
+                Idempotency.KEYED,
+                deduplication_scope=DeduplicationScope.ALL,
+                deduplication_window_ms=1200,
+            ),
+            RequestClass("debit", 900, 2500, 3, Idempotency.NON_IDEMPOTENT),
+            RequestClass("feed", 900, 2500, 1, Idempotency.IDEMPOTENT, streamed=True),
         ),
         plans=(
             Plan("rated", 4, 12, 0, 1.0, 0.3, 0.1),
             Plan("capped", 8, 16, 0, 1.5, 0.5, 0.1, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4),
-            Plan("open", max_out=4, value=1.2, over_cost=1.0),
+            Plan("open", max_in_flight=4, priority_multiplier=1.2, over_quota_cost=1.0),
         ),
         warm_up_ms=8000,
-        cold_from=0.25,
-        fall_multiple=3,
-        fall_window_ms=1500,
+        slow_start_initial_factor=0.25,
+        overload_multiple=3,
+        overload_window_ms=1500,
         max_attempts=4,
         max_units=4,
-        may_tell=True,
-        second_copies=True,
-        settles=True,
+        peer_messages_enabled=True,
+        hedging_enabled=True,
+        postpaid=True,
         max_retry_after_ms=1000,
         inbox_per_s=60,
-        report_how="answers",
-        report_fields=("util", "inflight"),
+        load_report_mode="answers",
+        load_report_fields=("util", "inflight"),
     )
     values.update(more)
     return Settings(**values)
@@ -99,14 +114,14 @@
         kind, plan = self.kinds[arrival.class_name], self.plans[arrival.plan_name]
         assert drained_ms is None or now <= drained_ms + GRACE, "rule 3: sent to a draining server"
         loose = self.unproved(number)
-        if kind.repeat is Repeat.UNSAFE:
+        if kind.idempotency is Idempotency.NON_IDEMPOTENT:
             assert not loose, "rule 2: an unsafe request went out twice"
-        if kind.repeat is Repeat.KEYED and loose:
+        if kind.idempotency is Idempotency.KEYED and loose:
             first_ms, first = loose[0]
-            assert now - first_ms <= kind.window_ms, "rule 2: past the window"
-            if kind.scope is Scope.CELL:
+            assert now - first_ms <= kind.deduplication_window_ms, "rule 2: past the window"
+            if kind.deduplication_scope is DeduplicationScope.CELL:
                 assert first.cell == server.cell, "rule 2: another cell"
-            if kind.scope is Scope.ZONE:
+            if kind.deduplication_scope is DeduplicationScope.ZONE:
                 assert first.zone == server.zone, "rule 2: another zone"
         if not self.sent[number] and plan.ceiling_per_s:
             level, at = self.ceilings.get(arrival.customer, (plan.ceiling_burst, now))
@@ -118,10 +133,10 @@
     def answer(self, now, number, refused):
         _, arrival = self.open.pop(number)
         kind = self.kinds[arrival.class_name]
-        assert now <= arrival.due_ms + SLACK, "rule 1: late"
+        assert now <= arrival.deadline_at_ms + SLACK, "rule 1: late"
         if refused and self.unproved(number):
-            all_of_them = kind.repeat is Repeat.KEYED and kind.scope is Scope.ALL
-            assert kind.repeat is Repeat.SAFE or all_of_them, "rule 2: refused though it may have run"
+            all_of_them = kind.idempotency is Idempotency.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
+            assert kind.idempotency is Idempotency.IDEMPOTENT or all_of_them, "rule 2: refused though it may have run"
         self.done.add(number)
 
 
@@ -136,7 +151,7 @@
         self.loss, self.kill, self.rate, self.views = loss, kill, rate, views
         self.now, self.serial, self.queue, self.log = 1000.0, 0, [], []
         self.inbox = {n: [] for n in range(gateways)}
-        self.fleet = [Server(f"s{n}", f"z{n % 2}", n % 4, State.READY) for n in range(8)]
+        self.fleet = [Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointStatus.READY) for n in range(8)]
         self.learned = {n: {} for n in range(gateways)}
         self.life = {n: 0 for n in range(gateways)}
         self.gateways, self.tries, self.streams = {}, {}, set()
@@ -148,8 +163,8 @@
         self.life[n] += 1
         config = settings(number=n, gateways=len(self.life), **self.more)
         self.gateways[n] = Controller(config, self.rng.randrange(1 << 30))
-        self.inbox[n] = [Fleet(tuple(self.fleet))]
-        self.learned[n] = {s.id: self.now for s in self.fleet if s.state is not State.READY}
+        self.inbox[n] = [EndpointList(tuple(self.fleet))]
+        self.learned[n] = {s.id: self.now for s in self.fleet if s.status is not EndpointStatus.READY}
 
     def later(self, delay, gateway, event):
         self.serial += 1
@@ -158,12 +173,16 @@
     def change_fleet(self):
         n = self.rng.randrange(len(self.fleet))
         old = self.fleet[n]
-        flip = {State.READY: State.DRAINING, State.DRAINING: State.GONE, State.GONE: State.READY}[old.state]
-        started = self.now if flip is State.READY else old.started_ms
-        self.fleet[n] = Server(old.id, old.zone, old.cell, flip, 1.0, started)
+        flip = {
+            EndpointStatus.READY: EndpointStatus.DRAINING,
+            EndpointStatus.DRAINING: EndpointStatus.REMOVED,
+            EndpointStatus.REMOVED: EndpointStatus.READY,
+        }[old.status]
+        started = self.now if flip is EndpointStatus.READY else old.started_ms
+        self.fleet[n] = Endpoint(old.id, old.zone, old.cell, flip, 1.0, started)
         for gateway in self.gateways:
-            self.inbox[gateway].append(Fleet((self.fleet[n],), complete=False))
-            if flip is State.READY:
+            self.inbox[gateway].append(EndpointList((self.fleet[n],), complete=False))
+            if flip is EndpointStatus.READY:
                 self.learned[gateway].pop(old.id, None)
             else:
                 self.learned[gateway].setdefault(old.id, self.now)
@@ -172,7 +191,7 @@
         """One gateway takes some others for gone, rightly or not."""
         n = self.rng.randrange(len(self.gateways))
         others = [other for other in self.gateways if other != n]
-        self.inbox[n].append(Away(frozenset(self.rng.sample(others, self.rng.randrange(len(others) + 1)))))
+        self.inbox[n].append(PeersUnreachable(frozenset(self.rng.sample(others, self.rng.randrange(len(others) + 1)))))
 
     def arrive(self):
         gateway = self.rng.randrange(len(self.gateways))
@@ -180,7 +199,7 @@
         kind = self.rng.choice(self.config.classes)
         plan = self.rng.choice(self.config.plans)
         spread = self.rng.choice((2, len(self.gateways)))
-        customer = f"{plan.name}-{self.rng.randrange(4 if plan.max_out else 1)}-{spread}"
+        customer = f"{plan.name}-{self.rng.randrange(4 if plan.max_in_flight else 1)}-{spread}"
         first = gateway if spread == len(self.gateways) else 0
         if spread == 2:
             gateway = self.rng.randrange(2)
@@ -199,39 +218,46 @@
         self.inbox[gateway].append(arrival)
 
     def act(self, n, action):
-        if isinstance(action, Send):
-            server = next(s for s in self.fleet if s.id == action.server)
+        if isinstance(action, StartAttempt):
+            server = next(s for s in self.fleet if s.id == action.endpoint)
             self.checker.send(self.now, action.id, server, self.learned[n].get(server.id))
             attempt = len(self.checker.sent[action.id]) - 1
             result = self.rng.choices(
-                [Result.OK, Result.ERROR, Result.FULL, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET],
+                [
+                    AttemptResult.OK,
+                    AttemptResult.ERROR,
+                    AttemptResult.OVERLOADED,
+                    AttemptResult.TIMEOUT,
+                    AttemptResult.CONNECT_FAILED,
+                    AttemptResult.RESET,
+                ],
                 [70, 8, 8, 6, 4, 4],
             )[0]
-            took = min(self.rng.expovariate(1 / 150), action.allow_ms)
-            took = action.allow_ms if result is Result.TIMEOUT else took
+            took = min(self.rng.expovariate(1 / 150), action.timeout_ms)
+            took = action.timeout_ms if result is AttemptResult.TIMEOUT else took
             self.tries[action.id, attempt] = (n, server, self.now)
             streamed = self.checker.kinds[self.checker.open[action.id][1].class_name].streamed
-            if streamed and result is Result.OK:
-                self.later(took / 2, n, Started(action.id, attempt, server.id))
+            if streamed and result is AttemptResult.OK:
+                self.later(took / 2, n, ResponseStarted(action.id, attempt, server.id))
             self.later(took, n, (action.id, attempt, result))
-        elif isinstance(action, (Refuse, Fail)):
+        elif isinstance(action, (Reject, Fail)):
             if action.id in self.checker.open:
                 assert action.id not in self.streams, "rule 1: a started stream was ended"
-                self.checker.answer(self.now, action.id, isinstance(action, Refuse))
-        elif isinstance(action, Cancel):
-            self.later(0.5, n, (action.id, action.attempt, Result.CANCELLED))
-        elif isinstance(action, Wake):
-            self.later(max(action.after_ms, 1e-3), n, Woken(action.name))
-        elif isinstance(action, Tell):
+                self.checker.answer(self.now, action.id, isinstance(action, Reject))
+        elif isinstance(action, CancelAttempt):
+            self.later(0.5, n, (action.id, action.attempt, AttemptResult.CANCELLED))
+        elif isinstance(action, SetTimer):
+            self.later(max(action.delay_ms, 1e-3), n, TimerFired(action.name))
+        elif isinstance(action, SendToPeer):
             assert len(action.data) <= 256
             copies = 0 if self.rng.random() < self.loss else self.rng.choice((1, 1, 1, 2))
             for _ in range(copies):
                 data = action.data if self.rng.random() > 0.02 else action.data[: self.rng.randrange(20)]
-                self.later(self.rng.expovariate(1 / 60), action.receiver, Heard(n, data))
+                self.later(self.rng.expovariate(1 / 60), action.receiver, PeerMessage(n, data))
 
     def deliver(self, gateway, event):
         if not isinstance(event, tuple):
-            if isinstance(event, Started):
+            if isinstance(event, ResponseStarted):
                 if event.id not in self.checker.open or (event.id, event.attempt) not in self.tries:
                     return
                 self.streams.add(event.id)
@@ -242,11 +268,11 @@
         if entry is None:
             return
         _, server, sent_ms = entry
-        if result.never_ran:
+        if result.never_executed:
             self.checker.proved[number].add(attempt)
-        if number in self.checker.open and (result is Result.OK or number in self.streams):
+        if number in self.checker.open and (result is AttemptResult.OK or number in self.streams):
             self.streams.discard(number)
-            due = self.checker.open[number][1].due_ms
+            due = self.checker.open[number][1].deadline_at_ms
             assert self.now <= due + SLACK or self.checker.kinds[self.checker.open[number][1].class_name].streamed, (
                 "rule 1: late"
             )
@@ -254,7 +280,7 @@
             self.checker.done.add(number)
         final = number not in self.checker.open
         self.inbox[gateway].append(
-            Outcome(
+            AttemptEnded(
                 number, attempt, server.id, self.now - sent_ms, result, final, self.rng.choice((0, 1, 3)), 0, (0.5, 2.0)
             )
         )
@@ -274,7 +300,7 @@
                     self.change_view()
             while self.queue and self.queue[0][0] <= self.now:
                 _, _, gateway, life, event = heapq.heappop(self.queue)
-                if isinstance(event, Heard) or life == self.life[gateway]:
+                if isinstance(event, PeerMessage) or life == self.life[gateway]:
                     self.deliver(gateway, event)
             for n, controller in self.gateways.items():
                 events, self.inbox[n] = self.inbox[n], []
@@ -286,7 +312,7 @@
             overdue = [
                 n
                 for n, (_, arrival) in self.checker.open.items()
-                if arrival.due_ms + SLACK < self.now and n not in self.streams
+                if arrival.deadline_at_ms + SLACK < self.now and n not in self.streams
             ]
             assert not overdue, f"rule 1: no answer for {overdue[:3]}"
             assert self.now < end + 60_000
@@ -324,26 +350,26 @@
     rng = random.Random(seed)
     gateways = {n: Controller(settings(number=n), rng.randrange(1 << 30)) for n in range(3)}
     now, serial, sends, outs = 50_000.0, 0, [], []
-    fleet = [Server(f"s{n}", "z0", 0, State.READY) for n in range(5)]
-    cold = Server("cold", "z0", 0, State.READY, 1.0, 52_000.0)
+    fleet = [Endpoint(f"s{n}", "z0", 0, EndpointStatus.READY) for n in range(5)]
+    cold = Endpoint("cold", "z0", 0, EndpointStatus.READY, 1.0, 52_000.0)
     while now < 56_000:
         now += TICK
         for n, controller in gateways.items():
             events = []
             if now == 50_004.0:
-                events.append(Fleet(tuple(fleet)))
+                events.append(EndpointList(tuple(fleet)))
             if now == 52_000.0:
-                events.append(Fleet((cold,), complete=False))
+                events.append(EndpointList((cold,), complete=False))
             if rng.random() < 0.12:
                 serial += 1
                 events.append(Arrival(serial, f"c{serial % 400}", "look", "rated", now + 1500, 1, 0, 3))
             while outs and outs[0][0] <= now and outs[0][1] == n:
                 _, _, number, server = heapq.heappop(outs)
-                events.append(Outcome(number, 0, server, 120.0, Result.OK, True))
+                events.append(AttemptEnded(number, 0, server, 120.0, AttemptResult.OK, True))
             for action in controller.handle(now, events):
-                if isinstance(action, Send):
-                    sends.append((now, action.server))
-                    heapq.heappush(outs, (now + 120, n, action.id, action.server))
+                if isinstance(action, StartAttempt):
+                    sends.append((now, action.endpoint))
+                    heapq.heappush(outs, (now + 120, n, action.id, action.endpoint))
         outs.sort()
     for start in range(52_000, 54_500, 100):
         window = [server for at, server in sends if start <= at < start + 1500]
--- a/tests/test_stand_in.py
+++ b/tests/test_stand_in.py
@@ -13,9 +13,11 @@
 from anisefront.core.routing import LISTED, first_gateway
 from anisefront.policy import messages
 from anisefront.policy.control import RESERVE, Quota
-from anisefront.policy.interface import Away, Heard, Plan, Send, Tell, Woken
 from anisefront.policy.messages import Kind
 from benchmarks.scale import apart
+from anisefront.policy.actions import SendToPeer, StartAttempt
+from anisefront.policy.events import PeerMessage, PeersUnreachable, TimerFired
+from anisefront.policy.settings import Plan
 
 HOME = home_of("f")
 NEXT, LAST = (HOME + 1) % 3, (HOME + 2) % 3
@@ -24,7 +26,7 @@
 
 def told(actions):
     """Who was told what, and the items."""
-    return [(tell.receiver, item) for tell in of(Tell, actions) for item in messages.decode(tell.data).items]
+    return [(tell.receiver, item) for tell in of(SendToPeer, actions) for item in messages.decode(tell.data).items]
 
 
 def asked(c, now, number, **more):
@@ -40,23 +42,23 @@
 )
 def test_next_of_the_set_that_is_not_gone_is_asked(gone, whom):
     c = gateway(gateways=5, number=OUTSIDE)
-    c.handle(1000, [FLEET, Away(frozenset(gone))])
+    c.handle(1000, [FLEET, PeersUnreachable(frozenset(gone))])
     assert asked(c, 1001, 1) == [whom]
-    c.handle(1002, [Away(frozenset())])
+    c.handle(1002, [PeersUnreachable(frozenset())])
     assert asked(c, 1003, 2) == [HOME]
 
 
 def test_who_is_left_alone_lends_to_itself():
     c = gateway(gateways=5, number=OUTSIDE)
-    c.handle(1000, [FLEET, Away(frozenset(range(4)))])
+    c.handle(1000, [FLEET, PeersUnreachable(frozenset(range(4)))])
     actions = c.handle(1001, [ask(1)])
-    assert not of(Tell, actions) and [send.id for send in of(Send, actions)] == [1]
+    assert not of(SendToPeer, actions) and [send.id for send in of(StartAttempt, actions)] == [1]
 
 
 @pytest.mark.parametrize("plan", ["capped", "open"])
 def test_ceilings_and_slots_are_never_lent_by_another(plan):
     c = gateway(gateways=5, number=OUTSIDE)
-    c.handle(1000, [FLEET, Away(frozenset({HOME}))])
+    c.handle(1000, [FLEET, PeersUnreachable(frozenset({HOME}))])
     assert asked(c, 1001, 1, plan=plan) == [HOME]
 
 
@@ -65,7 +67,7 @@
     for gone in ({HOME}, {HOME, NEXT, 3}, set()):
         for units in (1, 4):
             c = gateway(gateways=5, number=OUTSIDE)
-            c.handle(1000, [FLEET, Away(frozenset(gone))])
+            c.handle(1000, [FLEET, PeersUnreachable(frozenset(gone))])
             drawn += [item.units for _, item in told(c.handle(1001, [ask(1, units=units)]))]
     assert drawn == [1.25, 5.0, 2.5, RESERVE * 12, 1.0, 4.0]
 
@@ -76,16 +78,16 @@
     assert [receiver for receiver, _ in first] == [HOME]
     again = []
     for now in range(1004, 1160, 4):
-        again += told(c.handle(now, [Away(frozenset({HOME})), Woken("agenda")]))
+        again += told(c.handle(now, [PeersUnreachable(frozenset({HOME})), TimerFired("agenda")]))
     assert {receiver for receiver, _ in again} == {NEXT}
 
     def word(sender, item):
         data = messages.encode(1, 1.0, [item._replace(kind=Kind.GRANT)], [])
-        return c.handle(1160, [Heard(sender, data), Woken("agenda")])
+        return c.handle(1160, [PeerMessage(sender, data), TimerFired("agenda")])
 
     late = word(HOME, first[0][1])
-    assert not of(Send, late) and [(who, item.kind) for who, item in told(late)] == [(HOME, Kind.BACK)]
-    assert [send.id for send in of(Send, word(NEXT, again[0][1]))] == [1]
+    assert not of(StartAttempt, late) and [(who, item.kind) for who, item in told(late)] == [(HOME, Kind.BACK)]
+    assert [send.id for send in of(StartAttempt, word(NEXT, again[0][1]))] == [1]
 
 
 # ---- searched, and each guard taken out is found --------------------------------------------------
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -15,7 +15,8 @@
 from anisefront.core.routing import Key, Route, Router, Unmapped
 from anisefront.fronts.jsonrpc import BadParams, job_from
 from anisefront.policy import control, messages
-from anisefront.policy.interface import Arrival, Heard, Reason, Refuse, Result, Send, Tell
+from anisefront.policy.actions import Reject, RejectionReason, SendToPeer, StartAttempt
+from anisefront.policy.events import Arrival, AttemptResult, PeerMessage
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -88,9 +89,11 @@
             messages.Item(messages.Kind.ASK, messages.tag_of(name), 20 * serial + n, 1.0, 0.0, 1, 0)
             for n in range(1, 13)
         ]
-        actions = c.handle(1001, [Heard(1 + serial, messages.encode(1, 1.0, asks, []))])
+        actions = c.handle(1001, [PeerMessage(1 + serial, messages.encode(1, 1.0, asks, []))])
         granted[name] = sum(
-            told.kind is messages.Kind.GRANT for tell in of(Tell, actions) for told in messages.decode(tell.data).items
+            told.kind is messages.Kind.GRANT
+            for tell in of(SendToPeer, actions)
+            for told in messages.decode(tell.data).items
         )
     assert granted["plumless"] == granted["buckeroo"] >= 9
 
@@ -98,9 +101,9 @@
 def test_tags_that_meet_all_the_same_refuse_the_second_customer_and_share_nothing(monkeypatch):
     monkeypatch.setattr(control, "tag_of", lambda customer, key: 6)
     c = gateway()
-    assert of(Send, c.handle(1000, [FLEET, ask(1, customer="first")]))
+    assert of(StartAttempt, c.handle(1000, [FLEET, ask(1, customer="first")]))
     actions = c.handle(1001, [ask(2, customer="second"), ask(3, customer="first")])
-    assert [(each.id, each.reason) for each in of(Refuse, actions)] == [(2, Reason.UNFIT)]
+    assert [(each.id, each.reason) for each in of(Reject, actions)] == [(2, RejectionReason.INVALID)]
     assert "second" not in c.quota.accounts and set(c.requests) == {1, 3}
 
 
@@ -142,7 +145,7 @@
     # With two customers under one id a denial that names the id alone proves nothing for either.
     assert not desk.proxied.log_unsent("same", "p")
     for answer in desk.told[:2]:
-        assert desk.log(answer.attempt, Result.OK)
+        assert desk.log(answer.attempt, AttemptResult.OK)
     assert desk.empty() and not desk.proxied._by_id
 
 
@@ -151,7 +154,7 @@
     desk.ask("same")
     desk.proxied.ask("same", desk.told.append, "d", "safe", "wide", desk.ledger.now_ms() + 2000, 1.0, 0, 1, False, "p")
     desk.run(0.01)
-    assert desk.log(desk.told[0].attempt, Result.OK)
+    assert desk.log(desk.told[0].attempt, AttemptResult.OK)
     assert desk.proxied.log_unsent("same", "p")  # only the other is left under it
     desk.run(0.01)
     assert desk.empty() and not desk.proxied._by_id
--- a/tests/test_study.py
+++ b/tests/test_study.py
@@ -342,7 +342,7 @@
     assert len(back.arrivals) == 1200 and back.answers == whole.answers and not back.problems
     for kept, given in zip(back.arrivals, arrivals, strict=True):
         assert kept.at == pytest.approx(given.at, abs=0.01) and kept.gateway == given.gateway
-        assert (kept.customer, kept.is_repeat, kept.copies) == (given.customer, given.is_repeat, given.copies)
+        assert (kept.customer, kept.is_retry, kept.copies) == (given.customer, given.is_retry, given.copies)
     assert [each.started for each in back.attempts[:2]] == pytest.approx([0.0, 500.0], abs=0.01)
     for command, more in (
         ("cut", ("--from", 5, "--to", 9)),
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -24,18 +24,15 @@
 from anisefront.node.discovery import Book, read_change
 from anisefront.node.gatekeeper import NodeGatekeeper
 from anisefront.policy.control import Controller, Servers
-from anisefront.policy.interface import (
+from anisefront.policy.actions import Fail, Reject, SetTimer, StartAttempt
+from anisefront.policy.events import (
     Arrival,
-    Fail,
-    Fleet,
-    Outcome,
-    Refuse,
-    Result,
-    Send,
-    Server,
-    State,
-    Wake,
-    Woken,
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointList,
+    EndpointStatus,
+    TimerFired,
 )
 
 
@@ -99,14 +96,14 @@
     client = stage.client(other(2))
     number = stage.module.arrivals[-1].id
     if not first:
-        stage.say(Send(number, "s2", 400.0))
+        stage.say(StartAttempt(number, "s2", 400.0))
         worker = stage.accept("s2")
         assert worker.recv(1000)
         worker.sendall(b"-BUSY\r\n")
         stage.turns()
     leave(client)
     stage.time += 0.11
-    stage.decide(Send(number, "s1", 400.0))
+    stage.decide(StartAttempt(number, "s1", 400.0))
     stage.turns()
     assert resting.recv(1000) == b""  # it was taken for the attempt and ended unused
     assert not stage.carrier.open and not stage.ledger.entries
@@ -269,24 +266,28 @@
     """Many modules beside each other in front of `warm` workers that bear `rate_per_s` each, and of `cold` new ones,
     whose start all are told of; a burst begins just after it. By how much calls in the settings' window passed what
     the settings allow a cold one then, as a part of what may be chance: 2 x root of N + 2. Over 1 it falls."""
-    rng, told = random.Random(seed), settings(gateways=gatekeepers, may_tell=False, **more)
+    rng, told = random.Random(seed), settings(gateways=gatekeepers, peer_messages_enabled=False, **more)
     modules = [
-        Controller(settings(gateways=gatekeepers, number=n, may_tell=False, **more), rng.randrange(1 << 30))
+        Controller(
+            settings(gateways=gatekeepers, number=n, peer_messages_enabled=False, **more), rng.randrange(1 << 30)
+        )
         for n in range(gatekeepers)
     ]
     tick, now, start_ms, serial, sent = 10.0, 0.0, 52_000.0, 0, {f"c{n}": [] for n in range(cold)}
-    fleet = [Server(f"w{n}", "z0", 0, State.READY) for n in range(warm)]
+    fleet = [Endpoint(f"w{n}", "z0", 0, EndpointStatus.READY) for n in range(warm)]
     later = []  # what each module hears when: ends of attempts and wake-ups
     for n in range(gatekeepers):
         at_ms = start_ms + rng.uniform(0, 100)
-        heapq.heappush(later, (50_000.0, n, 0, Fleet(tuple(fleet))))
+        heapq.heappush(later, (50_000.0, n, 0, EndpointList(tuple(fleet))))
         heapq.heappush(
             later,
             (
                 at_ms,
                 n,
                 1,
-                Fleet(tuple(Server(name, "z0", 0, State.READY, 1.0, start_ms) for name in sent), complete=False),
+                EndpointList(
+                    tuple(Endpoint(name, "z0", 0, EndpointStatus.READY, 1.0, start_ms) for name in sent), complete=False
+                ),
             ),
         )
     for now in (50_000.0 + tick * step for step in range(int((start_ms - 50_000.0 + told.warm_up_ms / 2) / tick))):
@@ -302,26 +303,29 @@
         for n, heard in events.items():
             for action in modules[n].handle(now, heard) if heard else ():
                 serial += 1
-                if isinstance(action, Send):
-                    sent.get(action.server, []).append(now)
-                    end = Outcome(action.id, 0, action.server, 100.0, Result.OK, True)
+                if isinstance(action, StartAttempt):
+                    sent.get(action.endpoint, []).append(now)
+                    end = AttemptEnded(action.id, 0, action.endpoint, 100.0, AttemptResult.OK, True)
                     heapq.heappush(later, (now + rng.expovariate(1 / 100), n, serial, end))
-                elif isinstance(action, Wake):
-                    heapq.heappush(later, (now + action.after_ms, n, serial, Woken(action.name)))
+                elif isinstance(action, SetTimer):
+                    heapq.heappush(later, (now + action.delay_ms, n, serial, TimerFired(action.name)))
     assert all(sent.values())
     worst = -math.inf
     for calls in sent.values():
         for at in calls:
-            share = told.cold_from + (1 - told.cold_from) * (at - start_ms) / told.warm_up_ms
-            allowed = told.fall_multiple * share * rate_per_s * told.fall_window_ms / 1000
-            count = sum(at - told.fall_window_ms < each <= at for each in calls)
+            share = (
+                told.slow_start_initial_factor
+                + (1 - told.slow_start_initial_factor) * (at - start_ms) / told.warm_up_ms
+            )
+            allowed = told.overload_multiple * share * rate_per_s * told.overload_window_ms / 1000
+            count = sum(at - told.overload_window_ms < each <= at for each in calls)
             worst = max(worst, (count - allowed) / (2 * math.sqrt(allowed) + 2))
     return worst
 
 
 @pytest.mark.parametrize(
     ("gatekeepers", "warm", "cold", "rate_per_s", "burst", "more"),
-    [(20, 6, 1, 20.0, 2.5, {}), (30, 10, 2, 8.0, 1.5, {"fall_multiple": 2.0}), (24, 4, 4, 15.0, 2.5, {})],
+    [(20, 6, 1, 20.0, 2.5, {}), (30, 10, 2, 8.0, 1.5, {"overload_multiple": 2.0}), (24, 4, 4, 15.0, 2.5, {})],
 )
 def test_many_beside_each_other_send_a_cold_worker_no_more_than_its_budget_and_chance(
     gatekeepers, warm, cold, rate_per_s, burst, more
@@ -462,5 +466,5 @@
         assert [each.class_name for each in house.module.arrivals] == ["look", "book"], cut
         first, second = (each.id for each in house.module.arrivals)
         house.turn(Fail(second))
-        house.turn(Refuse(first, 0.0))
+        house.turn(Reject(first, 0.0))
         assert client.take() == b"-BUSY\r\n+PONG\r\n-ERR failed\r\n" and client.protocol.place == fronts.IDLE
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -107,7 +107,7 @@
         most_open=7,
     )
     old = changed.config.settings
-    plans = (*old.plans[:-1], replace(old.plans[-1], value=9.0), replace(old.plans[-1], name="new"))
+    plans = (*old.plans[:-1], replace(old.plans[-1], priority_multiplier=9.0), replace(old.plans[-1], name="new"))
     changed.config = replace(changed.config, settings=replace(old, plans=plans, max_attempts=9))
     second = at_once(next_steps(first, changed))
     assert (first.number, second.number) == (1, 2)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -159,7 +159,7 @@
         reader = WatchReader()
         found = [each for at in range(0, len(data), size) for each in reader.feed(data[at : at + size])]
         assert [len(each.entries) for each in found] == [2, 2] and reader.lines == 4
-        assert found[0].entries[1].server.id == 's"}]{['
+        assert found[0].entries[1].endpoint.id == 's"}]{['
 
 
 def test_an_object_that_never_ends_has_a_cap():
@@ -206,7 +206,7 @@
     assert b"from=0 " in link.take()
     tell(link, change(3, row("s1", "127.0.0.1:1", "leaving")), change(4, row("s2", "127.0.0.1:2", "left")))
     assert kept.book.index == 4 and set(kept.book.entries) == {"s1"}
-    assert kept.book.entries["s1"].server.state.value == "draining"
+    assert kept.book.entries["s1"].endpoint.status.value == "draining"
 
 
 def test_another_discovery_after_a_hang_up_has_versions_of_its_own():
@@ -216,7 +216,7 @@
     link = kept.link()
     assert b"from=0 " in link.take() and set(kept.book.entries) == {"s1"}
     tell(link, change(2, row("s1", "127.0.0.1:1", "leaving")))
-    assert kept.book.entries["s1"].server.state.value == "draining"
+    assert kept.book.entries["s1"].endpoint.status.value == "draining"
 
 
 def test_an_answer_that_repeats_changes_nothing_and_one_that_skips_is_taken():
@@ -232,7 +232,7 @@
         link.protocol.dataReceived(
             chunked(json.dumps(change(index, row("s1", "127.0.0.1:1", status))).encode() + b"\n")[len(HEAD) :]
         )
-        assert kept.book.entries["s1"].server.state.value == ends
+        assert kept.book.entries["s1"].endpoint.status.value == ends
 
 
 def test_a_move_to_the_same_address_changes_nothing_and_two_at_once_leave_one_watch():
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -50,21 +50,18 @@
 from anisefront.node.discovery import Book, WatchReader, watch_request
 from anisefront.node.gatekeeper import NodeGatekeeper
 from anisefront.policy import messages
-from anisefront.policy.interface import (
-    Arrival,
-    ClientGone,
-    Fail,
-    Fleet,
-    Outcome,
-    Reason,
-    Refuse,
-    Result,
-    Send,
-    Server,
-    State,
-)
 from anisefront.wire import grpc, http1, orca, trace
 from anisefront.wire import jsonrpc as jsonrpc_wire
+from anisefront.policy.actions import Fail, Reject, RejectionReason, StartAttempt
+from anisefront.policy.events import (
+    Arrival,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Endpoint,
+    EndpointList,
+    EndpointStatus,
+)
 
 FOLDER = pathlib.Path(__file__).parent / "data" / "wire"
 SECRET, NOW_MS, LIFE = b"sixteen bytes at least", 1.8e12, "0123456789ab"
@@ -310,7 +307,7 @@
 
 def _answer_read(data: bytes) -> Any:
     answer = keepers.read(data)
-    rest = [answer.worker, answer.attempts, answer.refused, answer.retry_in_ms, answer.reason]
+    rest = [answer.worker, answer.attempts, answer.refused, answer.retry_after_ms, answer.reason]
     return [plain(answer.message), *rest]
 
 
@@ -323,10 +320,10 @@
     if inherited is not None:
         return [list(inherited.token), inherited.identity, list(inherited.terms), plain(inherited.sent)]
     (entry,) = made.ledger.entries.values()
-    a, past = entry.arrival, entry.arrival.past
+    a, past = entry.arrival, entry.arrival.prior_attempts
     return [
-        [a.customer, a.class_name, a.plan_name, a.due_ms, a.units, a.first_gateway, a.spread],
-        [past.attempts, past.uncertain, past.server, past.server_ms, past.paid],
+        [a.customer, a.class_name, a.plan_name, a.deadline_at_ms, a.units, a.first_gateway, a.spread],
+        [past.attempts, past.uncertain, past.endpoint, past.started_ms, past.quota_debited],
         [entry.work.kind, entry.work.identity, entry.work.data],
         b"the name" in made.keepers.returning,
     ]
@@ -356,7 +353,7 @@
         "served": own.Answer(
             message=http1.Message("", "", 201, {"a": "b"}, b"\0body", True), worker=WORKER, attempts=2
         ),
-        "refused": own.Answer(refused=True, retry_in_ms=250.0, reason="quota"),
+        "refused": own.Answer(refused=True, retry_after_ms=250.0, reason="quota"),
         "failed": own.Answer(reason="failed"),
     }
     out |= {
@@ -473,12 +470,12 @@
 
 def resp_samples() -> dict[str, Sample]:
     """Commands of clients and to workers, answers of workers and to clients."""
-    go = Send(1, "s1", 400.0)
+    go = StartAttempt(1, "s1", 400.0)
     client = {
         "served": _f(ASK, action=go, worker=SERVED),
         "failed": _f(ASK, action=Fail(1)),
-        **{f"refused for {reason.value}": _f(ASK, action=Refuse(1, 120.4, reason)) for reason in Reason},
-        "refused without a time": _f(ASK, action=Refuse(1)),
+        **{f"refused for {reason.value}": _f(ASK, action=Reject(1, 120.4, reason)) for reason in RejectionReason},
+        "refused without a time": _f(ASK, action=Reject(1)),
         "ping": _f([b"PING"]),
         "ping with a text": _f([b"ping", b"x"]),
         "client": _f([b"CLIENT", b"SETNAME", b"x"]),
@@ -493,7 +490,7 @@
         "no such plan": _f([*ASK[:3], b"c=look,t=x,d=1"]),
         "no key": _f([*DO[:3], b"c=book,t=rated,d=1"]),
         "bad deadline": _f([*ASK[:3], b"c=look,t=rated,d=0"]),
-        "open id": _f(ASK, ASK, action=Refuse(1)),
+        "open id": _f(ASK, ASK, action=Reject(1)),
         "unreadable": _f(raw=b"GET / HTTP/1.1\r\n\r\n"),
         "bad length": _f(raw=b"*1\r\n$x\r\n"),
         "too many parts": _f(raw=b"*99\r\n"),
@@ -552,9 +549,9 @@
     ),
     "served bytes": own.Answer(http1.Message("", "", 500, {}, b"\xff\0", True), WORKER, 1),
     **{
-        f"refused for {reason}": own.Answer(refused=True, retry_in_ms=1234.5, reason=reason)
+        f"refused for {reason}": own.Answer(refused=True, retry_after_ms=1234.5, reason=reason)
         for reason in (
-            *(each.value for each in Reason),
+            *(each.value for each in RejectionReason),
             "draining",
             "held-requests",
             "in-progress",
@@ -594,7 +591,7 @@
         plan="wide",
         deadline_ms=8000.0,
         units=1.0,
-        is_repeat=False,
+        is_retry=False,
     )
 
 
@@ -703,7 +700,7 @@
     """Allowed with the endpoint, refused for every reason, failed, unmapped."""
     verdict, answer = proxied.Verdict, proxied.Answer
     go = answer(verdict.GO, WORKER, 412.7, f"{LIFE}.17.0")
-    reasons = (*(each.value for each in Reason), "in-progress", "held-requests")
+    reasons = (*(each.value for each in RejectionReason), "in-progress", "held-requests")
     made = {
         "allowed": lambda: _check(go),
         "unmapped": lambda: _check(None, "/x"),
@@ -715,7 +712,7 @@
         },
         **{
             f"refused for {reason}": lambda reason=reason: _check(
-                answer(verdict.REFUSED, retry_in_ms=1234.5, reason=reason)
+                answer(verdict.REFUSED, retry_after_ms=1234.5, reason=reason)
             )
             for reason in reasons
         },
@@ -742,7 +739,7 @@
     def __init__(self) -> None:
         self.seen: list[Any] = []
 
-    def log(self, token: str, result: Result, *more: Any) -> bool:
+    def log(self, token: str, result: AttemptResult, *more: Any) -> bool:
         self.seen.append([token, result.value, *plain(more)])
         return True
 
@@ -916,19 +913,24 @@
 # ---- what is kept and shown ----------------------------------------------------------------------
 
 RECORDED = (
-    Fleet((Server(WORKER, "a", 1, State.READY), Server("10.0.0.2:8080", "b", 0, State.DRAINING, 1.0, 5.0))),
+    EndpointList(
+        (
+            Endpoint(WORKER, "a", 1, EndpointStatus.READY),
+            Endpoint("10.0.0.2:8080", "b", 0, EndpointStatus.DRAINING, 1.0, 5.0),
+        )
+    ),
     Arrival(1, "stall-7", "order", "wide", 1_004_000.0, 2.5, 1, 2, True, False),
     Arrival(2, "", "view", "wide", 1e6),
-    Send(1, WORKER, 400.0),
-    Outcome(1, 0, WORKER, 12.345, Result.FULL, False),
-    Refuse(1, 10.0, Reason.QUOTA),
-    Send(2, WORKER, 400.0),
-    Outcome(2, 0, WORKER, 3.0, Result.OK, True),
+    StartAttempt(1, WORKER, 400.0),
+    AttemptEnded(1, 0, WORKER, 12.345, AttemptResult.OVERLOADED, False),
+    Reject(1, 10.0, RejectionReason.QUOTA),
+    StartAttempt(2, WORKER, 400.0),
+    AttemptEnded(2, 0, WORKER, 3.0, AttemptResult.OK, True),
     Fail(3),
-    ClientGone(4),
-    *(Outcome(5, number, WORKER, 1.0, result, False) for number, result in enumerate(Result)),
-    *(Refuse(6, 0.0, reason) for reason in Reason),
-    Fleet((), failed=True),
+    ClientDisconnected(4),
+    *(AttemptEnded(5, number, WORKER, 1.0, result, False) for number, result in enumerate(AttemptResult)),
+    *(Reject(6, 0.0, reason) for reason in RejectionReason),
+    EndpointList((), failed=True),
 )
 
 
@@ -975,7 +977,7 @@
     life, peer = int(NOW_MS), datagrams.Seal(SECRET, 1, int(NOW_MS))
     made.peer_port.transport = SimpleNamespace(write=lambda data, address: None)
     made.members.start()
-    made.ledger.roster(Fleet((Server(WORKER, "a", 0, State.READY),)))
+    made.ledger.roster(EndpointList((Endpoint(WORKER, "a", 0, EndpointStatus.READY),)))
     for data in (membership_traffic()[1], keeping.pack(keeping.Ack(1, 1)), b"K", b"M", messages.encode(1, 1, [], [])):
         with mock.patch("time.time", return_value=NOW_MS / 1000):
             made.peer_port.datagramReceived(peer.write(0, data, NOW_MS), ("127.0.0.1", 7002))
