--- a/anisefront/core/ledger.py
+++ b/anisefront/core/ledger.py
@@ -28,7 +28,7 @@
     StartAttempt,
     Subscribe,
 )
-from anisefront.policy.control import Controller
+from anisefront.policy.controller import Controller
 from anisefront.policy.events import (
     Arrival,
     AttemptEnded,
--- a/anisefront/core/routing.py
+++ b/anisefront/core/routing.py
@@ -12,7 +12,7 @@
 from anisefront.core.paths import Unclear, normal
 from anisefront.core.patterns import Pattern, rank
 from anisefront.core.tables import Part, RouteTable
-from anisefront.policy.messages import tag_of
+from anisefront.policy.peer_codec import customer_tag
 
 # Danger: keys are what callers write. One that reads like a listed customer's name would spend that customer's quota,
 # so the names of the two kinds begin differently.
@@ -145,7 +145,7 @@
 
     Danger: the module chooses the home within the set by the tag's remainder. From the same remainder here, homes in a
     fleet of even size would all have even numbers, and half of the gatekeepers would keep all quotas."""
-    return (tag_of(customer, tag_key) >> 40) % gateways
+    return (customer_tag(customer, tag_key) >> 40) % gateways
 
 
 def _number(text: str, fallback: float) -> float | None:
--- a/anisefront/daemon/gatekeeper.py
+++ b/anisefront/daemon/gatekeeper.py
@@ -39,10 +39,11 @@
 from anisefront.fronts.grpcserver import GrpcFactory, ServerLimits
 from anisefront.fronts.health import Health, Serving
 from anisefront.fronts.jsonrpc import Desk, JsonRpcFactory
-from anisefront.policy.control import Controller
+from anisefront.policy.controller import Controller
+from anisefront.policy.customer_account import CustomerAccount
+from anisefront.policy.endpoint_state import EndpointState
 from anisefront.policy.events import EndpointList
 from anisefront.policy.settings import Plan, RequestClass, Settings
-from anisefront.policy.state import Account, Backend
 
 _SHARED = (
     Settings,
@@ -53,8 +54,8 @@
     proxied.Proxied,
     Own,
     Pool,
-    Account,
-    Backend,
+    CustomerAccount,
+    EndpointState,
     GrpcFactory,
     JsonRpcFactory,
     EndpointList,
@@ -169,16 +170,20 @@
         self.collector = Collector(reactor, lambda: self.ledger.open)
         controller, self._measured = self.ledger.controller, (0.0, {})
         self._purposes = (
-            memory.Purpose("accounts", lambda: controller.quota.accounts, lambda: self.config.settings.max_customers),
-            memory.Purpose("stores", lambda: controller.quota.stores, lambda: self.config.settings.max_customers),
+            memory.Purpose(
+                "accounts", lambda: controller.quota_borrower.accounts, lambda: self.config.settings.max_customers
+            ),
+            memory.Purpose(
+                "stores", lambda: controller.quota_owner.buckets, lambda: self.config.settings.max_customers
+            ),
             memory.Purpose("requests", lambda: self.ledger.entries, lambda: self.config.most_open),
-            memory.Purpose("attempts", lambda: controller.attempts),
+            memory.Purpose("attempts", lambda: controller.attempts.in_flight),
             memory.Purpose("exchanges", lambda: self.proxied.exchanges, lambda: self.config.most_open),
-            memory.Purpose("agenda", lambda: controller.agenda),
+            memory.Purpose("agenda", lambda: controller.timers.pending),
             memory.Purpose(
                 "peers", lambda: self.seal.peers if self.peer_port else {}, lambda: self.config.settings.gateways
             ),
-            memory.Purpose("workers", lambda: controller.servers.known),
+            memory.Purpose("workers", lambda: controller.endpoints.known),
             memory.Purpose(
                 "connections",
                 lambda: [*self.grpc.connections, *self.jsonrpc.connections],
@@ -361,7 +366,7 @@
 
     def state(self) -> dict[str, Any]:
         """What this gatekeeper is and does, in plain values."""
-        ledger, window = self.ledger, self.ledger.controller.window
+        ledger, window = self.ledger, self.ledger.controller.concurrency_limit
         return {
             "gatekeeper": self.config.settings.number,
             "of": self.config.settings.gateways,
@@ -369,8 +374,8 @@
             "state": "draining" if self.gate.closing else "serving",
             "up_ms": round(self.clock() - self.started_ms),
             "open": ledger.open,
-            "held": len(ledger.controller.held),
-            "attempts_out": window.out,
+            "held": len(ledger.controller.admission.queue),
+            "attempts_out": window.in_flight,
             "window": round(window.limit, 2),
             "loop_late_ms": round(ledger.turns_late_ms, 1),
             "loop": self.pulse.lag.report(),
--- a/anisefront/lab/model/study.py
+++ b/anisefront/lab/model/study.py
@@ -279,8 +279,8 @@
 
     def _pool(self, module: str) -> Any:
         if module not in self._pools:
-            if module and not (Path(module) / "control.py").exists():
-                raise Unfit(f"{module}: no control.py there; name a folder with a version's decision files")
+            if module and not (Path(module) / "controller.py").exists():
+                raise Unfit(f"{module}: no controller.py there; name a folder with a version's decision files")
             context = multiprocessing.get_context("spawn" if module or "twisted" in sys.modules else "fork")
             self._pools[module] = context.Pool(self._processes, _begin, (module,))
         return self._pools[module]
--- a/anisefront/lab/model/world.py
+++ b/anisefront/lab/model/world.py
@@ -20,7 +20,7 @@
 from anisefront.lab.model.troubles import Troubles
 from anisefront.lab.script import Trouble
 from anisefront.policy.actions import CancelAttempt, Fail, Reject, SendToPeer, SetTimer, StartAttempt
-from anisefront.policy.control import Controller
+from anisefront.policy.controller import Controller
 from anisefront.policy.events import Arrival, AttemptEnded, AttemptResult, EndpointList, Event, PeerMessage, TimerFired
 from anisefront.policy.settings import Idempotency, Settings
 
--- a/anisefront/lab/sabotage.py
+++ b/anisefront/lab/sabotage.py
@@ -14,9 +14,11 @@
 
 from anisefront.core.ledger import Ledger
 from anisefront.fleet import roster
-from anisefront.policy import control
 from anisefront.policy.actions import Fail, Reject
+from anisefront.policy.concurrency_limit import ConcurrencyLimit
+from anisefront.policy.endpoint_selection import EndpointSelection
 from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
+from anisefront.policy.retries import UNCONSTRAINED, RetryPolicy
 from anisefront.policy.settings import Idempotency, Plan, RequestClass
 
 
@@ -49,7 +51,7 @@
 
 def _repeats_anywhere() -> None:
     """Rule 2: every class is taken for safe to repeat, and may be refused whatever ran."""
-    control.Controller.allowed = lambda self, request: None
+    RetryPolicy.constraint = lambda self, now_ms, request: UNCONSTRAINED
     made = RequestClass.__post_init__
 
     def post_init(self: RequestClass) -> None:
@@ -77,14 +79,15 @@
 def _cold_as_warm() -> None:
     """Rule 4: a cold worker counts as the best there is, and the cap on attempts out does not close for it."""
 
-    def choose(self: control.Servers, now: float, request: object, group: object, own: float) -> object:
-        for backend in self.cold:
-            if group is None or backend in group:
-                return backend
-        return kept(self, now, request, group, own)
+    def choose(self: EndpointSelection, now_ms: float, request: object, eligible: object, load: float) -> object:
+        for state in self._endpoints.warming_up:
+            if eligible is None or state in eligible:
+                return state
+        return original(self, now_ms, request, eligible, load)
 
-    kept, control.Servers.choose = control.Servers.choose, choose
-    control.Window.free = lambda self: 200.0 - self.out
+    original = EndpointSelection.choose
+    EndpointSelection.choose = choose
+    ConcurrencyLimit.headroom = lambda self: 200.0 - self.in_flight
 
 
 def _ceilings_open() -> None:
--- a/anisefront/policy/events.py
+++ b/anisefront/policy/events.py
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left; no answer is owed any more."""
+    """The client left; it needs no answer any more."""
 
     id: int
 
--- a/anisefront/policy/settings.py
+++ b/anisefront/policy/settings.py
@@ -50,6 +50,7 @@
     latency_objective_stretch: float = 0.0
 
     def __post_init__(self) -> None:
+        """Check the values."""
         check_minimum(
             0,
             latency_objective_ms=self.latency_objective_ms,
@@ -78,6 +79,7 @@
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
+        """Check the values."""
         check_minimum(
             0,
             rate_per_s=self.rate_per_s,
@@ -125,6 +127,7 @@
     tag_key: bytes = field(default=b"", repr=False)  # the cluster's own, for customers' tags
 
     def __post_init__(self) -> None:
+        """Check the values."""
         if not self.classes:
             raise ValueError("classes: there are none")
         if not self.plans:
--- a/anisefront/simhost.py
+++ b/anisefront/simhost.py
@@ -22,7 +22,7 @@
     StartAttempt,
     Subscribe,
 )
-from anisefront.policy.control import Controller
+from anisefront.policy.controller import Controller
 from anisefront.policy.events import (
     Arrival,
     AttemptEnded,
@@ -38,7 +38,7 @@
     ResponseStarted,
     TimerFired,
 )
-from anisefront.policy.settings_document import settings_of
+from anisefront.policy.settings_document import read_settings
 
 _STATES = {"Running": EndpointStatus.READY, "Stopping": EndpointStatus.DRAINING, "Deleted": EndpointStatus.REMOVED}
 _REPEATED_BIT = 2
@@ -308,7 +308,7 @@
 
     def _start(self, number: int, salt: int, info: str) -> None:
         try:
-            self._instances[number] = Controller(settings_of(_object(info)), salt)
+            self._instances[number] = Controller(read_settings(_object(info)), salt)
         except ValueError as problem:
             raise WireError(f"CONFIGURE: field {problem}") from problem
 
--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -303,8 +303,9 @@
 def of_module(stores: int) -> float:
     """Milliseconds for which the module stops the loop where its own settings change (plans, quotas, classes), with so
     many customers that it is the home of."""
-    from anisefront.policy.control import Controller
-    from anisefront.policy.messages import Item, Kind
+    from anisefront.policy.controller import Controller
+    from anisefront.policy.peer_codec import QuotaMessage, QuotaMessageKind
+    from anisefront.policy.quota_request_queue import QuotaRequestKey
 
     def settings(rate: float) -> Settings:
         return Settings(
@@ -327,7 +328,11 @@
         module = Controller(settings(60), turn)
         module.handle(1000.0, [])
         for tag in range(stores):
-            module.quota.at_home(1000.0, (1, 1, tag + 1), Item(Kind.SPENT, tag, tag + 1, 1.0, 0.0, 0, 0))
+            module.quota_owner.receive(
+                1000.0,
+                QuotaRequestKey(1, 1, tag + 1),
+                QuotaMessage(QuotaMessageKind.DEBIT, tag, tag + 1, 1.0, 0.0, 0, 0),
+            )
         began = time.perf_counter()
         module.handle(1100.0, [settings(61)])
         out.append((time.perf_counter() - began) * 1000)
--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -15,7 +15,7 @@
 
 def run(held):
     """Seconds of intake, its worst turn, mean and worst turn of one arrival, all in ms but the first."""
-    from anisefront.policy.control import Controller
+    from anisefront.policy.controller import Controller
 
     settings = Settings(
         gateways=1,
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -144,7 +144,7 @@
 
 def module(gateways, requests=20_000):
     """Microseconds a request (arrival, send, outcome) that the module alone takes, told of so many gateways."""
-    from anisefront.policy.control import Controller
+    from anisefront.policy.controller import Controller
 
     settings = Settings(
         gateways=gateways,
--- a/benchmarks/scale/apart.py
+++ b/benchmarks/scale/apart.py
@@ -10,7 +10,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from anisefront.policy.control import DEMAND_MEMORY_MS, OWN_PART, RESERVE, Controller
+from anisefront.policy.controller import Controller
+from anisefront.policy.customer_account import LOCAL_BURST_FRACTION
+from anisefront.policy.quota_parameters import DEMAND_TIME_CONSTANT_MS, RESERVE_FRACTION
 from benchmarks.scale.plan import REGIONS
 from benchmarks.scale.roles import out_after_s
 from anisefront.policy.actions import SendToPeer, SetTimer, StartAttempt
@@ -30,7 +32,9 @@
 
 SEED = 37
 KNOWN_S = out_after_s()
-STALE_S = 2 * DEMAND_MEMORY_MS / 1000  # so long a gatekeeper goes by the part of a customer's use that it heard last
+STALE_S = (
+    2 * DEMAND_TIME_CONSTANT_MS / 1000
+)  # so long a gatekeeper goes by the part of a customer's use that it heard last
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,26 +50,28 @@
 
 
 def beyond(spread: int, rate_per_s: float, burst: float, units: float = 1.0, regions: int = REGIONS) -> Beyond:
-    """The most, by what `policy/control.py` does.
+    """The most, by what `policy/quota_borrower.py` and `policy/quota_owner.py` do.
 
     The home goes on lending the whole quota to its own region. Every other gatekeeper of the set fills a bucket at its
-    part of the quota (`Quota.account`): the part that it heard last for `STALE_S`, one in `spread` from then on. It
-    holds a tenth of its part of the burst (`OWN_PART`), and sends one request on credit where the home is silent
-    (`Quota.unanswered`), the next when that is filled up again. Once the home is known to be gone one of each region
-    stands in (`Quota.home`), with a full store, and lends as much of it as its region is of the fleet, or one request
-    for each part `RESERVE` of a burst, if that is more. At worst the home stands alone in its region, and all
-    traffic of the customer moves to those away from it in the moment of the cut: then each of them may take itself for
-    the whole set for `STALE_S`."""
+    part of the quota (`QuotaBorrower.account_for`): the part that it heard last for `STALE_S`, one in `spread` from
+    then on. It holds a tenth of its part of the burst (`LOCAL_BURST_FRACTION`), and sends one request on credit where
+    the home is silent (`QuotaBorrower.reply_overdue`), the next when that is filled up again. Once the home is known
+    to be gone one of each region stands in (`QuotaBorrower.lender_of`), with a full store, and lends as much of it as
+    its region is of the fleet, or one request for each part `RESERVE_FRACTION` of a burst, if that is more. At worst
+    the home stands alone in its region, and all traffic of the customer moves to those away from it in the moment of
+    the cut: then each of them may take itself for the whole set for `STALE_S`."""
     calm, away = steady(spread, rate_per_s, burst, units, regions), spread - math.ceil(spread / regions)
-    return Beyond(calm.at_once + away * (OWN_PART * burst * (1 - 1 / spread) + STALE_S * rate_per_s), calm.each_s)
+    return Beyond(
+        calm.at_once + away * (LOCAL_BURST_FRACTION * burst * (1 - 1 / spread) + STALE_S * rate_per_s), calm.each_s
+    )
 
 
 def steady(spread: int, rate_per_s: float, burst: float, units: float = 1.0, regions: int = REGIONS) -> Beyond:
     """The same where the customer's traffic stays where it was: parts add up to the whole."""
     home_in = math.ceil(spread / regions)  # members of the home's region; the others stand evenly in the rest
     away, islands = spread - home_in, min(regions, spread) - 1
-    lent = islands * max(away / spread / islands, units / max(units, RESERVE * burst)) if islands else 0.0
-    return Beyond(away * (OWN_PART * burst / spread + units) + burst * lent, rate_per_s * lent)
+    lent = islands * max(away / spread / islands, units / max(units, RESERVE_FRACTION * burst)) if islands else 0.0
+    return Beyond(away * (LOCAL_BURST_FRACTION * burst / spread + units) + burst * lent, rate_per_s * lent)
 
 
 class _Fleet:
@@ -212,7 +218,7 @@
     is known to be gone and after that."""
     fleet = _Fleet(spread, rate_per_s, burst, customers, 0.5, 10.0, gone=0)
     fleet.run(10.0)
-    homes = {name: account.home for each in fleet.each for name, account in each.quota.accounts.items()}
+    homes = {name: account.owner for each in fleet.each for name, account in each.quota_borrower.accounts.items()}
     lost = {name for name, home in homes.items() if home == 0}
 
     def served(names: set[str]) -> float:
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -34,7 +34,7 @@
 from anisefront.fleet import membership, roster
 from anisefront.fleet.datagrams import Seal
 from anisefront.fleet.members import MOST_ROWS, Row, Status, pack
-from anisefront.policy.control import Controller
+from anisefront.policy.controller import Controller
 from benchmarks.scale import child, counting
 from benchmarks.scale.files import SPREAD, Sizes, customers_of, zone
 from benchmarks.scale.tap import crosses
--- a/benchmarks/scale/services.py
+++ b/benchmarks/scale/services.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from anisefront.fleet import roster
-from anisefront.policy.control import Controller
+from anisefront.policy.controller import Controller
 from benchmarks.scale import child
 from benchmarks.scale.files import Files, Sizes
 from benchmarks.scale.fleet import quantile, rss_mb
--- a/benchmarks/scale/subsets.py
+++ b/benchmarks/scale/subsets.py
@@ -12,7 +12,8 @@
 from dataclasses import asdict, dataclass
 from functools import partial
 
-from anisefront.policy.control import LATEST, LATEST_MS, REPORT_MEMORY_MS
+from anisefront.policy.endpoint_selection import REPORT_TIME_CONSTANT_MS
+from anisefront.policy.load_reports import MAX_LATEST, LATEST_MS
 from benchmarks.scale.plan import PLAN, ZONES
 
 SEED = 37
@@ -166,7 +167,7 @@
         if knowledge == "true":
             return loads[worker]
         at, others = told[number].get(worker, (-math.inf, 0.0))
-        fresh = math.exp(max(-50.0, (at - now) * 1000 / REPORT_MEMORY_MS))
+        fresh = math.exp(max(-50.0, (at - now) * 1000 / REPORT_TIME_CONSTANT_MS))
         return out[number].get(worker, 0) + usual + (others - usual) * fresh + rng.random() * 0.1
 
     usual = 0.0
@@ -186,7 +187,7 @@
             drawn = rng.sample(subset, 2)
             if knowledge == "reports":
                 late = [(at, each) for each, (at, _) in told[number].items() if (now - at) * 1000 <= LATEST_MS]
-                drawn += [each for _, each in sorted(late, reverse=True)[:LATEST]]
+                drawn += [each for _, each in sorted(late, reverse=True)[:MAX_LATEST]]
             worker = min(drawn, key=partial(cost, number))
         loads[worker] += 1
         got[worker] += 1
--- a/benchmarks/scale/warming.py
+++ b/benchmarks/scale/warming.py
@@ -8,7 +8,8 @@
 import time
 import tracemalloc
 
-from anisefront.policy.control import PERIOD_MS, Controller
+from anisefront.policy.control_period import PERIOD_MS
+from anisefront.policy.controller import Controller
 from benchmarks.scale.plan import PLAN, WARM_UP_S, ZONES
 from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus, TimerFired
 from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
--- a/tests/test_capacity_figures.py
+++ b/tests/test_capacity_figures.py
@@ -8,14 +8,16 @@
 from hypothesis import strategies as st
 
 from anisefront.config.model import MESSAGES_PER_S
-from anisefront.policy import messages
-from anisefront.policy.control import RESERVE, Controller, Quota
-from benchmarks.scale import apart, axes, carrying, estimates, fit, subsets, warming
-from benchmarks.scale.plan import PLAN, ZONES
-from benchmarks.scale.results import Axis, Fit, Results
 from anisefront.policy.actions import SendToPeer
+from anisefront.policy.controller import Controller
 from anisefront.policy.events import Arrival, EndpointList, PeerMessage, TimerFired
+from anisefront.policy.peer_codec import encode
+from anisefront.policy.quota_borrower import QuotaBorrower
+from anisefront.policy.quota_parameters import RESERVE_FRACTION
 from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
+from benchmarks.scale import apart, axes, carrying, estimates, fit, subsets, warming
+from benchmarks.scale.plan import PLAN, ZONES
+from benchmarks.scale.results import Axis, Fit, Results
 
 NAMES = list(estimates.AXES)
 GATEKEEPERS, WORKERS = 200, 24
@@ -185,13 +187,14 @@
 
 def test_bound_is_passed_where_credit_is_not_held_back(monkeypatch):
     """The bound is one: with a request on credit at each ask it does not hold."""
-    real = Quota.unanswered
+    real = QuotaBorrower.reply_overdue
 
     def freely(self, now, request):
-        request.account.own = max(request.account.own, 0.0)
+        account = request.claim.account
+        account.local_bucket = max(account.local_bucket, 0.0)
         return real(self, now, request)
 
-    monkeypatch.setattr(Quota, "unanswered", freely)
+    monkeypatch.setattr(QuotaBorrower, "reply_overdue", freely)
     found = apart.played(customers=12, whole_s=6.0, cut_s=20.0)
     assert found["beyond"] > found["bound"]
 
@@ -201,7 +204,7 @@
     calm, worst = apart.steady(spread, rate, burst), apart.beyond(spread, rate, burst)
     assert calm.in_all(60) <= worst.in_all(60) + 1e-9
     assert apart.steady(spread + 3, rate, burst).at_once >= calm.at_once
-    dear = RESERVE * burst  # requests that a unit counts for at most: of small bursts each side lends more
+    dear = RESERVE_FRACTION * burst  # requests that a unit counts for at most: of small bursts each side lends more
     assert calm.each_s < rate if dear >= 3 else calm.each_s <= 2 * rate / max(1.0, dear)
     assert apart.steady(1, rate, burst).in_all(60) == 0
 
@@ -239,7 +242,7 @@
         ),
         1,
     )
-    now, gap_ms, nothing = 1000.0, 1000 / heard_per_s, messages.encode(1, 1.0, [], [])
+    now, gap_ms, nothing = 1000.0, 1000 / heard_per_s, encode(1, 1.0, [], [])
     one.handle(now, [EndpointList(())])
     for number in range(round(4 * heard_per_s)):
         now += gap_ms
@@ -296,4 +299,4 @@
     assert [row["workers"] for row in rows] == [50, 100]
     assert rows[0]["bytes"] < rows[1]["bytes"]
     one = warming.made(50)
-    assert len(one.servers.warm) == 50 and not one.servers.cold
+    assert len(one.endpoints.ready) == 50 and not one.endpoints.warming_up
--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -28,6 +28,12 @@
     "test_decision_digests.py",
     "decision_schedule.py",
     "record_decisions.py",
+    "test_policy_concurrency_limit.py",
+    "test_policy_decay.py",
+    "test_policy_endpoints.py",
+    "test_policy_quotas.py",
+    "test_policy_retries.py",
+    "test_policy_timers.py",
 }
 FUNCTIONS_BEFORE, ASSERTS_BEFORE = 618, 1404  # of all files under tests at d16e519
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -9,7 +9,7 @@
 from anisefront.carriers.outcomes import FLAGS, of_answer, of_flags
 from anisefront.carriers.proxied import Proxied, Verdict
 from anisefront.core.ledger import Ledger
-from anisefront.policy.control import Controller
+from anisefront.policy.controller import Controller
 from anisefront.policy.actions import Reject, StartAttempt
 from anisefront.policy.events import AttemptEnded
 from anisefront.policy.events import AttemptResult, Endpoint, EndpointList, EndpointStatus
@@ -83,7 +83,7 @@
             and not self.ledger.open
             and not self.proxied.exchanges
             and not self.ledger.controller.requests
-            and not self.ledger.controller.window.out
+            and not self.ledger.controller.concurrency_limit.in_flight
         )
 
 
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -5,9 +5,9 @@
 import pytest
 from test_rules import settings
 
-from anisefront.policy import messages
-from anisefront.policy.control import CENTRES, Controller, FuzzyShare, Window
 from anisefront.policy.actions import CancelAttempt, Fail, Reject, RejectionReason, SendToPeer, StartAttempt, Subscribe
+from anisefront.policy.concurrency_limit import ConcurrencyLimit
+from anisefront.policy.controller import Controller
 from anisefront.policy.events import (
     Arrival,
     AttemptEnded,
@@ -20,6 +20,19 @@
     ResponseStarted,
     TimerFired,
 )
+from anisefront.policy.fuzzy_controller import SET_CENTRES, FuzzyController, infer_output
+from anisefront.policy.peer_codec import (
+    MAX_BYTES,
+    MAX_QUOTA_MESSAGES,
+    EndpointObservation,
+    QuotaMessage,
+    QuotaMessageKind,
+    customer_tag,
+    decode,
+    encode,
+    latency_ratio_of,
+    observation_of,
+)
 from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass
 
 FLEET = EndpointList(tuple(Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointStatus.READY) for n in range(6)))
@@ -47,7 +60,7 @@
     sends = of(StartAttempt, c.handle(1000, [FLEET, ask(1)]))
     assert [send.id for send in sends] == [1]
     assert not of(Fail, c.handle(1050, [outcome(sends[0], AttemptResult.OK)]))
-    assert not c.requests and not c.window.out
+    assert not c.requests and not c.concurrency_limit.in_flight
 
 
 def test_error_is_tried_again_elsewhere_if_safe_and_failed_if_unsafe():
@@ -97,7 +110,7 @@
     c.handle(
         1007, [outcome(send, AttemptResult.OK), outcome(send, AttemptResult.OK), outcome(send, AttemptResult.ERROR, 3)]
     )
-    assert c.window.out == 0 and not c.requests
+    assert c.concurrency_limit.in_flight == 0 and not c.requests
 
 
 def test_held_without_servers_is_refused_before_its_time_is_up():
@@ -122,42 +135,42 @@
 
 
 def item(kind, customer="f", serial=1, units=1.0, asked=0.0, class_index=0, plan_index=0):
-    return messages.Item(kind, messages.tag_of(customer), serial, units, asked, class_index, plan_index)
+    return QuotaMessage(kind, customer_tag(customer), serial, units, asked, class_index, plan_index)
 
 
 def home_of(customer, first=0, spread=3):
-    return first + messages.tag_of(customer) % spread
+    return first + customer_tag(customer) % spread
 
 
 def test_peer_bytes_that_cannot_be_read_change_nothing():
     c = gateway()
     c.handle(1000, [FLEET])
-    good = messages.encode(5, 1.0, [item(messages.Kind.SPENT, units=4)], [])
+    good = encode(5, 1.0, [item(QuotaMessageKind.DEBIT, units=4)], [])
     odd = [
-        messages.encode(5, 1.0, [item(messages.Kind.SPENT, class_index=15)], []),
-        messages.encode(5, 1.0, [item(messages.Kind.ASK, plan_index=15)], []),
-        messages.encode(5, 1.0, [item(messages.Kind.GRANT), item(messages.Kind.WAIT)], []),
-        messages.encode(5, 1.0, [], [messages.Sighting(77, 15, 15)]),
+        encode(5, 1.0, [item(QuotaMessageKind.DEBIT, class_index=15)], []),
+        encode(5, 1.0, [item(QuotaMessageKind.REQUEST, plan_index=15)], []),
+        encode(5, 1.0, [item(QuotaMessageKind.GRANT), item(QuotaMessageKind.QUEUED)], []),
+        encode(5, 1.0, [], [EndpointObservation(77, 15, 15)]),
     ]
     bad_kind = bytearray(good)
     bad_kind[6] = 99
     for data in (b"", b"\x00", good[:-1], b"\xff" + good[1:], bytes(300), bytes(bad_kind), *odd):
         assert not of(StartAttempt, c.handle(1001, [PeerMessage(1, data)]))
     c.handle(1001, [PeerMessage(9, good), PeerMessage(0, good)])
-    assert not c.quota.stores and not c.requests
+    assert not c.quota_owner.buckets and not c.requests
     c.handle(1001, [PeerMessage(1, good), PeerMessage(1, good)])  # repeated: counted once
-    assert c.quota.stores[messages.tag_of("f")].level == pytest.approx(12 - 4, abs=0.1)
+    assert c.quota_owner.buckets[customer_tag("f")].level == pytest.approx(12 - 4, abs=0.1)
 
 
 def test_messages_survive_a_round_trip_and_stay_small():
-    items = [item(messages.Kind(1 + n % 6), f"c{n}", n, n / 16, 2.25, n % 16, 3) for n in range(100)]
+    items = [item(QuotaMessageKind(1 + n % 6), f"c{n}", n, n / 16, 2.25, n % 16, 3) for n in range(100)]
     ratios = (0.01, 1.0, 2.0, float("inf"))
-    sightings = [messages.sighting(f"s{n}", n, ratio) for n, ratio in enumerate(ratios)]
-    data = messages.encode(70000, 1.5, items, sightings)
-    news = messages.decode(data)
-    assert len(data) <= messages.MAX_BYTES and news.boot == 70000 & 0xFFFF and news.room == 1.5
-    assert news.items == tuple(items[: messages.MAX_ITEMS]) and news.sightings == tuple(sightings)
-    assert [messages.ratio_of(seen) for seen in news.sightings] == [0.25, 1.0, 2.0, float("inf")]
+    sightings = [observation_of(f"s{n}", n, ratio) for n, ratio in enumerate(ratios)]
+    data = encode(70000, 1.5, items, sightings)
+    news = decode(data)
+    assert len(data) <= MAX_BYTES and news.boot == 70000 & 0xFFFF and news.sustainable_attempts == 1.5
+    assert news.quota_messages == tuple(items[:MAX_QUOTA_MESSAGES]) and news.observations == tuple(sightings)
+    assert [latency_ratio_of(seen) for seen in news.observations] == [0.25, 1.0, 2.0, float("inf")]
 
 
 @pytest.mark.parametrize(
@@ -186,21 +199,21 @@
 
 
 def test_fuzzy_surface_is_the_diagonal_table():
-    assert FuzzyShare.infer(0, 0) == pytest.approx(0, abs=1e-9)
-    for error in CENTRES:
-        for change in CENTRES:
-            value = FuzzyShare.infer(error, change)
-            assert value == pytest.approx(-FuzzyShare.infer(-error, -change))
+    assert infer_output(0, 0) == pytest.approx(0, abs=1e-9)
+    for error in SET_CENTRES:
+        for change in SET_CENTRES:
+            value = infer_output(error, change)
+            assert value == pytest.approx(-infer_output(-error, -change))
             assert (value > 0.1) == (error + change > 0) and (value < -0.1) == (error + change < 0)
 
 
 def test_a_late_class_gains_share_and_an_early_one_keeps_it():
-    share = FuzzyShare(500, 0.3)
+    share = FuzzyController(500, 0.3)
     for _ in range(10):
-        share.step(100)
+        share.end_period(100)
     assert share.share == 0.3
     for _ in range(10):
-        share.step(3000)
+        share.end_period(3000)
     assert share.share > 0.3
 
 
@@ -208,29 +221,31 @@
     """Refused on arrival, nothing is answered, so nothing would ever bring the learned time down."""
     c = gateway()
     c.handle(1000, [FLEET])
-    c.usual["look"] = 5000.0
+    c.response_times.by_class["look"] = 5000.0
     assert of(StartAttempt, c.handle(1001, [ask(1)]))
 
 
 def test_window_is_shared_out_over_gateways():
-    few, many = Window(1), Window(10)
+    few, many = ConcurrencyLimit(1), ConcurrencyLimit(10)
     for window in (few, many):
-        window.step(0, 20)
+        window.end_period(0, 20)
     assert few.limit > 5 * many.limit
-    few.answered_ms = many.answered_ms = 1000
-    few.step(100, 20), many.step(100, 20)
+    for window in (few, many):
+        window.record_success(1000)
+        window.end_period(100, 20)
     assert few.limit > 5 * many.limit
 
 
 def test_a_cap_of_less_than_one_leaves_room_for_chance_but_not_for_a_steady_excess():
     """At one request a second a count scatters: held to its mean, much would wait for nothing."""
-    window = Window(400)
-    window.step(0, 40)
-    assert window.limit < 2 <= window.free()
-    window.count(0, 3)
+    window = ConcurrencyLimit(400)
+    window.end_period(0, 40)
+    assert window.limit < 2 <= window.headroom()
+    for _ in range(3):
+        window.record_attempt_started(0)
     for now in range(100, 3000, 100):
-        window.step(now, 40)
-    assert window.free() < 0
+        window.end_period(now, 40)
+    assert window.headroom() < 0
 
 
 def test_below_the_cap_nothing_is_held_and_at_it_the_worthiest_leave_first():
@@ -238,8 +253,8 @@
     c.handle(1000, [FLEET])
     calm = [ask(n, customer=f"c{n}") for n in range(1, 200)]
     first = of(StartAttempt, c.handle(1001, calm))
-    assert c.window.limit <= len(first) <= c.window.limit + 2
-    assert len(c.held) == 199 - len(first)
+    assert c.concurrency_limit.limit <= len(first) <= c.concurrency_limit.limit + 2
+    assert len(c.admission.queue) == 199 - len(first)
     c.handle(1002, [ask(500, "feed", customer="a"), ask(501, "book", customer="b")])
     sent = of(StartAttempt, c.handle(1010, [outcome(send, AttemptResult.OK) for send in first[:3]]))
     assert sent[0].id == 501
@@ -249,38 +264,38 @@
     number = home_of("o")
     c = gateway(number=number)
     peer = (number + 1) % 3
-    asks = [item(messages.Kind.ASK, "o", n, plan_index=2) for n in (1, 2, 3)]
-    c.handle(1000, [FLEET, PeerMessage(peer, messages.encode(1, 1.0, asks, []))])
+    asks = [item(QuotaMessageKind.REQUEST, "o", n, plan_index=2) for n in (1, 2, 3)]
+    c.handle(1000, [FLEET, PeerMessage(peer, encode(1, 1.0, asks, []))])
     assert len(of(StartAttempt, c.handle(1001, [ask(n, plan="open", customer="o") for n in range(1, 9)]))) == 1
-    free = messages.encode(1, 1.0, [item(messages.Kind.BACK, "o", 2, plan_index=2)], [])
+    free = encode(1, 1.0, [item(QuotaMessageKind.REFUND, "o", 2, plan_index=2)], [])
     assert len(of(StartAttempt, c.handle(1002, [PeerMessage(peer, free)]))) == 1
 
 
 def test_home_lends_to_all_gateways_together_no_more_than_the_quota():
     """Hundreds of gateways with a slice each would pass many quotas; repeats change nothing."""
-    c, tag = gateway(gateways=300, number=7), messages.tag_of("f")
+    c, tag = gateway(gateways=300, number=7), customer_tag("f")
     c.handle(1000, [FLEET])
     granted = set()
     for n in range(300):
-        data = messages.encode(1, 1.0, [item(messages.Kind.ASK, serial=9)], [])
+        data = encode(1, 1.0, [item(QuotaMessageKind.REQUEST, serial=9)], [])
         if n != 7:
             for tell in of(SendToPeer, c.handle(1001 + n / 100, [PeerMessage(n, data), PeerMessage(n, data)])):
-                news = messages.decode(tell.data)
-                granted |= {tell.receiver for told in news.items if told.kind is messages.Kind.GRANT}
+                news = decode(tell.data)
+                granted |= {tell.receiver for told in news.quota_messages if told.kind is QuotaMessageKind.GRANT}
     # The class is worth half the worthiest: it leaves a quarter of the burst in store for that one.
-    assert 8 <= len(granted) <= 10 and 3 <= c.quota.stores[tag].level < 4.1
+    assert 8 <= len(granted) <= 10 and 3 <= c.quota_owner.buckets[tag].level < 4.1
 
 
 def test_a_clients_repeat_leaves_a_reserve_to_first_tries():
     """Repeats come when most of their aim has gone by; lent to them, the quota is spent on late answers."""
     granted = {}
-    for kind, worthiest in ((messages.Kind.AGAIN, 0), (messages.Kind.ASK, 1)):
+    for kind, worthiest in ((QuotaMessageKind.RETRY, 0), (QuotaMessageKind.REQUEST, 1)):
         c = gateway(gateways=300, number=7)
         c.handle(1000, [FLEET])
         asks = [item(kind, serial=n, class_index=worthiest) for n in range(1, 16)]
-        c.handle(1001, [PeerMessage(1, messages.encode(1, 1.0, asks, []))])
-        granted[kind] = len(c.quota.stores[messages.tag_of("f")].done)
-    assert granted[messages.Kind.AGAIN] <= 7 and granted[messages.Kind.ASK] >= 11
+        c.handle(1001, [PeerMessage(1, encode(1, 1.0, asks, []))])
+        granted[kind] = len(c.quota_owner.buckets[customer_tag("f")].debits)
+    assert granted[QuotaMessageKind.RETRY] <= 7 and granted[QuotaMessageKind.REQUEST] >= 11
 
 
 def test_a_silent_home_is_asked_again_and_then_one_request_goes_on_credit():
@@ -291,8 +306,8 @@
     for now in range(1000, 1500, 4):
         actions = c.handle(now, [*events, TimerFired("agenda")])
         events, told, sent = [], told + of(SendToPeer, actions), sent + of(StartAttempt, actions)
-    kinds = [told.kind for tell in told for told in messages.decode(tell.data).items]
-    assert len(sent) == 1 and kinds.count(messages.Kind.ASK) >= 6 and kinds.count(messages.Kind.SPENT) == 1
+    kinds = [told.kind for tell in told for told in decode(tell.data).quota_messages]
+    assert len(sent) == 1 and kinds.count(QuotaMessageKind.REQUEST) >= 6 and kinds.count(QuotaMessageKind.DEBIT) == 1
 
 
 def sent_of(c, arrivals, until=1500):
@@ -329,21 +344,21 @@
     c, told, sent = gateway(number=number, gateways=9), [], []
     events = [FLEET, ask(1, units=4, due=9000.0)]
     for now in range(1000, 2000, 4):
-        heard = [PeerMessage(other, messages.encode(1, 1.0, [], [])) for other in others if now % 100 == 0]
+        heard = [PeerMessage(other, encode(1, 1.0, [], [])) for other in others if now % 100 == 0]
         actions = c.handle(now, [*events, *heard, TimerFired("agenda")])
         events, told, sent = [], told + of(SendToPeer, actions), sent + of(StartAttempt, actions)
-    kinds = [told.kind for tell in told for told in messages.decode(tell.data).items]
-    assert not sent and kinds.count(messages.Kind.ASK) >= 3 and messages.Kind.SPENT not in kinds
+    kinds = [told.kind for tell in told for told in decode(tell.data).quota_messages]
+    assert not sent and kinds.count(QuotaMessageKind.REQUEST) >= 3 and QuotaMessageKind.DEBIT not in kinds
 
 
 def test_what_was_granted_and_not_used_goes_back():
     c = gateway(number=(home_of("f") + 1) % 3)
     tells = of(SendToPeer, c.handle(1000, [EndpointList(()), ask(1, units=4)]))
-    (asked,) = [told for tell in tells for told in messages.decode(tell.data).items]
-    data = messages.encode(1, 1.0, [asked._replace(kind=messages.Kind.GRANT)], [])
+    (asked,) = [told for tell in tells for told in decode(tell.data).quota_messages]
+    data = encode(1, 1.0, [asked._replace(kind=QuotaMessageKind.GRANT)], [])
     c.handle(1010, [PeerMessage(home_of("f"), data)])
     tells = of(SendToPeer, c.handle(1200, [ClientDisconnected(1), TimerFired("agenda")]))
-    assert [told.kind for tell in tells for told in messages.decode(tell.data).items] == [messages.Kind.BACK]
+    assert [told.kind for tell in tells for told in decode(tell.data).quota_messages] == [QuotaMessageKind.REFUND]
 
 
 def test_cold_server_is_bounded_over_hundreds_of_gateways_even_after_a_stall():
@@ -393,12 +408,12 @@
 def test_a_customer_that_repeats_without_end_leaves_room_in_its_homes_inbox():
     c = gateway(number=(home_of("f") + 1) % 3, inbox_per_s=20)
     c.handle(1000, [FLEET, ask(1)])
-    wait = messages.encode(1, 1.0, [item(messages.Kind.WAIT, asked=400.0)], [])
+    wait = encode(1, 1.0, [item(QuotaMessageKind.QUEUED, asked=400.0)], [])
     c.handle(1010, [PeerMessage(home_of("f"), wait)])
     asked = 0
     for n in range(400):
         for tell in of(SendToPeer, c.handle(1012 + n, [ask(n + 2)])):
-            asked += sum(told.kind is messages.Kind.ASK for told in messages.decode(tell.data).items)
+            asked += sum(told.kind is QuotaMessageKind.REQUEST for told in decode(tell.data).quota_messages)
     assert 0 < asked < 100
 
 
@@ -436,12 +451,12 @@
                 send = sends.pop()
                 sent.append(send.endpoint)
                 bad = send.endpoint == "s2"
-                attempt = c.requests[send.id].attempts - 1
+                attempt = c.requests[send.id].attempts_started - 1
                 sends += of(
                     StartAttempt, c.handle(now + 2, [outcome(send, result if bad else AttemptResult.OK, attempt)])
                 )
         assert sent.count("s2") < len(sent) / 15
-        assert c.window.cut == 1.0
+        assert c.concurrency_limit.backoff == 1.0
 
 
 def test_an_old_report_of_an_idle_server_draws_no_herd():
@@ -456,7 +471,7 @@
     ]
     c.handle(1050, done)
     c.handle(1950, [ask(n, customer=f"g{n}") for n in range(10, 22)])
-    assert max(backend.out for backend in c.servers.known.values()) <= 4
+    assert max(state.in_flight for state in c.endpoints.known.values()) <= 4
 
 
 def test_a_server_that_has_just_told_of_a_free_place_is_compared_though_chance_passes_it_by():
@@ -492,7 +507,7 @@
                     )
                 ],
             )
-    assert all(0.8 < c.servers.slow(9000, backend) < 1.25 for backend in c.servers.known.values())
+    assert all(0.8 < state.health.latency_ratio_at(9000) < 1.25 for state in c.endpoints.known.values())
 
 
 def test_a_server_that_was_given_large_requests_is_not_taken_for_a_slow_one():
@@ -505,31 +520,31 @@
         units = 1 + 3 * (number % 2)
         (send,) = of(StartAttempt, c.handle(now, [ask(number, units=units, customer=f"f{number}", due=now + 4000.0)]))
         c.handle(now + 50 * units, [outcome(send, AttemptResult.OK, took=50.0 * units)])
-    assert 49 < c.sized["look", 1] < 52 and 198 < c.sized["look", 4] < 202
-    assert all(0.95 < c.servers.slow(now, backend) < 1.05 for backend in c.servers.known.values())
+    assert 49 < c.response_times._by_size["look", 1] < 52 and 198 < c.response_times._by_size["look", 4] < 202
+    assert all(0.95 < state.health.latency_ratio_at(now) < 1.05 for state in c.endpoints.known.values())
 
 
 def test_servers_are_compared_by_the_work_that_is_out_not_by_how_many_attempts():
     c = gateway(gateways=1)
-    c.sized.update({("look", 1): 50.0, ("look", 4): 200.0})
-    c.usual_any = 50.0
+    c.response_times._by_size.update({("look", 1): 50.0, ("look", 4): 200.0})
+    c.response_times._overall_ms = 50.0
     c.handle(1000, [EndpointList(tuple(Endpoint(f"s{n}", "z0", 0, EndpointStatus.READY) for n in range(2)))])
     sends = [
         of(StartAttempt, c.handle(1001 + n, [ask(n, units=4 if not n else 1, customer=f"f{n}")]))[0] for n in range(4)
     ]
     assert sends[0].endpoint not in {send.endpoint for send in sends[1:]}
-    loads = {backend.load for backend in c.servers.known.values()}
+    loads = {state.load for state in c.endpoints.known.values()}
     assert loads == {4.0, 3.0}
     for send in sends:
         c.handle(1100, [outcome(send, AttemptResult.OK)])
-    assert {backend.load for backend in c.servers.known.values()} == {0.0}
+    assert {state.load for state in c.endpoints.known.values()} == {0.0}
 
 
 def test_a_server_that_restarts_under_its_old_id_keeps_its_count_of_attempts_out():
     c = gateway()
     (send,) = of(StartAttempt, c.handle(1000, [FLEET, ask(1)]))
-    old = c.servers.known[send.endpoint].entry
+    old = c.endpoints.known[send.endpoint].endpoint
     back = Endpoint(old.id, old.zone, old.cell, EndpointStatus.READY, 1.0, 1005.0)
     c.handle(1010, [EndpointList((back,), complete=False)])
     c.handle(1020, [outcome(send, AttemptResult.RESET)])
-    assert c.servers.known[send.endpoint].out == 0
+    assert c.endpoints.known[send.endpoint].in_flight == 0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from anisefront.policy.control import Controller
 from anisefront.policy.actions import CancelAttempt, Fail, Reject, SendToPeer, SetTimer, StartAttempt
+from anisefront.policy.controller import Controller
 from anisefront.policy.events import (
     Arrival,
     AttemptEnded,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,7 +17,7 @@
 from anisefront.fleet.keeping import MARK
 from anisefront.fleet.membership import Membership
 from anisefront.fronts.jsonrpc import UNMAPPED
-from anisefront.policy.messages import encode
+from anisefront.policy.peer_codec import encode
 from anisefront.config.reading import Reading
 from anisefront.core.versions import at_once
 from benchmarks.scale import axes, child, counting, fit, results
--- a/tests/test_stand_in.py
+++ b/tests/test_stand_in.py
@@ -11,13 +11,13 @@
 
 from anisefront.cli.config import checked
 from anisefront.core.routing import LISTED, first_gateway
-from anisefront.policy import messages
-from anisefront.policy.control import RESERVE, Quota
-from anisefront.policy.messages import Kind
-from benchmarks.scale import apart
 from anisefront.policy.actions import SendToPeer, StartAttempt
 from anisefront.policy.events import PeerMessage, PeersUnreachable, TimerFired
+from anisefront.policy.peer_codec import QuotaMessageKind, customer_tag, decode, encode
+from anisefront.policy.quota_borrower import Lender, QuotaBorrower
+from anisefront.policy.quota_parameters import RESERVE_FRACTION
 from anisefront.policy.settings import Plan
+from benchmarks.scale import apart
 
 HOME = home_of("f")
 NEXT, LAST = (HOME + 1) % 3, (HOME + 2) % 3
@@ -26,13 +26,13 @@
 
 def told(actions):
     """Who was told what, and the items."""
-    return [(tell.receiver, item) for tell in of(SendToPeer, actions) for item in messages.decode(tell.data).items]
+    return [(tell.receiver, item) for tell in of(SendToPeer, actions) for item in decode(tell.data).quota_messages]
 
 
 def asked(c, now, number, **more):
     """Whom a new request asks."""
     seen = told(c.handle(now, [ask(number, due=now + 4000.0, **more)]))
-    assert {item.kind for _, item in seen} <= {Kind.ASK}
+    assert {item.kind for _, item in seen} <= {QuotaMessageKind.REQUEST}
     return [receiver for receiver, _ in seen]
 
 
@@ -69,7 +69,7 @@
             c = gateway(gateways=5, number=OUTSIDE)
             c.handle(1000, [FLEET, PeersUnreachable(frozenset(gone))])
             drawn += [item.units for _, item in told(c.handle(1001, [ask(1, units=units)]))]
-    assert drawn == [1.25, 5.0, 2.5, RESERVE * 12, 1.0, 4.0]
+    assert drawn == [1.25, 5.0, 2.5, RESERVE_FRACTION * 12, 1.0, 4.0]
 
 
 def test_a_request_that_waits_for_a_home_goes_on_by_the_next_and_the_late_word_is_handed_back():
@@ -82,11 +82,13 @@
     assert {receiver for receiver, _ in again} == {NEXT}
 
     def word(sender, item):
-        data = messages.encode(1, 1.0, [item._replace(kind=Kind.GRANT)], [])
+        data = encode(1, 1.0, [item._replace(kind=QuotaMessageKind.GRANT)], [])
         return c.handle(1160, [PeerMessage(sender, data), TimerFired("agenda")])
 
     late = word(HOME, first[0][1])
-    assert not of(StartAttempt, late) and [(who, item.kind) for who, item in told(late)] == [(HOME, Kind.BACK)]
+    assert not of(StartAttempt, late) and [(who, item.kind) for who, item in told(late)] == [
+        (HOME, QuotaMessageKind.REFUND)
+    ]
     assert [send.id for send in of(StartAttempt, word(NEXT, again[0][1]))] == [1]
 
 
@@ -108,17 +110,18 @@
 
 
 def without(monkeypatch, guard):
-    """The module with one guard of `Quota.home` taken out."""
-    real = Quota.home
+    """The module with one guard of `QuotaBorrower.lender_of` taken out."""
+    real = QuotaBorrower.lender_of
 
-    def home(self, request):
-        account, plan, units = request.account, request.plan, request.arrival.units
-        if guard == "ceilings" and account.home in self.away and plan.ceiling_per_s:
-            left = (each for each in account.others(self.settings.gateways) if each not in self.away)
-            return next(left, self.settings.number), units
-        return real(self, request)[0], units if guard == "dearer" else real(self, request)[1]
+    def lender_of(self, request):
+        account, plan, units = request.claim.account, request.plan, request.arrival.units
+        if guard == "ceilings" and account.owner in self.unreachable and plan.ceiling_per_s:
+            left = (each for each in account.successors(self.settings.gateways) if each not in self.unreachable)
+            return Lender(next(left, self.settings.number), units)
+        lender = real(self, request)
+        return Lender(lender.gateway, units) if guard == "dearer" else lender
 
-    monkeypatch.setattr(Quota, "home", home)
+    monkeypatch.setattr(QuotaBorrower, "lender_of", lender_of)
 
 
 def test_ceilings_that_others_lend_too_are_found(monkeypatch):
@@ -161,7 +164,7 @@
     settings, found = checked(str(fleet.files[0])).config.settings, {}
     for name in KEYS:
         first = first_gateway(LISTED + name, settings.tag_key, COUNT)
-        home = (first + messages.tag_of(LISTED + name, settings.tag_key) % COUNT) % COUNT
+        home = (first + customer_tag(LISTED + name, settings.tag_key) % COUNT) % COUNT
         found.setdefault(home, []).append(name)
     return found
 
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -23,8 +23,8 @@
 from anisefront.node.config import node_config
 from anisefront.node.discovery import Book, read_change
 from anisefront.node.gatekeeper import NodeGatekeeper
-from anisefront.policy.control import Controller, Servers
 from anisefront.policy.actions import Fail, Reject, SetTimer, StartAttempt
+from anisefront.policy.controller import Controller
 from anisefront.policy.events import (
     Arrival,
     AttemptEnded,
@@ -34,6 +34,7 @@
     EndpointStatus,
     TimerFired,
 )
+from anisefront.policy.slow_start import SlowStart
 
 
 @pytest.fixture
@@ -334,7 +335,7 @@
 
 
 def test_a_cold_worker_that_is_given_a_warm_ones_part_would_pass_it(monkeypatch):
-    monkeypatch.setattr(Servers, "warmth", lambda self, now, backend: 0.99 if backend.entry.started_ms else 1.0)
+    monkeypatch.setattr(SlowStart, "factor", lambda self, now_ms, endpoint: 0.99 if endpoint.started_ms else 1.0)
     assert past_the_budget(0, 20, 6, 1, 20.0, 2.5) > 1
 
 
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -49,7 +49,7 @@
 from anisefront.node.config import node_config
 from anisefront.node.discovery import Book, WatchReader, watch_request
 from anisefront.node.gatekeeper import NodeGatekeeper
-from anisefront.policy import messages
+from anisefront.policy import peer_codec
 from anisefront.wire import grpc, http1, orca, trace
 from anisefront.wire import jsonrpc as jsonrpc_wire
 from anisefront.policy.actions import Fail, Reject, RejectionReason, StartAttempt
@@ -109,47 +109,64 @@
 
 
 def _quota_read(data: bytes) -> Any:
-    news = messages.decode(data)
+    news = peer_codec.decode(data)
     items = [
-        [int(i.kind), i.tag, i.serial, i.units, i.asked_per_s, i.class_index, i.plan_index]  # by name: see MESSAGES
-        for i in news.items
+        [
+            int(i.kind),
+            i.customer_tag,
+            i.serial,
+            i.units,
+            i.demand_per_s,
+            i.class_index,
+            i.plan_index,
+        ]  # by name: see MESSAGES
+        for i in news.quota_messages
+    ]
+    return [
+        news.boot,
+        news.sustainable_attempts,
+        items,
+        [[seen.endpoint_tag, seen.class_index, seen.grade] for seen in news.observations],
     ]
-    return [news.boot, news.room, items, [[seen.server, seen.class_index, seen.grade] for seen in news.sightings]]
 
 
 def quota_samples() -> dict[str, Sample]:
     """Every kind of item, observations of servers, a full message, and the short forms of names."""
-    kinds = messages.Kind
+    kinds = peer_codec.QuotaMessageKind
     items = [
-        messages.Item(
+        peer_codec.QuotaMessage(
             kind=kind,
-            tag=messages.tag_of(f"customer-{kind}", SECRET),
+            customer_tag=peer_codec.customer_tag(f"customer-{kind}", SECRET),
             serial=40_000 + kind,
             units=1.5,
-            asked_per_s=12.25,
+            demand_per_s=12.25,
             class_index=3,
             plan_index=2,
         )
         for kind in kinds
     ]
     seen = [
-        messages.sighting(WORKER, 5, float("inf")),
-        messages.sighting("10.0.0.2:8080", 1, 1.0),
-        messages.sighting("10.0.0.3:8080", 0, 0.25),
-        messages.sighting("10.0.0.4:8080", 15, 32.0),
+        peer_codec.observation_of(WORKER, 5, float("inf")),
+        peer_codec.observation_of("10.0.0.2:8080", 1, 1.0),
+        peer_codec.observation_of("10.0.0.3:8080", 0, 0.25),
+        peer_codec.observation_of("10.0.0.4:8080", 15, 32.0),
     ]
 
     def sample(boot: int, room: float, rows: list, others: list) -> Sample:
-        return Sample(lambda: messages.encode(boot, room, rows, others), _quota_read)
+        return Sample(lambda: peer_codec.encode(boot, room, rows, others), _quota_read)
 
     out = {f"item of kind {int(item.kind)}": sample(1000, 3.25, [item], []) for item in items}
     out["no items"] = sample(0xFFFF, 0.0, [], [])
     out["observations of servers"] = sample(7, 1.0, [], seen)
     out["more than a message holds"] = sample(70_000, 5000.0, items * 3, seen * 2)
-    out["customer's tag"] = Sample(lambda: b"%x" % messages.tag_of("customer-1", SECRET), lambda data: int(data, 16))
-    out["server's tag"] = Sample(lambda: b"%x" % messages.server_tag(WORKER), lambda data: int(data, 16))
+    out["customer's tag"] = Sample(
+        lambda: b"%x" % peer_codec.customer_tag("customer-1", SECRET), lambda data: int(data, 16)
+    )
+    out["server's tag"] = Sample(lambda: b"%x" % peer_codec.endpoint_tag(WORKER), lambda data: int(data, 16))
     out["ratios of grades"] = Sample(
-        lambda: json.dumps([messages.ratio_of(messages.Sighting(1, 1, grade)) for grade in range(15)]).encode(),
+        lambda: json.dumps(
+            [peer_codec.latency_ratio_of(peer_codec.EndpointObservation(1, 1, grade)) for grade in range(15)]
+        ).encode(),
         json.loads,
     )
     return out
@@ -397,10 +414,10 @@
     kinds = {"order": None}
     other, late = datagrams.Seal(SECRET, 3, 1), datagrams.Seal(SECRET, 3, 1)
     made: dict[str, tuple[bytes, Callable[[bytes], Any]]] = {
-        "quota: version": (b"\x02" + quota[1:], messages.decode),
-        "quota: kind": (quota[:6] + b"\x07" + quota[7:], messages.decode),
-        "quota: cut off": (quota[:-1], messages.decode),
-        "quota: too long": (quota + bytes(255), messages.decode),
+        "quota: version": (b"\x02" + quota[1:], peer_codec.decode),
+        "quota: kind": (quota[:6] + b"\x07" + quota[7:], peer_codec.decode),
+        "quota: cut off": (quota[:-1], peer_codec.decode),
+        "quota: too long": (quota + bytes(255), peer_codec.decode),
         "membership: mark": (b"\x4e" + reply[1:], membership_read),
         "membership: kind": (reply[:1] + b"\x09" + reply[2:], membership_read),
         "membership: cut off": (reply[:-1], membership_read),
@@ -978,7 +995,7 @@
     made.peer_port.transport = SimpleNamespace(write=lambda data, address: None)
     made.members.start()
     made.ledger.roster(EndpointList((Endpoint(WORKER, "a", 0, EndpointStatus.READY),)))
-    for data in (membership_traffic()[1], keeping.pack(keeping.Ack(1, 1)), b"K", b"M", messages.encode(1, 1, [], [])):
+    for data in (membership_traffic()[1], keeping.pack(keeping.Ack(1, 1)), b"K", b"M", peer_codec.encode(1, 1, [], [])):
         with mock.patch("time.time", return_value=NOW_MS / 1000):
             made.peer_port.datagramReceived(peer.write(0, data, NOW_MS), ("127.0.0.1", 7002))
     made.peer_port.datagramReceived(b"x", ("127.0.0.1", 7002))
