--- a/anisefront/cli/config.py
+++ b/anisefront/cli/config.py
@@ -114,7 +114,7 @@
 def explain(file: str, method: str, target: str, header: tuple[str, ...]) -> None:
     """Say which lines of FILE decide on a request: METHOD, and TARGET as host/path or /path."""
     from anisefront.config.explain import explain as explained
-    from anisefront.core.patterns import Request
+    from anisefront.gateway.patterns import Request
 
     found = checked(file)
     if found.config is None:
@@ -135,7 +135,7 @@
 
     A file with errors exits 2: it is taken by nobody."""
     from anisefront.config.reading import Reading
-    from anisefront.core.versions import at_once
+    from anisefront.gateway.versions import at_once
 
     outcome = at_once(Reading(file, os.environ).steps())
     for text in outcome.errors:
--- a/anisefront/cli/load.py
+++ b/anisefront/cli/load.py
@@ -49,11 +49,11 @@
     """Send traffic by SETTINGS (for routes and headers) at its scheduled times, and tell latencies from these.
 
     Exit 3 where the senders fell behind: the load was not what was asked for."""
-    from anisefront.lab import script as scripts
-    from anisefront.lab.load import plan, sender
-    from anisefront.lab.load.report import QUANTILES, Report
-    from anisefront.lab.model import scripted
-    from anisefront.lab.model import traces as recorded
+    from anisefront.testbed import script as scripts
+    from anisefront.testbed.load import plan, sender
+    from anisefront.testbed.load.report import QUANTILES, Report
+    from anisefront.testbed.model import scripted
+    from anisefront.testbed.model import traces as recorded
 
     addresses = {name: each for name, each in (("grpc", grpc_address), ("jsonrpc", jsonrpc_address)) if each}
     if not addresses or bool(traces) == bool(day) or speed <= 0 or processes < 1:
--- a/anisefront/cli/main.py
+++ b/anisefront/cli/main.py
@@ -58,7 +58,7 @@
 
     gc.disable()  # until the process's collector takes over: nearly all that is made from here on stays
 
-    from anisefront.core.versions import at_once
+    from anisefront.gateway.versions import at_once
     from anisefront.daemon import process
     from anisefront.daemon.source import Source
 
@@ -69,7 +69,7 @@
     if read[0].config is None:
         sys.exit(2)
     if read[0].config.embedded is not None:
-        from anisefront.lab.workers import embedded
+        from anisefront.testbed.workers import embedded
 
         workers = embedded(read[0].config.embedded, read[0].config.settings.zone)
     sys.exit(process.serve(source, read, log_level, workers))
@@ -121,7 +121,9 @@
 @click.argument("script", type=click.Path(exists=True))
 @click.option("--keep", type=click.Path(), help="Folder for the day's records; else they go with the day.")
 @click.option("--seed", type=int, help="Another seed than the script's.")
-@click.option("--break", "guard", help="Take out one rule's guard (see anisefront/lab/sabotage.py): it must be caught.")
+@click.option(
+    "--break", "guard", help="Take out one rule's guard (see anisefront/testbed/sabotage.py): it must be caught."
+)
 @click.option("--record", is_flag=True, help="Gatekeepers record what they see into the folder, for the model.")
 def day(script: str, keep: str | None, seed: int | None, guard: str | None, record: bool) -> None:
     """Play a SCRIPT of troubles (or its folder) against gatekeepers, proxies and workers on loopback, and judge it.
@@ -129,7 +131,7 @@
     Exit 0 only if no rule broke and the day itself could be played."""
     import tempfile
 
-    from anisefront.lab.report import judge
+    from anisefront.testbed.report import judge
 
     path = Path(script)
     path = path / "day.script" if path.is_dir() else path
--- a/anisefront/cli/model.py
+++ b/anisefront/cli/model.py
@@ -12,9 +12,9 @@
 
 import click
 
-from anisefront.lab.model.store import Store
-from anisefront.lab.model.study import OptionSpec, Runner, Study, Traffic, Unfit, collect, config_of
-from anisefront.lab.model.study import option_of as option_of_spec
+from anisefront.testbed.model.store import Store
+from anisefront.testbed.model.study import OptionSpec, Runner, Study, Traffic, Unfit, collect, config_of
+from anisefront.testbed.model.study import option_of as option_of_spec
 
 BATCH = 8
 _KEYS: dict[str, tuple[str, Callable[[str], Any]]] = {
@@ -115,7 +115,7 @@
         raise Unfit("what comes is due: --trace FILE for each gatekeeper, or --day SCRIPT")
     shared: dict[str, Any] = {"troubles": tuple(more["troubles"])}
     if more["fitted"]:
-        from anisefront.lab.model.fit import Fit
+        from anisefront.testbed.model.fit import Fit
 
         try:
             fits = [Fit.from_json(json.loads(Path(path).read_text())) for path in more["fitted"]]
@@ -131,7 +131,7 @@
 
 def _of_day(text: str) -> dict[str, Any]:
     """What a day's script says of the fleet; an option's own values go before it."""
-    from anisefront.lab import script as scripts
+    from anisefront.testbed import script as scripts
 
     script, problems = scripts.read(text)
     if problems:
@@ -224,7 +224,7 @@
     """Play traffic under two OPTIONs, in pairs that meet the same world, and say what differs.
 
     Exit 1 where AFTER is worse in some measure. Killed and begun again it goes on with the runs that it had."""
-    from anisefront.lab.model import compare as comparing
+    from anisefront.testbed.model import compare as comparing
 
     if runs < comparing.LEAST_RUNS:
         raise Unfit(f"--runs {runs}: at least {comparing.LEAST_RUNS} pairs are due for an interval")
@@ -249,8 +249,8 @@
 @click.option("-o", "out", default="-", type=click.File("w"), help="Where the fit goes.")
 def fit(settings: str, traces: tuple[str, ...], workers: int, out: Any) -> None:
     """Fit what workers are like to recorded traffic, under the SETTINGS that it was recorded under."""
-    from anisefront.lab.model import fit as fitting
-    from anisefront.lab.model import traces as recorded
+    from anisefront.testbed.model import fit as fitting
+    from anisefront.testbed.model import traces as recorded
 
     whole = recorded.load(traces)
     for problem in whole.problems:
@@ -293,7 +293,7 @@
     **more: Any,
 ) -> None:
     """Find the trouble and its time that cost OPTION most, or the smallest fleet that keeps a measure."""
-    from anisefront.lab.model import search as searching
+    from anisefront.testbed.model import search as searching
 
     study = _study((option,), more)
     with Store(more["store_path"]) as store, Runner(more["processes"]) as runner, _Progress(runs) as progress:
@@ -335,7 +335,7 @@
 @click.option("--plots", type=click.Path(), help="A folder for the plots as PNG files.")
 def report(study: str, store_path: str, out: str, plots: str | None) -> None:
     """Write one self-contained page on STUDY, the beginning of whose name will do."""
-    from anisefront.lab.model import report as reporting
+    from anisefront.testbed.model import report as reporting
 
     with Store(store_path) as store:
         try:
--- a/anisefront/cli/node.py
+++ b/anisefront/cli/node.py
@@ -15,8 +15,8 @@
 
     SIGHUP reads the file again, SIGTERM drains, a second one stops at once."""
     from anisefront.daemon import process
-    from anisefront.node.config import ConfigFault, NodeConfig, node_config, read
-    from anisefront.node.gatekeeper import NodeGatekeeper
+    from anisefront.resp_gateway.config import ConfigFault, NodeConfig, node_config, read
+    from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
 
     path = os.environ.get("PROXY_CONFIG", "")
     if not path:
--- a/anisefront/cli/trace.py
+++ b/anisefront/cli/trace.py
@@ -14,7 +14,7 @@
 
 
 def _load(files: tuple[str, ...]) -> Any:
-    from anisefront.lab.model import traces
+    from anisefront.testbed.model import traces
 
     whole = traces.load(files)
     for problem in whole.problems:
@@ -27,7 +27,7 @@
 
 
 def _write(whole: Any, out: str) -> None:
-    from anisefront.lab.model import traces
+    from anisefront.testbed.model import traces
 
     with open(out, "wb") as file:
         file.write(traces.written(whole))
@@ -38,7 +38,7 @@
 @_FILES
 def info(files: tuple[str, ...]) -> None:
     """Say what FILES, one for each gatekeeper, hold together."""
-    from anisefront.lab.model import traces
+    from anisefront.testbed.model import traces
 
     click.echo(json.dumps(traces.describe(_load(files)), indent=2))
 
@@ -58,7 +58,7 @@
 @_OUT
 def cut(files: tuple[str, ...], begin_s: float, end_s: float, out: str) -> None:
     """A part of a trace."""
-    from anisefront.lab.model import traces
+    from anisefront.testbed.model import traces
 
     if not 0 <= begin_s < end_s:
         raise click.ClickException(f"--from {begin_s:g} --to {end_s:g}: the end must come after the beginning")
@@ -72,7 +72,7 @@
 @_OUT
 def scale(files: tuple[str, ...], times: int, seed: int, out: str) -> None:
     """More customers with the rhythms of the recorded ones."""
-    from anisefront.lab.model import traces
+    from anisefront.testbed.model import traces
 
     _write(traces.scale(_load(files), times, seed), out)
 
@@ -83,7 +83,7 @@
 @_OUT
 def anonymise(files: tuple[str, ...], key: str, out: str) -> None:
     """Other pseudonyms for customers, and workers by number."""
-    from anisefront.lab.model import traces
+    from anisefront.testbed.model import traces
 
     _write(traces.anonymised(_load(files), key.encode()), out)
 
@@ -103,7 +103,7 @@
     from anisefront.config.lexer import Place, Word
     from anisefront.config.values import TIME
     from anisefront.config.values import Unfit as BadValue
-    from anisefront.lab.model import imported
+    from anisefront.testbed.model import imported
 
     try:
         left = TIME.read(Word(deadline, Place(0, 1, 1)))
--- a/anisefront/fleet/keeper.py
+++ b/anisefront/cluster/keeper.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from anisefront.fleet.keeping import (
+from anisefront.cluster.keeping import (
     NO_NAME,
     Ack,
     Close,
--- a/anisefront/fleet/membership.py
+++ b/anisefront/cluster/membership.py
@@ -24,7 +24,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from anisefront.fleet.members import MOST_ROWS, Row, Status, newer, pack, unpack
+from anisefront.cluster.members import MOST_ROWS, Row, Status, newer, pack, unpack
 
 MARK = 0x4D  # first byte of each message; the module's own begin with their version, a small number
 _HEAD = struct.Struct(">BBIH")  # mark, kind, sequence, member it is about
--- a/anisefront/fleet/origin.py
+++ b/anisefront/cluster/origin.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 
-from anisefront.fleet.keeping import (
+from anisefront.cluster.keeping import (
     MOST_BYTES,
     NO_NAME,
     Ack,
--- a/anisefront/config/across.py
+++ b/anisefront/config/across.py
@@ -12,8 +12,8 @@
 from anisefront.config.lexer import Problem
 from anisefront.config.model import Uses
 from anisefront.config.record import Part
-from anisefront.core.routing import Key
-from anisefront.core.tables import KeyEdit, KeyTable
+from anisefront.gateway.routing import Key
+from anisefront.gateway.tables import KeyEdit, KeyTable
 
 ENTRIES = 32  # routes or keys that are taken in or out in one step
 Spot = tuple[Part, int]  # a route: its part and its number there
--- a/anisefront/config/diff.py
+++ b/anisefront/config/diff.py
@@ -12,8 +12,8 @@
 
 from anisefront.config.types import Config
 from anisefront.config.values import write_rate, write_time
-from anisefront.core.patterns import Request, common, examples, shape
-from anisefront.core.routing import Route, RouteIndex
+from anisefront.gateway.patterns import Request, common, examples, shape
+from anisefront.gateway.routing import Route, RouteIndex
 
 MOST_PAIRS = 2_000_000
 
--- a/anisefront/config/explain.py
+++ b/anisefront/config/explain.py
@@ -6,9 +6,9 @@
 
 from anisefront.config.checker import Checked
 from anisefront.config.values import write_time
-from anisefront.core.paths import Unclear, normal
-from anisefront.core.patterns import Request, host_rank, matches, rank, shape
-from anisefront.core.routing import Router, Unmapped
+from anisefront.gateway.paths import Unclear, normal
+from anisefront.gateway.patterns import Request, host_rank, matches, rank, shape
+from anisefront.gateway.routing import Router, Unmapped
 
 
 def explain(checked: Checked, request: Request) -> list[str]:
--- a/anisefront/config/loader.py
+++ b/anisefront/config/loader.py
@@ -18,7 +18,7 @@
 from anisefront.config.lexer import Place, Problem, Severity, Word, decode, fault
 from anisefront.config.parser import Directive, Document, List, parse
 from anisefront.config.values import near
-from anisefront.core.versions import at_once
+from anisefront.gateway.versions import at_once
 
 MOST_FILES, MOST_DEPTH, MOST_BYTES = 1000, 16, 64 << 20
 PIECE = 1 << 18  # bytes that are read at once
--- a/anisefront/config/meaning.py
+++ b/anisefront/config/meaning.py
@@ -8,8 +8,8 @@
 from anisefront.config.lexer import Problem, Severity, Word, fault
 from anisefront.config.model import Entry, Model, Uses
 from anisefront.config.types import Config
-from anisefront.core.patterns import OTHER, OTHER_METHOD, Pattern, common, covers, rank, segments, shape
-from anisefront.core.routing import Route, RouteIndex
+from anisefront.gateway.patterns import OTHER, OTHER_METHOD, Pattern, common, covers, rank, segments, shape
+from anisefront.gateway.routing import Route, RouteIndex
 
 MOST_STEPS = 20_000  # of one pattern's walk through the others; a file that needs more is told less
 MOST_OVERLAPS = 200  # pairs that are reported of one neighbourhood, and notes in all; thousands are no help to anybody
--- a/anisefront/config/reading.py
+++ b/anisefront/config/reading.py
@@ -23,8 +23,8 @@
 from anisefront.config.parser import Directive, Document
 from anisefront.config.record import Part, Record, Wanted, entries, lines_of, record
 from anisefront.config.types import Config
-from anisefront.core.routing import Route
-from anisefront.core.tables import parts_changed
+from anisefront.gateway.routing import Route
+from anisefront.gateway.tables import parts_changed
 
 MOST_TRIES = 3  # of one reading, while files change under it
 PARTS = 64  # that are gone through in one step
@@ -39,7 +39,7 @@
     problems: tuple[Problem, ...]  # errors and warnings, in the order of their places
     texts: tuple[str, ...]  # the same as a person reads them, errors first
     digest: str  # of the bytes of all files in the order in which they count, and of where each was included
-    parts: tuple[tuple[Route, ...], ...] = ()  # config.routes in pieces, for core/versions.py
+    parts: tuple[tuple[Route, ...], ...] = ()  # config.routes in pieces, for gateway/versions.py
 
     @property
     def errors(self) -> tuple[str, ...]:
--- a/anisefront/config/values.py
+++ b/anisefront/config/values.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from anisefront.config.lexer import Word
-from anisefront.core.paths import Unclear, normal
+from anisefront.gateway.paths import Unclear, normal
 
 
 class Unfit(Exception):
--- a/anisefront/daemon/collector.py
+++ b/anisefront/daemon/collector.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from anisefront.core.standing import Lag
+from anisefront.gateway.standing import Lag
 
 YOUNG, MIDDLE, OLD = 5000, 4, 1_000_000  # thresholds of the three generations; the last means: not by itself
 EVERY_S, MOST_S, FEW_HELD = 60.0, 1800.0, 500
--- a/anisefront/daemon/gatekeeper.py
+++ b/anisefront/daemon/gatekeeper.py
@@ -16,13 +16,9 @@
 import structlog
 from twisted.internet import defer, task
 
-from anisefront.carriers import proxied
-from anisefront.carriers.own import Own
-from anisefront.carriers.pool import Pool
+from anisefront.cluster import keeping, membership, roster
+from anisefront.cluster.datagrams import Seal
 from anisefront.config.types import Config
-from anisefront.core.ledger import Ledger
-from anisefront.core.routing import Router, first_gateway
-from anisefront.core.versions import Version, next_steps
 from anisefront.daemon import memory, reload
 from anisefront.daemon.clock import Clock
 from anisefront.daemon.collector import Collector
@@ -33,17 +29,21 @@
 from anisefront.daemon.recorder import Recorder
 from anisefront.daemon.reloader import Phase, Reloader
 from anisefront.daemon.source import Source
-from anisefront.fleet import keeping, membership, roster
-from anisefront.fleet.datagrams import Seal
-from anisefront.fronts import accesslog, authorization
-from anisefront.fronts.grpcserver import GrpcFactory, ServerLimits
-from anisefront.fronts.health import Health, Serving
-from anisefront.fronts.jsonrpc import Desk, JsonRpcFactory
+from anisefront.frontends import accesslog, authorization
+from anisefront.frontends.grpcserver import GrpcFactory, ServerLimits
+from anisefront.frontends.health import Health, Serving
+from anisefront.frontends.jsonrpc import Desk, JsonRpcFactory
+from anisefront.gateway.ledger import Ledger
+from anisefront.gateway.routing import Router, first_gateway
+from anisefront.gateway.versions import Version, next_steps
 from anisefront.policy.controller import Controller
 from anisefront.policy.customer_account import CustomerAccount
 from anisefront.policy.endpoint_state import EndpointState
 from anisefront.policy.events import EndpointList
 from anisefront.policy.settings import Plan, RequestClass, Settings
+from anisefront.upstream import proxied
+from anisefront.upstream.own import Own
+from anisefront.upstream.pool import Pool
 
 _SHARED = (
     Settings,
--- a/anisefront/daemon/keepers.py
+++ b/anisefront/daemon/keepers.py
@@ -1,4 +1,4 @@
-"""Work in hand that survives its gatekeeper, on the event loop: `fleet/origin.py` and `fleet/keeper.py` decide.
+"""Work in hand that survives its gatekeeper, on the event loop: `cluster/origin.py` and `cluster/keeper.py` decide.
 
 It stands between the ledger (as its guard), the peers' datagrams and the carriers, and makes records of requests.
 """
@@ -12,20 +12,20 @@
 from collections.abc import Callable
 from typing import Any
 
-from anisefront.carriers.own import Answer, Job, Own
-from anisefront.carriers.proxied import Inherited, Proxied
-from anisefront.carriers.returning import Returning, name_of
+from anisefront.cluster.keeper import Keeper, Kept, Witness
+from anisefront.cluster.keeping import MOST_RECORD, NO_NAME, Asked, Elsewhere, Settled, Taken, Word, pack, unpack
+from anisefront.cluster.members import Status
+from anisefront.cluster.membership import Change, Membership
+from anisefront.cluster.origin import Member, Origin
 from anisefront.config.types import Config
-from anisefront.core.ledger import Entry, Ledger
 from anisefront.daemon.latewake import LateWake
-from anisefront.fleet.keeper import Keeper, Kept, Witness
-from anisefront.fleet.keeping import MOST_RECORD, NO_NAME, Asked, Elsewhere, Settled, Taken, Word, pack, unpack
-from anisefront.fleet.members import Status
-from anisefront.fleet.membership import Change, Membership
-from anisefront.fleet.origin import Member, Origin
+from anisefront.gateway.ledger import Entry, Ledger
 from anisefront.policy.events import PriorAttempts
 from anisefront.policy.settings import Idempotency
-from anisefront.wire import http1
+from anisefront.protocols import http1
+from anisefront.upstream.own import Answer, Job, Own
+from anisefront.upstream.proxied import Inherited, Proxied
+from anisefront.upstream.returning import Returning, name_of
 
 RECORD_VERSION = 1
 LATE_MS = 50.0  # a wake-up so late means that we stood still: our sockets are read first
--- a/anisefront/daemon/members.py
+++ b/anisefront/daemon/members.py
@@ -1,4 +1,4 @@
-"""Who of the fleet is there, on the event loop: datagrams and wake-ups for `fleet/membership.py`, which decides."""
+"""Who of the fleet is there, on the event loop: datagrams and wake-ups for `cluster/membership.py`, which decides."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from anisefront.fleet.members import Status
-from anisefront.fleet.membership import Change, Membership
+from anisefront.cluster.members import Status
+from anisefront.cluster.membership import Change, Membership
 
 LATE_PART, PUT_OFF = 0.25, 3  # so late, in periods, means that we stood still; turns until our sockets are read
 
--- a/anisefront/daemon/peers.py
+++ b/anisefront/daemon/peers.py
@@ -1,4 +1,4 @@
-"""The UDP port for other gatekeepers, on Twisted. What it takes and refuses is decided in fleet/datagrams.py."""
+"""The UDP port for other gatekeepers, on Twisted. What it takes and refuses is decided in cluster/datagrams.py."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from twisted.internet import protocol
 
+from anisefront.cluster.datagrams import Seal
 from anisefront.config.types import Address
-from anisefront.fleet.datagrams import Seal
 
 
 class PeerPort(protocol.DatagramProtocol):
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -30,8 +30,8 @@
     """Run the gatekeeper of the settings language; the exit code. `read` has what `source` came to at the start, with
     no error, and is emptied: what a caller names would be held for life, however often the settings change.
     `workers` starts an embedded fleet on the reactor."""
-    from anisefront.core.versions import at_once, next_steps
     from anisefront.daemon.gatekeeper import Gatekeeper
+    from anisefront.gateway.versions import at_once, next_steps
 
     first = [at_once(next_steps(None, read.pop()))]
 
--- a/anisefront/daemon/pulse.py
+++ b/anisefront/daemon/pulse.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from anisefront.core.standing import Lag, Sample, between, read_schedstat
+from anisefront.gateway.standing import Lag, Sample, between, read_schedstat
 
 EVERY_MS = 50.0  # twenty a second: enough to see what a client feels, too few to be felt
 
--- a/anisefront/daemon/recorder.py
+++ b/anisefront/daemon/recorder.py
@@ -8,7 +8,7 @@
 from anisefront.config.types import Recording
 from anisefront.policy.actions import Fail, Reject, StartAttempt
 from anisefront.policy.events import Arrival, AttemptEnded, AttemptResult, ClientDisconnected, EndpointList
-from anisefront.wire import trace
+from anisefront.protocols import trace
 
 MOST_WAITING = 20_000  # records not yet written; more are dropped and counted
 WRITE_EVERY = 2000
--- a/anisefront/daemon/reloader.py
+++ b/anisefront/daemon/reloader.py
@@ -15,7 +15,7 @@
 from enum import Enum, auto
 from typing import Any
 
-from anisefront.core.standing import Lag
+from anisefront.gateway.standing import Lag
 
 SLICE_S = 0.0005  # work for settings in one turn of the loop; the step that passes it is the last
 # A request goes through several turns of the loop, and could wait for a slice in each: so most of the time is theirs.
--- a/anisefront/fronts/accesslog.py
+++ b/anisefront/frontends/accesslog.py
@@ -11,11 +11,11 @@
 from envoy.service.accesslog.v3 import als_pb2
 from google.protobuf.message import DecodeError
 
-from anisefront.carriers.outcomes import of_flags
-from anisefront.carriers.proxied import Proxied
-from anisefront.fronts.authorization import ATTEMPT
-from anisefront.fronts.grpcserver import Call, Method
-from anisefront.wire import grpc, orca
+from anisefront.upstream.outcomes import of_flags
+from anisefront.upstream.proxied import Proxied
+from anisefront.frontends.authorization import ATTEMPT
+from anisefront.frontends.grpcserver import Call, Method
+from anisefront.protocols import grpc, orca
 
 PATH = b"/envoy.service.accesslog.v3.AccessLogService/StreamAccessLogs"
 SLICE = 64  # entries taken in before others have their turn: about a millisecond
--- a/anisefront/fronts/authorization.py
+++ b/anisefront/frontends/authorization.py
@@ -17,11 +17,11 @@
 from envoy.service.auth.v3 import external_auth_pb2
 from google.protobuf.message import DecodeError
 
-from anisefront.carriers.proxied import Answer, Proxied, Verdict
-from anisefront.core.paths import Unclear, normal
-from anisefront.core.routing import Router, Unmapped
-from anisefront.fronts.grpcserver import Call, Method
-from anisefront.wire import grpc
+from anisefront.upstream.proxied import Answer, Proxied, Verdict
+from anisefront.gateway.paths import Unclear, normal
+from anisefront.gateway.routing import Router, Unmapped
+from anisefront.frontends.grpcserver import Call, Method
+from anisefront.protocols import grpc
 
 PATH = b"/envoy.service.auth.v3.Authorization/Check"
 ATTEMPT, FINAL, REASON = "x-anisefront-attempt", "x-anisefront-final", "x-anisefront-reason"
--- a/anisefront/fronts/grpcserver.py
+++ b/anisefront/frontends/grpcserver.py
@@ -13,8 +13,8 @@
 from twisted.internet import protocol
 from twisted.python.failure import Failure
 
-from anisefront.fronts.backpressure import Backpressure
-from anisefront.wire import grpc, http2
+from anisefront.frontends.backpressure import Backpressure
+from anisefront.protocols import grpc, http2
 
 
 class Service(Protocol):
--- a/anisefront/fronts/health.py
+++ b/anisefront/frontends/health.py
@@ -4,8 +4,8 @@
 
 from enum import IntEnum
 
-from anisefront.fronts.grpcserver import Call, Method
-from anisefront.wire import grpc
+from anisefront.frontends.grpcserver import Call, Method
+from anisefront.protocols import grpc
 
 
 class Serving(IntEnum):
--- a/anisefront/fronts/jsonrpc.py
+++ b/anisefront/frontends/jsonrpc.py
@@ -17,10 +17,10 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from anisefront.carriers.own import Answer, Job, Own
-from anisefront.core.routing import Router, Unmapped
-from anisefront.fronts.backpressure import Backpressure
-from anisefront.wire import http1, jsonrpc
+from anisefront.upstream.own import Answer, Job, Own
+from anisefront.gateway.routing import Router, Unmapped
+from anisefront.frontends.backpressure import Backpressure
+from anisefront.protocols import http1, jsonrpc
 
 SLICE = 16  # lines taken in before others have their turn
 REFUSED, FAILED, UNMAPPED = -32001, -32002, -32003
--- a/anisefront/core/ledger.py
+++ b/anisefront/gateway/ledger.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from anisefront.core.standing import Lag
+from anisefront.gateway.standing import Lag
 from anisefront.policy.actions import (
     CancelAttempt,
     Fail,
--- a/anisefront/core/routing.py
+++ b/anisefront/gateway/routing.py
@@ -1,6 +1,6 @@
 """Which customer, plan and class a request belongs to, by its host, method, path and headers.
 
-What routes and keys are looked up in is core/tables.py; which route comes first is said in core/patterns.py. Pure
+What routes and keys are looked up in is gateway/tables.py; which route comes first is said in gateway/patterns.py. Pure
 look-ups, no decisions.
 """
 
@@ -9,9 +9,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from anisefront.core.paths import Unclear, normal
-from anisefront.core.patterns import Pattern, rank
-from anisefront.core.tables import Part, RouteTable
+from anisefront.gateway.paths import Unclear, normal
+from anisefront.gateway.patterns import Pattern, rank
+from anisefront.gateway.tables import Part, RouteTable
 from anisefront.policy.peer_codec import customer_tag
 
 # Danger: keys are what callers write. One that reads like a listed customer's name would spend that customer's quota,
--- a/anisefront/core/tables.py
+++ b/anisefront/gateway/tables.py
@@ -1,10 +1,11 @@
 """What routes and customers' keys are looked up in. A table is never changed: the next one is made beside it, in steps,
 and shares all that lies off the changed paths, so that a change costs what it changes. Pure look-ups.
 
-Routes stand in a trie by host and path segment, so that what a look-up costs grows with the request's path and not with
-the number of routes. Which route comes first is said in core/patterns.py. Keys lie in a fixed number of dictionaries by
-hash, of which a change copies those that it touches. Persistent maps of the package `immutables` were weighed: they
-would share more, but a look-up stays one of a plain dictionary here, and this room needs the standard library only.
+Routes stand in a trie by host and path segment, so that what a look-up costs grows with the request's path and not
+with the number of routes. Which route comes first is said in gateway/patterns.py. Keys lie in a fixed number of
+dictionaries by hash, of which a change copies those that it touches. Persistent maps of the package `immutables` were
+weighed: they would share more, but a look-up stays one of a plain dictionary here, and this room needs the standard
+library only.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from anisefront.core.routing import Key, Route
+    from anisefront.gateway.routing import Key, Route
 
 SHARDS = 256  # of keys: 22,000 come to 86 in each
 ROUTES = 24  # that are put in or taken out in one step
--- a/anisefront/core/versions.py
+++ b/anisefront/gateway/versions.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol, TypeVar
 
-from anisefront.core.routing import Key, Route, Router
-from anisefront.core.tables import KeyTable, Part, RouteTable, parts_changed
+from anisefront.gateway.routing import Key, Route, Router
+from anisefront.gateway.tables import KeyTable, Part, RouteTable, parts_changed
 
 Value = TypeVar("Value")
 ENTRIES = 100  # routes or keys that are compared in one step
--- a/anisefront/wire/http2.py
+++ b/anisefront/protocols/http2.py
@@ -19,7 +19,7 @@
 
 import hpack
 
-from anisefront.wire import http1
+from anisefront.protocols import http1
 
 HELD_MS = 1000.0  # a stream that was open for so long was no flood
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
--- a/anisefront/node/carrier.py
+++ b/anisefront/resp_gateway/carrier.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from anisefront.carriers.pool import Pool
-from anisefront.carriers.pooled import Open, Pooled
-from anisefront.core.ledger import Ledger
-from anisefront.node import resp
-from anisefront.node.terms import Wanted, report_row
+from anisefront.gateway.ledger import Ledger
 from anisefront.policy.actions import RejectionReason
 from anisefront.policy.events import AttemptResult
+from anisefront.resp_gateway import resp
+from anisefront.resp_gateway.terms import Wanted, report_row
+from anisefront.upstream.pool import Pool
+from anisefront.upstream.pooled import Open, Pooled
 
 Final = Callable[[bytes], None]  # hears the one answer, written for the client
 FAILED = resp.error(b"ERR failed")
--- a/anisefront/node/config.py
+++ b/anisefront/resp_gateway/config.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from anisefront.node.discovery import Change, DiscoveryFault, address, read_change
 from anisefront.policy.settings import Settings
 from anisefront.policy.settings_document import read_settings
+from anisefront.resp_gateway.discovery import Change, DiscoveryFault, address, read_change
 
 MOST_BYTES = 16 << 20
 BASE_MB = 28.0  # what a gatekeeper takes before it knows anybody; half of the rest is for customers
--- a/anisefront/node/discovery.py
+++ b/anisefront/resp_gateway/discovery.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
-from anisefront.wire.http1 import Head, Message, MessageFault, Part, Reader
+from anisefront.protocols.http1 import Head, Message, MessageFault, Part, Reader
 
 STATES = {"active": EndpointStatus.READY, "leaving": EndpointStatus.DRAINING, "left": EndpointStatus.REMOVED}
 MOST_LINE = 4 << 20  # bytes of one change
--- a/anisefront/node/front.py
+++ b/anisefront/resp_gateway/front.py
@@ -28,10 +28,10 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from anisefront.fronts.backpressure import Backpressure
-from anisefront.node import resp
-from anisefront.node.carrier import FAILED, NodeCarrier, refusal
-from anisefront.node.terms import VERBS, Reader, TermsFault
+from anisefront.frontends.backpressure import Backpressure
+from anisefront.resp_gateway import resp
+from anisefront.resp_gateway.carrier import FAILED, NodeCarrier, refusal
+from anisefront.resp_gateway.terms import VERBS, Reader, TermsFault
 
 FIRST_S = 1.0  # a connection's first command is due within this time, any command so long after its first byte
 IDLE_S = 2.0  # a connection without an open request may be closed after so long
--- a/anisefront/node/gatekeeper.py
+++ b/anisefront/resp_gateway/gatekeeper.py
@@ -12,19 +12,19 @@
 import structlog
 from twisted.internet import defer
 
-from anisefront.carriers.pool import Pool, PoolLimits
-from anisefront.core.ledger import Ledger
 from anisefront.daemon import reload
 from anisefront.daemon.clock import Clock
 from anisefront.daemon.collector import Collector
-from anisefront.node.carrier import NodeCarrier, RespAnswers
-from anisefront.node.config import ConfigFault, NodeConfig
-from anisefront.node.discovery import Book, Change
-from anisefront.node.front import Front, FrontLimits
-from anisefront.node.peers import PeerPort
-from anisefront.node.terms import Reader
-from anisefront.node.watch import Watch
+from anisefront.gateway.ledger import Ledger
 from anisefront.policy.controller import Controller
+from anisefront.resp_gateway.carrier import NodeCarrier, RespAnswers
+from anisefront.resp_gateway.config import ConfigFault, NodeConfig
+from anisefront.resp_gateway.discovery import Book, Change
+from anisefront.resp_gateway.front import Front, FrontLimits
+from anisefront.resp_gateway.peers import PeerPort
+from anisefront.resp_gateway.terms import Reader
+from anisefront.resp_gateway.watch import Watch
+from anisefront.upstream.pool import Pool, PoolLimits
 
 OTHER_SOCKETS = 24  # standard streams, event loop, listener, datagrams, discovery old and new, and some to spare
 CLIENT_PART = 0.5  # of the descriptors; the rest is for workers
--- a/anisefront/node/terms.py
+++ b/anisefront/resp_gateway/terms.py
@@ -10,8 +10,8 @@
 import re
 from dataclasses import dataclass
 
-from anisefront.node import resp
 from anisefront.policy.settings import Idempotency, Settings
+from anisefront.resp_gateway import resp
 
 VERBS = (b"Q.ASK", b"Q.DO")
 PARTS = (4, 5)  # of a command: the verb, the customer, the id, the terms, and a body or none
--- a/anisefront/node/watch.py
+++ b/anisefront/resp_gateway/watch.py
@@ -18,7 +18,7 @@
 from twisted.internet import protocol
 from twisted.python.failure import Failure
 
-from anisefront.node.discovery import Change, DiscoveryFault, WatchReader, watch_request
+from anisefront.resp_gateway.discovery import Change, DiscoveryFault, WatchReader, watch_request
 
 QUIET_S = 3.0  # an empty line comes every 2 s: a watch that has missed one is suspect
 FIRST_S = 0.7  # the agent is on this machine and answers a new watch at once
--- a/anisefront/lab/clients.py
+++ b/anisefront/testbed/clients.py
@@ -14,10 +14,10 @@
 from twisted.internet import protocol
 from twisted.internet.endpoints import TCP4ClientEndpoint
 
-from anisefront.carriers.pool import Pool
-from anisefront.lab.records import Record, now_ms
 from anisefront.policy.events import AttemptResult
-from anisefront.wire import http1
+from anisefront.protocols import http1
+from anisefront.testbed.records import Record, now_ms
+from anisefront.upstream.pool import Pool
 
 PATIENCE_MS = 1000.0  # how long after its time a client still listens, so that a late answer is seen as late
 
--- a/anisefront/lab/day.py
+++ b/anisefront/testbed/day.py
@@ -17,18 +17,18 @@
 
 from twisted.internet import defer, error, protocol
 
+from anisefront.cluster import roster
 from anisefront.config import checker, loader, messages
 from anisefront.config.types import Config
-from anisefront.fleet import roster
-from anisefront.lab.clients import Clients, Wish
-from anisefront.lab.proxy import Proxy
-from anisefront.lab.records import Record
-from anisefront.lab.relay import Relay
-from anisefront.lab.script import WORKER_FIGURES, Crowd, Script, Trouble
-from anisefront.lab.watch import Watch
-from anisefront.lab.workers import Cell, Kind, Worker
 from anisefront.policy.events import Endpoint, EndpointStatus
 from anisefront.policy.settings import Idempotency
+from anisefront.testbed.clients import Clients, Wish
+from anisefront.testbed.proxy import Proxy
+from anisefront.testbed.records import Record
+from anisefront.testbed.relay import Relay
+from anisefront.testbed.script import WORKER_FIGURES, Crowd, Script, Trouble
+from anisefront.testbed.watch import Watch
+from anisefront.testbed.workers import Cell, Kind, Worker
 
 ROSTER_LAG_S = 0.5  # discovery tells of a new worker so late; a drain is told at once
 WORKERS = "warm-up 6s cold-from 20% fall-multiple 2 fall-window 2s"
--- a/anisefront/lab/load/plan.py
+++ b/anisefront/testbed/load/plan.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from anisefront.config.types import Config
-from anisefront.lab.model.traces import Arrival
+from anisefront.testbed.model.traces import Arrival
 
 FRONTS = ("grpc", "jsonrpc")
 
--- a/anisefront/lab/load/report.py
+++ b/anisefront/testbed/load/report.py
@@ -8,7 +8,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from anisefront.lab.load.sender import histogram
+from anisefront.testbed.load.sender import histogram
 
 LATE_US, LATE_SHARE = 10_000, 0.01  # more than this share sent later than this: the senders could not keep up
 QUANTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
--- a/anisefront/lab/load/sender.py
+++ b/anisefront/testbed/load/sender.py
@@ -15,7 +15,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from anisefront.lab.load.plan import Shot
+from anisefront.testbed.load.plan import Shot
 
 HIGHEST_US, DIGITS = 600_000_000, 3
 PATIENCE_S = 1.0  # after a request's time; then its answer counts as none
--- a/anisefront/lab/model/calibrate.py
+++ b/anisefront/testbed/model/calibrate.py
@@ -13,8 +13,8 @@
 
 import numpy as np
 
-from anisefront.lab.model import traces
-from anisefront.lab.model.study import config_of
+from anisefront.testbed.model import traces
+from anisefront.testbed.model.study import config_of
 
 MEASURES = ("service", "p95_wait_ms")
 
--- a/anisefront/lab/model/compare.py
+++ b/anisefront/testbed/model/compare.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from anisefront.lab.model.measures import MEASURES
+from anisefront.testbed.model.measures import MEASURES
 
 MORE_IS_BETTER = {"service": True, "worst_10_s": True, "p95_wait_ms": False, "refused": False}
 LEAST_RUNS = 8
--- a/anisefront/lab/model/fit.py
+++ b/anisefront/testbed/model/fit.py
@@ -14,10 +14,10 @@
 
 import numpy as np
 
-from anisefront.lab.model.pool import Workers
-from anisefront.lab.model.traces import Attempt, Trace
-from anisefront.lab.model.world import Network, Option, World
-from anisefront.lab.script import Trouble
+from anisefront.testbed.model.pool import Workers
+from anisefront.testbed.model.traces import Attempt, Trace
+from anisefront.testbed.model.world import Network, Option, World
+from anisefront.testbed.script import Trouble
 
 SCALES = tuple(0.6 + 0.05 * step for step in range(13))
 BLOCK_MS = 2000.0  # longer than what one attempt's trouble lasts
--- a/anisefront/lab/model/imported.py
+++ b/anisefront/testbed/model/imported.py
@@ -8,10 +8,10 @@
 from envoy.data.accesslog.v3 import accesslog_pb2
 from google.protobuf import json_format
 
-from anisefront.carriers.outcomes import of_flags
-from anisefront.lab.model.traces import Arrival, Attempt, Trace
 from anisefront.policy.events import AttemptResult
-from anisefront.wire import trace
+from anisefront.protocols import trace
+from anisefront.testbed.model.traces import Arrival, Attempt, Trace
+from anisefront.upstream.outcomes import of_flags
 
 MOST_PROBLEMS = 20
 
--- a/anisefront/lab/model/pool.py
+++ b/anisefront/testbed/model/pool.py
@@ -1,6 +1,6 @@
 """The workers' side of the model: cores, queue, cold start, dropped repeats, load reports, and what goes wrong there.
 
-Times in milliseconds of the model. What a worker does is what the stand-ins on loopback do (`lab/workers.py`).
+Times in milliseconds of the model. What a worker does is what the stand-ins on loopback do (`testbed/workers.py`).
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from anisefront.lab.model.draws import lognormal, quantile
 from anisefront.policy.events import AttemptResult, Endpoint, EndpointStatus
+from anisefront.testbed.model.draws import lognormal, quantile
 
 NORMAL = lognormal(0.5)
 
--- a/anisefront/lab/model/report.py
+++ b/anisefront/testbed/model/report.py
@@ -13,8 +13,8 @@
 
 import numpy as np
 
-from anisefront.lab.model.compare import LEAST_RUNS, Finding, findings
-from anisefront.lab.model.study import Figures, Study
+from anisefront.testbed.model.compare import LEAST_RUNS, Finding, findings
+from anisefront.testbed.model.study import Figures, Study
 
 COLOURS = ("#0b6fa4", "#c8550a")  # told apart by those who see no red or green, and in grey
 WINDOW_S = 10
--- a/anisefront/lab/model/scripted.py
+++ b/anisefront/testbed/model/scripted.py
@@ -6,9 +6,9 @@
 from __future__ import annotations
 
 from anisefront.config.types import Config
-from anisefront.lab.model.draws import Cause, Draws
-from anisefront.lab.model.traces import Arrival
-from anisefront.lab.script import Script
+from anisefront.testbed.model.draws import Cause, Draws
+from anisefront.testbed.model.traces import Arrival
+from anisefront.testbed.script import Script
 
 STEP_MS = 500.0  # customers who would come later than this ask themselves again, so that a surge is felt by all
 
--- a/anisefront/lab/model/search.py
+++ b/anisefront/testbed/model/search.py
@@ -14,8 +14,8 @@
 
 import numpy as np
 
-from anisefront.lab.model.compare import interval
-from anisefront.lab.model.study import Study, Unfit, arrivals_of
+from anisefront.testbed.model.compare import interval
+from anisefront.testbed.model.study import Study, Unfit, arrivals_of
 
 Played = Callable[[Study, list[int]], list[dict[str, float]]]
 BATCH, SEEDS, FRESH = 4, (1, 2), 8
--- a/anisefront/lab/model/store.py
+++ b/anisefront/testbed/model/store.py
@@ -9,7 +9,7 @@
 from dataclasses import asdict
 from typing import Any
 
-from anisefront.lab.model.study import Figures, OptionSpec, Study, Traffic
+from anisefront.testbed.model.study import Figures, OptionSpec, Study, Traffic
 
 _TABLES = """
 create table if not exists studies (id text primary key, made_s real, kind text, spec text);
--- a/anisefront/lab/model/study.py
+++ b/anisefront/testbed/model/study.py
@@ -95,7 +95,7 @@
 
 def play(study: Study, option: int, seed: int) -> Figures:
     """One run in this process."""
-    from anisefront.lab.model.world import World
+    from anisefront.testbed.model.world import World
 
     spec = study.options[option]
     made, troubles = _made(spec), _lines(spec.troubles)
@@ -136,8 +136,8 @@
 
 def option_of(spec: OptionSpec) -> Any:
     """The option without its fit."""
-    from anisefront.lab.model.pool import Workers
-    from anisefront.lab.model.world import Clients, Network, Option
+    from anisefront.testbed.model.pool import Workers
+    from anisefront.testbed.model.world import Clients, Network, Option
 
     config = config_of(spec.settings, spec.name)
     settings = config.settings
@@ -167,7 +167,7 @@
 @functools.lru_cache(maxsize=4)
 def _made(spec: OptionSpec) -> tuple[Any, ...]:
     """The option for each draw of its fit, one where it has none."""
-    from anisefront.lab.model.fit import Fit
+    from anisefront.testbed.model.fit import Fit
 
     option = option_of(spec)
     if not spec.fit:
@@ -193,7 +193,7 @@
 
 @functools.lru_cache(maxsize=4)
 def _script(text: str) -> Any:
-    from anisefront.lab import script as scripts
+    from anisefront.testbed import script as scripts
 
     script, problems = scripts.read(text)
     if problems:
@@ -207,7 +207,7 @@
 
 @functools.lru_cache(maxsize=2)
 def _recorded(traffic: Traffic) -> tuple[Any, ...]:
-    from anisefront.lab.model import traces
+    from anisefront.testbed.model import traces
 
     whole = traces.load(traffic.traces)
     if traffic.begin_s or traffic.end_s:
@@ -222,7 +222,7 @@
 def arrivals_of(traffic: Traffic, settings: str, seed: int) -> list[Any]:
     config = config_of(settings, "settings")
     if traffic.day:
-        from anisefront.lab.model import scripted
+        from anisefront.testbed.model import scripted
 
         return scripted.arrivals(_script(traffic.day), config, seed)
     arrivals = list(_recorded(traffic))
--- a/anisefront/lab/model/traces.py
+++ b/anisefront/testbed/model/traces.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from anisefront.wire import trace
+from anisefront.protocols import trace
 
 _BLOCK_RECORDS = 5000
 
--- a/anisefront/lab/model/troubles.py
+++ b/anisefront/testbed/model/troubles.py
@@ -9,14 +9,14 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
-from anisefront.lab.model.draws import Cause
-from anisefront.lab.model.pool import Worker
-from anisefront.lab.script import WORKER_FIGURES, Trouble
 from anisefront.policy.events import EndpointStatus
+from anisefront.testbed.model.draws import Cause
+from anisefront.testbed.model.pool import Worker
+from anisefront.testbed.script import WORKER_FIGURES, Trouble
 
 if TYPE_CHECKING:
-    from anisefront.lab.model.traces import Arrival
-    from anisefront.lab.model.world import World
+    from anisefront.testbed.model.traces import Arrival
+    from anisefront.testbed.model.world import World
 
 WITHOUT_EFFECT = ("logs", "broken-roster", "replay-datagrams")
 TOLD_MS = 150.0  # of a drain: the roster is looked at ten times a second
--- a/anisefront/lab/model/world.py
+++ b/anisefront/testbed/model/world.py
@@ -11,18 +11,18 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, replace
 
-from anisefront.core.routing import first_gateway
-from anisefront.lab.model.draws import Cause, Draws
-from anisefront.lab.model.measures import Played
-from anisefront.lab.model.pool import Job, Pool, Workers
-from anisefront.lab.model.traces import Arrival as Recorded
-from anisefront.lab.model.traces import Attempt
-from anisefront.lab.model.troubles import Troubles
-from anisefront.lab.script import Trouble
+from anisefront.gateway.routing import first_gateway
 from anisefront.policy.actions import CancelAttempt, Fail, Reject, SendToPeer, SetTimer, StartAttempt
 from anisefront.policy.controller import Controller
 from anisefront.policy.events import Arrival, AttemptEnded, AttemptResult, EndpointList, Event, PeerMessage, TimerFired
 from anisefront.policy.settings import Idempotency, Settings
+from anisefront.testbed.model.draws import Cause, Draws
+from anisefront.testbed.model.measures import Played
+from anisefront.testbed.model.pool import Job, Pool, Workers
+from anisefront.testbed.model.traces import Arrival as Recorded
+from anisefront.testbed.model.traces import Attempt
+from anisefront.testbed.model.troubles import Troubles
+from anisefront.testbed.script import Trouble
 
 GRAIN_MS = 5.0  # wake-ups are kept to it, as the gatekeeper's ledger does
 LAST_MS = 30_000.0  # after the last arrival: longer than any deadline
--- a/anisefront/lab/proxy.py
+++ b/anisefront/testbed/proxy.py
@@ -19,10 +19,10 @@
 from google.protobuf import duration_pb2
 from twisted.internet import protocol
 
-from anisefront.carriers.pool import Exchange, Pool, PoolLimits
-from anisefront.lab.records import Record, now_ms
 from anisefront.policy.events import AttemptResult
-from anisefront.wire import http1
+from anisefront.protocols import http1
+from anisefront.testbed.records import Record, now_ms
+from anisefront.upstream.pool import Exchange, Pool, PoolLimits
 
 ATTEMPT = "x-anisefront-attempt"
 _CHECK = "/envoy.service.auth.v3.Authorization/Check"
--- a/anisefront/lab/report.py
+++ b/anisefront/testbed/report.py
@@ -9,13 +9,13 @@
 import click
 
 from anisefront.config import loader, messages
-from anisefront.lab import script as scripts
-from anisefront.lab.audit import Auditor, load
+from anisefront.testbed import script as scripts
+from anisefront.testbed.audit import Auditor, load
 
 
 def judge(path: Path, folder: Path, seed: int | None, guard: str | None, record: bool = False) -> int:
     """Play the script at `path`, keep its records in `folder`, print the verdict; the exit code."""
-    from anisefront.lab import day
+    from anisefront.testbed import day
 
     text = path.read_text()
     script, problems = scripts.read(text)
@@ -27,7 +27,7 @@
         script = dataclasses.replace(script, seed=seed)
     command = [sys.executable, "-m", "anisefront"]
     if guard is not None:
-        command = [sys.executable, "-m", "anisefront.lab.sabotage", guard]
+        command = [sys.executable, "-m", "anisefront.testbed.sabotage", guard]
     try:
         faults = day.play(script, (path.parent / script.settings).read_text(), folder, command, record)
     except day.Unfit as problem:
--- a/anisefront/lab/sabotage.py
+++ b/anisefront/testbed/sabotage.py
@@ -1,6 +1,6 @@
 """A gatekeeper with the guard of one rule taken out, to show that the auditor sees it.
 
-    python -m anisefront.lab.sabotage GUARD serve FILE
+    python -m anisefront.testbed.sabotage GUARD serve FILE
 
 It changes the running program only; nothing of the product knows of it.
 """
@@ -12,8 +12,8 @@
 import time
 from collections.abc import Callable
 
-from anisefront.core.ledger import Ledger
-from anisefront.fleet import roster
+from anisefront.cluster import roster
+from anisefront.gateway.ledger import Ledger
 from anisefront.policy.actions import Fail, Reject
 from anisefront.policy.concurrency_limit import ConcurrencyLimit
 from anisefront.policy.endpoint_selection import EndpointSelection
--- a/anisefront/lab/watch.py
+++ b/anisefront/testbed/watch.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from anisefront.core.standing import Sample, between
 from anisefront.daemon.pulse import reading
-from anisefront.lab.records import Record, now_ms
+from anisefront.gateway.standing import Sample, between
+from anisefront.testbed.records import Record, now_ms
 
 EVERY_MS = 25.0
 LEAST_MS = 3.0  # what is less in one look is no stall
--- a/anisefront/lab/workers.py
+++ b/anisefront/testbed/workers.py
@@ -16,9 +16,9 @@
 from twisted.internet import protocol
 
 from anisefront.config.types import Embedded
-from anisefront.lab.records import Record, now_ms
 from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
-from anisefront.wire import http1
+from anisefront.protocols import http1
+from anisefront.testbed.records import Record, now_ms
 
 ANSWER = {"content-type": "application/json"}
 
--- a/anisefront/carriers/http.py
+++ b/anisefront/upstream/http.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from anisefront.wire.http1 import Head, Message, MessageFault, Reader
+from anisefront.protocols.http1 import Head, Message, MessageFault, Reader
 
 
 class HttpAnswers:
--- a/anisefront/carriers/own.py
+++ b/anisefront/upstream/own.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from anisefront.carriers.outcomes import of_answer
-from anisefront.carriers.pool import Pool
-from anisefront.carriers.pooled import Open, Pooled
-from anisefront.core.ledger import Ledger, Work
+from anisefront.gateway.ledger import Ledger, Work
 from anisefront.policy.actions import RejectionReason
 from anisefront.policy.events import Arrival, AttemptResult, PriorAttempts
-from anisefront.wire import http1, orca
+from anisefront.protocols import http1, orca
+from anisefront.upstream.outcomes import of_answer
+from anisefront.upstream.pool import Pool
+from anisefront.upstream.pooled import Open, Pooled
 
 
 @dataclass(frozen=True, slots=True)
--- a/anisefront/carriers/pool.py
+++ b/anisefront/upstream/pool.py
@@ -3,7 +3,7 @@
     connecting --connected--> writing --all with the system--> waiting --whole answer--> resting --> idle --> writing
     cancel and time-out close the connection; a fault before the last byte was with the system proves that nothing ran
 
-What the workers speak is handed in: a reader of answers for each connection (`carriers/http.py` has HTTP/1.1's).
+What the workers speak is handed in: a reader of answers for each connection (`upstream/http.py` has HTTP/1.1's).
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from twisted.internet.abstract import isIPAddress, isIPv6Address
 from twisted.python.failure import Failure
 
-from anisefront.carriers.http import HttpAnswers
 from anisefront.policy.events import AttemptResult
+from anisefront.upstream.http import HttpAnswers
 
 Done = Callable[[AttemptResult | None, Any], None]  # a result where no whole answer came, else the answer
 
--- a/anisefront/carriers/pooled.py
+++ b/anisefront/upstream/pooled.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from anisefront.carriers.pool import Exchange, Pool
-from anisefront.core.ledger import Ledger
+from anisefront.gateway.ledger import Ledger
 from anisefront.policy.events import AttemptResult
+from anisefront.upstream.pool import Exchange, Pool
 
 
 @dataclass(slots=True, eq=False)
--- a/anisefront/carriers/proxied.py
+++ b/anisefront/upstream/proxied.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from anisefront.core.ledger import Ledger, Timers, Work
+from anisefront.gateway.ledger import Ledger, Timers, Work
 from anisefront.policy.actions import RejectionReason
 from anisefront.policy.events import Arrival, AttemptResult, PriorAttempts
 
--- a/anisefront/carriers/returning.py
+++ b/anisefront/upstream/returning.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from anisefront.carriers.own import Answer
-from anisefront.core.ledger import Timers
+from anisefront.gateway.ledger import Timers
+from anisefront.upstream.own import Answer
 
 KEEP_MS = 10_000.0  # an answer is kept for so long after the request's time
 MOST_BYTES = 16 << 20  # of answers that are kept; beyond them the oldest go first
--- a/benchmarks/calibration.py
+++ b/benchmarks/calibration.py
@@ -11,11 +11,11 @@
 import sys
 import tempfile
 
-from anisefront.lab import script as scripts
-from anisefront.lab.day import settings_text
-from anisefront.lab.model import calibrate, fit, traces
-from anisefront.lab.model.store import Store
-from anisefront.lab.model.study import OptionSpec, Runner, Study, Traffic, collect, config_of, option_of
+from anisefront.testbed import script as scripts
+from anisefront.testbed.day import settings_text
+from anisefront.testbed.model import calibrate, fit, traces
+from anisefront.testbed.model.store import Store
+from anisefront.testbed.model.study import OptionSpec, Runner, Study, Traffic, collect, config_of, option_of
 
 ROOT = pathlib.Path(__file__).parent.parent
 SETTINGS = ROOT / "examples/bad-saturday/gatekeeper.conf"
--- a/benchmarks/config.py
+++ b/benchmarks/config.py
@@ -12,8 +12,8 @@
 
 from anisefront.config import checker, loader
 from anisefront.config.parser import parse
-from anisefront.core.patterns import Pattern, matches
-from anisefront.core.routing import Key, Route, RouteIndex, Router
+from anisefront.gateway.patterns import Pattern, matches
+from anisefront.gateway.routing import Key, Route, RouteIndex, Router
 
 HEAD = """language 2
 gatekeeper 0 of 1
@@ -108,7 +108,7 @@
             index.find(method, host, path, headers)
 
     def linear(method, host, path, headers):
-        from anisefront.core.patterns import Request
+        from anisefront.gateway.patterns import Request
 
         request = Request(method, host, path, tuple(headers.items()))
         return next((n for n, route in enumerate(routes) if matches(route.pattern, request)), -1)
@@ -156,7 +156,7 @@
             )
         index = RouteIndex(tuple(routes))
         order = [(number, method, routes[number].pattern) for number, method in index.in_order()]
-        from anisefront.core.patterns import Request, host_matches, path_matches, when_matches
+        from anisefront.gateway.patterns import Request, host_matches, path_matches, when_matches
 
         for _ in range(2000):
             path = "/" + "/".join(chance.choice(["a", "b", "ab", ""]) for _ in range(chance.randrange(1, 5)))
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -12,8 +12,8 @@
 import sys
 import time
 
-from anisefront.fleet.datagrams import Seal
-from anisefront.fleet.membership import Membership
+from anisefront.cluster.datagrams import Seal
+from anisefront.cluster.membership import Membership
 
 SECRET, PERIOD_MS = b"sixteen bytes at least", 1000.0
 
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -12,10 +12,10 @@
 import numpy as np
 import simpy
 
-from anisefront.lab.model.draws import lognormal
-from anisefront.lab.model.pool import Workers
-from anisefront.lab.model.traces import Arrival
-from anisefront.lab.model.world import Network, Option, World
+from anisefront.testbed.model.draws import lognormal
+from anisefront.testbed.model.pool import Workers
+from anisefront.testbed.model.traces import Arrival
+from anisefront.testbed.model.world import Network, Option, World
 from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 TURNS = 3
--- a/benchmarks/ordering.py
+++ b/benchmarks/ordering.py
@@ -10,8 +10,8 @@
 import statistics
 import tempfile
 
-from anisefront.lab.model import calibrate
-from anisefront.lab.model.study import Runner, Study, Traffic, collect
+from anisefront.testbed.model import calibrate
+from anisefront.testbed.model.study import Runner, Study, Traffic, collect
 from benchmarks.calibration import BASE, SETTINGS, SIDE_BY_SIDE, play, spec
 
 RUNS, SEEDS = 16, (21, 22)
--- a/benchmarks/scale/carrying.py
+++ b/benchmarks/scale/carrying.py
@@ -7,7 +7,7 @@
 import random
 from dataclasses import dataclass
 
-from anisefront.fleet import datagrams, keeping, membership
+from anisefront.cluster import datagrams, keeping, membership
 from benchmarks.scale.plan import CONTROL_MACHINES, DAY_S, PLAN
 
 SEED = 37
--- a/benchmarks/scale/counting.py
+++ b/benchmarks/scale/counting.py
@@ -4,10 +4,10 @@
 
 from collections import Counter
 
-from anisefront.fleet import keeping, membership
-from anisefront.fleet.membership import Kind
+from anisefront.cluster import keeping, membership
+from anisefront.cluster.membership import Kind
 
-HEAD = 29  # bytes before the data of a sealed datagram (fleet/datagrams.py)
+HEAD = 29  # bytes before the data of a sealed datagram (cluster/datagrams.py)
 PURPOSES = ("members", "quotas", "keeping")
 
 
--- a/benchmarks/scale/files.py
+++ b/benchmarks/scale/files.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from anisefront.core.routing import LISTED, first_gateway
+from anisefront.gateway.routing import LISTED, first_gateway
 from anisefront.policy.settings import Settings
 
 ZONES, SPREAD, PER_SERVICE, KEYS_A_FILE = 8, 8, 13, 1000
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -24,16 +24,16 @@
 
 from anisefront.cli.config import checked
 from anisefront.config.types import Address, Config
-from anisefront.core.ledger import Ledger
-from anisefront.core.routing import LISTED, first_gateway
+from anisefront.gateway.ledger import Ledger
+from anisefront.gateway.routing import LISTED, first_gateway
 from anisefront.daemon.clock import Clock
 from anisefront.daemon.gatekeeper import KEEPING_MARK, MEMBERS_MARK, ROSTER_S
 from anisefront.daemon.members import Members
 from anisefront.daemon.peers import PeerPort
 from anisefront.daemon.pulse import Pulse
-from anisefront.fleet import membership, roster
-from anisefront.fleet.datagrams import Seal
-from anisefront.fleet.members import MOST_ROWS, Row, Status, pack
+from anisefront.cluster import membership, roster
+from anisefront.cluster.datagrams import Seal
+from anisefront.cluster.members import MOST_ROWS, Row, Status, pack
 from anisefront.policy.controller import Controller
 from benchmarks.scale import child, counting
 from benchmarks.scale.files import SPREAD, Sizes, customers_of, zone
--- a/benchmarks/scale/load.py
+++ b/benchmarks/scale/load.py
@@ -33,7 +33,7 @@
 
 def way_to(address: str) -> Any:
     """The lab's sender as a front proxy, told of the worker that a check names."""
-    from anisefront.lab.load import sender
+    from anisefront.testbed.load import sender
 
     class Way(sender._Proxy):
         async def check(self, path: str, key: str, name: str) -> tuple[str, str]:
@@ -145,7 +145,7 @@
 
 def main() -> None:
     child.task()
-    import anisefront.lab.load.sender  # noqa: F401 - what is loaded now does not delay the first request
+    import anisefront.testbed.load.sender  # noqa: F401 - what is loaded now does not delay the first request
     import grpc.aio  # noqa: F401
 
     asyncio.run(serve())
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -11,7 +11,7 @@
 from functools import partial
 from pathlib import Path
 
-from anisefront.fleet.roster import MOST_BYTES
+from anisefront.cluster.roster import MOST_BYTES
 from benchmarks.scale import apart, carrying, estimates, fit, results, roles, subsets
 from benchmarks.scale.estimates import Crossing
 from benchmarks.scale.plan import (
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -6,8 +6,8 @@
 import math
 from dataclasses import dataclass
 
-from anisefront.fleet import keeping, membership, origin
-from anisefront.fleet.members import ROW
+from anisefront.cluster import keeping, membership, origin
+from anisefront.cluster.members import ROW
 from benchmarks.scale import subsets
 from benchmarks.scale.plan import APART_S, CONTROL_MACHINES, IN_HAND_S, PLAN, RACK_MACHINES, REGIONS, SET, ZONES
 
@@ -80,7 +80,7 @@
         "gatekeeper",
         "settings, list of workers, members, requests in hand",
         "its clients' and workers' aside: those of the other roles",
-        "`daemon/gatekeeper.py`, `core/ledger.py`",
+        "`daemon/gatekeeper.py`, `gateway/ledger.py`",
     ),
     Role(
         "home of quotas",
@@ -94,20 +94,20 @@
         "keeper",
         f"records of others' requests, at most {keeping.MOST_RECORD:,} bytes each, about {short(in_hand())} at a time",
         "of each request that may not simply run again: taken, sent, over, and a word for each",
-        "`fleet/origin.py`, `fleet/keeper.py`, `daemon/keepers.py`",
+        "`cluster/origin.py`, `cluster/keeper.py`, `daemon/keepers.py`",
     ),
     Role(
         "who tells the list",
         "all workers, as one file",
         "the whole file after each change, to each gatekeeper",
-        "reading: `fleet/roster.py`, ten looks a second; on the platform `node/watch.py`; bringing it to all: "
-        + MISSING,
+        "reading: `cluster/roster.py`, ten looks a second; on the platform `resp_gateway/watch.py`; "
+        "bringing it to all: " + MISSING,
     ),
     Role(
         "who tells settings",
         "all settings, as files",
         "each change to each gatekeeper, and its word that it is in force",
-        "reading what changed: `config/reading.py`, `core/versions.py`, `daemon/reloader.py` at SIGHUP; "
+        "reading what changed: `config/reading.py`, `gateway/versions.py`, `daemon/reloader.py` at SIGHUP; "
         "bringing it to all, and knowing who has which version: " + MISSING,
     ),
     Role(
@@ -120,13 +120,13 @@
         "worker",
         "its connections",
         "requests, and the load that its answers tell",
-        "`carriers/pool.py`; which workers a gatekeeper knows: all of its pool; subsets: " + MISSING,
+        "`upstream/pool.py`; which workers a gatekeeper knows: all of its pool; subsets: " + MISSING,
     ),
     Role(
         "client side",
         "a connection to a gatekeeper, its requests in hand",
         "its requests; a repeat where it is told to come again",
-        "`fronts/`, `carriers/returning.py`; which gatekeeper a client goes to is its proxy's matter",
+        "`fronts/`, `upstream/returning.py`; which gatekeeper a client goes to is its proxy's matter",
     ),
 )
 
@@ -263,7 +263,7 @@
     ),
     (
         "the whole list is read and parsed",
-        "`fleet/roster.py`",
+        "`cluster/roster.py`",
         "workers, each change",
         "not accepted for good: see the order of work",
     ),
@@ -275,13 +275,13 @@
     ),
     (
         "rows are compared in full with one other",
-        "`fleet/membership.py`, `JOIN`",
+        "`cluster/membership.py`, `JOIN`",
         "members, every 30 periods",
         "it heals whatever was lost; a row is small",
     ),
     (
         "a round of pings is shuffled anew",
-        "`fleet/membership.py`, `_next`",
+        "`cluster/membership.py`, `_next`",
         "members, once a round",
         "a round is as many periods",
     ),
@@ -311,7 +311,7 @@
     ),
     (
         "the parts of all files are gone through",
-        "`config/reading.py`, `core/tables.py`",
+        "`config/reading.py`, `gateway/tables.py`",
         "files, each change of settings",
         "some ms in slices; what they hold is not looked at",
     ),
@@ -335,13 +335,13 @@
     ),
     (
         "idle connections are swept",
-        "`carriers/pool.py`, `_sweep`",
+        "`upstream/pool.py`, `_sweep`",
         "workers with open connections, each sweep",
         "one timer for all costs less than one each",
     ),
     (
         "the longest idle connection is looked for",
-        "`carriers/pool.py`, `make_room`",
+        "`upstream/pool.py`, `make_room`",
         "workers with open connections, each new one at the cap",
         "only where a cap is set",
     ),
--- a/benchmarks/scale/services.py
+++ b/benchmarks/scale/services.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from anisefront.fleet import roster
+from anisefront.cluster import roster
 from anisefront.policy.controller import Controller
 from benchmarks.scale import child
 from benchmarks.scale.files import Files, Sizes
--- a/benchmarks/settings.py
+++ b/benchmarks/settings.py
@@ -37,7 +37,7 @@
 def before(layout: Layout, path: Path, changes: int) -> dict[str, object]:
     """The whole way: loader.load, checker.check, Router."""
     from anisefront.config import checker, loader
-    from anisefront.core.routing import Router
+    from anisefront.gateway.routing import Router
 
     out: dict[str, object] = {"imported_mb": held_mb()}
 
@@ -66,7 +66,7 @@
 def after(layout: Layout, path: Path, changes: int) -> dict[str, object]:
     """In steps: Reading and next_steps, the collector of cycles set as daemon/collector.py sets it."""
     from anisefront.config.reading import Reading
-    from anisefront.core.versions import next_steps
+    from anisefront.gateway.versions import next_steps
     from anisefront.daemon import collector
 
     out: dict[str, object] = {"imported_mb": held_mb()}
--- a/tests/change_loop.py
+++ b/tests/change_loop.py
@@ -20,7 +20,7 @@
 from test_path import Running, told
 
 from anisefront.config.reading import Reading
-from anisefront.core.versions import at_once
+from anisefront.gateway.versions import at_once
 from benchmarks.changes import Layout
 
 HEAD = """language 2
--- a/tests/fuzz_config.py
+++ b/tests/fuzz_config.py
@@ -17,7 +17,7 @@
 from anisefront.config import checker, formatter, loader  # noqa: E402
 from anisefront.config.parser import parse  # noqa: E402
 from anisefront.config.reading import Reading  # noqa: E402
-from anisefront.core.versions import at_once  # noqa: E402
+from anisefront.gateway.versions import at_once  # noqa: E402
 
 FILES = {
     "lexer.py",
--- a/tests/keeping_net.py
+++ b/tests/keeping_net.py
@@ -9,7 +9,7 @@
 import sys
 import types
 
-from anisefront.fleet.keeping import NO_NAME, Taken, pack, unpack
+from anisefront.cluster.keeping import NO_NAME, Taken, pack, unpack
 
 TICK, WAIT = 200.0, 40.0  # past every patience at once; time to ask again only
 
@@ -18,8 +18,8 @@
     """The deciding code, with guards taken out: each cut is (module, text, what stands there instead)."""
     out = types.SimpleNamespace()
     for name, wanted in (("origin", ("Origin", "Member")), ("keeper", ("Keeper", "Witness"))):
-        source = importlib.import_module(f"anisefront.fleet.{name}").__spec__.loader.get_source(
-            f"anisefront.fleet.{name}"
+        source = importlib.import_module(f"anisefront.cluster.{name}").__spec__.loader.get_source(
+            f"anisefront.cluster.{name}"
         )
         for _, text, instead in (cut for cut in cuts if cut[0] == name):
             assert source.count(text) == 1, f"{text!r} stands {source.count(text)} times in {name}.py"
--- a/tests/members_net.py
+++ b/tests/members_net.py
@@ -3,8 +3,8 @@
 import heapq
 import random
 
-from anisefront.fleet.members import Status
-from anisefront.fleet.membership import Membership
+from anisefront.cluster.members import Status
+from anisefront.cluster.membership import Membership
 
 PERIOD = 1000.0
 
--- a/tests/settings_samples.py
+++ b/tests/settings_samples.py
@@ -20,7 +20,7 @@
 from anisefront.cli.main import main as command_line
 from anisefront.config import checker, loader
 from anisefront.config.reading import Reading
-from anisefront.core.versions import at_once
+from anisefront.gateway.versions import at_once
 
 ROOT = Path(__file__).parent.parent
 EXPECTED = Path(__file__).parent / "data" / "settings" / "expected.json"
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -10,12 +10,12 @@
 from test_rules import settings
 from twisted.internet.epollreactor import EPollReactor
 
-from anisefront.carriers.pool import Pool, PoolLimits
-from anisefront.core.ledger import Ledger
-from anisefront.node import resp
-from anisefront.node.carrier import NodeCarrier, RespAnswers
-from anisefront.node.front import Front, FrontLimits
-from anisefront.node.terms import Reader
+from anisefront.upstream.pool import Pool, PoolLimits
+from anisefront.gateway.ledger import Ledger
+from anisefront.resp_gateway import resp
+from anisefront.resp_gateway.carrier import NodeCarrier, RespAnswers
+from anisefront.resp_gateway.front import Front, FrontLimits
+from anisefront.resp_gateway.terms import Reader
 from anisefront.policy.actions import StartAttempt
 from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -29,7 +29,7 @@
 
 def sim(text):
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
-    assert command == "exec .venv/bin/python -m anisefront.simhost"
+    assert command == "exec .venv/bin/python -m anisefront.bench_adapter"
     command = command.replace(".venv/bin/python", sys.executable)
     return subprocess.run(["/bin/sh", "-c", command], input=text, cwd=ROOT, text=True, capture_output=True)
 
@@ -103,14 +103,14 @@
 def test_a_fault_of_the_module_is_told_on_the_wire(monkeypatch, capsys):
     import io
 
-    from anisefront import simhost
+    from anisefront import bench_adapter
     from anisefront.policy.controller import Controller
 
     monkeypatch.setattr(Controller, "handle", lambda self, now, events: 1 / 0)
     monkeypatch.setattr(sys, "stdin", io.TextIOWrapper(io.BytesIO(start().encode())))
     out = io.TextIOWrapper(io.BytesIO())
     monkeypatch.setattr(sys, "stdout", out)
-    assert simhost.main() == 1
+    assert bench_adapter.main() == 1
     out.seek(0)
     assert out.read() == "FROM\t0\nBUG\tinstance 0: ZeroDivisionError: division by zero\nFINISHED\n"
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -10,7 +10,7 @@
 from twisted.internet import error
 from twisted.python.failure import Failure
 
-from anisefront.node import resp
+from anisefront.resp_gateway import resp
 from anisefront.policy.actions import StartAttempt
 from anisefront.policy.events import AttemptEnded, AttemptResult, Endpoint, EndpointList, EndpointStatus
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from anisefront.core.standing import Lag, Sample, Standing, between, read_schedstat
-from anisefront.lab.audit import Auditor
+from anisefront.gateway.standing import Lag, Sample, Standing, between, read_schedstat
+from anisefront.testbed.audit import Auditor
 
 
 def day(answered=2000.0, stood=(), **more):
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -9,8 +9,8 @@
 from test_node_front import other
 from test_node_wire import ASK
 
-from anisefront.node import front as fronts
-from anisefront.node import resp
+from anisefront.resp_gateway import front as fronts
+from anisefront.resp_gateway import resp
 from anisefront.policy.actions import Reject
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -16,8 +16,8 @@
 from anisefront.config.lexer import Severity
 from anisefront.config.migrate import migrate, prepare
 from anisefront.config.parser import parse
-from anisefront.core.patterns import Pattern, Request, common, covers, examples, matches
-from anisefront.core.routing import Route, RouteIndex
+from anisefront.gateway.patterns import Pattern, Request, common, covers, examples, matches
+from anisefront.gateway.routing import Route, RouteIndex
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -446,7 +446,7 @@
 def test_crossings_are_found(routes):
     """Every pair with requests in common of which neither takes all of the other's paths is named."""
     from anisefront.config.meaning import _crossing
-    from anisefront.core.patterns import common_path, path_matches, shape
+    from anisefront.gateway.patterns import common_path, path_matches, shape
 
     pairs = {tuple(sorted(pair)) for pair in _crossing([(None, route) for route in routes])}
     for first in range(len(routes)):
--- a/tests/test_connection_search.py
+++ b/tests/test_connection_search.py
@@ -7,11 +7,11 @@
 import pytest
 from connection_model import EVENTS, Broken, play
 
-from anisefront.core.ledger import Ledger
-from anisefront.node import front as fronts
-from anisefront.node import resp
-from anisefront.node.carrier import NodeCarrier
-from anisefront.node.front import Client
+from anisefront.gateway.ledger import Ledger
+from anisefront.resp_gateway import front as fronts
+from anisefront.resp_gateway import resp
+from anisefront.resp_gateway.carrier import NodeCarrier
+from anisefront.resp_gateway.front import Client
 
 BEGINNINGS = ("", "c", "cg", "cgk", "uc")
 DEPTH, SEEDS, LENGTH = 3, 3000, 12
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,9 +6,9 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import MemoryReactorClock
 
-from anisefront.carriers.outcomes import FLAGS, of_answer, of_flags
-from anisefront.carriers.proxied import Proxied, Verdict
-from anisefront.core.ledger import Ledger
+from anisefront.upstream.outcomes import FLAGS, of_answer, of_flags
+from anisefront.upstream.proxied import Proxied, Verdict
+from anisefront.gateway.ledger import Ledger
 from anisefront.policy.controller import Controller
 from anisefront.policy.actions import Reject, StartAttempt
 from anisefront.policy.events import AttemptEnded
@@ -328,8 +328,8 @@
 
 
 def test_second_copies_and_cancels_on_our_own_connections():
-    from anisefront.carriers.own import Job, Own
-    from anisefront.wire.http1 import Message
+    from anisefront.upstream.own import Job, Own
+    from anisefront.protocols.http1 import Message
 
     patient = tuple(replace(kind, latency_objective_ms=1900) for kind in CLASSES)
     desk = Desk(classes=patient, hedging_enabled=True)
@@ -376,7 +376,7 @@
 
 
 def test_a_turn_is_bounded_and_serves_all_lines_in_turn():
-    from anisefront.core import ledger as ledgers
+    from anisefront.gateway import ledger as ledgers
 
     desk = Desk()
     ledger = desk.ledger
@@ -405,7 +405,7 @@
 
 
 def test_peers_messages_that_no_turn_takes_in_are_dropped_at_their_cap():
-    from anisefront.core import ledger as ledgers
+    from anisefront.gateway import ledger as ledgers
 
     desk = Desk()
     for _ in range(ledgers.MOST_HEARD + 50):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -15,10 +15,10 @@
 from test_path import ROOT, Running, told
 from twisted.internet.task import Clock
 
-from anisefront.core.standing import Sample
+from anisefront.gateway.standing import Sample
 from anisefront.daemon import collector, memory, pulse
 from anisefront.policy.controller import Controller
-from anisefront.wire import grpc as wire_grpc
+from anisefront.protocols import grpc as wire_grpc
 from anisefront.policy.settings import Plan, RequestClass, Settings
 
 SHARED = (Settings, Plan, RequestClass, Controller)
@@ -145,7 +145,7 @@
     """The log stream's message is large; what comes behind it waits in the socket and not with us."""
     from twisted.internet.testing import StringTransport
 
-    from anisefront.fronts.grpcserver import GrpcFactory
+    from anisefront.frontends.grpcserver import GrpcFactory
 
     calls = []
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -11,7 +11,17 @@
 
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
 # The rooms that a gatekeeper on the platform loads, and what must never cost it memory and time at a start.
-ROOMS = {"carriers", "cli", "core", "daemon", "fronts", "node", "policy", "wire", "fleet"}
+ROOMS = {
+    "upstream",
+    "cli",
+    "gateway",
+    "daemon",
+    "frontends",
+    "resp_gateway",
+    "policy",
+    "protocols",
+    "cluster",
+}
 NEVER = {"google", "grpc", "h2", "hpack", "numpy", "matplotlib", "prometheus_client", "textual", "multiprocessing"}
 
 
@@ -69,7 +79,7 @@
     node = house(Run(house.folder, discovery.address, row("s1", worker.address)))
     assert ask(node.client(), 1) == b"value for 0000000000000001"
     names = set(re.findall(r"^import time:[ \d|]+?([\w.]+)$", node.said(), re.M))
-    assert "anisefront.node.gatekeeper" in names
+    assert "anisefront.resp_gateway.gatekeeper" in names
     assert {name.split(".")[1] for name in names if name.startswith("anisefront.")} - {"__main__"} <= ROOMS
     assert not {name.partition(".")[0] for name in names} & NEVER
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from anisefront.fleet import roster
-from anisefront.fleet.datagrams import MOST_AGE_MS, REMEMBERED, Seal
+from anisefront.cluster import roster
+from anisefront.cluster.datagrams import MOST_AGE_MS, REMEMBERED, Seal
 from anisefront.policy.events import Endpoint, EndpointStatus
 
 SECRET, NOW = b"0123456789abcdef", 1.8e12
@@ -147,7 +147,7 @@
     from twisted.internet.testing import MemoryReactorClock
 
     from anisefront.config.reading import Outcome
-    from anisefront.core.versions import at_once, next_steps
+    from anisefront.gateway.versions import at_once, next_steps
     from anisefront.daemon.gatekeeper import Gatekeeper
 
     path = tmp_path / "roster.json"
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -8,9 +8,9 @@
 from test_module import FLEET, ask, gateway, of
 from twisted.internet.task import Clock
 
-from anisefront.carriers.own import Answer
-from anisefront.carriers.proxied import Verdict
-from anisefront.carriers.returning import Returning
+from anisefront.upstream.own import Answer
+from anisefront.upstream.proxied import Verdict
+from anisefront.upstream.returning import Returning
 from anisefront.daemon.keepers import read_record
 from anisefront.policy.actions import Fail, Reject, SendToPeer, StartAttempt
 from anisefront.policy.events import AttemptResult, EndpointList, EndpointStatus, PriorAttempts
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from anisefront.wire import grpc, http2
-from anisefront.wire.http2 import Broken, Code, Connection, DataReceived, Limits, RequestReceived, StreamReset
+from anisefront.protocols import grpc, http2
+from anisefront.protocols.http2 import Broken, Code, Connection, DataReceived, Limits, RequestReceived, StreamReset
 
 HEADERS = [
     (":method", "POST"),
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -5,7 +5,7 @@
 from test_node_front import House, other, sent
 from test_node_wire import SERVED
 
-from anisefront.node import resp
+from anisefront.resp_gateway import resp
 from anisefront.policy.actions import StartAttempt
 from anisefront.policy.events import AttemptEnded, AttemptResult
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -7,8 +7,8 @@
 from keeping_cuts import CUTS, DECLINED, LATE
 from keeping_net import World, explore, fresh, schedule
 
-from anisefront.fleet.keeper import Keeper, Witness
-from anisefront.fleet.keeping import (
+from anisefront.cluster.keeper import Keeper, Witness
+from anisefront.cluster.keeping import (
     MOST_RECORD,
     NO_NAME,
     Ack,
@@ -26,7 +26,7 @@
     pack_entry,
     unpack,
 )
-from anisefront.fleet.origin import LATE_MS, MOST_UNHEARD, PATIENCE_MS, Member, Origin
+from anisefront.cluster.origin import LATE_MS, MOST_UNHEARD, PATIENCE_MS, Member, Origin
 
 ENTRIES = (
     Taken(7, True, 900, b"12345678", b"record"),
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -7,8 +7,8 @@
 from twisted.internet import error
 from twisted.python.failure import Failure
 
-from anisefront.node import front as fronts
-from anisefront.node import resp
+from anisefront.resp_gateway import front as fronts
+from anisefront.resp_gateway import resp
 from anisefront.policy.actions import Reject, StartAttempt
 from anisefront.policy.events import AttemptEnded, AttemptResult, ClientDisconnected
 
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -13,7 +13,7 @@
 from envoy.service.auth.v3 import external_auth_pb2
 from test_path import Running, call, told
 
-from anisefront.wire import grpc as wire_grpc
+from anisefront.protocols import grpc as wire_grpc
 
 ROOT = pathlib.Path(__file__).parent.parent
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,9 +12,9 @@
 
 from anisefront.cli.config import load as load_settings
 from anisefront.cli.main import main
-from anisefront.lab.load import plan, sender
-from anisefront.lab.load.report import Report
-from anisefront.lab.model.traces import Arrival, Trace, written
+from anisefront.testbed.load import plan, sender
+from anisefront.testbed.load.report import Report
+from anisefront.testbed.model.traces import Arrival, Trace, written
 
 ROOT = pathlib.Path(__file__).parent.parent
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,9 +6,9 @@
 import pytest
 from members_net import PERIOD, Net
 
-from anisefront.fleet import membership
-from anisefront.fleet.members import ROW, Row, Status, newer, pack, unpack
-from anisefront.fleet.membership import MARK, Change, Membership
+from anisefront.cluster import membership
+from anisefront.cluster.members import ROW, Row, Status, newer, pack, unpack
+from anisefront.cluster.membership import MARK, Change, Membership
 
 
 def fleet(count, **more):
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -9,12 +9,12 @@
 from anisefront.cli.main import main
 from anisefront.config.types import Recording
 from anisefront.daemon.recorder import Recorder
-from anisefront.lab.model import compare, traces
-from anisefront.lab.model.traces import Arrival, Trace
-from anisefront.lab.model.pool import Workers
-from anisefront.lab.model.world import Option, World
-from anisefront.lab.script import Trouble
-from anisefront.wire import trace
+from anisefront.testbed.model import compare, traces
+from anisefront.testbed.model.traces import Arrival, Trace
+from anisefront.testbed.model.pool import Workers
+from anisefront.testbed.model.world import Option, World
+from anisefront.testbed.script import Trouble
+from anisefront.protocols import trace
 from anisefront.policy import events
 from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
 
--- a/tests/test_node_front.py
+++ b/tests/test_node_front.py
@@ -8,15 +8,15 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
-from anisefront.carriers.pool import Pool, PoolLimits
-from anisefront.core.ledger import Ledger
-from anisefront.node import front as fronts
-from anisefront.node import resp
-from anisefront.node.carrier import NodeCarrier, RespAnswers
-from anisefront.node.front import Front, FrontLimits
-from anisefront.node.peers import PeerPort
-from anisefront.node.terms import Reader
-from anisefront.node.watch import Watch
+from anisefront.upstream.pool import Pool, PoolLimits
+from anisefront.gateway.ledger import Ledger
+from anisefront.resp_gateway import front as fronts
+from anisefront.resp_gateway import resp
+from anisefront.resp_gateway.carrier import NodeCarrier, RespAnswers
+from anisefront.resp_gateway.front import Front, FrontLimits
+from anisefront.resp_gateway.peers import PeerPort
+from anisefront.resp_gateway.terms import Reader
+from anisefront.resp_gateway.watch import Watch
 from anisefront.policy.actions import Fail, Reject, RejectionReason, StartAttempt
 from anisefront.policy.events import AttemptEnded, AttemptResult, Endpoint, EndpointList, EndpointStatus
 
--- a/tests/test_node_loopback.py
+++ b/tests/test_node_loopback.py
@@ -15,7 +15,7 @@
 import redis
 from test_node_wire import WIRE_SETTINGS, change, found, row
 
-from anisefront.node import resp
+from anisefront.resp_gateway import resp
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -338,7 +338,7 @@
 
 def test_only_what_is_used_is_loaded():
     code = (
-        "import sys, anisefront.cli.node, anisefront.node.gatekeeper, anisefront.daemon.process\n"
+        "import sys, anisefront.cli.node, anisefront.resp_gateway.gatekeeper, anisefront.daemon.process\n"
         "print(' '.join(sorted(sys.modules)))"
     )
     loaded = set(
@@ -354,7 +354,7 @@
         "anisefront.daemon.gatekeeper",
         "twisted.web",
         "anisefront.config.checker",
-        "anisefront.lab",
-        "anisefront.fronts.grpcserver",
+        "anisefront.testbed",
+        "anisefront.frontends.grpcserver",
     ):
         assert name not in loaded, name
--- a/tests/test_node_wire.py
+++ b/tests/test_node_wire.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies as st
 from test_rules import settings
 
-from anisefront.node import resp
-from anisefront.node.carrier import RespAnswers, outcome, refusal
-from anisefront.node.config import ConfigFault, node_config
-from anisefront.node.discovery import Book, DiscoveryFault, WatchReader, read_change
-from anisefront.node.terms import Reader, TermsFault, report_row
+from anisefront.resp_gateway import resp
+from anisefront.resp_gateway.carrier import RespAnswers, outcome, refusal
+from anisefront.resp_gateway.config import ConfigFault, node_config
+from anisefront.resp_gateway.discovery import Book, DiscoveryFault, WatchReader, read_change
+from anisefront.resp_gateway.terms import Reader, TermsFault, report_row
 from anisefront.policy.events import AttemptResult, EndpointStatus
 
 ASK = [b"Q.ASK", b"00000000b4d65521", b"9b1f03aa5c7e2d41", b"c=look,t=rated,d=480,units=2,spread=3,first=1"]
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -6,7 +6,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from anisefront.carriers.pool import Pool, PoolLimits
+from anisefront.upstream.pool import Pool, PoolLimits
 from anisefront.policy.events import AttemptResult
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -18,10 +18,10 @@
 from anisefront.config.explain import explain
 from anisefront.config.model import Entry, Model
 from anisefront.config.reading import Reading
-from anisefront.core import tables, versions
-from anisefront.core.patterns import Request
-from anisefront.core.routing import RouteIndex
-from anisefront.core.versions import at_once, next_steps
+from anisefront.gateway import tables, versions
+from anisefront.gateway.patterns import Request
+from anisefront.gateway.routing import RouteIndex
+from anisefront.gateway.versions import at_once, next_steps
 
 HEAD = [
     "language 2",
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -12,14 +12,14 @@
 from anisefront.config import reading
 from anisefront.config.loader import Disk
 from anisefront.config.reading import Outcome
-from anisefront.core.ledger import Entry, Work
-from anisefront.core.routing import Unmapped
-from anisefront.core.versions import at_once, next_steps
+from anisefront.gateway.ledger import Entry, Work
+from anisefront.gateway.routing import Unmapped
+from anisefront.gateway.versions import at_once, next_steps
 from anisefront.daemon import reloader
 from anisefront.daemon.gatekeeper import Gatekeeper
 from anisefront.daemon.reloader import Phase, Reloader
 from anisefront.daemon.source import Source
-from anisefront.fleet.keeping import Word
+from anisefront.cluster.keeping import Word
 from anisefront.policy.events import Arrival
 
 # ---- every order, on files in memory ------------------------------------------------------------------
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -28,22 +28,34 @@
     assert "send 1 to" in capsys.readouterr().out
 
 
-# A room may import those before it; wire and policy know nothing of each other or of anybody.
-ROOMS = ["policy", "wire", "core", "carriers", "fronts", "fleet", "config", "daemon", "node", "lab", "cli"]
+# A package may import those before it; policy and protocols import nothing of the project.
+PACKAGES = [
+    "policy",
+    "protocols",
+    "gateway",
+    "upstream",
+    "frontends",
+    "cluster",
+    "config",
+    "daemon",
+    "resp_gateway",
+    "testbed",
+    "cli",
+]
 
 
 def test_arrows_between_rooms_go_one_way():
     for path in (ROOT / "anisefront").rglob("*.py"):
         room = path.relative_to(ROOT / "anisefront").parts[0]
-        if room not in ROOMS:
+        if room not in PACKAGES:
             continue
         for other in re.findall(r"^\s*(?:from|import) anisefront\.(\w+)", path.read_text(), re.M):
-            assert other == room or ROOMS.index(other) < ROOMS.index(room), f"{path} imports {other}"
-            assert room not in ("policy", "wire") or other == room, f"{path} imports {other}"
+            assert other == room or PACKAGES.index(other) < PACKAGES.index(room), f"{path} imports {other}"
+            assert room not in ("policy", "protocols") or other == room, f"{path} imports {other}"
 
 
 def test_only_the_event_loop_s_rooms_know_twisted():
-    for room in ("policy", "wire", "core", "config", "fleet"):
+    for room in ("policy", "protocols", "gateway", "config", "cluster"):
         for path in (ROOT / "anisefront" / room).rglob("*.py"):
             assert "twisted" not in path.read_text().lower().replace("twisted's reactor and", ""), path
 
@@ -51,7 +63,7 @@
 def test_module_and_adapter_need_the_standard_library_only():
     import sys
 
-    files = [*(ROOT / "anisefront/policy").glob("*.py"), ROOT / "anisefront/simhost.py"]
+    files = [*(ROOT / "anisefront/policy").glob("*.py"), ROOT / "anisefront/bench_adapter.py"]
     for path in files:
         for name in re.findall(r"^\s*(?:from|import) (\w+)", path.read_text(), re.M):
             assert name in sys.stdlib_module_names or name == "anisefront", f"{path}: {name}"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,13 +13,13 @@
 from hypothesis import strategies as st
 
 from anisefront.cli.config import checked
-from anisefront.fleet.datagrams import Seal
-from anisefront.fleet.keeping import MARK
-from anisefront.fleet.membership import Membership
-from anisefront.fronts.jsonrpc import UNMAPPED
+from anisefront.cluster.datagrams import Seal
+from anisefront.cluster.keeping import MARK
+from anisefront.cluster.membership import Membership
+from anisefront.frontends.jsonrpc import UNMAPPED
 from anisefront.policy.peer_codec import encode
 from anisefront.config.reading import Reading
-from anisefront.core.versions import at_once
+from anisefront.gateway.versions import at_once
 from benchmarks.scale import axes, child, counting, fit, results
 from benchmarks.scale.__main__ import PARTS
 from benchmarks.scale.files import SECRET, Files, Sizes, customers_of
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,8 +16,8 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from anisefront.daemon.lifecycle import TABLE, Do, Lifecycle, Phase, Step
-from anisefront.node.config import node_config
-from anisefront.node.gatekeeper import NodeGatekeeper
+from anisefront.resp_gateway.config import node_config
+from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
 
 # ---- every order of steps ---------------------------------------------------------------------------
 
@@ -228,8 +228,10 @@
         "at('click', signal.SIGHUP, signal.SIGTERM)",
         "from anisefront.daemon import signals\ninner = signals.held\ndef held():\n    found = inner()\n"
         "    os.kill(os.getpid(), signal.SIGTERM)\n    return found\nsignals.held = held",
-        "from anisefront.node.gatekeeper import NodeGatekeeper\nbefore(NodeGatekeeper, 'prepare', signal.SIGTERM)",
-        "from anisefront.node.gatekeeper import NodeGatekeeper\nbefore(NodeGatekeeper, '__init__', signal.SIGTERM)",
+        "from anisefront.resp_gateway.gatekeeper import NodeGatekeeper\n"
+        "before(NodeGatekeeper, 'prepare', signal.SIGTERM)",
+        "from anisefront.resp_gateway.gatekeeper import NodeGatekeeper\n"
+        "before(NodeGatekeeper, '__init__', signal.SIGTERM)",
     ],
 )
 def test_a_signal_to_end_before_the_start_is_done_ends_it_well_and_it_never_listens(tmp_path, prelude):
@@ -246,7 +248,8 @@
     [
         "at('click', signal.SIGHUP)",
         "at('twisted.internet.reactor', signal.SIGHUP)",
-        "from anisefront.node.gatekeeper import NodeGatekeeper\nbefore(NodeGatekeeper, 'prepare', signal.SIGHUP)",
+        "from anisefront.resp_gateway.gatekeeper import NodeGatekeeper\n"
+        "before(NodeGatekeeper, 'prepare', signal.SIGHUP)",
     ],
 )
 def test_a_hang_up_before_the_start_is_done_ends_nothing_and_the_file_is_read_again(tmp_path, prelude):
@@ -260,7 +263,7 @@
 
 def test_two_signals_to_end_in_one_turn_are_one(house):  # noqa: F811
     worker = house(Worker(work_s=0.5))
-    prelude = "from anisefront.node import front\nbefore(front.Client, '_ask', signal.SIGTERM, signal.SIGTERM)"
+    prelude = "from anisefront.resp_gateway import front\nbefore(front.Client, '_ask', signal.SIGTERM, signal.SIGTERM)"
     rows = [row("s1", worker.address)]
     made = type("Made", (Staged,), {"prelude": prelude})
     node = house(made(house.folder, house(Discovery(*rows)).address, *rows))
--- a/tests/test_stand_in.py
+++ b/tests/test_stand_in.py
@@ -10,7 +10,7 @@
 from test_rules import Town, settings
 
 from anisefront.cli.config import checked
-from anisefront.core.routing import LISTED, first_gateway
+from anisefront.gateway.routing import LISTED, first_gateway
 from anisefront.policy.actions import SendToPeer, StartAttempt
 from anisefront.policy.events import PeerMessage, PeersUnreachable, TimerFired
 from anisefront.policy.peer_codec import QuotaMessageKind, customer_tag, decode, encode
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -8,12 +8,12 @@
 from test_module import FLEET, ask, gateway, of
 from test_path import Running, told
 
-from anisefront.carriers.proxied import Verdict
+from anisefront.upstream.proxied import Verdict
 from anisefront.config import checker, loader
-from anisefront.core.paths import Unclear, normal
-from anisefront.core.patterns import Pattern
-from anisefront.core.routing import Key, Route, Router, Unmapped
-from anisefront.fronts.jsonrpc import BadParams, job_from
+from anisefront.gateway.paths import Unclear, normal
+from anisefront.gateway.patterns import Pattern
+from anisefront.gateway.routing import Key, Route, Router, Unmapped
+from anisefront.frontends.jsonrpc import BadParams, job_from
 from anisefront.policy import quota_borrower
 from anisefront.policy.actions import Reject, RejectionReason, SendToPeer, StartAttempt
 from anisefront.policy.events import Arrival, AttemptResult, PeerMessage
@@ -315,7 +315,7 @@
     """With the first gateway and the home from one remainder, only even numbers were homes in an even fleet."""
     from collections import Counter
 
-    from anisefront.core.routing import first_gateway
+    from anisefront.gateway.routing import first_gateway
 
     homes = Counter((first_gateway(f"c{n}", b"k", 10) + customer_tag(f"c{n}", b"k") % 10) % 10 for n in range(5000))
     assert len(homes) == 10 and max(homes.values()) < 1.3 * min(homes.values())
--- a/tests/test_study.py
+++ b/tests/test_study.py
@@ -11,17 +11,17 @@
 from test_model import SETTINGS, traffic
 
 from anisefront.cli.main import main
-from anisefront.lab import script as scripts
-from anisefront.lab.day import settings_text
-from anisefront.lab.model import fit as fitting
-from anisefront.lab.model import imported, search, traces
-from anisefront.lab.model.draws import Cause, Draws, lognormal, quantile
-from anisefront.lab.model.pool import Workers
-from anisefront.lab.model.store import Store
-from anisefront.lab.model.study import OptionSpec, Runner, Study, Traffic, Unfit, collect, play
-from anisefront.lab.model.traces import Arrival, Attempt, Trace
-from anisefront.lab.model.world import Clients, Network, Option, World
-from anisefront.lab.script import Trouble
+from anisefront.testbed import script as scripts
+from anisefront.testbed.day import settings_text
+from anisefront.testbed.model import fit as fitting
+from anisefront.testbed.model import imported, search, traces
+from anisefront.testbed.model.draws import Cause, Draws, lognormal, quantile
+from anisefront.testbed.model.pool import Workers
+from anisefront.testbed.model.store import Store
+from anisefront.testbed.model.study import OptionSpec, Runner, Study, Traffic, Unfit, collect, play
+from anisefront.testbed.model.traces import Arrival, Attempt, Trace
+from anisefront.testbed.model.world import Clients, Network, Option, World
+from anisefront.testbed.script import Trouble
 
 ROOT = pathlib.Path(__file__).parent.parent
 DAY = """length 8s
@@ -364,7 +364,7 @@
 
 
 def trace_records(path):
-    from anisefront.wire import trace
+    from anisefront.protocols import trace
 
     return [record for record in trace.read(path.read_bytes())[0] if record[0] == "arrive"]
 
--- a/tests/test_terms_processes.py
+++ b/tests/test_terms_processes.py
@@ -13,7 +13,7 @@
 from test_node_loopback import ROOT, Discovery, Node, Worker, ask, house  # noqa: F401
 from test_node_wire import row
 
-from anisefront.node import resp
+from anisefront.resp_gateway import resp
 
 SOCKETS = 128
 
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -17,12 +17,12 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
-from anisefront.node import front as fronts
-from anisefront.node import resp
-from anisefront.node import watch as watches
-from anisefront.node.config import node_config
-from anisefront.node.discovery import Book, read_change
-from anisefront.node.gatekeeper import NodeGatekeeper
+from anisefront.resp_gateway import front as fronts
+from anisefront.resp_gateway import resp
+from anisefront.resp_gateway import watch as watches
+from anisefront.resp_gateway.config import node_config
+from anisefront.resp_gateway.discovery import Book, read_change
+from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
 from anisefront.policy.actions import Fail, Reject, SetTimer, StartAttempt
 from anisefront.policy.controller import Controller
 from anisefront.policy.events import (
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -9,11 +9,11 @@
 from test_config import REQUESTS, ROUTES, plain
 from test_config_corpus import GOOD, found
 
-from anisefront.core import tables
-from anisefront.core.patterns import Pattern
-from anisefront.core.routing import Key, Route
-from anisefront.core.tables import KeyEdit, KeyTable, RouteTable, parts_changed
-from anisefront.core.versions import at_once, next_steps
+from anisefront.gateway import tables
+from anisefront.gateway.patterns import Pattern
+from anisefront.gateway.routing import Key, Route
+from anisefront.gateway.tables import KeyEdit, KeyTable, RouteTable, parts_changed
+from anisefront.gateway.versions import at_once, next_steps
 
 
 def outcome(parts, keys=None, **more):
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -10,8 +10,8 @@
 from twisted.internet import error
 from twisted.python.failure import Failure
 
-from anisefront.node import watch as watches
-from anisefront.node.discovery import Book, DiscoveryFault, WatchReader
+from anisefront.resp_gateway import watch as watches
+from anisefront.resp_gateway.discovery import Book, DiscoveryFault, WatchReader
 
 BOUND_S = 6.0
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
-from anisefront.wire import http1, jsonrpc, orca
-from anisefront.wire.http1 import Head, MessageFault, Reader
+from anisefront.protocols import http1, jsonrpc, orca
+from anisefront.protocols.http1 import Head, MessageFault, Reader
 
 
 def messages(reader, data):
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -31,27 +31,27 @@
 from test_rules import settings
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from anisefront.carriers import own, proxied, returning
+from anisefront.upstream import own, proxied, returning
 from anisefront.config.reading import Outcome as Reading
 from anisefront.config.types import Recording
-from anisefront.core.routing import Unmapped, first_gateway
-from anisefront.core.standing import Lag
-from anisefront.core.versions import at_once, next_steps
+from anisefront.gateway.routing import Unmapped, first_gateway
+from anisefront.gateway.standing import Lag
+from anisefront.gateway.versions import at_once, next_steps
 from anisefront.daemon import keepers
 from anisefront.daemon.gatekeeper import Gatekeeper
 from anisefront.daemon.recorder import Recorder
-from anisefront.fleet import datagrams, keeping, members, membership
-from anisefront.fleet.keeper import Kept
-from anisefront.fronts import accesslog, authorization, health, jsonrpc
-from anisefront.fronts.grpcserver import GrpcFactory
-from anisefront.node import resp, terms
-from anisefront.node.carrier import FAILED, outcome, refusal
-from anisefront.node.config import node_config
-from anisefront.node.discovery import Book, WatchReader, watch_request
-from anisefront.node.gatekeeper import NodeGatekeeper
+from anisefront.cluster import datagrams, keeping, members, membership
+from anisefront.cluster.keeper import Kept
+from anisefront.frontends import accesslog, authorization, health, jsonrpc
+from anisefront.frontends.grpcserver import GrpcFactory
+from anisefront.resp_gateway import resp, terms
+from anisefront.resp_gateway.carrier import FAILED, outcome, refusal
+from anisefront.resp_gateway.config import node_config
+from anisefront.resp_gateway.discovery import Book, WatchReader, watch_request
+from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
 from anisefront.policy import peer_codec
-from anisefront.wire import grpc, http1, orca, trace
-from anisefront.wire import jsonrpc as jsonrpc_wire
+from anisefront.protocols import grpc, http1, orca, trace
+from anisefront.protocols import jsonrpc as jsonrpc_wire
 from anisefront.policy.actions import Fail, Reject, RejectionReason, StartAttempt
 from anisefront.policy.events import (
     Arrival,
