--- a/anisefront/policy/attempt_tracker.py
+++ b/anisefront/policy/attempt_tracker.py
@@ -14,7 +14,7 @@
 from anisefront.policy.load_reports import LoadReports
 from anisefront.policy.outlier_detection import OutlierDetection
 from anisefront.policy.request import Request
-from anisefront.policy.response_times import ResponseTimes, size_of
+from anisefront.policy.response_times import ResponseTimes
 from anisefront.policy.retries import RetryPolicy
 from anisefront.policy.settings import Settings
 
@@ -81,11 +81,18 @@
         self._settings = settings
         self._latency_objectives_ms = {each.name: each.latency_objective_ms for each in settings.classes}
 
-    def start(self, now_ms: float, request: Request) -> StartAttempt | None:
-        """Start one more attempt of a request and return its action; None if no endpoint may take it."""
+    def start(self, now_ms: float, request: Request, expected_ms: float) -> StartAttempt | None:
+        """Start one more attempt of a request.
+
+        Args:
+            now_ms: Clock time.
+            request: The request.
+            expected_ms: Expected response time of the attempt.
+
+        Returns:
+            The action to start it, None if no endpoint may take it.
+        """
         class_name = request.request_class.name
-        size = size_of(request.arrival.units)
-        expected_ms = self._response_times.expected_ms(class_name, size)
         load = self._response_times.load_of(expected_ms)
         constraint = self._retries.constraint(now_ms, request)
         endpoint = self._selection.choose(now_ms, request, constraint.eligible, load)
@@ -95,7 +102,7 @@
         timeout_ms = max(MIN_TIMEOUT_MS, request.arrival.deadline_at_ms - now_ms)
         action = StartAttempt(request_id, endpoint.endpoint.id, timeout_ms, constraint.start_within_ms)
         key = AttemptKey(request_id, request.attempts_started)
-        self.in_flight[key] = Attempt(endpoint, class_name, size, load)
+        self.in_flight[key] = Attempt(endpoint, class_name, request.size, load)
         request.record_attempt_started(now_ms, endpoint)
         endpoint.record_attempt_started(request_id, load)
         self._admission.record_attempt_started(class_name)
@@ -103,11 +110,6 @@
         self._limit.record_attempt_started(now_ms)
         return action
 
-    def hedge_delay_ms(self, request: Request) -> float:
-        """Return after which time an attempt of a request counts as unresponsive."""
-        expected_ms = self._response_times.expected_ms(request.request_class.name, size_of(request.arrival.units))
-        return self._retries.hedge_delay_ms(expected_ms)
-
     def end(self, now_ms: float, event: AttemptEnded, stalled: bool) -> Attempt | None:
         """Record the end of an attempt and return it; None if it is not in flight.
 
--- a/anisefront/policy/request.py
+++ b/anisefront/policy/request.py
@@ -51,6 +51,7 @@
     objective_at_ms: float  # the end of its latency objective, clock time
     priority_weight: float
     sequence: int = 0  # of its arrival among all requests
+    size: int = 1  # by which response times are distinguished
     attempts_started: int = 0
     attempts_in_flight: dict[int, EndpointState] = field(default_factory=dict)
     attempted: tuple[EndpointState, ...] = ()
--- a/anisefront/policy/timers.py
+++ b/anisefront/policy/timers.py
@@ -8,7 +8,7 @@
 
 import heapq
 from collections.abc import Callable
-from enum import Enum, auto
+from enum import IntEnum, auto
 from typing import TypeAlias
 
 from anisefront.policy.actions import Action, SetTimer
@@ -18,7 +18,7 @@
 NO_SUBJECT = -1
 
 
-class TimerKind(Enum):
+class TimerKind(IntEnum):
     """What is done when a timer expires, and what its subject is."""
 
     CONTROL_PERIOD = auto()
--- a/anisefront/lab/sabotage.py
+++ b/anisefront/testbed/sabotage.py
@@ -1,6 +1,6 @@
 """A gatekeeper with the guard of one rule taken out, to show that the auditor sees it.
 
-    python -m anisefront.lab.sabotage GUARD serve FILE
+    python -m anisefront.testbed.sabotage GUARD serve FILE
 
 It changes the running program only; nothing of the product knows of it.
 """
@@ -12,8 +12,8 @@
 import time
 from collections.abc import Callable
 
-from anisefront.core.ledger import Ledger
-from anisefront.fleet import roster
+from anisefront.cluster import roster
+from anisefront.gateway.ledger import Ledger
 from anisefront.policy.actions import Fail, Reject
 from anisefront.policy.concurrency_limit import ConcurrencyLimit
 from anisefront.policy.endpoint_selection import EndpointSelection
@@ -79,13 +79,14 @@
 def _cold_as_warm() -> None:
     """Rule 4: a cold worker counts as the best there is, and the cap on attempts out does not close for it."""
 
-    def choose(self: EndpointSelection, now: float, request: object, group: object, own: float) -> object:
-        for backend in self._endpoints.warming_up:
-            if group is None or backend in group:
-                return backend
-        return kept(self, now, request, group, own)
+    def choose(self: EndpointSelection, now_ms: float, request: object, eligible: object, load: float) -> object:
+        for state in self._endpoints.warming_up:
+            if eligible is None or state in eligible:
+                return state
+        return original(self, now_ms, request, eligible, load)
 
-    kept, EndpointSelection.choose = EndpointSelection.choose, choose
+    original = EndpointSelection.choose
+    EndpointSelection.choose = choose
     ConcurrencyLimit.headroom = lambda self: 200.0 - self.in_flight
 
 
