--- a/anisefront/policy/admission.py
+++ b/anisefront/policy/admission.py
@@ -1,7 +1,9 @@
 """Admission: which requests are queued, in which order they are dispatched, and which are shed.
 
-Below the concurrency limit every admitted request is dispatched at once. At the limit the classes' shares decide, and
-what the shares leave goes by priority alone (a departure from the paper, whose shares are fixed for a period).
+Below the concurrency limit every admitted request is dispatched at once. At the limit each class has its share, and
+what the shares leave is dispatched by priority weight.
+
+Departures from the paper: its shares bind at all times, and its priorities are an order of the classes.
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
 from anisefront.policy.retries import is_rejection_safe
 from anisefront.policy.settings import Plan, RequestClass, Settings
 
-MAX_BLOCKED = 1000  # queued requests that no endpoint may take, in one release, so that it ends soon
+MAX_BLOCKED = 1000  # queued requests that no endpoint may take, after which a release ends
 MAX_OVER_QUOTA_UTILIZATION = 0.5  # of the concurrency limit, above which nothing beyond a quota is dispatched
 MIN_RETRY_AFTER_MS = 250.0
 
@@ -58,7 +60,7 @@
 class Admission:
     """The queue of admitted requests and the classes' shares of the concurrency limit."""
 
-    __slots__ = ("queue", "shares", "_over_quota_groups", "_delays_ms", "_in_flight", "_limit", "_within_quota_groups")
+    __slots__ = ("queue", "shares", "_delays_ms", "_in_flight", "_limit", "_over_quota_groups", "_within_quota_groups")
 
     def __init__(self, settings: Settings, limit: ConcurrencyLimit) -> None:
         """Start with an empty queue and equal shares."""
--- a/anisefront/policy/attempt_tracker.py
+++ b/anisefront/policy/attempt_tracker.py
@@ -1,4 +1,4 @@
-"""Attempts in flight: starts them at a chosen endpoint, and records their ends wherever they count."""
+"""Attempts in flight: starts them at an endpoint, and records their starts and ends wherever these count."""
 
 from __future__ import annotations
 
--- a/anisefront/policy/controller.py
+++ b/anisefront/policy/controller.py
@@ -369,7 +369,7 @@
         request_ids = {request_id for endpoint in self._left_service for request_id in endpoint.request_ids}
         affected = [self.requests[request_id] for request_id in request_ids]
         for request in sorted(affected, key=lambda each: each.sequence):
-            if self.retries.allows_leaving(request, self._left_service):
+            if self.retries.allows_hedging_on_removal(request, self._left_service):
                 self._try_retry(request)
 
     def _end_without_response(self, request: Request) -> None:
--- a/anisefront/policy/endpoint_selection.py
+++ b/anisefront/policy/endpoint_selection.py
@@ -18,9 +18,9 @@
 from anisefront.policy.slow_start import SlowStart
 
 MIN_CHOICES = 2.0  # endpoints that are compared (power of d choices)
-CHOICES_PER_ATTEMPT = 4.0  # more of them for each attempt a second and endpoint that is started here
-REPORT_TIME_CONSTANT_MS = 300.0  # in which a load report loses its worth
-MIN_REPORT_EXPONENT = -50.0  # an endpoint that never reported has a report from minus infinity
+CHOICES_PER_ATTEMPT = 4.0  # additional ones, for each attempt a second and endpoint that is started here
+REPORT_TIME_CONSTANT_MS = 300.0  # in which a reported load turns into the mean of all reports
+MIN_REPORT_EXPONENT = -50.0  # for endpoints without a report, whose report time is minus infinity
 FAILURE_PENALTY = 200.0  # of the squared failure fraction: one failure decays soon, a row of them does not
 NON_IDEMPOTENT_PENALTY = 2 * FAILURE_PENALTY  # a failure of such a request cannot be retried
 MIN_WEIGHT = 0.01
--- a/anisefront/policy/fuzzy_controller.py
+++ b/anisefront/policy/fuzzy_controller.py
@@ -2,6 +2,8 @@
 
 The paper's absolute delay guarantee: inputs are the error of the queueing delay and its change, the output is the
 change of the share. Table 6 of the paper is the rule base, Table 7 has the scaling factors.
+
+Departure from the paper: a share is not reduced while its class's delay is below the target.
 """
 
 from __future__ import annotations
@@ -73,7 +75,7 @@
         change = 0.0 if self._previous_error_s is None else error - self._previous_error_s
         self._previous_error_s = error
         if error >= 0 and change >= 0:
-            return  # the output would not be negative, and a share is not reduced while on target
+            return  # the output is not negative: it would reduce the share
         scaled_error = round(ERROR_GAIN * error, INPUT_DIGITS)
         scaled_change = round(CHANGE_GAIN * change, INPUT_DIGITS)
         reduction = OUTPUT_GAIN * infer_output(scaled_error, scaled_change)
--- a/anisefront/policy/quota_borrower.py
+++ b/anisefront/policy/quota_borrower.py
@@ -1,7 +1,7 @@
 """The borrower's side of quotas: takes units from the local buckets, or requests them from the quota owner.
 
-While the owner does not reply, a gateway instance overdraws its local bucket, one request at a time (a departure from
-the design's fixed parts, see `quota_parameters`).
+While the owner does not reply, a gateway instance overdraws its local bucket, one request at a time. For an owner that
+is known to be dead another instance grants units in its place (both depart from the design, see `quota_parameters`).
 """
 
 from __future__ import annotations
@@ -124,7 +124,7 @@
             if account.is_evictable(now_ms):
                 del self.tag_holders[account.tag]
             else:
-                self.accounts[customer] = account  # it stands last now
+                self.accounts[customer] = account  # moved to the end
 
     def open_claim(self, now_ms: float, arrival: Arrival, plan: Plan) -> QuotaClaim | RejectionReason:
         """Return a new request's claim on its customer's quota, or why it cannot have one."""
--- a/anisefront/policy/quota_bucket.py
+++ b/anisefront/policy/quota_bucket.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import math
 from dataclasses import dataclass, field
 
 from anisefront.policy.decay import decay_factor, rate_per_s
@@ -30,7 +31,7 @@
     queue: QuotaRequestQueue = field(default_factory=QuotaRequestQueue)
     leases: dict[QuotaRequestKey, float] = field(default_factory=dict)  # requests in flight, with the lease's expiry
     debits: dict[QuotaRequestKey, float] = field(default_factory=dict)  # when they were made, in this order
-    refill_timer_ms: float = float("inf")  # when the timer for the next request fires
+    refill_timer_ms: float = math.inf  # when the timer for the next request fires
 
     @property
     def demand_per_s(self) -> float:
@@ -65,7 +66,7 @@
 
     def clear_refill_timer(self) -> None:
         """Note that the timer has fired."""
-        self.refill_timer_ms = float("inf")
+        self.refill_timer_ms = math.inf
 
     def wait_s(self, now_ms: float, request: QuotaRequest, max_priority: float) -> float:
         """Return how long a request has to wait for the units, the ceiling and a lease; 0 if it may be granted.
@@ -105,7 +106,7 @@
             self.level = min(plan.burst, self.level + units)
 
     def is_evictable(self, now_ms: float) -> bool:
-        """Return whether a new bucket would grant the customer no more than this one."""
+        """Return whether a new bucket would grant the customer no more than this one; drop expired requests."""
         idle_s = (now_ms - self.updated_ms) / 1000
         if idle_s * 1000 < IDLE_MS or self.level + self.plan.rate_per_s * idle_s < self.plan.burst:
             return False
--- a/anisefront/policy/quota_owner.py
+++ b/anisefront/policy/quota_owner.py
@@ -52,7 +52,7 @@
             tag = next(iter(self.buckets))
             bucket = self.buckets.pop(tag)
             if not bucket.is_evictable(now_ms):
-                self.buckets[tag] = bucket  # it stands last now
+                self.buckets[tag] = bucket  # moved to the end
 
     def refill_timer_fired(self, now_ms: float, tag: int) -> None:
         """Grant units to the requests that waited for a bucket to fill."""
@@ -69,6 +69,7 @@
                 reply = message._replace(kind=QuotaMessageKind.QUEUED, demand_per_s=0.0)
                 self._send(now_ms, key.gateway, reply)
             return
+        # A request counts as queued if it had not expired when the queue was last served.
         bucket.queue.evict_expired(bucket.updated_ms)
         if message.kind in REQUEST_KINDS:
             self._receive_request(now_ms, bucket, key, message)
--- a/anisefront/policy/quota_parameters.py
+++ b/anisefront/policy/quota_parameters.py
@@ -1,7 +1,9 @@
 """Parameters that the borrower's and the owner's side of quotas share.
 
-Each customer's token bucket is kept by one gateway instance, the quota owner; the others borrow from it. The design's
-fixed parts are departed from: with many gateway instances a part would hold less than one request.
+Each customer's token bucket is kept by one gateway instance, the quota owner; the others borrow from it.
+
+Departure from the design, in which each instance has a bucket that fills at its part of the customer's demand and no
+other: with many instances such a part is less than one request.
 """
 
 from __future__ import annotations
--- a/anisefront/policy/retries.py
+++ b/anisefront/policy/retries.py
@@ -109,8 +109,8 @@
             return False
         return len(request.attempts_in_flight) == 1
 
-    def allows_leaving(self, request: Request, left: list[EndpointState]) -> bool:
-        """Return whether another attempt may be started since the only one's endpoint has left service.
+    def allows_hedging_on_removal(self, request: Request, removed: list[EndpointState]) -> bool:
+        """Return whether another attempt may be started since the only one's endpoint left service.
 
         Such an endpoint may fail before it has responded.
         """
@@ -118,7 +118,7 @@
             return False
         if request.request_class.idempotency is not Idempotency.IDEMPOTENT or len(request.attempts_in_flight) != 1:
             return False
-        return next(iter(request.attempts_in_flight.values())) in left
+        return next(iter(request.attempts_in_flight.values())) in removed
 
     @staticmethod
     def hedge_delay_ms(expected_ms: float) -> float:
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -177,8 +177,8 @@
 @pytest.mark.parametrize(("class_name", "allowed"), [("look", True), ("seat", False), ("debit", False)])
 def test_only_idempotent_requests_are_attempted_again_when_their_endpoint_leaves(policy, registry, class_name, allowed):
     left = [registry.known["s0"]]
-    assert policy.allows_leaving(attempted(registry, class_name), left) is allowed
-    assert not policy.allows_leaving(attempted(registry, class_name), [EndpointState(ENDPOINTS[1])])
+    assert policy.allows_hedging_on_removal(attempted(registry, class_name), left) is allowed
+    assert not policy.allows_hedging_on_removal(attempted(registry, class_name), [EndpointState(ENDPOINTS[1])])
     streaming = attempted(registry, class_name)
     streaming.record_response_started()
-    assert not policy.allows_leaving(streaming, left)
+    assert not policy.allows_hedging_on_removal(streaming, left)
