--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 PYTHON ?= python3
 RUN = .venv/bin/python
 
-.PHONY: test day lint bench bench-model bench-config fuzz steady standing search losses kills changes bench-changes bench-members scale
+.PHONY: test day lint bench bench-model bench-config fuzz steady standing search losses kills changes bench-changes bench-members scale mixed
 .venv/made: pyproject.toml requirements.txt requirements-run.txt requirements-dev.txt
 	test -d .venv || $(PYTHON) -m venv .venv
 	$(RUN) -m pip -q --disable-pip-version-check install -r requirements.txt -r requirements-run.txt -r requirements-dev.txt
@@ -70,3 +70,7 @@
 # --before: the last revision whose changes of settings read all files anew, beside today's.
 scale: .venv/made
 	$(RUN) -m benchmarks.scale --before 8cf8140
+
+# Instances of this text and of another checkout in one fleet, with kills: CHECKOUT=FOLDER. About forty seconds.
+mixed: .venv/made
+	PYTHONPATH=. $(RUN) tests/mixed_versions.py $(CHECKOUT)
--- a/tests/hands.py
+++ b/tests/hands.py
@@ -103,10 +103,10 @@
 class Hands:
     """The fleet, its workers and its clients."""
 
-    def __init__(self, folder, count=4, more=MORE, ready=False, seed=1):
+    def __init__(self, folder, count=4, more=MORE, ready=False, seed=1, checkouts=None):
         self.workers, self.file = Workers(3), folder / "roster.json"
         self.open(ready)
-        self.fleet = Fleet(folder, count, more, seed, f'roster "{self.file}"', ROUTES)
+        self.fleet = Fleet(folder, count, more, seed, f'roster "{self.file}"', ROUTES, checkouts)
         self.fleet.until(lambda seen: seen.get("alive") == count)
 
     def open(self, ready=True):
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -8,7 +8,7 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 
-from test_path import Running
+from test_path import ROOT, Running
 
 SETTINGS = """language 2
 gatekeeper {number} of {count} zone room-{room}
@@ -89,9 +89,12 @@
 
 
 class Fleet:
-    """`count` gatekeepers of one fleet, in two rooms by turns. `more`, `routes`: further lines of their settings."""
+    """`count` gatekeepers of one fleet, in two rooms by turns. `more`, `routes`: further lines of their settings.
 
-    def __init__(self, folder, count, more="", seed=1, pool="embedded 2", routes=""):
+    `checkouts`: by number, the folder of another version of the program that an instance runs."""
+
+    def __init__(self, folder, count, more="", seed=1, pool="embedded 2", routes="", checkouts=None):
+        self.checkouts = checkouts or {}
         spare = [Relay._bound() for _ in range(count)]
         ports = [link.getsockname()[1] for link in spare]
         for link in spare:
@@ -120,7 +123,7 @@
             list(pool.map(self.start, range(count)))
 
     def start(self, number):
-        self.up[number] = Running(self.files[number])
+        self.up[number] = Running(self.files[number], checkout=self.checkouts.get(number, ROOT))
 
     def kill(self, number):
         gone = self.up.pop(number)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -23,10 +23,10 @@
 class Running:
     """A gatekeeper process and how to reach it."""
 
-    def __init__(self, path, *more):
+    def __init__(self, path, *more, checkout=ROOT):
         self.process = subprocess.Popen(
             [sys.executable, *(more or ("-m", "anisefront")), "serve", str(path), "--log-level", "warning"],
-            cwd=ROOT,
+            cwd=checkout,
             stdout=subprocess.PIPE,
             text=True,
         )
