--- a/anisefront/bench_adapter.py
+++ b/anisefront/bench_adapter.py
@@ -48,8 +48,8 @@
     """A line that cannot be read: names the message and the field."""
 
 
-class ModuleFault(Exception):
-    """The module raised: the instance and what was said."""
+class ControllerError(Exception):
+    """The controller raised an exception; the text is the reply for the simulator."""
 
 
 # ---- values -------------------------------------------------------------------------------------
@@ -75,7 +75,7 @@
     return value
 
 
-def _word(text: str) -> str:
+def _name(text: str) -> str:
     if not text or text == "-":
         raise ValueError(text)
     return text
@@ -123,7 +123,7 @@
     "KILL": (),
     "FLEET": (("mode", _mode), ("rev", _whole), ("rows", _whole)),
     "WORKER": (
-        ("worker", _word),
+        ("worker", _name),
         ("zone", _text),
         ("sku", _text),
         ("pod", _whole),
@@ -138,16 +138,16 @@
         ("sizeUnits", _number),
         ("dueMs", _number),
         ("stateBits", _whole),
-        ("member", _word),
-        ("category", _word),
-        ("gradeOfService", _word),
+        ("member", _name),
+        ("category", _name),
+        ("gradeOfService", _name),
     ),
-    "ACK_FIRST": (("requestId", _natural), ("worker", _word), ("rttMs", _number), ("roundNo", _natural)),
+    "ACK_FIRST": (("requestId", _natural), ("worker", _name), ("rttMs", _number), ("roundNo", _natural)),
     "VERDICT": (
         ("requestId", _natural),
         ("roundNo", _natural),
         ("actual", _number),
-        ("worker", _word),
+        ("worker", _name),
         ("rttMs", _number),
         ("result", _result),
         ("final", _flag),
@@ -155,16 +155,16 @@
         ("load", _row),
     ),
     "CLIENT_GONE": (("requestId", _natural),),
-    "FIRED": (("name", _word),),
-    "PONG": (("worker", _word), ("rttMs", _number), ("result", _result), ("load", _row)),
+    "FIRED": (("name", _name),),
+    "PONG": (("worker", _name), ("rttMs", _number), ("result", _result), ("load", _row)),
     "FROM_PEER": (("originPeer", _natural), ("data", _bytes)),
-    "LEDGER_REPLY": (("nowAt", _number), ("result", _result), ("rttMs", _number), ("counter", _word)),
+    "LEDGER_REPLY": (("nowAt", _number), ("result", _result), ("rttMs", _number), ("counter", _name)),
 }
 _LAST_IS_TEXT = {"CONFIGURE"}
 
 
 def _values(name: str, parts: list[str]) -> list[Any]:
-    """The values of one message."""
+    """Return the values of one message."""
     fields = _FIELDS[name]
     if name in _LAST_IS_TEXT and len(parts) > len(fields):
         parts = [*parts[: len(fields) - 1], "\t".join(parts[len(fields) - 1 :])]
@@ -190,7 +190,7 @@
 
 
 def _event(name: str, values: list[Any]) -> Event:
-    """The module's event for one message of an instance."""
+    """Return the controller's event for one message of an instance."""
     if name == "REQUEST":
         number, first, spread, units, due, bits, customer, category, plan = values
         return Arrival(
@@ -214,7 +214,7 @@
 
 
 def _reply(action: Action) -> str:
-    """The wire's line for one action."""
+    """Return the line of the simulator's wire for one action."""
     match action:
         case StartAttempt(number, server, allow):
             return f"HAND_OFF\t{number}\t{server}\t{allow:.3f}"
@@ -237,8 +237,11 @@
 class Host:
     """Many instances that share nothing but this process."""
 
-    def __init__(self, source: Iterator[str], sink: TextIO, complaints: TextIO) -> None:
-        self._source, self._sink, self._complaints = source, sink, complaints
+    def __init__(self, source: Iterator[str], sink: TextIO, warnings: TextIO) -> None:
+        """Read lines from `source`, write replies to `sink` and skipped messages to `warnings`."""
+        self._source = source
+        self._sink = sink
+        self._warnings = warnings
         self._instances: dict[int, Controller] = {}
         self._reported: set[str] = set()
 
@@ -258,7 +261,7 @@
             raise WireError(f"{name}: out of place")
         if name not in self._reported:
             self._reported.add(name)
-            print(f"simhost: message {name[:80]!r} is not known and is skipped", file=self._complaints)
+            print(f"simhost: message {name[:80]!r} is not known and is skipped", file=self._warnings)
 
     def _batch(self, now: float) -> bool:
         """Read one batch to its end and answer it; False when the input ends inside it."""
@@ -279,32 +282,36 @@
             values = _values(name, parts)
             if name == "SWITCH_TO":
                 current = values[0]
-                continue
-            if current is None:
+            elif current is None:
                 raise WireError(f"{name}: no SWITCH_TO before it")
-            if name == "KILL":
-                self._instances.pop(current, None)
-                events.pop(current, None)
-            elif name == "CONFIGURE":
-                events.pop(current, None)
-                self._start(current, values[0], values[1])
-                events[current] = []
-            elif name == "FLEET":
-                events.setdefault(current, []).append(self._fleet(*values))
             else:
-                events.setdefault(current, []).append(_event(name, values))
+                self._take(name, values, current, events)
         return False
 
-    def _fleet(self, mode: str, _rev: int, count: int) -> EndpointList:
-        servers = []
-        while len(servers) < count:
+    def _take(self, name: str, values: list[Any], instance: int, events: dict[int, list[Event]]) -> None:
+        """Take in one message for an instance, and queue the event that it makes."""
+        if name == "KILL":
+            self._instances.pop(instance, None)
+            events.pop(instance, None)
+        elif name == "CONFIGURE":
+            events.pop(instance, None)
+            self._start(instance, values[0], values[1])
+            events[instance] = []
+        elif name == "FLEET":
+            events.setdefault(instance, []).append(self._endpoint_list(*values))
+        else:
+            events.setdefault(instance, []).append(_event(name, values))
+
+    def _endpoint_list(self, mode: str, _rev: int, count: int) -> EndpointList:
+        endpoints = []
+        while len(endpoints) < count:
             line = next(self._source, None)
             name, *parts = (line or "").rstrip("\n").split("\t")
             if name != "WORKER":
-                raise WireError(f"FLEET: field rows: {count} told, {len(servers)} came")
+                raise WireError(f"FLEET: field rows: {count} told, {len(endpoints)} came")
             worker, zone, _sku, cell, state, weight, started = _values("WORKER", parts)
-            servers.append(Endpoint(worker, zone, cell, state, weight, started))
-        return EndpointList(tuple(servers), complete=mode in ("full", "cached"), failed=mode == "failed")
+            endpoints.append(Endpoint(worker, zone, cell, state, weight, started))
+        return EndpointList(tuple(endpoints), complete=mode in ("full", "cached"), failed=mode == "failed")
 
     def _start(self, number: int, salt: int, info: str) -> None:
         try:
@@ -318,7 +325,7 @@
         try:
             actions = self._instances[number].handle(now, events)
         except Exception as problem:
-            raise ModuleFault(
+            raise ControllerError(
                 f"FROM\t{number}\nBUG\tinstance {number}: {type(problem).__name__}: {' '.join(str(problem).split())}"
             ) from problem
         if actions:
@@ -327,7 +334,7 @@
 
 
 def main() -> int:
-    """Serve standard input; the exit code."""
+    """Serve standard input and return the exit code."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     try:
@@ -335,7 +342,7 @@
     except (WireError, UnicodeDecodeError) as problem:
         print(f"simhost: {problem}", file=sys.stderr)
         return 2
-    except ModuleFault as fault:
+    except ControllerError as fault:
         import traceback
 
         traceback.print_exception(fault.__cause__, file=sys.stderr)
