--- a/anisefront/policy/quota_borrower.py
+++ b/anisefront/policy/quota_borrower.py
@@ -194,7 +194,7 @@
         if request.claim.messages_sent < MAX_UNANSWERED and owner not in self._unresponsive:
             self._send_request(now_ms, request)
             return
-        assert isinstance(account, CustomerAccount)
+        assert isinstance(account, CustomerAccount)  # it has one, since it has a request that waits
         self._unresponsive.add(owner)
         self._timers.set(TimerKind.OWNER_REPLY_OVERDUE, now_ms + UNREACHABLE_RETRY_MS, request.arrival.id)
         if self._is_owner_overloaded() and request.arrival.units > account.local_bucket:
--- a/anisefront/policy/request.py
+++ b/anisefront/policy/request.py
@@ -121,5 +121,5 @@
 
     @property
     def answer_by_ms(self) -> float:
-        """Return by when an answer is worth having: the deadline or the end of the latency objective."""
+        """Return by when an answer is useful: the deadline or the end of the latency objective."""
         return min(self.arrival.deadline_at_ms, self.objective_at_ms)
--- a/anisefront/policy/response_times.py
+++ b/anisefront/policy/response_times.py
@@ -13,9 +13,7 @@
 MIN_LOAD = 0.25  # of an attempt, in average attempts
 MAX_LOAD = 8.0
 RESPONSE_FRACTION = 0.45  # of the latency objective that is left for the response at most
-RESERVED_MULTIPLE = (
-    2.5  # of the expected response time that is left for the response: the mean alone is too late for half
-)
+RESERVED_MULTIPLE = 2.5  # of the expected response time that is left for it, since many responses take longer
 UNRESPONSIVE_MULTIPLE = 3.0  # of the expected response time, after which an attempt counts as unresponsive
 
 
