--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -29,6 +29,7 @@
     "test_decision_digests.py",
     "decision_schedule.py",
     "record_decisions.py",
+    "test_policy_admission.py",
     "test_policy_concurrency_limit.py",
     "test_policy_decay.py",
     "test_policy_endpoints.py",
