--- a/anisefront/cli/main.py
+++ b/anisefront/cli/main.py
@@ -7,7 +7,7 @@
 from anisefront.daemon import signals
 
 if sys.argv[1:2] in (["serve"], ["node"]):  # before anything that takes time to load
-    signals.hold()
+    signals.capture()
 
 import importlib  # noqa: E402
 import json  # noqa: E402
@@ -60,9 +60,9 @@
 
     from anisefront.gateway.versions import at_once
     from anisefront.daemon import process
-    from anisefront.daemon.source import Source
+    from anisefront.daemon.settings_source import SettingsSource
 
-    source, workers = Source(file, os.environ), None
+    source, workers = SettingsSource(file, os.environ), None
     read = [at_once(source.steps())]  # handed on below: what is named here is held for life
     for text in read[0].texts:
         click.echo(text, err=True)
--- a/anisefront/cli/node.py
+++ b/anisefront/cli/node.py
@@ -1,4 +1,4 @@
-"""`anisefront node`: one gatekeeper of the platform, by what its environment tells."""
+"""`anisefront node`: one gateway instance of the RESP platform, configured by its environment."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 def node(log_level: str) -> None:
     """Run one gatekeeper of the platform in the foreground, by PROXY_CONFIG and the rest of its environment.
 
-    SIGHUP reads the file again, SIGTERM drains, a second one stops at once."""
+    SIGHUP reads the file again, SIGTERM drains, a second one stops at once.
+    """
     from anisefront.daemon import process
     from anisefront.resp_gateway.config import ConfigFault, NodeConfig, node_config, read
-    from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
+    from anisefront.resp_gateway.instance import RespGatewayInstance
 
     path = os.environ.get("PROXY_CONFIG", "")
     if not path:
         raise click.ClickException("PROXY_CONFIG is not set: it names the file with the configuration")
 
-    def again() -> NodeConfig:
+    def read_config() -> NodeConfig:
         return node_config(read(path), os.environ)
 
     try:
-        config = again()
+        config = read_config()
     except ConfigFault as problem:
         raise click.ClickException(str(problem)) from problem
-    sys.exit(
-        process.run(
-            lambda reactor, on_fault: NodeGatekeeper(config, reactor, on_fault=on_fault),
-            log_level,
-            config.name,
-            NodeGatekeeper.prepare,
-            lambda gatekeeper: gatekeeper.reload(again),
-        )
+    exit_code = process.run(
+        lambda reactor, on_fault: RespGatewayInstance(config, reactor, on_fault=on_fault),
+        log_level,
+        config.name,
+        RespGatewayInstance.prepare,
+        lambda instance: instance.reload(read_config),
     )
+    sys.exit(exit_code)
--- a/anisefront/daemon/__init__.py
+++ b/anisefront/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a gatekeeper's process: start, roster, peers, drain, stop, log and state report."""
+"""Lifecycle of the process and wiring of a gateway instance: start, reload, drain and end, logs and state report."""
--- a/anisefront/daemon/clock.py
+++ b/anisefront/daemon/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of a gatekeeper: Unix milliseconds at the start, from then on only forward."""
+"""The clock of a gateway instance: Unix milliseconds at the start, monotonic from then on."""
 
 from __future__ import annotations
 
@@ -6,10 +6,12 @@
 
 
 class Clock:
-    """Steps of the wall clock after the start change nothing here."""
+    """A monotonic clock of Unix milliseconds: steps of the wall clock after the start do not change it."""
 
     def __init__(self) -> None:
+        """Read the wall clock once."""
         self._base_ms = time.time() * 1000 - time.monotonic() * 1000
 
     def __call__(self) -> float:
+        """Return the time."""
         return self._base_ms + time.monotonic() * 1000
--- a/anisefront/daemon/collector.py
+++ b/anisefront/daemon/collector.py
@@ -1,8 +1,8 @@
-"""Python's cycle collector, kept from stopping the loop: a full collection walks all that is held.
+"""Garbage collection that does not block the event loop: a full collection visits all tracked objects.
 
-What lives at the start is frozen, and so is what a change of settings leaves. Young objects are collected often and
-little at a time. Old ones, of which nearly all go by their reference counts, are walked only when little is held, or at
-last after half an hour; frozen ones, where settings changed, once a day.
+Objects that exist at the start are frozen, and so are those that a change of settings leaves. Young objects are
+collected frequently in small portions. Old ones, which reference counting frees almost entirely, are collected only
+while few requests are open, or after half an hour at the latest; frozen ones, after settings changed, once a day.
 """
 
 from __future__ import annotations
@@ -14,55 +14,73 @@
 
 from anisefront.gateway.standing import Lag
 
-YOUNG, MIDDLE, OLD = 5000, 4, 1_000_000  # thresholds of the three generations; the last means: not by itself
-EVERY_S, MOST_S, FEW_HELD = 60.0, 1800.0, 500
-FROZEN_S = 86_400.0  # what was frozen behind a change and has become garbage by cycles waits so long at most
+# Thresholds of the three generations.
+YOUNG_THRESHOLD = 5000
+MIDDLE_THRESHOLD = 4
+OLD_THRESHOLD = 1_000_000  # never reached: full collections run from here only
+
+CHECK_INTERVAL_S = 60.0
+MAX_COLLECTION_INTERVAL_S = 1800.0
+MAX_OPEN_REQUESTS = 500  # open requests, above which a full collection waits
+MAX_FROZEN_S = 86_400.0  # after a change of settings, until frozen objects are collected too
 
 
 class Collector:
-    """`held` says how many requests are held now. `pauses` has all collections, in milliseconds."""
+    """Schedules the collections of this process and measures their pauses."""
 
-    def __init__(self, reactor: Any, held: Callable[[], int], every_s: float = EVERY_S) -> None:
-        self._reactor, self._held, self._every_s = reactor, held, every_s
-        self.pauses, self._began, self._last = Lag(), 0.0, 0.0
+    def __init__(self, reactor: Any, open_requests: Callable[[], int], interval_s: float = CHECK_INTERVAL_S) -> None:
+        """Prepare; `open_requests` returns how many requests are open now."""
+        self.pauses = Lag()
+        self._reactor = reactor
+        self._open_requests = open_requests
+        self._interval_s = interval_s
+        self._collection_began_s = 0.0
+        self._last_collection_s = 0.0
         self._started = False
-        self._settled_s: float | None = None  # since when things are frozen that were not there at the start
+        self._frozen_since_s: float | None = None  # since when objects are frozen that did not exist at the start
 
     def start(self) -> None:
-        """Take over; once a process."""
+        """Take over garbage collection, once in a process."""
         gc.collect()
         gc.freeze()
-        gc.enable()  # who starts may hold it off until here
-        gc.set_threshold(YOUNG, MIDDLE, OLD)
+        gc.enable()  # the caller may have disabled it while it loaded
+        gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, OLD_THRESHOLD)
         self._started = True
-        gc.callbacks.append(self._note)
-        self._last = self._reactor.seconds()
-        self._reactor.callLater(self._every_s, self._look)
+        gc.callbacks.append(self._record_phase)
+        self._last_collection_s = self._reactor.seconds()
+        self._reactor.callLater(self._interval_s, self._check)
 
     def settle(self) -> None:
-        """What has come to stay is walked no more: a change of settings leaves some objects for each line of the files
-        that it touched, and after a day of changes each full collection would walk all settings."""
-        if self._started:
-            gc.collect(1)
-            gc.freeze()
-            if self._settled_s is None:
-                self._settled_s = self._reactor.seconds()
+        """Freeze what a change of settings has created.
+
+        It creates objects for each line of the files that it affects. Without freezing, after a day of changes each
+        full collection would visit all settings.
+        """
+        if not self._started:
+            return
+        gc.collect(1)
+        gc.freeze()
+        if self._frozen_since_s is None:
+            self._frozen_since_s = self._reactor.seconds()
 
-    def _note(self, phase: str, info: dict[str, int]) -> None:
+    def _record_phase(self, phase: str, info: dict[str, int]) -> None:
         if phase == "start":
-            self._began = time.perf_counter()
+            self._collection_began_s = time.perf_counter()
         else:
-            self.pauses.take((time.perf_counter() - self._began) * 1000)
+            self.pauses.take((time.perf_counter() - self._collection_began_s) * 1000)
 
-    def _look(self) -> None:
-        now = self._reactor.seconds()
-        if self._held() <= FEW_HELD or now - self._last >= MOST_S:
-            self._last = now
-            if self._settled_s is not None and now - self._settled_s >= FROZEN_S:
-                self._settled_s = None
-                gc.unfreeze()
-                gc.collect()
-                gc.freeze()
-            else:
-                gc.collect()
-        self._reactor.callLater(self._every_s, self._look)
+    def _check(self) -> None:
+        now_s = self._reactor.seconds()
+        if self._open_requests() <= MAX_OPEN_REQUESTS or now_s - self._last_collection_s >= MAX_COLLECTION_INTERVAL_S:
+            self._last_collection_s = now_s
+            self._collect_all(now_s)
+        self._reactor.callLater(self._interval_s, self._check)
+
+    def _collect_all(self, now_s: float) -> None:
+        if self._frozen_since_s is None or now_s - self._frozen_since_s < MAX_FROZEN_S:
+            gc.collect()
+            return
+        self._frozen_since_s = None
+        gc.unfreeze()
+        gc.collect()
+        gc.freeze()
--- /dev/null
+++ b/anisefront/daemon/gateway_instance.py
@@ -0,0 +1,333 @@
+"""Wiring of a gateway instance of the settings language: request table, frontends, upstreams, peers and endpoints.
+
+It decides nothing: the frontends reject what arrives while it drains, the controller decides all else.
+"""
+
+from __future__ import annotations
+
+import secrets
+import socket
+from collections.abc import Callable
+from typing import Any
+
+import structlog
+from twisted.internet import defer, task
+
+from anisefront.cluster import keeping, membership
+from anisefront.cluster.datagrams import Seal
+from anisefront.config.types import Config
+from anisefront.daemon.authenticated_datagrams import AuthenticatedDatagrams
+from anisefront.daemon.clock import Clock
+from anisefront.daemon.collector import Collector
+from anisefront.daemon.drain import Drain
+from anisefront.daemon.endpoint_file import EndpointFile
+from anisefront.daemon.event_loop_monitor import EventLoopMonitor
+from anisefront.daemon.keepers import Keepers
+from anisefront.daemon.listeners import listen_tcp, stop_listening
+from anisefront.daemon.members import Members
+from anisefront.daemon.memory_purposes import memory_report
+from anisefront.daemon.peer_port import MAX_DATAGRAM_BYTES, PeerPort
+from anisefront.daemon.recorder import Recorder
+from anisefront.daemon.report_document import to_document
+from anisefront.daemon.request_table import create_request_table
+from anisefront.daemon.settings_source import SettingsSource
+from anisefront.daemon.settings_updates import SettingsUpdates
+from anisefront.daemon.state_report import STATE_KEYS, report_of
+from anisefront.frontends import accesslog, authorization
+from anisefront.frontends.grpcserver import GrpcFactory, ServerLimits
+from anisefront.frontends.health import Health, Serving
+from anisefront.frontends.jsonrpc import Desk, JsonRpcFactory
+from anisefront.gateway.routing import Router, first_gateway
+from anisefront.gateway.versions import Version
+from anisefront.upstream import proxied
+from anisefront.upstream.own import Own
+from anisefront.upstream.pool import Pool
+
+PEER_RECEIVE_BUFFER_BYTES = 4 << 20  # requested of the system, which may grant less
+MIN_LOGGED_LATENESS_MS = 100.0  # clients notice it; less is only counted
+RECORDING_INTERVAL_S = 1.0
+FINAL_READS = 3  # event loop iterations at the end of the drain that read what clients have sent
+FINAL_READ_INTERVAL_S = 0.01
+FINAL_WRITE_S = 0.05  # for the last answers
+MEMBERSHIP_MARK = bytes((membership.MARK,))
+REPLICATION_MARK = bytes((keeping.MARK,))
+SERVICES = ("envoy.service.auth.v3.Authorization", "envoy.service.accesslog.v3.AccessLogService")
+
+
+def _delegation_limits(config: Config) -> proxied.Limits:
+    return proxied.Limits(config.log_ms, config.ask_again_ms, park_ms=config.park_ms)
+
+
+class GatewayInstance:
+    """One gateway instance, which is created, started, drained and ended once.
+
+    The clock returns Unix milliseconds that never decrease; `on_fault` is called if the controller raises.
+    """
+
+    def __init__(
+        self,
+        version: Version,
+        reactor: Any,
+        clock: Callable[[], float] | None = None,
+        on_fault: Callable[[Exception], None] | None = None,
+        source: SettingsSource | None = None,
+    ) -> None:
+        """Create all parts; no socket is opened yet. Without a source the settings never change."""
+        config = version.config
+        settings = config.settings
+        self.reactor = reactor
+        self.clock = clock or Clock()
+        self.log = structlog.get_logger().bind(gatekeeper=settings.number)
+        self.life = secrets.token_hex(6)  # identifies this process incarnation
+        self.started_ms = self.clock()
+        self.process_incarnation = int(self.started_ms)
+        seed = config.seed if config.seed is not None else secrets.randbits(48)
+        self._connect_peers(config, seed)
+        self.ledger = create_request_table(
+            reactor, self.clock, self.log, settings, seed, self.peer_port, config.most_open, on_fault
+        )
+        self.updates = SettingsUpdates(
+            reactor, self.clock, self.log, version, source, lambda: self.ledger.waiting > 0, self._apply_settings
+        )
+        self._create_upstreams(config)
+        self._create_frontends(config)
+        self._replicate_requests(config)
+        self.ledger.before_turn.append(self.grpc.gather)
+        self.ledger.after_turn.append(self.grpc.flush)
+        self._record_events(config)
+        self._create_monitoring()
+        self.endpoint_file = EndpointFile(reactor, config.roster_file, self.ledger.roster, self.log)
+        self._listeners: list[Any] = []
+        self._drain = Drain(reactor)
+        self._drain_until_ms = 0.0
+
+    # ---- wiring --------------------------------------------------------------------------------
+
+    def _connect_peers(self, config: Config, seed: int) -> None:
+        """Create the peer port, and the membership if it is enabled."""
+        self.peer_port: PeerPort | None = None
+        self.members: Members | None = None
+        if config.peers_listen is None:
+            return
+        number = config.settings.number
+        self.seal = Seal(config.secret, number, self.process_incarnation)
+        self.peer_port = PeerPort(AuthenticatedDatagrams(self.seal, config.peers), self._on_peer_message)
+        if config.members_ms:
+            self.members = Members(
+                self.reactor,
+                self.clock,
+                self.peer_port.send,
+                self.log,
+                number,
+                self.process_incarnation,
+                config.peers,
+                seed,
+                config.members_ms,
+            )
+
+    def _create_upstreams(self, config: Config) -> None:
+        """Create both ways of carrying attempts out: delegated to the proxy, and over our own connections."""
+        if self.members is not None:
+            self.members.tell_gone = self.ledger.away
+        self.proxied = proxied.Proxied(self.ledger, self.reactor, self.life, _delegation_limits(config))
+        self.pool = Pool(self.reactor)
+        self.own = Own(self.ledger, self.pool, self.life, config.settings.load_report_fields)
+
+    def _create_frontends(self, config: Config) -> None:
+        """Create the gRPC services and the JSON-RPC service."""
+        self.gate = authorization.Gate(self.router, self.proxied, self.clock, self.gateways_of)
+        self.desk = Desk(self.router, self.own, self.clock, self.gateways_of, self.state)
+        self.health = Health(SERVICES)
+        methods = {
+            authorization.PATH: self.gate.method(),
+            accesslog.PATH: accesslog.method(self.proxied, config.settings.load_report_fields),
+            **self.health.methods(),
+        }
+        self.grpc = GrpcFactory(self.reactor, methods, ServerLimits(config.most_connections))
+        self.jsonrpc = JsonRpcFactory(self.reactor, self.desk, config.most_connections)
+
+    def _replicate_requests(self, config: Config) -> None:
+        """Replicate requests to peers if that is enabled; it needs the membership."""
+        self.keepers: Keepers | None = None
+        if self.members is None or not config.lease_ms:
+            return
+        self.keepers = Keepers(
+            self.reactor,
+            self.clock,
+            self.peer_port.send,
+            self.log,
+            config,
+            self.process_incarnation,
+            self.members.membership,
+        )
+        self.keepers.attach(self.ledger, self.own, self.proxied)
+        self.members.listener = self.keepers.members
+
+    def _record_events(self, config: Config) -> None:
+        """Record events and actions if that is enabled."""
+        self.recorder: Recorder | None = None
+        if config.recording is None:
+            return
+        self.recorder = Recorder(config.recording, config.settings.number, self.life, self.started_ms)
+        self.ledger.observer = self.recorder.record_event
+        self._recording_loop = task.LoopingCall(self.recorder.flush)
+        self._recording_loop.clock = self.reactor
+
+    def _create_monitoring(self) -> None:
+        """Create what measures this process."""
+        self.event_loop_monitor = EventLoopMonitor(self.reactor, self.clock, self._on_event_loop_late)
+        self.collector = Collector(self.reactor, lambda: self.ledger.open)
+        self.memory = memory_report(self)
+
+    # ---- settings ------------------------------------------------------------------------------
+
+    @property
+    def version(self) -> Version:
+        """Return the current settings version."""
+        return self.updates.version
+
+    @property
+    def config(self) -> Config:
+        """Return the current settings."""
+        return self.version.config
+
+    def router(self) -> Router:
+        """Return the current routes."""
+        return self.version.router
+
+    def gateways_of(self, customer: str) -> tuple[int, int]:
+        """Return the first gateway instance of a customer's set and their number; the same at all instances."""
+        settings = self.config.settings
+        return first_gateway(customer, settings.tag_key, settings.gateways), self.config.spread
+
+    def reload(self) -> None:
+        """Read the settings, and apply or reject them as a whole."""
+        self.updates.request_reload()
+
+    def _apply_settings(self, before: Config) -> None:
+        """Apply a new version. A request that arrived before ends by what it was given then.
+
+        Class and plan: the controller stores those of each request, and arrivals before the change are handed to it
+            first.
+        Deadline: it is a point in time, computed at the arrival.
+        Endpoints: they can't change while running.
+        Replication: its outcome is reported by the class that the request arrived with.
+        Delegation: those that begin after the change use the new times, since no proxy is synchronized with it.
+        """
+        config = self.config
+        self.ledger.most_open = config.most_open
+        self.proxied.limits = _delegation_limits(config)
+        # The controller visits each customer whose quota it owns, so changes of routes and keys must not reach it.
+        if config.settings != before.settings:
+            self.ledger.change(config.settings)
+        if self.keepers is not None:
+            self.keepers.change(config)
+        self.reactor.callLater(0, self.collector.settle)
+
+    # ---- service -------------------------------------------------------------------------------
+
+    def start(self) -> dict[str, Any]:
+        """Listen, and return the addresses by frontend.
+
+        Raises:
+            OSError: An address is not available.
+        """
+        config = self.config
+        addresses: dict[str, str] = {}
+        self.event_loop_monitor.start()
+        if self.recorder is not None:
+            self._recording_loop.start(RECORDING_INTERVAL_S, now=False)
+        if config.roster_file:
+            self.endpoint_file.start()
+        for name, address, factory in (("grpc", config.grpc, self.grpc), ("jsonrpc", config.jsonrpc, self.jsonrpc)):
+            if address is not None:
+                listener = listen_tcp(self.reactor, address.host, address.port, factory)
+                self._listeners.append(listener)
+                addresses[name] = f"{address.host}:{listener.getHost().port}"
+        if self.peer_port is not None:
+            addresses["peers"] = self._listen_for_peers(config)
+        if self.members is not None:
+            self.members.start()
+        self.log.info("started", **addresses, life=self.life, servers=len(self.ledger.servers))
+        return addresses
+
+    def _listen_for_peers(self, config: Config) -> str:
+        address = config.peers_listen
+        self._peer_listener = self.reactor.listenUDP(
+            address.port, self.peer_port, interface=address.host, maxPacketSize=MAX_DATAGRAM_BYTES
+        )
+        # If a peer ends with thousands of requests in flight, the others exchange thousands of datagrams at once.
+        self._peer_listener.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PEER_RECEIVE_BUFFER_BYTES)
+        return f"{address.host}:{self._peer_listener.getHost().port}"
+
+    def _on_peer_message(self, sender: int, data: bytes) -> None:
+        """Pass a peer's message on to the part that it is for."""
+        mark = data[:1]
+        if mark == MEMBERSHIP_MARK:
+            if self.members is not None:
+                self.members.hear(sender, self.seal.peers[sender].incarnation, data)
+        elif mark == REPLICATION_MARK:
+            if self.keepers is not None:
+                self.keepers.hear(sender, self.seal.peers[sender].incarnation, data)
+        else:
+            self.ledger.hear(sender, data)
+
+    def _on_event_loop_late(self, late_ms: float, cause: str) -> None:
+        if late_ms >= MIN_LOGGED_LATENESS_MS:
+            self.log.warning("loop_late", late_ms=round(late_ms), cause=cause)
+
+    def state(self) -> dict[str, Any]:
+        """Return what this gateway instance is and does, as a document."""
+        return to_document(report_of(self), STATE_KEYS)
+
+    # ---- drain ---------------------------------------------------------------------------------
+
+    def drain(self) -> defer.Deferred[None]:
+        """Reject new requests, finish those in flight; fires when all are answered or the time is up."""
+        return self._drain.begin(self._begin_drain)
+
+    def hurry(self) -> None:
+        """End the drain now."""
+        self._drain_until_ms = self.clock()
+
+    def _begin_drain(self) -> None:
+        self.gate.closing = True
+        self.desk.closing = True
+        self.health.set_all(Serving.NOT_SERVING)
+        self.updates.stop()
+        self._drain_until_ms = self.clock() + self.config.drain_ms
+        self.log.info("draining", open=self.ledger.open)
+        self._drain.poll(self._is_drained, self._stop_listening)
+
+    def _is_drained(self) -> bool:
+        return not self.ledger.entries or self.clock() >= self._drain_until_ms
+
+    def _stop_listening(self) -> None:
+        for listener in self._listeners:
+            stop_listening(listener)
+        self._read_remaining(FINAL_READS)
+
+    def _read_remaining(self, reads: int) -> None:
+        """Let the event loop read and reject what clients have sent before the listeners closed.
+
+        Data that is unread when a socket closes resets its connection: the client would not know whether its request
+        was executed.
+        """
+        if reads:
+            self.reactor.callLater(FINAL_READ_INTERVAL_S, self._read_remaining, reads - 1)
+        else:
+            self._leave()
+
+    def _leave(self) -> None:
+        """End the drain: all requests are answered or handed over, and peers are notified."""
+        self.log.info("drained", left_open=self.ledger.open)
+        if self.keepers is not None:
+            self.keepers.leave()
+        else:  # no peer continues open requests
+            self.ledger.fail_open()
+        if self.members is not None:
+            self.members.leave()
+        if self.recorder is not None:
+            self.recorder.flush()
+        self.grpc.leave()
+        self.reactor.callLater(FINAL_WRITE_S, self._drain.complete)
--- a/anisefront/daemon/keepers.py
+++ b/anisefront/daemon/keepers.py
@@ -18,7 +18,7 @@
 from anisefront.cluster.membership import Change, Membership
 from anisefront.cluster.origin import Member, Origin
 from anisefront.config.types import Config
-from anisefront.daemon.latewake import LateWake
+from anisefront.daemon.deferred_timer import DeferredTimer
 from anisefront.gateway.ledger import Entry, Ledger
 from anisefront.policy.events import PriorAttempts
 from anisefront.policy.settings import Idempotency
@@ -62,7 +62,7 @@
         self._words: OrderedDict[bytes, Word] = OrderedDict()  # what was told last of names without an answer here
         self._stood_by: dict[int, int] = {}  # who turned a request of ours away, until it has stood back
         self.keeper.ours = self._ours
-        self._wake = LateWake(reactor, clock, self._due, LATE_MS)
+        self._wake = DeferredTimer(reactor, clock, self._due, LATE_MS)
         self._working = False
         self._standing_back: int | None = None  # the keeper that turned away the try that stands back now
 
@@ -184,7 +184,7 @@
         self.work()
         # Danger: what left here after the others were told that we do nothing more would run beside its taker.
         self._ledger.stopped = True
-        self._wake.stop()
+        self._wake.cancel()
 
     # ---- clients and proxies that come back ------------------------------------------------------
 
@@ -309,7 +309,7 @@
                     break
         finally:
             self._working = False
-        self._wake.at(min(self.origin.next_timer_ms, self.keeper.next_timer_ms))
+        self._wake.schedule_by(min(self.origin.next_timer_ms, self.keeper.next_timer_ms))
 
     def _carry_out(self) -> bool:
         origin, keeper = self.origin, self.keeper
--- a/anisefront/daemon/lifecycle.py
+++ b/anisefront/daemon/lifecycle.py
@@ -1,10 +1,10 @@
-"""The life of one gatekeeper's process as a table: what a step or a signal does in each phase. Free of I/O.
+"""State machine of a gateway process: what a step or a signal does in each phase. Free of I/O.
 
     starting --ready--> serving --terminate--> draining --drained--> ended
        |                                          |
        '--terminate--> ended                      '--terminate--> hurried --drained--> ended
 
-A row that is not there changes nothing: nobody listens after a drain has begun, and nothing ends twice.
+A step without a row changes nothing: no listener opens after a drain has begun, and nothing ends twice.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 
 
 class Phase(Enum):
-    """How far the process is."""
+    """Phase of the process."""
 
     STARTING = auto()
-    STALE = auto()  # starting, with settings that were read before a hang-up
+    STALE = auto()  # starting, with settings that were read before a SIGHUP
     SERVING = auto()
     DRAINING = auto()
-    HURRIED = auto()  # draining, and all that is open is to be answered now
+    HURRIED = auto()  # draining, and all open requests are to be answered now
     ENDED = auto()
 
 
 class Step(Enum):
-    """What happens to it."""
+    """What happens to the process."""
 
-    READY = auto()  # all is prepared but the ports
+    READY = auto()  # all is prepared except the listeners
     TERMINATE = auto()
-    HANG_UP = auto()
+    HANG_UP = auto()  # SIGHUP
     DRAINED = auto()
-    FAULT = auto()  # it can't go on, or could not start
+    FAULT = auto()  # it can't continue, or could not start
 
 
-class Do(Enum):
-    """What is to be done."""
+class Command(Enum):
+    """What to do next."""
 
     LISTEN = auto()
     LISTEN_AND_RELOAD = auto()
@@ -44,24 +44,24 @@
     STOP = auto()
 
 
-TABLE: dict[tuple[Phase, Step], tuple[Phase, Do | None]] = {
-    (Phase.STARTING, Step.READY): (Phase.SERVING, Do.LISTEN),
+TRANSITIONS: dict[tuple[Phase, Step], tuple[Phase, Command | None]] = {
+    (Phase.STARTING, Step.READY): (Phase.SERVING, Command.LISTEN),
     (Phase.STARTING, Step.HANG_UP): (Phase.STALE, None),
-    (Phase.STARTING, Step.TERMINATE): (Phase.ENDED, Do.STOP),
-    (Phase.STARTING, Step.FAULT): (Phase.ENDED, Do.STOP),
-    (Phase.STALE, Step.READY): (Phase.SERVING, Do.LISTEN_AND_RELOAD),
-    (Phase.STALE, Step.TERMINATE): (Phase.ENDED, Do.STOP),
-    (Phase.STALE, Step.FAULT): (Phase.ENDED, Do.STOP),
-    (Phase.SERVING, Step.HANG_UP): (Phase.SERVING, Do.RELOAD),
-    (Phase.SERVING, Step.TERMINATE): (Phase.DRAINING, Do.DRAIN),
-    (Phase.SERVING, Step.FAULT): (Phase.ENDED, Do.STOP),
-    # What is still open while draining goes by the list in force, so its source may move even then.
-    (Phase.DRAINING, Step.HANG_UP): (Phase.DRAINING, Do.RELOAD),
-    (Phase.DRAINING, Step.TERMINATE): (Phase.HURRIED, Do.HURRY),
-    (Phase.DRAINING, Step.DRAINED): (Phase.ENDED, Do.STOP),
-    (Phase.DRAINING, Step.FAULT): (Phase.ENDED, Do.STOP),
-    (Phase.HURRIED, Step.DRAINED): (Phase.ENDED, Do.STOP),
-    (Phase.HURRIED, Step.FAULT): (Phase.ENDED, Do.STOP),
+    (Phase.STARTING, Step.TERMINATE): (Phase.ENDED, Command.STOP),
+    (Phase.STARTING, Step.FAULT): (Phase.ENDED, Command.STOP),
+    (Phase.STALE, Step.READY): (Phase.SERVING, Command.LISTEN_AND_RELOAD),
+    (Phase.STALE, Step.TERMINATE): (Phase.ENDED, Command.STOP),
+    (Phase.STALE, Step.FAULT): (Phase.ENDED, Command.STOP),
+    (Phase.SERVING, Step.HANG_UP): (Phase.SERVING, Command.RELOAD),
+    (Phase.SERVING, Step.TERMINATE): (Phase.DRAINING, Command.DRAIN),
+    (Phase.SERVING, Step.FAULT): (Phase.ENDED, Command.STOP),
+    # Requests that are open while draining use the current endpoint list, so its source may still change.
+    (Phase.DRAINING, Step.HANG_UP): (Phase.DRAINING, Command.RELOAD),
+    (Phase.DRAINING, Step.TERMINATE): (Phase.HURRIED, Command.HURRY),
+    (Phase.DRAINING, Step.DRAINED): (Phase.ENDED, Command.STOP),
+    (Phase.DRAINING, Step.FAULT): (Phase.ENDED, Command.STOP),
+    (Phase.HURRIED, Step.DRAINED): (Phase.ENDED, Command.STOP),
+    (Phase.HURRIED, Step.FAULT): (Phase.ENDED, Command.STOP),
 }
 
 
@@ -69,9 +69,10 @@
     """The phase of one process."""
 
     def __init__(self) -> None:
+        """Begin in the starting phase."""
         self.phase = Phase.STARTING
 
-    def take(self, step: Step) -> Do | None:
-        """Go by the table; what is to be done, if anything."""
-        self.phase, do = TABLE.get((self.phase, step), (self.phase, None))
-        return do
+    def advance(self, step: Step) -> Command | None:
+        """Enter the phase that follows a step and return the command to execute, if any."""
+        self.phase, command = TRANSITIONS.get((self.phase, step), (self.phase, None))
+        return command
--- a/anisefront/daemon/logs.py
+++ b/anisefront/daemon/logs.py
@@ -8,7 +8,7 @@
 
 
 def set_up(level: str = "info") -> None:
-    """Log from `level` up, one JSON object a line."""
+    """Log entries of this level and above, one JSON object a line."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -23,7 +23,7 @@
 
 
 def follow_twisted() -> None:
-    """Exceptions that reach the event loop go to the same log: none may pass unseen."""
+    """Log exceptions that reach the event loop, which would otherwise go unnoticed."""
     from twisted.logger import globalLogPublisher
 
     def observe(event: dict) -> None:
--- a/anisefront/daemon/memory.py
+++ b/anisefront/daemon/memory.py
@@ -1,68 +1,105 @@
-"""Memory by purpose: how many of each thing are kept, about how many bytes they take, and the cap on them.
+"""Memory by purpose: the number of entries, their approximate bytes and the limit on them.
 
-Bytes are those of a few samples, each with all that it alone refers to, times the count: an estimate that costs the
-same however much is kept.
+Bytes are those of a few samples, each with all objects that only it references, times the number of entries: an
+estimate whose cost does not depend on the number of entries.
 """
 
 from __future__ import annotations
 
 import itertools
 import sys
-from collections.abc import Callable, Iterable, Sized
+from collections.abc import Callable, Iterable, Iterator, Sequence, Sized
 from dataclasses import dataclass
 from enum import Enum
 from typing import Any
 
-SAMPLES, MOST_PARTS = 6, 400
+SAMPLES = 6
+MAX_SAMPLE_OBJECTS = 400
+MAX_CONTAINER_OBJECTS = 50
+REFRESH_INTERVAL_MS = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Purpose:
-    """One purpose: what is kept for it, and the most that may be (0: bounded by others, as the pages say)."""
+    """One purpose: the entries that exist for it, and their maximum (0: limited elsewhere, see the documentation)."""
 
     name: str
-    kept: Callable[[], Sized]
-    most: Callable[[], int] = lambda: 0
+    entries: Callable[[], Sized]
+    max_entries: Callable[[], int] = lambda: 0
 
 
-def size(thing: Any, shared: tuple[type, ...]) -> int:
-    """Bytes of a thing and all that it refers to, but for what has one of these types and for classes and functions."""
+def size(sample: Any, shared: tuple[type, ...]) -> int:
+    """Return the bytes of a sample and all that it references.
+
+    Instances of the shared types are left out unless they are the sample or one of its parts; classes, enum members
+    and functions are left out always.
+    """
+    roots = sample if isinstance(sample, tuple) else (sample,)
+    root_ids = {id(each) for each in roots}
     seen: set[int] = set()
-    roots = thing if isinstance(thing, tuple) else (thing,)
-    stack, total = list(roots), 0
-    while stack and len(seen) < MOST_PARTS:
+    stack = list(roots)
+    total = 0
+    while stack and len(seen) < MAX_SAMPLE_OBJECTS:
         each = stack.pop()
-        own = any(each is root for root in roots) or not isinstance(each, shared)
-        if id(each) in seen or not own or isinstance(each, type | Enum) or callable(each):
+        is_shared = isinstance(each, shared) and id(each) not in root_ids
+        if id(each) in seen or is_shared or isinstance(each, type | Enum) or callable(each):
             continue
         seen.add(id(each))
         total += sys.getsizeof(each)
-        if isinstance(each, dict):
-            stack += [*itertools.islice(each.keys(), 50), *itertools.islice(each.values(), 50)]
-        elif isinstance(each, list | tuple | set | frozenset):
-            stack += itertools.islice(each, 50)
-        elif not isinstance(each, str | bytes | int | float):
-            for kind in type(each).__mro__:
-                stack += [getattr(each, name) for name in getattr(kind, "__slots__", ()) if hasattr(each, name)]
-            stack += getattr(each, "__dict__", {}).values()
+        stack.extend(_referenced(each))
     return total
 
 
-def samples(kept: Any) -> Iterable[Any]:
-    """A few of a collection's things, with their keys where it has such."""
-    return itertools.islice(kept.items() if isinstance(kept, dict) else kept, SAMPLES)
+def _referenced(value: Any) -> Iterator[Any]:
+    """Yield the objects that a value references; of containers, the first ones."""
+    if isinstance(value, dict):
+        yield from itertools.islice(value.keys(), MAX_CONTAINER_OBJECTS)
+        yield from itertools.islice(value.values(), MAX_CONTAINER_OBJECTS)
+    elif isinstance(value, list | tuple | set | frozenset):
+        yield from itertools.islice(value, MAX_CONTAINER_OBJECTS)
+    elif not isinstance(value, str | bytes | int | float):
+        for kind in type(value).__mro__:
+            for name in getattr(kind, "__slots__", ()):
+                if hasattr(value, name):
+                    yield getattr(value, name)
+        yield from getattr(value, "__dict__", {}).values()
+
+
+def samples(entries: Any) -> Iterable[Any]:
+    """Return a few entries of a collection, with their keys if it is a mapping."""
+    return itertools.islice(entries.items() if isinstance(entries, dict) else entries, SAMPLES)
 
 
 def report(purposes: Iterable[Purpose], shared: tuple[type, ...]) -> dict[str, dict[str, int]]:
-    """Count, bytes and cap by purpose."""
-    out = {}
-    for purpose in purposes:
-        kept = purpose.kept()
-        few = [size(each, shared) for each in samples(kept)]
-        each = sum(few) / len(few) if few else 0.0
-        out[purpose.name] = {
-            "count": len(kept),
-            "bytes": round(sys.getsizeof(kept) + each * len(kept)),
-            "most": purpose.most(),
-        }
-    return out
+    """Return number, bytes and maximum by purpose."""
+    return {purpose.name: _report_of(purpose, shared) for purpose in purposes}
+
+
+def _report_of(purpose: Purpose, shared: tuple[type, ...]) -> dict[str, int]:
+    entries = purpose.entries()
+    sizes = [size(each, shared) for each in samples(entries)]
+    mean = sum(sizes) / len(sizes) if sizes else 0.0
+    return {
+        "count": len(entries),
+        "bytes": round(sys.getsizeof(entries) + mean * len(entries)),
+        "most": purpose.max_entries(),
+    }
+
+
+class MemoryReport:
+    """The report, refreshed once a second at most: any client may request the state, at any rate."""
+
+    def __init__(self, purposes: Sequence[Purpose], shared: tuple[type, ...], clock: Callable[[], float]) -> None:
+        """Report these purposes; instances of the shared types count for none of them."""
+        self._purposes = purposes
+        self._shared = shared
+        self._clock = clock
+        self._refreshed_ms = 0.0
+        self._current: dict[str, dict[str, int]] = {}
+
+    def current(self) -> dict[str, dict[str, int]]:
+        """Return number, bytes and maximum by purpose."""
+        if self._clock() - self._refreshed_ms >= REFRESH_INTERVAL_MS:
+            self._refreshed_ms = self._clock()
+            self._current = report(self._purposes, self._shared)
+        return self._current
--- /dev/null
+++ b/anisefront/daemon/memory_purposes.py
@@ -0,0 +1,71 @@
+"""Purposes for which a gateway instance of the settings language uses memory, with their limits."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from anisefront.daemon.memory import MemoryReport, Purpose
+from anisefront.frontends.grpcserver import GrpcFactory
+from anisefront.frontends.jsonrpc import JsonRpcFactory
+from anisefront.gateway.ledger import Ledger
+from anisefront.policy.controller import Controller
+from anisefront.policy.customer_account import CustomerAccount
+from anisefront.policy.endpoint_state import EndpointState
+from anisefront.policy.events import EndpointList
+from anisefront.policy.settings import Plan, RequestClass, Settings
+from anisefront.upstream.own import Own
+from anisefront.upstream.pool import Pool
+from anisefront.upstream.proxied import Proxied
+
+if TYPE_CHECKING:
+    from anisefront.daemon.gateway_instance import GatewayInstance
+
+# Types that many objects reference: no entry of the memory report is charged for them.
+_SHARED_TYPES = (
+    Settings,
+    Plan,
+    RequestClass,
+    Controller,
+    Ledger,
+    Proxied,
+    Own,
+    Pool,
+    CustomerAccount,
+    EndpointState,
+    GrpcFactory,
+    JsonRpcFactory,
+    EndpointList,
+)
+
+
+def memory_report(instance: GatewayInstance) -> MemoryReport:
+    """Return the memory report of a gateway instance."""
+    return MemoryReport(_purposes(instance), _SHARED_TYPES, instance.clock)
+
+
+def _purposes(instance: GatewayInstance) -> tuple[Purpose, ...]:
+    controller = instance.ledger.controller
+
+    def max_customers() -> int:
+        return instance.config.settings.max_customers
+
+    def max_open() -> int:
+        return instance.config.most_open
+
+    def gateways() -> int:
+        return instance.config.settings.gateways
+
+    def max_connections() -> int:
+        return 2 * instance.config.most_connections  # of both frontends
+
+    return (
+        Purpose("accounts", lambda: controller.quota_borrower.accounts, max_customers),
+        Purpose("stores", lambda: controller.quota_owner.buckets, max_customers),
+        Purpose("requests", lambda: instance.ledger.entries, max_open),
+        Purpose("attempts", lambda: controller.attempts.in_flight),
+        Purpose("exchanges", lambda: instance.proxied.exchanges, max_open),
+        Purpose("agenda", lambda: controller.timers.pending),
+        Purpose("peers", lambda: instance.seal.peers if instance.peer_port else {}, gateways),
+        Purpose("workers", lambda: controller.endpoints.known),
+        Purpose("connections", lambda: [*instance.grpc.connections, *instance.jsonrpc.connections], max_connections),
+    )
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -1,4 +1,4 @@
-"""The process around one gatekeeper: its reactor, its signals, its first line, its exit."""
+"""The process of one gateway instance: event loop, signals, ready line and exit code."""
 
 from __future__ import annotations
 
@@ -8,43 +8,72 @@
 import sys
 import time
 from collections.abc import Callable
+from enum import IntEnum
 from typing import TYPE_CHECKING, Any
 
 import structlog
 
 from anisefront.daemon import logs, signals
-from anisefront.daemon.lifecycle import Do, Lifecycle, Phase, Step
+from anisefront.daemon.lifecycle import Command, Lifecycle, Phase, Step
 from anisefront.policy.events import EndpointList
 
-if TYPE_CHECKING:  # a gatekeeper of another front must not pay for these
+if TYPE_CHECKING:  # the RESP gateway must not load these
     from anisefront.config.reading import Outcome
-    from anisefront.daemon.source import Source
+    from anisefront.daemon.settings_source import SettingsSource
 
+SETTLE_S = 0.002  # between the work of the start and listening, so that the event loop waits once
+FAULT_WRITE_S = 0.2  # for the answers after a fault of the controller
+HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
-SETTLE_S = 0.002  # one wait of the loop between the work of starting and listening
+
+class ExitCode(IntEnum):
+    """Exit codes of the process."""
+
+    DRAINED = 0
+    STOPPED = 1
+    CONTROLLER_FAULT = 3
+
+
+EXIT_REASONS = {
+    ExitCode.DRAINED: "drained",
+    ExitCode.STOPPED: "could not start or stopped at once",
+    ExitCode.CONTROLLER_FAULT: "module fault",
+}
 
 
 def serve(
-    source: Source, read: list[Outcome], log_level: str, workers: Callable[[Any], EndpointList] | None = None
+    source: SettingsSource,
+    read: list[Outcome],
+    log_level: str,
+    workers: Callable[[Any], EndpointList] | None = None,
 ) -> int:
-    """Run the gatekeeper of the settings language; the exit code. `read` has what `source` came to at the start, with
-    no error, and is emptied: what a caller names would be held for life, however often the settings change.
-    `workers` starts an embedded fleet on the reactor."""
-    from anisefront.daemon.gatekeeper import Gatekeeper
+    """Run a gateway instance of the settings language.
+
+    Args:
+        source: Where the settings are read.
+        read: The valid outcome of the first read. It is removed from the list: a reference in a caller's frame would
+            keep it in memory for the duration of the process, however often the settings change.
+        log_level: Of the entries that are logged.
+        workers: Starts embedded endpoints on the event loop and returns their list.
+
+    Returns:
+        The exit code.
+    """
+    from anisefront.daemon.gateway_instance import GatewayInstance
     from anisefront.gateway.versions import at_once, next_steps
 
     first = [at_once(next_steps(None, read.pop()))]
 
-    def before(gatekeeper: Any) -> None:
+    def prepare(instance: Any) -> None:
         if workers is not None:
-            gatekeeper.ledger.roster(workers(gatekeeper.reactor))
+            instance.ledger.roster(workers(instance.reactor))
 
     return run(
-        lambda reactor, on_fault: Gatekeeper(first.pop(), reactor, on_fault=on_fault, source=source),
+        lambda reactor, on_fault: GatewayInstance(first.pop(), reactor, on_fault=on_fault, source=source),
         log_level,
         str(first[0].config.settings.number),
-        before,
-        lambda gatekeeper: gatekeeper.reload(),
+        prepare,
+        lambda instance: instance.reload(),
     )
 
 
@@ -52,104 +81,147 @@
     make: Callable[[Any, Callable[[Exception], None]], Any],
     log_level: str,
     name: str,
-    before: Callable[[Any], None] = lambda gatekeeper: None,
-    hang_up: Callable[[Any], object] | None = None,
+    prepare: Callable[[Any], None] = lambda instance: None,
+    reload: Callable[[Any], object] | None = None,
 ) -> int:
-    """Run a gatekeeper until it is stopped; the exit code.
-
-    `make(reactor, on_fault)` makes it: it has `start`, `drain`, `hurry`, `ledger` and `collector`. `before` is called
-    with it and does what its start costs and needs no port, `hang_up` at each SIGHUP; what that raises is logged and
-    ends nothing."""
+    """Run a gateway instance until it ends.
+
+    Args:
+        make: Creates it from the event loop and a callback for faults of its controller. It has `start`, `drain`,
+            `hurry`, `ledger` and `collector`.
+        log_level: Of the entries that are logged.
+        name: Of the gateway instance in the log.
+        prepare: Does the work of its start that needs no socket.
+        reload: Called at each SIGHUP; an exception is logged and ends nothing.
+
+    Returns:
+        The exit code.
+    """
     logs.set_up(log_level)
     logs.follow_twisted()
     from twisted.internet import reactor
 
-    log = structlog.get_logger().bind(gatekeeper=name)
-    code = [0]
-    life = Lifecycle()
-    waiting: list[int] = []
-
-    def on_signal(number: int, frame: Any) -> None:
-        waiting.append(number)
-        reactor.callFromThread(look)
-
-    def look() -> None:
-        """Take the signals that have come. Danger: two alike in one turn, as from a process and its group, are one;
-        taken for two, the second would cut short what the first began."""
-        came = set()
-        while waiting:
-            came.add(waiting.pop())
-        if signal.SIGHUP in came:
-            take(Step.HANG_UP)
-        if came - {signal.SIGHUP}:
-            log.info("signal", signals=sorted(signal.Signals(number).name for number in came))
-            take(Step.TERMINATE)
-
-    def take(step: Step) -> None:
-        do = life.take(step)
-        if do in (Do.LISTEN, Do.LISTEN_AND_RELOAD):
-            where = gatekeeper.start()
-            # Every front takes its port only once the first fleet list has been handed in.
-            print(json.dumps({"ready": True, **where, "pid": os.getpid()}), flush=True)
-        if do in (Do.RELOAD, Do.LISTEN_AND_RELOAD):
-            take_again()
-        elif do is Do.DRAIN:
-            gatekeeper.drain().addBoth(lambda _: take(Step.DRAINED))
-        elif do is Do.HURRY:
-            log.warning("stopped_at_once", open=gatekeeper.ledger.open)
-            code[0] = 1
-            gatekeeper.hurry()
-        elif do is Do.STOP and reactor.running:
-            reactor.stop()
-
-    def module_fault(problem: Exception) -> None:
-        log.critical("module_fault", exc_info=problem, open_failed=gatekeeper.ledger.counts["failed"])
-        code[0] = 3
-        reactor.callLater(0.2, take, Step.FAULT)  # the failures are being written
-
-    # Danger: from here on until the first turn of the loop, too, either signal must end nothing; so they are set where
-    # all that they call is there.
-    for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, on_signal)
-    waiting += signals.held()  # after that, or one that comes between the two lines would be kept for nobody
-
-    gatekeeper = make(reactor, module_fault)
-
-    def step(call: Callable[[], None]) -> None:
-        """One step of starting; a port that can't be had ends it, as does anything nobody foresaw: left half started
-        it would serve nobody and be taken for alive."""
-        if life.phase is Phase.ENDED:
+    return InstanceProcess(reactor, name, prepare, reload).run(make)
+
+
+class InstanceProcess:
+    """Carries out the commands of the lifecycle for one gateway instance."""
+
+    def __init__(
+        self, reactor: Any, name: str, prepare: Callable[[Any], None], reload: Callable[[Any], object] | None
+    ) -> None:
+        """Begin in the starting phase; see `run` for the arguments."""
+        self._reactor = reactor
+        self._prepare_instance = prepare
+        self._reload_instance = reload
+        self._log = structlog.get_logger().bind(gatekeeper=name)
+        self._lifecycle = Lifecycle()
+        self._pending_signals: list[int] = []
+        self._exit_code = ExitCode.DRAINED
+        self._instance: Any = None
+
+    def run(self, make: Callable[[Any, Callable[[Exception], None]], Any]) -> int:
+        """Create the gateway instance, run it until it ends and return the exit code."""
+        # A signal must not end the process between here and the first iteration of the event loop either.
+        for number in HANDLED_SIGNALS:
+            signal.signal(number, self._on_signal)
+        # Only now: a signal between these two steps would be recorded and never handled.
+        self._pending_signals += signals.take_pending()
+        self._instance = make(self._reactor, self._on_controller_fault)
+        self._reactor.callWhenRunning(self._handle_signals)
+        self._reactor.callWhenRunning(self._start_step, self._prepare)
+        started_s = time.monotonic()
+        self._reactor.run(installSignalHandlers=False)
+        self._log.info(
+            "exit",
+            code=int(self._exit_code),
+            up_s=round(time.monotonic() - started_s, 1),
+            why=EXIT_REASONS[self._exit_code],
+        )
+        sys.stderr.flush()
+        return int(self._exit_code)
+
+    # ---- signals -------------------------------------------------------------------------------
+
+    def _on_signal(self, number: int, frame: Any) -> None:
+        self._pending_signals.append(number)
+        self._reactor.callFromThread(self._handle_signals)
+
+    def _handle_signals(self) -> None:
+        """Handle the signals that have arrived; equal ones in one iteration count as one.
+
+        A process and its process group may both be signalled. Counted as two, the second signal would cut short the
+        drain that the first began.
+        """
+        arrived = set()
+        while self._pending_signals:
+            arrived.add(self._pending_signals.pop())
+        if signal.SIGHUP in arrived:
+            self._advance(Step.HANG_UP)
+        if arrived - {signal.SIGHUP}:
+            self._log.info("signal", signals=sorted(signal.Signals(number).name for number in arrived))
+            self._advance(Step.TERMINATE)
+
+    # ---- lifecycle -----------------------------------------------------------------------------
+
+    def _advance(self, step: Step) -> None:
+        """Enter the next phase and execute its command."""
+        command = self._lifecycle.advance(step)
+        if command in (Command.LISTEN, Command.LISTEN_AND_RELOAD):
+            self._listen()
+        if command in (Command.RELOAD, Command.LISTEN_AND_RELOAD):
+            self._reload()
+        elif command is Command.DRAIN:
+            self._instance.drain().addBoth(lambda _: self._advance(Step.DRAINED))
+        elif command is Command.HURRY:
+            self._log.warning("stopped_at_once", open=self._instance.ledger.open)
+            self._exit_code = ExitCode.STOPPED
+            self._instance.hurry()
+        elif command is Command.STOP and self._reactor.running:
+            self._reactor.stop()
+
+    def _start_step(self, call: Callable[[], None]) -> None:
+        """Take one step of the start; any exception ends the process.
+
+        A process that stays half started would serve no client and count as alive.
+        """
+        if self._lifecycle.phase is Phase.ENDED:
             return
         try:
             call()
         except Exception as problem:
-            log.error("not_started", fault=str(problem), exc_info=None if isinstance(problem, OSError) else problem)
-            code[0] = 1
-            take(Step.FAULT)
-
-    def prepare() -> None:
-        before(gatekeeper)
-        gatekeeper.collector.start()
-        # Danger: who connects while we still set things up is read late, and its time counts from when it was sent.
-        # So we listen only once the loop has waited: all that starting cost is behind us then.
-        reactor.callLater(SETTLE_S, step, lambda: take(Step.READY))
-
-    def take_again() -> None:
+            trace = None if isinstance(problem, OSError) else problem
+            self._log.error("not_started", fault=str(problem), exc_info=trace)
+            self._exit_code = ExitCode.STOPPED
+            self._advance(Step.FAULT)
+
+    def _prepare(self) -> None:
+        """Do the work of the start, then listen once the event loop has waited.
+
+        A connection that arrives during that work is read late, while its requests' time counts from when they were
+        sent.
+        """
+        self._prepare_instance(self._instance)
+        self._instance.collector.start()
+        self._reactor.callLater(SETTLE_S, self._start_step, lambda: self._advance(Step.READY))
+
+    def _listen(self) -> None:
+        """Open the listeners and print the ready line; the first endpoint list has been handed in before."""
+        addresses = self._instance.start()
+        print(json.dumps({"ready": True, **addresses, "pid": os.getpid()}), flush=True)
+
+    def _reload(self) -> None:
+        """Reload the settings; unexpected contents of a file must not end a gateway instance in service."""
+        if self._reload_instance is None:
+            return
         try:
-            if hang_up is not None:
-                hang_up(gatekeeper)
-        except Exception as problem:  # Danger: a file that nobody foresaw must not end a gatekeeper in service
-            log.error("reload_raised", exc_info=problem)
-
-    reactor.callWhenRunning(look)
-    reactor.callWhenRunning(step, prepare)
-    started = time.monotonic()
-    reactor.run(installSignalHandlers=False)
-    log.info(
-        "exit",
-        code=code[0],
-        up_s=round(time.monotonic() - started, 1),
-        why={0: "drained", 1: "could not start or stopped at once", 3: "module fault"}[code[0]],
-    )
-    sys.stderr.flush()
-    return code[0]
+            self._reload_instance(self._instance)
+        except Exception as problem:
+            self._log.error("reload_raised", exc_info=problem)
+
+    def _on_controller_fault(self, problem: Exception) -> None:
+        """End the process after the failure answers have been written."""
+        failed = self._instance.ledger.counts["failed"]
+        self._log.critical("module_fault", exc_info=problem, open_failed=failed)
+        self._exit_code = ExitCode.CONTROLLER_FAULT
+        self._reactor.callLater(FAULT_WRITE_S, self._advance, Step.FAULT)
--- a/anisefront/daemon/recorder.py
+++ b/anisefront/daemon/recorder.py
@@ -1,5 +1,7 @@
-"""Writes what a gatekeeper sees to a bounded, rotated trace. It never holds up a request, and a full disk stops the
-recording, not the service."""
+"""Writes events and actions of a gateway instance to a rotated trace of bounded size.
+
+It never delays a request, and a full disk stops the recording, not the service.
+"""
 
 from __future__ import annotations
 
@@ -10,98 +12,110 @@
 from anisefront.policy.events import Arrival, AttemptEnded, AttemptResult, ClientDisconnected, EndpointList
 from anisefront.protocols import trace
 
-MOST_WAITING = 20_000  # records not yet written; more are dropped and counted
-WRITE_EVERY = 2000
-MOST_NAMES = 50_000  # pseudonyms remembered; then made anew
+MAX_BUFFERED = 20_000  # records; further ones are dropped and counted
+FLUSH_THRESHOLD = 2000  # buffered records
+MAX_PSEUDONYMS = 50_000  # cached; beyond that the cache is cleared
 
 
 class Recorder:
-    """The trace of one gatekeeper's life. `see` takes every event and action of the ledger."""
+    """The trace of one process incarnation of a gateway instance."""
 
-    def __init__(self, wanted: Recording, number: int, life: str, at_ms: float) -> None:
-        self._wanted, self._waiting, self.fault, self.written, self.dropped = wanted, list[trace.Record](), "", 0, 0
-        self._waiting.append(["life", round(at_ms, 2), number, life])
-        self._size, self._names = 0, dict[str, str]()
+    def __init__(self, settings: Recording, number: int, incarnation: str, started_ms: float) -> None:
+        """Begin a new file for the gateway instance of this number."""
+        self.fault = ""
+        self.written = 0
+        self.dropped = 0
+        self._settings = settings
+        self._buffer: list[trace.Record] = []
+        self._buffer.append(["life", round(started_ms, 2), number, incarnation])
+        self._file_bytes = 0
+        self._pseudonyms: dict[str, str] = {}
         self._open_file()
 
+    def state(self) -> dict[str, int | str]:
+        """Return how many records were written and dropped, and the fault that stopped the recording."""
+        return {"written": self.written, "dropped": self.dropped, "fault": self.fault}
+
     def _open_file(self) -> None:
-        """Begin a new file; older ones move up by one, the oldest goes."""
-        path = self._wanted.path
+        """Begin a new file; older ones are renumbered, the oldest is removed."""
+        path = self._settings.path
         try:
-            for number in range(self._wanted.keep - 1, 0, -1):
+            for number in range(self._settings.keep - 1, 0, -1):
                 older = path if number == 1 else f"{path}.{number - 1}"
                 if os.path.exists(older):
                     os.replace(older, f"{path}.{number}")
             with open(path, "wb") as file:
                 file.write(trace.HEAD)
-            self._size = len(trace.HEAD)
+            self._file_bytes = len(trace.HEAD)
         except OSError as problem:
             self.fault = f"{path}: {problem.strerror or problem}"
 
-    def see(self, at: float, thing: object) -> None:
-        """Note an event or an action."""
-        record = self._record(round(at, 2), thing)
+    def record_event(self, at_ms: float, event: object) -> None:
+        """Record an event or an action."""
+        record = self._record_of(round(at_ms, 2), event)
         if record is None or self.fault:
             return
-        if len(self._waiting) >= MOST_WAITING:
+        if len(self._buffer) >= MAX_BUFFERED:
             self.dropped += 1
             return
-        self._waiting.append(record)
-        if len(self._waiting) >= WRITE_EVERY:
+        self._buffer.append(record)
+        if len(self._buffer) >= FLUSH_THRESHOLD:
             self.flush()
 
-    def _record(self, at: float, thing: object) -> trace.Record | None:
-        match thing:
+    def _record_of(self, at_ms: float, event: object) -> trace.Record | None:
+        match event:
             case Arrival():
                 return [
                     "arrive",
-                    at,
-                    thing.id,
-                    self._name(thing.customer),
-                    thing.class_name,
-                    thing.plan_name,
-                    thing.units,
-                    round(thing.deadline_at_ms - at, 1),
-                    int(thing.is_retry),
-                    int(thing.allows_hedging),
+                    at_ms,
+                    event.id,
+                    self._pseudonym(event.customer),
+                    event.class_name,
+                    event.plan_name,
+                    event.units,
+                    round(event.deadline_at_ms - at_ms, 1),
+                    int(event.is_retry),
+                    int(event.allows_hedging),
                 ]
             case StartAttempt():
-                return ["send", at, thing.id, -1, thing.endpoint]
+                return ["send", at_ms, event.id, -1, event.endpoint]
             case AttemptEnded():
-                if thing.result is AttemptResult.OK and thing.final:
-                    self._waiting.append(["answer", at, thing.id, "served", ""])
-                return ["end", at, thing.id, thing.attempt, thing.result.value, round(thing.duration_ms, 2)]
+                if event.result is AttemptResult.OK and event.final:
+                    self._buffer.append(["answer", at_ms, event.id, "served", ""])
+                return ["end", at_ms, event.id, event.attempt, event.result.value, round(event.duration_ms, 2)]
             case Reject():
-                return ["answer", at, thing.id, "refused", thing.reason.value]
+                return ["answer", at_ms, event.id, "refused", event.reason.value]
             case Fail():
-                return ["answer", at, thing.id, "failed", ""]
+                return ["answer", at_ms, event.id, "failed", ""]
             case ClientDisconnected():
-                return ["answer", at, thing.id, "left", ""]
-            case EndpointList() if not thing.failed:
-                return ["fleet", at, [[s.id, s.zone, s.cell, s.status.value, s.started_ms] for s in thing.endpoints]]
+                return ["answer", at_ms, event.id, "left", ""]
+            case EndpointList() if not event.failed:
+                return ["fleet", at_ms, [[s.id, s.zone, s.cell, s.status.value, s.started_ms] for s in event.endpoints]]
         return None
 
-    def _name(self, customer: str) -> str:
-        name = self._names.get(customer)
-        if name is None:
-            if len(self._names) >= MOST_NAMES:
-                self._names.clear()
-            name = self._names[customer] = trace.pseudonym(self._wanted.key, customer)
-        return name
+    def _pseudonym(self, customer: str) -> str:
+        pseudonym = self._pseudonyms.get(customer)
+        if pseudonym is None:
+            if len(self._pseudonyms) >= MAX_PSEUDONYMS:
+                self._pseudonyms.clear()
+            pseudonym = trace.pseudonym(self._settings.key, customer)
+            self._pseudonyms[customer] = pseudonym
+        return pseudonym
 
     def flush(self) -> None:
-        """Write what waits as one block."""
-        if self.fault or not self._waiting:
+        """Write the buffer as one block."""
+        if self.fault or not self._buffer:
             return
-        records, self._waiting = self._waiting, []
+        records = self._buffer
+        self._buffer = []
         data = trace.block(records)
         try:
-            with open(self._wanted.path, "ab") as file:
+            with open(self._settings.path, "ab") as file:
                 file.write(data)
         except OSError as problem:
-            self.fault = f"{self._wanted.path}: {problem.strerror or problem}"
+            self.fault = f"{self._settings.path}: {problem.strerror or problem}"
             return
         self.written += len(records)
-        self._size += len(data)
-        if self._size > self._wanted.rotate:
+        self._file_bytes += len(data)
+        if self._file_bytes > self._settings.rotate:
             self._open_file()
--- /dev/null
+++ b/anisefront/daemon/reload_scheduler.py
@@ -0,0 +1,147 @@
+"""Scheduling of settings changes: one at a time, in slices between iterations of the event loop.
+
+    idle --hang up--> reading --ended--> idle
+                      reading --hang up--> due --ended--> reading
+    any --stop--> over
+
+A change that has begun is completed: if each reload cancelled the one before, one a second could prevent all of them.
+Requests that arrive meanwhile, however many, cause one more read, since that finds the newest files.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable, Generator
+from enum import Enum, auto
+from typing import Any
+
+from anisefront.gateway.standing import Lag
+
+SLICE_S = 0.0005  # work on settings in one iteration; the step that exceeds it is the last
+# A request takes several iterations and may be delayed by a slice in each, so most of the time is left to requests.
+PAUSE_S = 0.002
+MAX_DEFERRALS = 3  # iterations that a slice waits for requests that are to be decided
+
+
+class Phase(Enum):
+    """Phase of the settings change."""
+
+    IDLE = auto()
+    READING = auto()
+    DUE = auto()  # reading, and files may have changed since they were read
+    OVER = auto()  # the gateway instance drains: the current settings stay
+
+
+class Step(Enum):
+    """What happens."""
+
+    HANG_UP = auto()  # a reload is requested
+    ENDED = auto()  # the change is applied, rejected or failed
+    STOP = auto()
+
+
+class Command(Enum):
+    """What to do next."""
+
+    BEGIN = auto()
+    CANCEL = auto()
+    IGNORE = auto()
+
+
+TRANSITIONS: dict[tuple[Phase, Step], tuple[Phase, Command | None]] = {
+    (Phase.IDLE, Step.HANG_UP): (Phase.READING, Command.BEGIN),
+    (Phase.READING, Step.HANG_UP): (Phase.DUE, None),
+    (Phase.READING, Step.ENDED): (Phase.IDLE, None),
+    (Phase.DUE, Step.ENDED): (Phase.READING, Command.BEGIN),
+    (Phase.IDLE, Step.STOP): (Phase.OVER, None),
+    (Phase.READING, Step.STOP): (Phase.OVER, Command.CANCEL),
+    (Phase.DUE, Step.STOP): (Phase.OVER, Command.CANCEL),
+    (Phase.OVER, Step.HANG_UP): (Phase.OVER, Command.IGNORE),
+}
+
+
+class ReloadScheduler:
+    """Runs settings changes beside the handling of requests."""
+
+    def __init__(
+        self,
+        reactor: Any,
+        change: Callable[[], Generator[None, None, None]],
+        has_waiting_requests: Callable[[], bool],
+        log: Any,
+        on_raise: Callable[[Exception], None],
+        seconds: Callable[[], float] = time.perf_counter,
+    ) -> None:
+        """Prepare; nothing is read yet.
+
+        Args:
+            reactor: The event loop.
+            change: Returns the steps of one change, which applies itself.
+            has_waiting_requests: Returns whether requests wait to be decided.
+            log: Where dropped and ignored reloads are logged.
+            on_raise: Called with an unexpected exception of a change.
+            seconds: Measures slices.
+        """
+        self.phase = Phase.IDLE
+        self.slices = Lag()
+        self.work_ms = 0.0  # processor time of all changes so far
+        self._reactor = reactor
+        self._change = change
+        self._has_waiting_requests = has_waiting_requests
+        self._log = log
+        self._on_raise = on_raise
+        self._seconds = seconds
+        self._steps: Generator[None, None, None] | None = None
+        self._deferrals = 0
+
+    def request_reload(self) -> None:
+        """Read the files, which may have changed."""
+        self._advance(Step.HANG_UP)
+
+    def stop(self) -> None:
+        """Change nothing any more."""
+        self._advance(Step.STOP)
+
+    def _advance(self, step: Step) -> None:
+        self.phase, command = TRANSITIONS.get((self.phase, step), (self.phase, None))
+        if command is Command.BEGIN:
+            self._steps = self._change()
+            self._reactor.callLater(0, self._run_slice)
+        elif command is Command.CANCEL:
+            steps = self._steps
+            self._steps = None
+            steps.close()
+            self._log.info("reading_dropped", why="draining")
+        elif command is Command.IGNORE:
+            self._log.info("hang_up_ignored", why="draining")
+
+    def _run_slice(self) -> None:
+        if self._steps is None:
+            return  # cancelled meanwhile
+        if self._has_waiting_requests() and self._deferrals < MAX_DEFERRALS:
+            self._deferrals += 1
+            self._reactor.callLater(0, self._run_slice)
+            return
+        self._deferrals = 0
+        began_s = self._seconds()
+        processor_began_s = time.thread_time()
+        self._run_steps(began_s)
+        self.work_ms += (time.thread_time() - processor_began_s) * 1000
+        self.slices.take((self._seconds() - began_s) * 1000)
+        if self._steps is None:
+            self._advance(Step.ENDED)
+        else:
+            self._reactor.callLater(PAUSE_S, self._run_slice)
+
+    def _run_steps(self, began_s: float) -> None:
+        """Take steps until the slice is used up or the change has ended."""
+        try:
+            while True:
+                next(self._steps)
+                if self._seconds() - began_s >= SLICE_S:
+                    return
+        except StopIteration:
+            self._steps = None
+        except Exception as problem:  # unexpected contents of a file must not end a gateway instance in service
+            self._steps = None
+            self._on_raise(problem)
--- /dev/null
+++ b/anisefront/daemon/settings_source.py
@@ -0,0 +1,25 @@
+"""Source of a process's settings: one file with the files that it includes, read on request."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Generator, Mapping
+
+from anisefront.config.reading import Outcome, Reading
+
+
+class SettingsSource:
+    """One settings file for the duration of a process; parts that did not change between two reads are cached."""
+
+    def __init__(self, path: str, environment: Mapping[str, str], make: Callable[..., Reading] = Reading) -> None:
+        """Use the file at `path`; `make` creates the reader with its cache."""
+        self._make = lambda: make(path, environment)
+        self._reading = self._make()
+
+    def steps(self) -> Generator[None, None, Outcome]:
+        """Read all files in small steps and return the outcome, valid or not."""
+        try:
+            return (yield from self._reading.steps())
+        except Exception:
+            # The interrupted read may have left its cache inconsistent, which would corrupt the next one.
+            self._reading = self._make()
+            raise
--- a/anisefront/daemon/signals.py
+++ b/anisefront/daemon/signals.py
@@ -1,21 +1,25 @@
-"""Signals that come before there is a gatekeeper to take them. It loads nothing, and decides nothing."""
+"""Signals that arrive before a gateway instance can handle them. Imports nothing of the project."""
 
 from __future__ import annotations
 
 import signal
 
-TAKEN = (signal.SIGHUP, signal.SIGTERM)
-_held: list[int] = []
+CAPTURED_SIGNALS = (signal.SIGHUP, signal.SIGTERM)
+_pending: list[int] = []
 
 
-def hold() -> None:
-    """From now on keep what comes. Danger: until a handler is set, either signal ends the process as if it had
-    crashed, and what a gatekeeper loads takes half a second and more on a small machine."""
-    for number in TAKEN:
-        signal.signal(number, lambda number, frame: _held.append(number))
+def capture() -> None:
+    """Record signals from now on.
 
+    Without a handler either signal ends the process as if it had crashed, and loading the modules of a gateway
+    instance takes half a second and more on a small machine.
+    """
+    for number in CAPTURED_SIGNALS:
+        signal.signal(number, lambda number, frame: _pending.append(number))
 
-def held() -> list[int]:
-    """What has come so far, the first one first; it is forgotten here."""
-    found, _held[:] = list(_held), []
-    return found
+
+def take_pending() -> list[int]:
+    """Return the signals that were recorded, in order, and clear the record."""
+    pending = list(_pending)
+    _pending.clear()
+    return pending
--- /dev/null
+++ b/anisefront/resp_gateway/instance.py
@@ -0,0 +1,315 @@
+"""Wiring of a gateway instance of the RESP platform: request table, frontend, upstream, peers and discovery.
+
+It decides nothing: the frontend rejects what exceeds its limits, the controller decides all else.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+from collections.abc import Callable
+from typing import Any
+
+import structlog
+from twisted.internet import defer
+
+from anisefront.daemon import immutable_settings
+from anisefront.daemon.clock import Clock
+from anisefront.daemon.collector import Collector
+from anisefront.daemon.drain import POLL_INTERVAL_S, Drain
+from anisefront.daemon.listeners import listen_tcp, stop_listening
+from anisefront.daemon.peer_port import MAX_DATAGRAM_BYTES, PeerPort
+from anisefront.daemon.report_document import report_of_request_table, to_document
+from anisefront.daemon.request_table import create_request_table
+from anisefront.policy.settings import Settings
+from anisefront.resp_gateway.bare_datagrams import BareDatagrams
+from anisefront.resp_gateway.carrier import NodeCarrier, RespAnswers
+from anisefront.resp_gateway.config import ConfigFault, NodeConfig
+from anisefront.resp_gateway.discovery import Book, Change
+from anisefront.resp_gateway.front import Front, FrontLimits
+from anisefront.resp_gateway.state_report import STATE_KEYS, RespStateReport
+from anisefront.resp_gateway.terms import Reader
+from anisefront.resp_gateway.watch import Watch
+from anisefront.upstream.pool import Pool, PoolLimits
+
+# Division of the file descriptors.
+OTHER_DESCRIPTORS = 24  # standard streams, event loop, listener, datagrams, discovery old and new, and a reserve
+MIN_DESCRIPTORS = 32  # for clients and endpoints
+CLIENT_FRACTION = 0.5  # of the descriptors; the rest is for endpoints
+CLOSING_FRACTION = 1 / 8  # of the clients' connections, which may be closing
+MIN_CLOSING = 8
+DESCRIPTORS_PER_BODY = 8
+
+BODY_MEMORY_FRACTION = 1 / 8
+OPEN_REQUESTS_PER_MB = 16
+MIN_OPEN_REQUESTS = 64
+
+REUSE_DELAY_S = 0.01  # after a response, before its connection is used again
+RESPONSE_STALL_S = 0.4  # the longest gap within a response
+IDLE_FRACTION = 0.6  # of the time after which the platform closes an idle connection
+MAX_IDLE_PER_ENDPOINT = 64
+
+# After SIGTERM the platform sends SIGKILL no sooner than the longest deadline, up to a maximum, and a grace period.
+LISTEN_AFTER_TERM_MS = 500.0  # new connections still arrive for a while
+MAX_DEADLINE_MS = 3000.0
+KILL_GRACE_MS = 700.0
+WRITE_MS = 300.0  # before SIGKILL, by when all requests are answered
+EXIT_MS = 100.0  # before SIGKILL, by when the process ends
+
+REPORT_INTERVAL_S = 10.0
+COLLECT_INTERVAL_S = 2.0
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class DescriptorBudget:
+    """How many descriptors each kind of connection may use."""
+
+    clients: int
+    closing: int
+    endpoints: int
+
+
+def descriptor_budget(descriptors: int) -> DescriptorBudget:
+    """Divide the descriptors of the process."""
+    available = max(MIN_DESCRIPTORS, descriptors - OTHER_DESCRIPTORS)
+    clients = int(available * CLIENT_FRACTION)
+    closing = max(MIN_CLOSING, int(clients * CLOSING_FRACTION))
+    return DescriptorBudget(clients - closing, closing, available - clients)
+
+
+class RespGatewayInstance:
+    """One gateway instance, which is created, started, drained and ended once.
+
+    The clock returns Unix milliseconds that never decrease; `on_fault` is called if the controller raises.
+    """
+
+    def __init__(
+        self,
+        config: NodeConfig,
+        reactor: Any,
+        clock: Callable[[], float] | None = None,
+        on_fault: Callable[[Exception], None] | None = None,
+    ) -> None:
+        """Create all parts; no socket is opened yet."""
+        settings = config.settings
+        self.config = config
+        self.reactor = reactor
+        self.clock = clock or Clock()
+        self.log = structlog.get_logger().bind(gatekeeper=config.name)
+        self.peer_port: PeerPort | None = None
+        if config.peer_listen is not None and settings.peer_messages_enabled:
+            datagrams = BareDatagrams(settings.number, config.peers)
+            self.peer_port = PeerPort(datagrams, lambda sender, data: self.ledger.hear(sender, data))
+        max_open = max(MIN_OPEN_REQUESTS, int(config.memory_mb * OPEN_REQUESTS_PER_MB))
+        self.ledger = create_request_table(
+            reactor, self.clock, self.log, settings, config.seed, self.peer_port, max_open, on_fault
+        )
+        self.book = Book()
+        budget = descriptor_budget(config.sockets)
+        self._create_upstream(config, budget)
+        self._create_frontend(config, budget)
+        self.watch = Watch(
+            reactor,
+            config.discovery,
+            lambda: self.book.index,
+            self.told,
+            self._on_discovery_fault,
+            self.book.forget_version,
+        )
+        self.collector = Collector(reactor, lambda: self.ledger.open, COLLECT_INTERVAL_S)
+        self._port: Any = None
+        self._drain = Drain(reactor)
+        self._drain_began_ms = 0.0
+        self._kill_ms = 0.0
+
+    def _create_upstream(self, config: NodeConfig, budget: DescriptorBudget) -> None:
+        limits = PoolLimits(
+            connect_s=config.connect_timeout_ms / 1000,
+            idle_s=config.idle_ms * IDLE_FRACTION / 1000,
+            idle_each=MAX_IDLE_PER_ENDPOINT,
+            most=budget.endpoints,
+            rest_s=REUSE_DELAY_S,
+            stall_s=RESPONSE_STALL_S,
+        )
+        self.pool = Pool(self.reactor, limits, RespAnswers, self.book.address_of)
+        self.carrier = NodeCarrier(self.ledger, self.pool, config.settings.load_report_fields)
+
+    def _create_frontend(self, config: NodeConfig, budget: DescriptorBudget) -> None:
+        limits = FrontLimits(
+            budget.clients,
+            budget.closing,
+            config.sockets // DESCRIPTORS_PER_BODY,
+            int(config.memory_mb * (1 << 20) * BODY_MEMORY_FRACTION),
+        )
+        self.front = Front(self.reactor, self.carrier, Reader(config.settings), self.clock, limits)
+
+    def prepare(self) -> None:
+        """Do the work of the start that needs no socket; call it before `start`."""
+        config = self.config
+        if config.known is not None:
+            self.told(config.known)  # it may be outdated, and is used until discovery sends a newer one
+        self.log.info(
+            "settings",
+            settings=dataclasses.asdict(config.settings) | {"tag_key": ""},
+            memory_mb=config.memory_mb,
+            sockets=config.sockets,
+            idle_ms=config.idle_ms,
+            connect_timeout_ms=config.connect_timeout_ms,
+        )
+        self.ledger.settle()
+
+    def start(self) -> dict[str, Any]:
+        """Listen, and return the addresses.
+
+        Raises:
+            OSError: An address is not available.
+        """
+        config = self.config
+        addresses: dict[str, str] = {}
+        self.watch.start()
+        if self.peer_port is not None:
+            host, port = config.peer_listen
+            self.reactor.listenUDP(port, self.peer_port, interface=host, maxPacketSize=MAX_DATAGRAM_BYTES)
+            addresses["peers"] = f"{host}:{port}"
+        host, port = config.listen
+        self._port = listen_tcp(self.reactor, host, port, self.front)
+        addresses["resp"] = f"{host}:{self._port.getHost().port}"
+        self.log.info("started", **addresses, workers=len(self.book.entries), number=config.settings.number)
+        self.reactor.callLater(REPORT_INTERVAL_S, self._log_state)
+        return addresses
+
+    # ---- discovery and settings ----------------------------------------------------------------
+
+    def told(self, change: Change) -> None:
+        """Take over an endpoint list or a change of it."""
+        endpoints, moved = self.book.apply(change)
+        if endpoints is None:
+            return
+        self.ledger.roster(endpoints)
+        for endpoint in moved:
+            self.pool.drop_worker(endpoint)
+
+    def _on_discovery_fault(self, why: str) -> None:
+        self.log.warning("discovery_fault", fault=why)
+
+    def reload(self, read_config: Callable[[], NodeConfig]) -> bool:
+        """Apply another configuration as a whole or reject it: discovery's address, and the settings that changed.
+
+        Args:
+            read_config: Reads it; raises `ConfigFault` if it is invalid.
+
+        Returns:
+            Whether it was applied.
+        """
+        before = self.config.settings
+        try:
+            config = read_config()
+            faults = _rejected_changes(before, config.settings)
+        except ConfigFault as problem:
+            faults = [str(problem)]
+        if faults:
+            self.log.error("config_not_taken", faults=faults)
+            return False
+        self.watch.move(config.discovery)
+        if config.settings != before:
+            self.front.terms = Reader(config.settings)
+            self.ledger.change(config.settings)
+        self.config = config
+        self.log.info("config", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
+        return True
+
+    # ---- state ---------------------------------------------------------------------------------
+
+    def state(self) -> dict[str, Any]:
+        """Return what this gateway instance is and does, as a document."""
+        return to_document(self._report(), STATE_KEYS)
+
+    def _report(self) -> RespStateReport:
+        table = self.ledger
+        controller = table.controller
+        times_ms = controller.response_times.by_class
+        return RespStateReport(
+            requests=report_of_request_table(table),
+            endpoints=len(self.book.entries),
+            endpoint_connections=self.pool.connections,
+            client_connections={place: len(clients) for place, clients in self.front.places.items()},
+            customer_accounts=len(controller.quota_borrower.accounts),
+            quota_buckets=len(controller.quota_owner.buckets),
+            response_times_ms={name: round(time_ms) for name, time_ms in times_ms.items()},
+            reported_loads={name: round(load, 2) for name, load in self.carrier.seen.items()},
+            endpoint_loads=self._endpoint_loads(),
+            class_shares={name: round(each.share, 2) for name, each in controller.admission.shares.items()},
+            batch_durations=table.turn_ms.report(),
+            collector_pauses=self.collector.pauses.report(),
+            request_counts=dict(table.counts),
+            frontend_counts=dict(self.front.counts),
+            connection_pool_counts=dict(self.pool.counts),
+            datagram_counts=dict(self.peer_port.counts) if self.peer_port else {},
+        )
+
+    def _endpoint_loads(self) -> dict[str, list[float]]:
+        return {
+            name: [state.in_flight, round(state.others_load, 1), round(state.health.latency_ratio, 2)]
+            for name, state in self.ledger.controller.endpoints.known.items()
+            if name in self.book.entries
+        }
+
+    def _log_state(self) -> None:
+        self.log.info("state", **self.state())
+        self.reactor.callLater(REPORT_INTERVAL_S, self._log_state)
+
+    # ---- drain ---------------------------------------------------------------------------------
+
+    def drain(self) -> defer.Deferred[None]:
+        """Finish requests in flight and those that still arrive; fires when all are answered or the time is up."""
+        return self._drain.begin(self._begin_drain)
+
+    def hurry(self) -> None:
+        """End the drain now."""
+        self.front.latest_ms = self.clock()
+
+    def _begin_drain(self) -> None:
+        self._drain_began_ms = self.clock()
+        longest_ms = max(each.deadline_ms for each in self.config.settings.classes)
+        # Requests that SIGKILL finds unanswered are lost; with short deadlines it comes soon.
+        self._kill_ms = self._drain_began_ms + min(longest_ms, MAX_DEADLINE_MS) + KILL_GRACE_MS
+        self.front.latest_ms = self._kill_ms - WRITE_MS
+        answered_within_ms = self.front.latest_ms - self._drain_began_ms
+        self.log.info("draining", open=self.ledger.open, answered_within_ms=answered_within_ms)
+        self.front.close_idle()
+        self._wait_for_answers()
+
+    def _wait_for_answers(self) -> None:
+        """Stop listening after a while, and wait until all requests are answered or the time is up."""
+        now_ms = self.clock()
+        latest_ms = self.front.latest_ms
+        listen_until_ms = min(self._drain_began_ms + LISTEN_AFTER_TERM_MS, latest_ms)
+        if now_ms >= listen_until_ms and self._port is not None:
+            self._stop_listening()
+        is_busy = self.ledger.open or self.front.connections
+        if now_ms < listen_until_ms or (now_ms < latest_ms and is_busy):
+            self.reactor.callLater(POLL_INTERVAL_S, self._wait_for_answers)
+            return
+        self.log.info("drained", left_open=self.ledger.open)
+        self.front.fail_all()
+        self._drain.poll(self._is_closed, self._end)
+
+    def _stop_listening(self) -> None:
+        stop_listening(self._port)
+        self._port = None
+
+    def _is_closed(self) -> bool:
+        """Return whether the last answers are written and read, or the process has to end."""
+        return self.clock() >= self._kill_ms - EXIT_MS or not any(self.front.places.values())
+
+    def _end(self) -> None:
+        self.watch.stop()
+        self._drain.complete()
+
+
+def _rejected_changes(before: Settings, after: Settings) -> list[str]:
+    """Return a message for each difference of the settings that needs a restart."""
+    messages = [
+        f"settings: {name} can't change while running: start the gatekeeper anew"
+        for name in immutable_settings.immutable_differences(before, after)
+    ]
+    return messages + immutable_settings.reordered(before, after)
--- a/anisefront/testbed/watch.py
+++ b/anisefront/testbed/watch.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from anisefront.daemon.pulse import reading
+from anisefront.daemon.event_loop_monitor import read_thread_times
 from anisefront.gateway.standing import Sample, between
 from anisefront.testbed.records import Record, now_ms
 
@@ -35,7 +35,7 @@
         self._at_ms = now
         stood = {}
         ids: dict[str, int | str] = {"lab": "self", **{str(number): pid for number, pid in self._pids().items()}}
-        samples = {name: sample for name, pid in ids.items() if (sample := reading(pid, now)) is not None}
+        samples = {name: sample for name, pid in ids.items() if (sample := read_thread_times(pid, now)) is not None}
         for name, sample in samples.items():
             if name in self._last:
                 stood[name] = between(self._last[name], sample).waited_ms
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,9 +1,9 @@
 """Many hollow gatekeepers in one process: what a gatekeeper holds and says without clients, by the program's own code.
 
 Each has a socket of its own, the seal, the membership and the ledger with the decision module, as
-`daemon/gatekeeper.py` puts them together: so it has the fleet list and the settings in force, answers probes, is home
-of quotas and asks homes. No fronts, no routes, no keys: these serve clients only. Those that share sets of customers
-with real gatekeepers take requests in as the fronts would, and their attempts end well after a while.
+`daemon/gateway_instance.py` puts them together: so it has the fleet list and the settings in force, answers probes, is
+home of quotas and asks homes. No fronts, no routes, no keys: these serve clients only. Those that share sets of
+customers with real gatekeepers take requests in as the fronts would, and their attempts end well after a while.
 """
 
 from __future__ import annotations
@@ -27,10 +27,12 @@
 from anisefront.gateway.ledger import Ledger
 from anisefront.gateway.routing import LISTED, first_gateway
 from anisefront.daemon.clock import Clock
-from anisefront.daemon.gatekeeper import KEEPING_MARK, MEMBERS_MARK, ROSTER_S
+from anisefront.daemon.authenticated_datagrams import AuthenticatedDatagrams
+from anisefront.daemon.endpoint_file import CHECK_INTERVAL_S
+from anisefront.daemon.gateway_instance import MEMBERSHIP_MARK, REPLICATION_MARK
 from anisefront.daemon.members import Members
-from anisefront.daemon.peers import PeerPort
-from anisefront.daemon.pulse import Pulse
+from anisefront.daemon.peer_port import PeerPort
+from anisefront.daemon.event_loop_monitor import EventLoopMonitor
 from anisefront.cluster import membership, roster
 from anisefront.cluster.datagrams import Seal
 from anisefront.cluster.members import MOST_ROWS, Row, Status, pack
@@ -96,11 +98,11 @@
         self.house, self.number, self.address, self.life = house, number, address, int(clock())
         settings = replace(config.settings, number=number, zone=zone(number))
         self.seal = Seal(config.secret, number, self.life)
-        self.port = Port(house, number, self.seal, house.peers, self._hear)
+        self.port = Port(house, number, AuthenticatedDatagrams(self.seal, house.peers), self._hear)
         self.members = Members(
             reactor,
             clock,
-            self.port.tell,
+            self.port.send,
             Silent(),
             number,
             self.life,
@@ -108,7 +110,7 @@
             house.seed ^ number,
             config.members_ms,
         )
-        self.ledger = Ledger(Controller(settings, house.seed ^ number), clock, reactor, self.port.tell)
+        self.ledger = Ledger(Controller(settings, house.seed ^ number), clock, reactor, self.port.send)
         self.members.tell_gone = self.ledger.away
         self.carrier, self._call = Attempts(self.ledger), None
 
@@ -130,10 +132,10 @@
         self.clients()
 
     def _hear(self, sender: int, data: bytes) -> None:
-        """As `Gatekeeper._hear`."""
-        if data[:1] == MEMBERS_MARK:
+        """As `GatewayInstance._on_peer_message`."""
+        if data[:1] == MEMBERSHIP_MARK:
             self.members.hear(sender, self.seal.peers[sender].incarnation, data)
-        elif data[:1] != KEEPING_MARK:
+        elif data[:1] != REPLICATION_MARK:
             self.ledger.hear(sender, data)
 
     def know(self, lives: dict[int, int]) -> None:
@@ -199,7 +201,7 @@
         near = set(self.sizes.busy) & set(self.numbers)
         self.customers = customers_of(self.config.settings, self.sizes.tenants, near) if near else {}
         self._mark: tuple[int, ...] = ()
-        self.pulse = Pulse(reactor, self.clock, lambda late_ms, cause: None)
+        self.pulse = EventLoopMonitor(reactor, self.clock, lambda late_ms, cause: None)
         self._spare = {number: self._bound() for number in self.numbers}
         self._ports = {number: link.getsockname()[1] for number, link in self._spare.items()}
 
@@ -242,7 +244,7 @@
         """All begin to say that they are there."""
         for each in self.hollow.values():
             each.begin()
-        task.LoopingCall(self._look).start(ROSTER_S)
+        task.LoopingCall(self._look).start(CHECK_INTERVAL_S)
         self.pulse.start()
         return {"up": len(self.hollow)}
 
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -80,7 +80,7 @@
         "gatekeeper",
         "settings, list of workers, members, requests in hand",
         "its clients' and workers' aside: those of the other roles",
-        "`daemon/gatekeeper.py`, `gateway/ledger.py`",
+        "`daemon/gateway_instance.py`, `gateway/ledger.py`",
     ),
     Role(
         "home of quotas",
@@ -107,7 +107,7 @@
         "who tells settings",
         "all settings, as files",
         "each change to each gatekeeper, and its word that it is in force",
-        "reading what changed: `config/reading.py`, `gateway/versions.py`, `daemon/reloader.py` at SIGHUP; "
+        "reading what changed: `config/reading.py`, `gateway/versions.py`, `daemon/reload_scheduler.py` at SIGHUP; "
         "bringing it to all, and knowing who has which version: " + MISSING,
     ),
     Role(
--- a/benchmarks/settings.py
+++ b/benchmarks/settings.py
@@ -90,7 +90,7 @@
     out["start_ms"], out["held_mb"] = (time.perf_counter() - wall) * 1000, held_mb()
     gc.collect()
     gc.freeze()
-    gc.set_threshold(collector.YOUNG, collector.MIDDLE, collector.OLD)
+    gc.set_threshold(collector.YOUNG_THRESHOLD, collector.MIDDLE_THRESHOLD, collector.OLD_THRESHOLD)
     costs, longest, longest_cpu, counts, held = [], [], [], [], []
     for number in range(changes):
         one_line(layout, number)
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -16,7 +16,7 @@
 from twisted.internet.task import Clock
 
 from anisefront.gateway.standing import Sample
-from anisefront.daemon import collector, memory, pulse
+from anisefront.daemon import collector, event_loop_monitor, memory
 from anisefront.policy.controller import Controller
 from anisefront.protocols import grpc as wire_grpc
 from anisefront.policy.settings import Plan, RequestClass, Settings
@@ -57,7 +57,7 @@
     one = collector.Collector(clock, lambda: held[0])
     try:
         one.start()
-        assert gc.get_threshold()[2] == collector.OLD
+        assert gc.get_threshold()[2] == collector.OLD_THRESHOLD
         gc.callbacks.append(
             lambda phase, info: full.append(clock.seconds()) if phase == "stop" and info["generation"] == 2 else None
         )
@@ -91,7 +91,7 @@
         )
         clock.pump([60.0] * 3)
         assert len(seen) == 3 and max(seen) < len(settings)
-        clock.advance(collector.FROZEN_S)
+        clock.advance(collector.MAX_FROZEN_S)
         assert seen[-1] > len(settings) and len(gc.get_objects(2)) < len(settings)
     finally:
         gc.callbacks.clear()
@@ -103,13 +103,13 @@
     clock, late = Clock(), []
     told_ = Sample(150, 90, 5), Sample(400, 95, 195)
     readings = iter([Sample(0, 0, 0), told_[0], told_[0], told_[1], told_[1]])
-    monkeypatch.setattr(pulse, "reading", lambda pid, now: next(readings))
-    beat = pulse.Pulse(clock, lambda: clock.seconds() * 1000, lambda *row: late.append(row))
-    beat.start()
+    monkeypatch.setattr(event_loop_monitor, "read_thread_times", lambda pid, now: next(readings))
+    monitor = event_loop_monitor.EventLoopMonitor(clock, lambda: clock.seconds() * 1000, lambda *row: late.append(row))
+    monitor.start()
     clock.advance(0.15)  # due after 50 ms
     clock.advance(0.25)
     assert late == [(pytest.approx(100), "own"), (pytest.approx(200), "machine")]
-    assert beat.lag.report()["worst_ms"] == 200.0
+    assert monitor.lag.report()["worst_ms"] == 200.0
 
 
 def test_a_batch_of_ten_thousand_log_entries_holds_up_no_check(tmp_path):
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -79,7 +79,7 @@
     node = house(Run(house.folder, discovery.address, row("s1", worker.address)))
     assert ask(node.client(), 1) == b"value for 0000000000000001"
     names = set(re.findall(r"^import time:[ \d|]+?([\w.]+)$", node.said(), re.M))
-    assert "anisefront.resp_gateway.gatekeeper" in names
+    assert "anisefront.resp_gateway.instance" in names
     assert {name.split(".")[1] for name in names if name.startswith("anisefront.")} - {"__main__"} <= ROOMS
     assert not {name.partition(".")[0] for name in names} & NEVER
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -148,14 +148,14 @@
 
     from anisefront.config.reading import Outcome
     from anisefront.gateway.versions import at_once, next_steps
-    from anisefront.daemon.gatekeeper import Gatekeeper
+    from anisefront.daemon.gateway_instance import GatewayInstance
 
     path = tmp_path / "roster.json"
     path.write_text(roster.write("c", SERVERS[:1], {}))
     reactor = MemoryReactorClock()
     text = GOOD.replace("/etc/stalls.json", str(path)).replace("0 of 2", "0 of 1").replace("peer 1", "# peer 1")
     config = found(text.replace("listen peers", "listen jsonrpc")).config
-    gatekeeper = Gatekeeper(
+    gatekeeper = GatewayInstance(
         at_once(next_steps(None, Outcome(config, (), (), "", (config.routes,)))),
         reactor,
         lambda: 1e6 + reactor.seconds() * 1000,
@@ -166,4 +166,4 @@
     assert "division" in gatekeeper.state()["roster_fault"] and not gatekeeper.ledger.servers
     monkeypatch.setattr(roster, "parse", real)
     reactor.advance(1.1)
-    assert gatekeeper.roster_fault == "" and list(gatekeeper.ledger.servers) == ["127.0.0.1:1"]
+    assert gatekeeper.endpoint_file.fault == "" and list(gatekeeper.ledger.servers) == ["127.0.0.1:1"]
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -62,7 +62,7 @@
 def test_a_trace_is_read_up_to_where_it_was_cut(tmp_path):
     recorded = recorder(tmp_path)
     for number in range(3000):
-        recorded.see(1e12 + number, seen(number))
+        recorded.record_event(1e12 + number, seen(number))
     recorded.flush()
     data = (tmp_path / "t.trace").read_bytes()
     whole, fault = trace.read(data)
@@ -80,13 +80,13 @@
 def test_rotation_is_bounded_and_a_full_disk_stops_the_recording_alone(tmp_path):
     recorded = recorder(tmp_path, rotate=20_000, keep=3)
     for number in range(60_000):
-        recorded.see(1e12 + number, seen(number))
+        recorded.record_event(1e12 + number, seen(number))
     recorded.flush()
     assert len(list(tmp_path.iterdir())) == 3 and all(path.stat().st_size < 60_000 for path in tmp_path.iterdir())
     nowhere = Recorder(Recording(str(tmp_path / "none" / "t"), 1000, 2, b"k"), 0, "life", 1e12)
     assert "No such file" in nowhere.fault
     for number in range(5000):
-        nowhere.see(1e12, seen(number))
+        nowhere.record_event(1e12, seen(number))
 
 
 def test_clocks_that_differ_are_set_and_one_that_steps_back_is_told():
--- a/tests/test_node_front.py
+++ b/tests/test_node_front.py
@@ -14,7 +14,8 @@
 from anisefront.resp_gateway import resp
 from anisefront.resp_gateway.carrier import NodeCarrier, RespAnswers
 from anisefront.resp_gateway.front import Front, FrontLimits
-from anisefront.resp_gateway.peers import PeerPort
+from anisefront.daemon.peer_port import PeerPort
+from anisefront.resp_gateway.bare_datagrams import BareDatagrams
 from anisefront.resp_gateway.terms import Reader
 from anisefront.resp_gateway.watch import Watch
 from anisefront.policy.actions import Fail, Reject, RejectionReason, StartAttempt
@@ -585,12 +586,12 @@
 
 def test_peers_are_known_by_their_address_and_nothing_longer_than_the_platform_allows_goes_out():
     heard = []
-    port = PeerPort(1, (("127.0.0.2", 1), ("127.0.0.1", 1)), lambda *each: heard.append(each))
+    port = PeerPort(BareDatagrams(1, (("127.0.0.2", 1), ("127.0.0.1", 1))), lambda *each: heard.append(each))
     port.transport = Udp()
-    port.tell(0, b"x" * 256)
-    port.tell(0, b"x" * 257)
-    port.tell(1, b"to ourselves")
-    port.tell(-1, b"to all")
+    port.send(0, b"x" * 256)
+    port.send(0, b"x" * 257)
+    port.send(1, b"to ourselves")
+    port.send(-1, b"to all")
     assert port.transport.out == [(b"x" * 256, ("127.0.0.2", 1))]
     port.datagramReceived(b"a", ("127.0.0.2", 1))
     port.datagramReceived(b"b", ("127.0.0.2", 2))
--- a/tests/test_node_loopback.py
+++ b/tests/test_node_loopback.py
@@ -338,7 +338,7 @@
 
 def test_only_what_is_used_is_loaded():
     code = (
-        "import sys, anisefront.cli.node, anisefront.resp_gateway.gatekeeper, anisefront.daemon.process\n"
+        "import sys, anisefront.cli.node, anisefront.resp_gateway.instance, anisefront.daemon.process\n"
         "print(' '.join(sorted(sys.modules)))"
     )
     loaded = set(
@@ -351,7 +351,7 @@
         "google.protobuf",
         "numpy",
         "hpack",
-        "anisefront.daemon.gatekeeper",
+        "anisefront.daemon.gateway_instance",
         "twisted.web",
         "anisefront.config.checker",
         "anisefront.testbed",
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,7 +9,7 @@
 from test_core import Desk
 from test_path import Running, told
 
-from anisefront.daemon import reload
+from anisefront.daemon import immutable_settings
 from anisefront.policy.events import AttemptResult
 from anisefront.policy.settings import Idempotency, Plan, RequestClass
 
@@ -39,7 +39,7 @@
 )
 def test_what_may_change(old, new, said):
     before, after = found(GOOD).config, found(GOOD.replace(old, new, 1)).config
-    faults = reload.fixed(before, after)
+    faults = immutable_settings.rejected_changes(before, after)
     assert len(faults) == len(said) and all(word in fault for word, fault in zip(said, faults, strict=True)), faults
 
 
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -15,10 +15,10 @@
 from anisefront.gateway.ledger import Entry, Work
 from anisefront.gateway.routing import Unmapped
 from anisefront.gateway.versions import at_once, next_steps
-from anisefront.daemon import reloader
-from anisefront.daemon.gatekeeper import Gatekeeper
-from anisefront.daemon.reloader import Phase, Reloader
-from anisefront.daemon.source import Source
+from anisefront.daemon import reload_scheduler
+from anisefront.daemon.gateway_instance import GatewayInstance
+from anisefront.daemon.reload_scheduler import Phase, ReloadScheduler
+from anisefront.daemon.settings_source import SettingsSource
 from anisefront.cluster.keeping import Word
 from anisefront.policy.events import Arrival
 
@@ -29,7 +29,7 @@
     """A loop on a simulated clock, one turn at a time: what a call plans at once comes in the next turn."""
 
     def turn(self):
-        self.rightNow += reloader.REST_S
+        self.rightNow += reload_scheduler.PAUSE_S
         for each in [each for each in self.calls if each.getTime() <= self.seconds()]:
             if each in self.calls:
                 self.calls.remove(each)
@@ -72,8 +72,8 @@
                 self.whole = True
                 return Outcome(found, (), (), "")
 
-        self.source = Source("", {}, Read)
-        self.reloader = Reloader(
+        self.source = SettingsSource("", {}, Read)
+        self.reloader = ReloadScheduler(
             self.reactor, self.change, lambda: False, self.log, self.raised, iter(range(10_000)).__next__
         )  # one step a turn
 
@@ -93,7 +93,7 @@
                 self.ever.add(self.content)
                 told = None
             elif what == "hang up":
-                self.reloader.hang_up()
+                self.reloader.request_reload()
                 hang_ups += 1
                 told = self.content
             elif what == "turn":
@@ -131,13 +131,13 @@
     assert broken() is None
 
 
-@pytest.mark.parametrize("key", list(reloader.TABLE), ids=lambda key: f"{key[0].name}-{key[1].name}")
+@pytest.mark.parametrize("key", list(reload_scheduler.TRANSITIONS), ids=lambda key: f"{key[0].name}-{key[1].name}")
 def test_each_row_taken_out_is_found_out(key, monkeypatch):
-    monkeypatch.delitem(reloader.TABLE, key)
-    if key == (Phase.OVER, reloader.Step.HANG_UP):  # it only says why nothing is done
+    monkeypatch.delitem(reload_scheduler.TRANSITIONS, key)
+    if key == (Phase.OVER, reload_scheduler.Step.HANG_UP):  # it only says why nothing is done
         play = Play(0)
         play.reloader.stop()
-        play.reloader.hang_up()
+        play.reloader.request_reload()
         assert play.log.lines == []
     else:
         assert broken() is not None
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("guard", ["whole", "raised", "dropped"])
 def test_each_guard_taken_out_is_found_out(guard, monkeypatch):
     if guard == "whole":
-        monkeypatch.setattr(Source, "steps", lambda self: self._reading.steps())
+        monkeypatch.setattr(SettingsSource, "steps", lambda self: self._reading.steps())
     elif guard == "raised":
 
         def raised(self, problem):
@@ -155,13 +155,13 @@
         monkeypatch.setattr(Play, "raised", raised)
     else:
 
-        def take(self, step, inner=Reloader._take):
+        def take(self, step, inner=ReloadScheduler._advance):
             steps = self._steps
             inner(self, step)
-            if step is reloader.Step.STOP and steps is not None:
+            if step is reload_scheduler.Step.STOP and steps is not None:
                 self._steps = self._change()  # what was dropped goes on
 
-        monkeypatch.setattr(Reloader, "_take", take)
+        monkeypatch.setattr(ReloadScheduler, "_advance", take)
     assert broken() is not None
 
 
@@ -173,9 +173,9 @@
             done.append(number)
             yield
 
-    one = Reloader(reactor, change, lambda: busy[0], Log(), done.append, iter(range(100)).__next__)
-    one.hang_up()
-    for _ in range(reloader.PUT_OFF):
+    one = ReloadScheduler(reactor, change, lambda: busy[0], Log(), done.append, iter(range(100)).__next__)
+    one.request_reload()
+    for _ in range(reload_scheduler.MAX_DEFERRALS):
         reactor.turn()
     assert done == []
     reactor.turn()
@@ -199,15 +199,16 @@
         self.path = folder / "gatekeeper.conf"
         self.path.write_text(text + 'include "services/*.conf"\n')
         self.service("one")
-        self.source = Source(str(self.path), {}, make)
-        self.made = Gatekeeper(
+        self.source = SettingsSource(str(self.path), {}, make)
+        self.made = GatewayInstance(
             at_once(next_steps(None, at_once(self.source.steps()))),
             self.reactor,
             lambda: 1e6 + self.reactor.seconds() * 1000,
             source=self.source,
         )
-        self.made.reloader._seconds = iter(range(1_000_000)).__next__
-        self.made.log = self.made.reloader._log = self.log = Log()
+        self.made.updates.scheduler._seconds = iter(range(1_000_000)).__next__
+        self.log = Log()
+        self.made.log = self.made.updates._log = self.made.updates.scheduler._log = self.log
 
     def service(self, name, more="class view pool stalls"):
         new = self.folder / "new"
@@ -222,7 +223,7 @@
 
     def turns(self, most=10_000):
         for _ in range(most):
-            if self.made.reloader.phase in (Phase.IDLE, Phase.OVER):
+            if self.made.updates.scheduler.phase in (Phase.IDLE, Phase.OVER):
                 return self.settings()
             self.reactor.turn()
         raise AssertionError("it does not rest")
@@ -388,7 +389,7 @@
     stage.made.reload()
     assert stage.said("hang_up_ignored")
     stage.reactor.pump([0.01] * 100)
-    assert stage.settings()["version"] == 1 and stage.takes("/two") is None and stage.made._drained.called
+    assert stage.settings()["version"] == 1 and stage.takes("/two") is None and stage.made._drain.is_complete
 
 
 def test_what_nobody_foresaw_leaves_the_old_version_and_the_next_hang_up_works(tmp_path):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,20 +15,20 @@
 from test_node_wire import WIRE_SETTINGS, change, found, row
 from twisted.internet.testing import MemoryReactorClock
 
-from anisefront.daemon.lifecycle import TABLE, Do, Lifecycle, Phase, Step
+from anisefront.daemon.lifecycle import TRANSITIONS, Command, Lifecycle, Phase, Step
 from anisefront.resp_gateway.config import node_config
-from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
+from anisefront.resp_gateway.instance import RespGatewayInstance
 
 # ---- every order of steps ---------------------------------------------------------------------------
 
 
 def broken(table, depth=6):
     """The first sequence of steps that breaks a promise of the process, None where none does."""
-    listens = (Do.LISTEN, Do.LISTEN_AND_RELOAD)
+    listens = (Command.LISTEN, Command.LISTEN_AND_RELOAD)
     for steps in itertools.product(Step, repeat=depth):
         phase, done, told = Phase.STARTING, [], False
         for step in steps:
-            if step is Step.DRAINED and not {Do.DRAIN} & set(done):
+            if step is Step.DRAINED and not {Command.DRAIN} & set(done):
                 continue  # it is never said before
             told |= step is Step.HANG_UP and phase in (Phase.STARTING, Phase.STALE)
             phase, do = table.get((phase, step), (phase, None))
@@ -44,31 +44,33 @@
                 if step is Step.FAULT and phase is not Phase.ENDED:
                     return steps, "a fault without an end"
                 continue
-            if do in listens and (Do.DRAIN in done or Do.STOP in done or any(each in done for each in listens)):
+            if do in listens and (
+                Command.DRAIN in done or Command.STOP in done or any(each in done for each in listens)
+            ):
                 return steps, "it listens twice, or after its end was begun"
-            if do in listens and (do is Do.LISTEN_AND_RELOAD) is not told:
+            if do in listens and (do is Command.LISTEN_AND_RELOAD) is not told:
                 return steps, "what changed while it started is not read"
-            if do in (Do.DRAIN, Do.RELOAD, Do.HURRY) and not any(each in done for each in listens):
+            if do in (Command.DRAIN, Command.RELOAD, Command.HURRY) and not any(each in done for each in listens):
                 return steps, "a step of service before there was one"
-            if do in (Do.DRAIN, Do.STOP, Do.HURRY) and do in done:
+            if do in (Command.DRAIN, Command.STOP, Command.HURRY) and do in done:
                 return steps, "done twice"
-            if Do.STOP in done:
+            if Command.STOP in done:
                 return steps, "something after the end"
-            if do is Do.STOP and step is Step.TERMINATE and any(each in done for each in listens):
+            if do is Command.STOP and step is Step.TERMINATE and any(each in done for each in listens):
                 return steps, "an end without a drain"
             done.append(do)
     return None
 
 
 def test_no_order_of_six_steps_breaks_a_promise():
-    assert broken(TABLE) is None
+    assert broken(TRANSITIONS) is None
 
 
-@pytest.mark.parametrize("key", list(TABLE), ids=lambda key: f"{key[0].name}-{key[1].name}")
+@pytest.mark.parametrize("key", list(TRANSITIONS), ids=lambda key: f"{key[0].name}-{key[1].name}")
 def test_each_row_taken_out_is_found_out(key):
-    less = {each: value for each, value in TABLE.items() if each != key}
+    less = {each: value for each, value in TRANSITIONS.items() if each != key}
     if key == (Phase.DRAINING, Step.TERMINATE):
-        assert not any(do is Do.HURRY for _, do in less.values())  # a second signal would do nothing
+        assert not any(do is Command.HURRY for _, do in less.values())  # a second signal would do nothing
     elif key == (Phase.HURRIED, Step.DRAINED):
         assert broken(less, 5) is not None
     else:
@@ -76,11 +78,11 @@
 
 
 def test_a_life_goes_by_the_table():
-    life = Lifecycle()
+    lifecycle = Lifecycle()
     assert [
-        life.take(step)
+        lifecycle.advance(step)
         for step in (Step.HANG_UP, Step.READY, Step.TERMINATE, Step.READY, Step.HANG_UP, Step.DRAINED, Step.TERMINATE)
-    ] == [None, Do.LISTEN_AND_RELOAD, Do.DRAIN, None, Do.RELOAD, Do.STOP, None]
+    ] == [None, Command.LISTEN_AND_RELOAD, Command.DRAIN, None, Command.RELOAD, Command.STOP, None]
 
 
 # ---- the drain's figures ------------------------------------------------------------------------------
@@ -125,7 +127,7 @@
 
 def draining(*deadlines, again=()):
     reactor = MemoryReactorClock()
-    made = NodeGatekeeper(config(*deadlines), reactor, lambda: reactor.seconds() * 1000)
+    made = RespGatewayInstance(config(*deadlines), reactor, lambda: reactor.seconds() * 1000)
     made._port = Port()
     if again:
         made.reload(lambda: config(*again))
@@ -226,12 +228,13 @@
         "at('click', signal.SIGTERM)",
         "at('twisted.internet.reactor', signal.SIGTERM)",
         "at('click', signal.SIGHUP, signal.SIGTERM)",
-        "from anisefront.daemon import signals\ninner = signals.held\ndef held():\n    found = inner()\n"
-        "    os.kill(os.getpid(), signal.SIGTERM)\n    return found\nsignals.held = held",
-        "from anisefront.resp_gateway.gatekeeper import NodeGatekeeper\n"
-        "before(NodeGatekeeper, 'prepare', signal.SIGTERM)",
-        "from anisefront.resp_gateway.gatekeeper import NodeGatekeeper\n"
-        "before(NodeGatekeeper, '__init__', signal.SIGTERM)",
+        "from anisefront.daemon import signals\ninner = signals.take_pending\n"
+        "def take_pending():\n    found = inner()\n"
+        "    os.kill(os.getpid(), signal.SIGTERM)\n    return found\nsignals.take_pending = take_pending",
+        "from anisefront.resp_gateway.instance import RespGatewayInstance\n"
+        "before(RespGatewayInstance, 'prepare', signal.SIGTERM)",
+        "from anisefront.resp_gateway.instance import RespGatewayInstance\n"
+        "before(RespGatewayInstance, '__init__', signal.SIGTERM)",
     ],
 )
 def test_a_signal_to_end_before_the_start_is_done_ends_it_well_and_it_never_listens(tmp_path, prelude):
@@ -248,8 +251,8 @@
     [
         "at('click', signal.SIGHUP)",
         "at('twisted.internet.reactor', signal.SIGHUP)",
-        "from anisefront.resp_gateway.gatekeeper import NodeGatekeeper\n"
-        "before(NodeGatekeeper, 'prepare', signal.SIGHUP)",
+        "from anisefront.resp_gateway.instance import RespGatewayInstance\n"
+        "before(RespGatewayInstance, 'prepare', signal.SIGHUP)",
     ],
 )
 def test_a_hang_up_before_the_start_is_done_ends_nothing_and_the_file_is_read_again(tmp_path, prelude):
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -22,7 +22,7 @@
 from anisefront.resp_gateway import watch as watches
 from anisefront.resp_gateway.config import node_config
 from anisefront.resp_gateway.discovery import Book, read_change
-from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
+from anisefront.resp_gateway.instance import RespGatewayInstance
 from anisefront.policy.actions import Fail, Reject, SetTimer, StartAttempt
 from anisefront.policy.controller import Controller
 from anisefront.policy.events import (
@@ -53,9 +53,9 @@
     links = [stage._keep(socket.create_connection(("127.0.0.1", stage.port.getHost().port))) for _ in range(30)]
     for link in links:
         link.sendall(resp.command([b"PING"]))
-    gatekeeper = NodeGatekeeper.__new__(NodeGatekeeper)
-    gatekeeper._port = stage.port
-    gatekeeper._stop_listening()
+    instance = RespGatewayInstance.__new__(RespGatewayInstance)
+    instance._port = stage.port
+    instance._stop_listening()
     stage.turns()
     assert [link.recv(100) for link in links] == [b"+PONG\r\n"] * 30
 
@@ -350,7 +350,7 @@
         rows = [row(f"s{n}", f"127.0.0.1:{7000 + n}") for n in range(4)]
         self.made = []
         for n in range(2):
-            made = NodeGatekeeper(
+            made = RespGatewayInstance(
                 node_config(
                     found(settings=WIRE_SETTINGS | {"myNumber": n}, known=change(41, *rows, snapshot=True)), {}
                 ),
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -38,7 +38,7 @@
 from anisefront.gateway.standing import Lag
 from anisefront.gateway.versions import at_once, next_steps
 from anisefront.daemon import keepers
-from anisefront.daemon.gatekeeper import Gatekeeper
+from anisefront.daemon.gateway_instance import GatewayInstance
 from anisefront.daemon.recorder import Recorder
 from anisefront.cluster import datagrams, keeping, members, membership
 from anisefront.cluster.keeper import Kept
@@ -48,7 +48,7 @@
 from anisefront.resp_gateway.carrier import FAILED, outcome, refusal
 from anisefront.resp_gateway.config import node_config
 from anisefront.resp_gateway.discovery import Book, WatchReader, watch_request
-from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
+from anisefront.resp_gateway.instance import RespGatewayInstance
 from anisefront.policy import peer_codec
 from anisefront.protocols import grpc, http1, orca, trace
 from anisefront.protocols import jsonrpc as jsonrpc_wire
@@ -274,7 +274,7 @@
     return {name: Sample(lambda message=message: keeping.pack(message), read) for name, message in every.items()}
 
 
-def _gatekeeper(reactor: MemoryReactorClock | None = None, settings_more: str = "") -> Gatekeeper:
+def _gatekeeper(reactor: MemoryReactorClock | None = None, settings_more: str = "") -> GatewayInstance:
     more = (
         "members period 100ms\nkeepers lease 600ms\nseed 7\n"
         "class order aim 4s deadline 8s worth 2 repeat keyed window 20s\n" + settings_more
@@ -293,7 +293,7 @@
     reactor = reactor or MemoryReactorClock()
     read = Reading(config, (), (), "digest", (config.routes,))
     with mock.patch("secrets.token_hex", return_value=LIFE), mock.patch("secrets.randbits", return_value=7):
-        return Gatekeeper(at_once(next_steps(None, read)), reactor, lambda: 1e6 + reactor.seconds() * 1000)
+        return GatewayInstance(at_once(next_steps(None, read)), reactor, lambda: 1e6 + reactor.seconds() * 1000)
 
 
 CALL = {
@@ -304,7 +304,7 @@
 }
 
 
-def _taken(ask: Callable[[Gatekeeper], Any]) -> Any:
+def _taken(ask: Callable[[GatewayInstance], Any]) -> Any:
     """What a peer would be told of a request that comes in."""
     made, out = _gatekeeper(), []
     made.keepers.origin.take = lambda now, taken: bool(out.append(taken)) or True
@@ -312,11 +312,11 @@
     return out[0]
 
 
-def _ask_own(made: Gatekeeper) -> None:
+def _ask_own(made: GatewayInstance) -> None:
     made.desk.ask(CALL, lambda answer: None)
 
 
-def _ask_proxied(made: Gatekeeper) -> None:
+def _ask_proxied(made: GatewayInstance) -> None:
     made.proxied.ask(
         "request-1", lambda answer: None, "stall-7", "order", "wide", 1_004_000.0, 2.5, 1, 1, False, "h", "key-1"
     )
@@ -957,7 +957,7 @@
         path = str(pathlib.Path(folder) / "trace")
         recorder = Recorder(Recording(path, 1 << 20, 2, b"key"), 3, LIFE, 1e6)
         for number, thing in enumerate(RECORDED):
-            recorder.see(1e6 + number * 1.125, thing)
+            recorder.record_event(1e6 + number * 1.125, thing)
             if number == 5:
                 recorder.flush()
         recorder.flush()
@@ -1016,7 +1016,7 @@
     reactor = MemoryReactorClock()
     known = change(41, row("s1", "127.0.0.1:7001"), snapshot=True)
     own_settings = WIRE_SETTINGS | {"balancers": 1, "myNumber": 0}
-    made = NodeGatekeeper(
+    made = RespGatewayInstance(
         node_config(found(settings=own_settings, known=known, peers=[], peer_listen=None), {}),
         reactor,
         lambda: 1e6 + reactor.seconds() * 1000,
