--- a/anisefront/daemon/gateway_instance.py
+++ b/anisefront/daemon/gateway_instance.py
@@ -286,7 +286,7 @@
         """Reject new requests, finish those in flight; fires when all are answered or the time is up."""
         return self._drain.begin(self._begin_drain)
 
-    def hurry(self) -> None:
+    def end_drain(self) -> None:
         """End the drain now."""
         self._drain_until_ms = self.clock()
 
--- a/anisefront/daemon/logs.py
+++ b/anisefront/daemon/logs.py
@@ -3,9 +3,12 @@
 from __future__ import annotations
 
 import sys
+from typing import Any
 
 import structlog
 
+MAX_TRACE_CHARACTERS = 2000
+
 
 def set_up(level: str = "info") -> None:
     """Log entries of this level and above, one JSON object a line."""
@@ -26,14 +29,17 @@
     """Log exceptions that reach the event loop, which would otherwise go unnoticed."""
     from twisted.logger import globalLogPublisher
 
-    def observe(event: dict) -> None:
-        failure = event.get("log_failure")
-        if failure is not None:
-            structlog.get_logger().error(
-                "unhandled",
-                where=event.get("log_format", ""),
-                fault=failure.getErrorMessage(),
-                trace=failure.getTraceback()[-2000:],
-            )
-
-    globalLogPublisher.addObserver(observe)
+    globalLogPublisher.addObserver(_log_failure)
+
+
+def _log_failure(event: dict[str, Any]) -> None:
+    """Log the exception of a Twisted log event, if it has one."""
+    failure = event.get("log_failure")
+    if failure is None:
+        return
+    structlog.get_logger().error(
+        "unhandled",
+        where=event.get("log_format", ""),
+        fault=failure.getErrorMessage(),
+        trace=failure.getTraceback()[-MAX_TRACE_CHARACTERS:],
+    )
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -88,7 +88,7 @@
 
     Args:
         make: Creates it from the event loop and a callback for faults of its controller. It has `start`, `drain`,
-            `hurry`, `ledger` and `collector`.
+            `end_drain`, `ledger` and `collector`.
         log_level: Of the entries that are logged.
         name: Of the gateway instance in the log.
         prepare: Does the work of its start that needs no socket.
@@ -176,7 +176,7 @@
         elif command is Command.HURRY:
             self._log.warning("stopped_at_once", open=self._instance.ledger.open)
             self._exit_code = ExitCode.STOPPED
-            self._instance.hurry()
+            self._instance.end_drain()
         elif command is Command.STOP and self._reactor.running:
             self._reactor.stop()
 
--- a/anisefront/resp_gateway/instance.py
+++ b/anisefront/resp_gateway/instance.py
@@ -111,7 +111,7 @@
             reactor,
             config.discovery,
             lambda: self.book.index,
-            self.told,
+            self.apply_endpoint_change,
             self._on_discovery_fault,
             self.book.forget_version,
         )
@@ -146,7 +146,9 @@
         """Do the work of the start that needs no socket; call it before `start`."""
         config = self.config
         if config.known is not None:
-            self.told(config.known)  # it may be outdated, and is used until discovery sends a newer one
+            self.apply_endpoint_change(
+                config.known
+            )  # it may be outdated, and is used until discovery sends a newer one
         self.log.info(
             "settings",
             settings=dataclasses.asdict(config.settings) | {"tag_key": ""},
@@ -179,7 +181,7 @@
 
     # ---- discovery and settings ----------------------------------------------------------------
 
-    def told(self, change: Change) -> None:
+    def apply_endpoint_change(self, change: Change) -> None:
         """Take over an endpoint list or a change of it."""
         endpoints, moved = self.book.apply(change)
         if endpoints is None:
@@ -263,7 +265,7 @@
         """Finish requests in flight and those that still arrive; fires when all are answered or the time is up."""
         return self._drain.begin(self._begin_drain)
 
-    def hurry(self) -> None:
+    def end_drain(self) -> None:
         """End the drain now."""
         self.front.latest_ms = self.clock()
 
--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -17,6 +17,7 @@
 RENAMED: dict[str, str] = {
     # The limit of the module's lines was lifted by the users; each file of policy/ has a limit instead.
     "test_size_limits": "test_policy_modules_are_small",
+    "test_a_pulse_tells_whose_time_it_was": "test_event_loop_monitor_names_the_cause_of_each_lateness",
 }
 # Files that came for the sake of the rename; they must not make up for tests that are lost.
 NEW = {
@@ -28,6 +29,7 @@
     "test_decision_digests.py",
     "decision_schedule.py",
     "record_decisions.py",
+    "test_instance_wiring.py",
     "test_policy_concurrency_limit.py",
     "test_policy_decay.py",
     "test_policy_endpoints.py",
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The process's own matters: memory by purpose, the collector, the pulse."""
+"""The process's own matters: memory by purpose, the collector, the event loop monitor."""
 
 import gc
 import json
@@ -99,7 +99,7 @@
         gc.unfreeze()
 
 
-def test_a_pulse_tells_whose_time_it_was(monkeypatch):
+def test_event_loop_monitor_names_the_cause_of_each_lateness(monkeypatch):
     clock, late = Clock(), []
     told_ = Sample(150, 90, 5), Sample(400, 95, 195)
     readings = iter([Sample(0, 0, 0), told_[0], told_[0], told_[1], told_[1]])
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -445,7 +445,9 @@
     two.go_on()
     port = two.reactor.tcpClients[0][1]
     rows = [row(f"s{n}", f"127.0.0.1:{7000 + n}") for n in range(4) if 7000 + n != port]
-    two.made[0].told(read_change(change(43, *rows, snapshot=True)))  # it still listens, and its connection comes up
+    two.made[0].apply_endpoint_change(
+        read_change(change(43, *rows, snapshot=True))
+    )  # it still listens, and its connection comes up
     for _ in range(40):
         two.connect()
         two.reactor.advance(0.02)
