--- a/anisefront/cli/node.py
+++ b/anisefront/cli/node.py
@@ -15,19 +15,20 @@
 
     SIGHUP reads the file again, SIGTERM drains, a second one stops at once."""
     from anisefront.daemon import process
-    from anisefront.resp_gateway.config import ConfigFault, NodeConfig, node_config, read
+    from anisefront.resp_gateway.errors import InstanceConfigError
+    from anisefront.resp_gateway.instance_config import InstanceConfig, parse_config, read_config_file
     from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
 
     path = os.environ.get("PROXY_CONFIG", "")
     if not path:
         raise click.ClickException("PROXY_CONFIG is not set: it names the file with the configuration")
 
-    def again() -> NodeConfig:
-        return node_config(read(path), os.environ)
+    def again() -> InstanceConfig:
+        return parse_config(read_config_file(path), os.environ)
 
     try:
         config = again()
-    except ConfigFault as problem:
+    except InstanceConfigError as problem:
         raise click.ClickException(str(problem)) from problem
     sys.exit(
         process.run(
--- /dev/null
+++ b/anisefront/resp_gateway/client_connection.py
@@ -0,0 +1,348 @@
+"""One client connection: parses commands, submits requests and writes replies in the order of the commands.
+
+    NEW --first whole command--> BUSY <--> IDLE       shutdown_write: the longest idle, where there are too many
+      |                           |
+      +---- PARTIAL_COMMAND ------+                   protocol error: the rest of a command is late
+    any --bytes that can't be parsed--> BUSY: nothing more is parsed --last reply--> CLOSING
+    any --shutdown_write--> CLOSING --all written, our half closed--> the client closes, or a timeout aborts
+    rejected for lack of capacity: CLOSING from the start; our half is closed after the first reply
+
+Each command received whole before our half of the connection is closed has exactly one reply, in order. Connections are
+closed by halves: a full close over unread bytes resets the connection, and the reset discards replies that the client
+has not read. Above a cap a command is rejected and the connection continues; an invalid command gets an error reply;
+only bytes that can't be parsed end the connection, after the replies to all commands before them.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import Any, Protocol
+
+from twisted.internet import protocol
+from twisted.internet.interfaces import IHalfCloseableProtocol
+from twisted.python.failure import Failure
+from zope.interface import implementer
+
+from anisefront.frontends.backpressure import Backpressure
+from anisefront.resp_gateway import resp_codec
+from anisefront.resp_gateway.command_mapping import REQUEST_VERBS, CommandMapper
+from anisefront.resp_gateway.connection_limits import (
+    BUSY,
+    CLOSING,
+    IDLE,
+    NEW,
+    PARTIAL_COMMAND,
+    ByteBudget,
+    ConnectionState,
+)
+from anisefront.resp_gateway.errors import InvalidCommandError, RespProtocolError
+from anisefront.resp_gateway.fixed_replies import MAX_ERROR_VERB, OK, PONG, REJECTED
+from anisefront.resp_gateway.input_pause import InputPause
+from anisefront.resp_gateway.reply_queue import PendingReply, ReplyQueue
+from anisefront.resp_gateway.resp_requests import FAILED_REPLY, RespRequests
+from anisefront.resp_gateway.socket_state import has_unread_close
+
+WRITE_TIMEOUT_S = 5.0  # a client that does not read its replies for this time is aborted
+MAX_DISCARDED = 1 << 20  # bytes received while closing, or after a protocol error; above this the connection is aborted
+MAX_OPEN_COMMANDS = 64  # commands of one connection without a reply; further ones are rejected
+MAX_BATCH = 256  # commands of one read; after a longer batch parsing pauses
+MAX_PENDING_REPLIES = (
+    4_096  # replies behind an open request; above this the open requests fail, so that all are written
+)
+
+
+class Frontend(Protocol):
+    """What a connection uses of the frontend that accepted it."""
+
+    reactor: Any
+    requests: RespRequests
+    commands: CommandMapper
+    counts: Counter[str]
+    buffered: ByteBudget
+    descriptors: int
+    draining: bool
+
+    def deadline_ms(self, timeout_ms: float) -> float:
+        """Return the time by which a request that is read now must have its reply."""
+
+    def set_state(self, client: ClientConnection, state: ConnectionState) -> None:
+        """Record that a connection enters a state now."""
+
+    def remove(self, client: ClientConnection) -> None:
+        """Drop a connection that has ended."""
+
+
+@implementer(IHalfCloseableProtocol)
+class ClientConnection(Backpressure):
+    """Protocol of one client connection."""
+
+    def __init__(self, frontend: Frontend, rejected: bool = False) -> None:
+        """Create the protocol.
+
+        Args:
+            frontend: The state that connections share.
+            rejected: There is no capacity for it: its first commands are rejected, then it ends.
+        """
+        self.frontend = frontend
+        self.reader = resp_codec.CommandReader()
+        self.replies = ReplyQueue(frontend.buffered, frontend.requests.withdraw)
+        self.state: ConnectionState | None = None
+        self.state_since_s = 0.0
+        self.input = InputPause(frontend.reactor, frontend.buffered, self._resume_input)
+        self._rejected = rejected
+        self._received_command = False
+        self._received_request = False
+        self._closing = False  # no request is accepted any more
+        self._write_closed = False  # our half is closed
+        self._discarded = 0  # bytes
+
+    @property
+    def has_nothing_to_write(self) -> bool:
+        """Tell whether no reply is outstanding: our half is closed, or no command was received."""
+        return self._write_closed or not self._received_command
+
+    def connectionMade(self) -> None:
+        """Start in `NEW`; a rejected connection starts in `CLOSING`."""
+        self.transport.setTcpNoDelay(True)
+        self.frontend.descriptors += 1
+        self.watch_reader(self.frontend.reactor, WRITE_TIMEOUT_S, self.abort)
+        self._closing = self._rejected
+        self.frontend.set_state(self, CLOSING if self._rejected else NEW)
+
+    def dataReceived(self, data: bytes) -> None:
+        """Parse, buffer or discard bytes."""
+        if self._closing or self.reader.error is not None:
+            self._discarded += len(data)
+            if self._discarded > MAX_DISCARDED:
+                self._discard_limit_reached()
+                return
+        if self._write_closed or self.reader.error is not None:
+            return
+        if self.input.active:
+            self._buffer_input(data)
+        else:
+            self._process(data)
+
+    def _discard_limit_reached(self) -> None:
+        """Write the outstanding replies and close; abort the connection if as many bytes follow again."""
+        if self._closing:
+            self.abort()
+        else:
+            self._discarded = 0
+            self.fail_all()
+
+    def _buffer_input(self, data: bytes) -> None:
+        """Buffer bytes that came during a pause; on overflow reject the commands in the buffer and stop reading."""
+        self.input.buffer(data)
+        if self.input.overflowed:
+            self.input.pause_reading(self.hold)
+            self._process(self.input.take_buffered(), reject=True)
+
+    def _process(self, data: bytes, reject: bool = False) -> None:
+        """Parse bytes, handle each complete command and write the replies that are ready."""
+        commands = self.reader.feed(data)
+        if commands and self.state is PARTIAL_COMMAND:
+            self.frontend.set_state(self, PARTIAL_COMMAND)  # restarts the timeout for the next command
+        for parts in commands:
+            self._handle_command(parts, reject)
+        if len(self.replies.pending) > MAX_PENDING_REPLIES:
+            self._fail_open()
+        if len(commands) > MAX_BATCH and not self._closing:
+            self.input.start()
+        if self.reader.error is not None:
+            self._protocol_error(self.reader.error.error_line)
+            return
+        self._flush()
+
+    def _handle_command(self, parts: list[bytes], reject: bool) -> None:
+        self._received_command = True
+        if len(self.replies.pending) >= MAX_OPEN_COMMANDS:
+            self._write_ready()  # replies that are ready do not count
+        if reject or len(self.replies.pending) >= MAX_OPEN_COMMANDS:
+            self.frontend.counts["refused"] += 1
+            self._received_request = True
+            self.replies.append(REJECTED)
+            return
+        entry = PendingReply()
+        self.replies.append(entry)
+        verb = parts[0]
+        if verb in REQUEST_VERBS:
+            self._handle_request(entry, parts)
+        elif verb.upper() == b"PING" and len(parts) <= 2:
+            self._handle_ping(entry, parts)
+        elif verb.upper() in (b"CLIENT", b"SELECT"):
+            entry.reply = OK
+        else:
+            self._invalid_command(entry, f"unknown command '{verb[:MAX_ERROR_VERB].decode('latin-1')}'")
+
+    def _handle_ping(self, entry: PendingReply, parts: list[bytes]) -> None:
+        if len(parts) == 1:
+            entry.reply = PONG
+            return
+        payload = parts[1]
+        if not self.frontend.buffered.fits(len(payload)):
+            self._reject_for_capacity(entry)
+            return
+        entry.reply = resp_codec.encode_bulk(payload)
+        self.replies.reserve(entry, len(payload))
+
+    def _handle_request(self, entry: PendingReply, parts: list[bytes]) -> None:
+        """Submit a request. Its reply comes through `complete`, or at once where it is rejected or invalid."""
+        frontend = self.frontend
+        self._received_request = True
+        if self._closing:  # it was received before our half is closed, but no attempt may start any more
+            entry.reply = REJECTED.reply
+            return
+        try:
+            request = frontend.commands.to_request(parts)
+        except InvalidCommandError as error:
+            self._invalid_command(entry, str(error))
+            return
+        if frontend.requests.is_open(request.id):
+            # Workers identify requests by id: they would take another request with this id for a hedged one.
+            self._invalid_command(entry, "id: a request with this id is open")
+            return
+        if not frontend.buffered.fits(len(request.body)):
+            self._reject_for_capacity(entry)
+            return
+
+        def complete(reply: bytes) -> None:
+            """Write the request's reply when all earlier ones are written."""
+            self.replies.complete(entry, reply)
+            self._flush()
+
+        self.replies.reserve(entry, len(request.body))
+        deadline_ms = frontend.deadline_ms(request.timeout_ms)
+        entry.request = frontend.requests.submit(request, deadline_ms, complete, self.has_disconnected)
+        if entry.request is None:
+            self._reject_for_capacity(entry)
+
+    def has_disconnected(self) -> bool:
+        """Tell whether the client has closed, even if the event loop has not reported it yet."""
+        return has_unread_close(self.transport.getHandle())
+
+    def _reject_for_capacity(self, entry: PendingReply) -> None:
+        self.frontend.counts["full"] += 1
+        entry.reply = REJECTED.reply
+
+    def _invalid_command(self, entry: PendingReply, reason: str) -> None:
+        """Reply with an error and pause: invalid commands without end would take the event loop's time from others."""
+        self.frontend.counts["unfit"] += 1
+        entry.reply = resp_codec.encode_error(b"ERR " + reason.encode("ascii", "replace"))
+        if not self._closing:
+            self.input.start_after_invalid()
+
+    def _resume_input(self) -> None:
+        """End the pause and process what was buffered during it."""
+        self.input.end(self.go_on)
+        data = self.input.take_buffered()
+        if data and self.reader.error is None:
+            self._process(data)
+
+    def _protocol_error(self, line: bytes) -> None:
+        """Stop parsing. Commands received whole before still get their replies; then comes this error line."""
+        self.frontend.counts["unreadable"] += 1
+        if self.reader.error is None:
+            self.reader.error = RespProtocolError("nothing more is read")
+        self.replies.append(PendingReply(resp_codec.encode_error(line)))
+        self._flush()
+
+    def _write_ready(self) -> None:
+        """Write the replies up to the first open request."""
+        data = self.replies.take_ready()
+        if data:
+            self.transport.write(data)
+
+    def _flush(self) -> None:
+        """Write the replies that are ready, then enter the state that follows."""
+        self._write_ready()
+        if self._closing:
+            if self._rejected and (self._received_command or self.reader.error is not None):
+                self._rejected = False
+                self._close_write_half()
+            return
+        if self.reader.error is not None and not self.replies.pending:
+            self.shutdown_write()
+            return
+        state = self._next_state()
+        if state is not self.state:
+            self.frontend.set_state(self, state)
+        # One that has sent no request yet is about to; the frontend's sweep closes it after a short time.
+        if self.frontend.draining and state is IDLE and self._received_request:
+            self.shutdown_write()
+
+    def _next_state(self) -> ConnectionState:
+        if self.reader.error is not None:
+            return BUSY
+        if not self._received_command:
+            return NEW
+        if self.reader.has_partial:
+            return PARTIAL_COMMAND
+        return BUSY if self.replies.pending else IDLE
+
+    def shutdown_write(self) -> None:
+        """Accept no more requests, write the ready replies, close our half, then wait for the client's."""
+        if self._closing:
+            return
+        self._closing = True
+        self.frontend.set_state(self, CLOSING)
+        self._resume_input()  # what is buffered was received before our half is closed
+        self._close_write_half()
+
+    def _close_write_half(self) -> None:
+        # While registered as producer the transport would not close after a full write buffer has drained.
+        self.transport.unregisterProducer()
+        self.transport.resumeProducing()
+        self.transport.loseWriteConnection()
+
+    def writeConnectionLost(self) -> None:
+        """Discard what is received from now on: all is written and our half is closed."""
+        self._write_closed = True
+
+    def readConnectionLost(self) -> None:
+        """Withdraw open requests and close: the client has closed its half."""
+        self._withdraw_all()
+        if not self._closing:
+            self.frontend.set_state(self, CLOSING)
+        self._closing = True
+        self._write_closed = True
+        self.transport.unregisterProducer()
+        self.transport.loseConnection()
+
+    def fail_all(self) -> None:
+        """Reply to open requests that they failed, and close."""
+        self._fail_open()
+        self._write_ready()
+        self.shutdown_write()
+
+    def _fail_open(self) -> None:
+        self.replies.fail_open(FAILED_REPLY)
+
+    def command_overdue(self) -> None:
+        """End parsing if the rest of a command is late, unless it waits here to be read or parsed."""
+        since_s = self.state_since_s
+        reading_paused = self.input.reading_paused or self._full
+        self._resume_input()
+        if self.state_since_s == since_s and not reading_paused:
+            self.frontend.counts["overdue"] += 1
+            self._protocol_error(RespProtocolError("a command did not come whole in time").error_line)
+
+    def abort(self) -> None:
+        """Close without writing the outstanding replies."""
+        self._closing = True
+        self._write_closed = True
+        self.transport.abortConnection()
+
+    def _withdraw_all(self) -> None:
+        self.input.cancel_timer()
+        self.input.take_buffered()
+        self.replies.clear()
+
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
+        """Release all that is held for the connection."""
+        self._closing = True
+        self._write_closed = True
+        self.frontend.descriptors -= 1
+        self.forget_reader()
+        self._withdraw_all()
+        self.frontend.remove(self)
--- a/anisefront/resp_gateway/gatekeeper.py
+++ b/anisefront/resp_gateway/gatekeeper.py
@@ -17,13 +17,15 @@
 from anisefront.daemon.collector import Collector
 from anisefront.gateway.ledger import Ledger
 from anisefront.policy.controller import Controller
-from anisefront.resp_gateway.carrier import NodeCarrier, RespAnswers
-from anisefront.resp_gateway.config import ConfigFault, NodeConfig
-from anisefront.resp_gateway.discovery import Book, Change
-from anisefront.resp_gateway.front import Front, FrontLimits
+from anisefront.resp_gateway.command_mapping import CommandMapper
+from anisefront.resp_gateway.connection_limits import ConnectionLimits
+from anisefront.resp_gateway.discovery_watch import DiscoveryWatch
+from anisefront.resp_gateway.endpoint_changes import EndpointChange, EndpointDirectory
+from anisefront.resp_gateway.errors import InstanceConfigError
+from anisefront.resp_gateway.instance_config import InstanceConfig
 from anisefront.resp_gateway.peers import PeerPort
-from anisefront.resp_gateway.terms import Reader
-from anisefront.resp_gateway.watch import Watch
+from anisefront.resp_gateway.resp_frontend import RespFrontend
+from anisefront.resp_gateway.resp_requests import RespRequests, WorkerConnectionCodec
 from anisefront.upstream.pool import Pool, PoolLimits
 
 OTHER_SOCKETS = 24  # standard streams, event loop, listener, datagrams, discovery old and new, and some to spare
@@ -45,7 +47,7 @@
 
     def __init__(
         self,
-        config: NodeConfig,
+        config: InstanceConfig,
         reactor: Any,
         clock: Callable[[], float] | None = None,
         on_fault: Callable[[Exception], None] | None = None,
@@ -67,7 +69,7 @@
             on_fault=on_fault,
             on_raise=lambda problem: self.log.error("action_raised", exc_info=problem),
         )
-        self.book = Book()
+        self.book = EndpointDirectory()
         most = max(32, config.sockets - OTHER_SOCKETS)
         clients = int(most * CLIENT_PART)
         closing = max(8, int(clients * CLOSING_PART))
@@ -81,24 +83,24 @@
                 rest_s=REST_S,
                 stall_s=STALL_S,
             ),
-            RespAnswers,
+            WorkerConnectionCodec,
             self.book.address_of,
         )
-        self.carrier = NodeCarrier(self.ledger, self.pool, settings.load_report_fields)
-        self.front = Front(
+        self.carrier = RespRequests(self.ledger, self.pool, settings.load_report_fields)
+        self.front = RespFrontend(
             reactor,
             self.carrier,
-            Reader(settings),
+            CommandMapper(settings),
             self.clock,
-            FrontLimits(clients - closing, closing, config.sockets // 8, int(config.memory_mb * (1 << 20) / 8)),
+            ConnectionLimits(clients - closing, closing, config.sockets // 8, int(config.memory_mb * (1 << 20) / 8)),
         )
-        self.watch = Watch(
+        self.watch = DiscoveryWatch(
             reactor,
             config.discovery,
-            lambda: self.book.index,
+            lambda: self.book.version,
             self.told,
             self._discovery_fault,
-            self.book.forget_version,
+            self.book.reset_version,
         )
         self.collector = Collector(reactor, lambda: self.ledger.open, every_s=COLLECT_S)
         self._port: Any = None
@@ -107,8 +109,8 @@
     def prepare(self) -> None:
         """All the work of starting that needs no port, before `start`."""
         config = self.config
-        if config.known is not None:
-            self.told(config.known)  # it may be old, and serves until discovery tells more
+        if config.known_endpoints is not None:
+            self.told(config.known_endpoints)  # it may be old, and serves until discovery tells more
         self.log.info(
             "settings",
             settings=dataclasses.asdict(config.settings) | {"tag_key": ""},
@@ -136,18 +138,18 @@
 
     # ---- discovery -----------------------------------------------------------------------------
 
-    def told(self, change: Change) -> None:
+    def told(self, change: EndpointChange) -> None:
         """A fleet list or a change of it."""
-        fleet, moved = self.book.apply(change)
-        if fleet is not None:
-            self.ledger.roster(fleet)
-            for worker in moved:
+        applied = self.book.apply(change)
+        if applied.endpoints is not None:
+            self.ledger.roster(applied.endpoints)
+            for worker in applied.replaced:
                 self.pool.drop_worker(worker)
 
     def _discovery_fault(self, why: str) -> None:
         self.log.warning("discovery_fault", fault=why)
 
-    def reload(self, again: Callable[[], NodeConfig]) -> bool:
+    def reload(self, again: Callable[[], InstanceConfig]) -> bool:
         """Take another configuration while we run, whole or not at all: discovery's address, and the settings where
         they changed. `again` reads it, or raises `ConfigFault`."""
         before = self.config.settings
@@ -158,14 +160,14 @@
                 for name in reload.fixed_settings(before, config.settings)
             ]
             faults += reload.moved(before, config.settings)
-        except ConfigFault as problem:
+        except InstanceConfigError as problem:
             faults = [str(problem)]
         if faults:
             self.log.error("config_not_taken", faults=faults)
             return False
-        self.watch.move(config.discovery)
+        self.watch.change_address(config.discovery)
         if config.settings != before:
-            self.front.terms = Reader(config.settings)
+            self.front.commands = CommandMapper(config.settings)
             self.ledger.change(config.settings)
         self.config = config
         self.log.info("config", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
@@ -184,11 +186,11 @@
             "late_ms": round(ledger.turns_late_ms, 1),
             "workers": len(self.book.entries),
             "to_workers": self.pool.connections,
-            "connections": {place: len(kept) for place, kept in self.front.places.items()},
+            "connections": {place: len(kept) for place, kept in self.front.by_state.items()},
             "accounts": len(controller.quota_borrower.accounts),
             "stores": len(controller.quota_owner.buckets),
             "usual_ms": {name: round(value) for name, value in controller.response_times.by_class.items()},
-            "reported": {name: round(value, 2) for name, value in self.carrier.seen.items()},
+            "reported": {name: round(value, 2) for name, value in self.carrier.statistics.items()},
             "per_worker": {
                 name: [state.in_flight, round(state.others_load, 1), round(state.health.latency_ratio, 2)]
                 for name, state in controller.endpoints.known.items()
@@ -217,18 +219,20 @@
             longest = max(kind.deadline_ms for kind in self.config.settings.classes)
             # Danger: what the kill finds unanswered is lost; where all deadlines are short it comes soon.
             self._kill_ms = self._drain_ms + min(longest, MOST_DEADLINE_MS) + KILL_MS
-            self.front.latest_ms = self._kill_ms - WRITE_MS
-            self.log.info("draining", open=self.ledger.open, answered_within_ms=self.front.latest_ms - self._drain_ms)
+            self.front.latest_reply_ms = self._kill_ms - WRITE_MS
+            self.log.info(
+                "draining", open=self.ledger.open, answered_within_ms=self.front.latest_reply_ms - self._drain_ms
+            )
             self.front.close_idle()
             self._wait_for_end()
         return self._drained
 
     def hurry(self) -> None:
         """End the drain now."""
-        self.front.latest_ms = self.clock()
+        self.front.latest_reply_ms = self.clock()
 
     def _wait_for_end(self) -> None:
-        now, latest = self.clock(), self.front.latest_ms
+        now, latest = self.clock(), self.front.latest_reply_ms
         listen_until = min(self._drain_ms + LISTEN_ON_MS, latest)
         if now >= listen_until and self._port is not None:
             self._stop_listening()
@@ -249,7 +253,7 @@
 
     def _wait_for_close(self) -> None:
         """The last answers are being written and read."""
-        if self.clock() < self._kill_ms - LEAVE_MS and any(self.front.places.values()):
+        if self.clock() < self._kill_ms - LEAVE_MS and any(self.front.by_state.values()):
             self.reactor.callLater(0.02, self._wait_for_close)
             return
         self.watch.stop()
--- /dev/null
+++ b/anisefront/resp_gateway/input_pause.py
@@ -0,0 +1,100 @@
+"""Pause of one connection's input, so that a flood of commands does not take the event loop's time from others.
+
+There are two stages. They differ in what the gateway still notices:
+
+1. Parsing is paused. The transport is still read, into a bounded buffer, so that the end of the connection is noticed
+   and the client's open requests are withdrawn. Begins after an invalid command or a very long batch.
+2. Reading is paused too. Begins when the buffer is full; the kernel's flow control then stops the client.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from anisefront.resp_gateway.connection_limits import ByteBudget
+
+PAUSE_S = 0.1  # after a long batch, and for a full buffer
+MAX_PAUSE_S = 1.6  # after an invalid command: doubled by each one from `PAUSE_S` up to this
+MAX_BUFFERED = (64 << 10) + 1024  # bytes that wait during a pause: one whole command
+
+
+class InputPause:
+    """State of the pause, and the bytes that came during it.
+
+    Attributes:
+        active: Commands are not parsed now.
+        reading_paused: The transport is not read either.
+        buffered: Bytes that came since parsing was paused.
+    """
+
+    def __init__(self, reactor: Any, budget: ByteBudget, resume: Callable[[], None]) -> None:
+        """Start without a pause.
+
+        Args:
+            reactor: Runs the timer.
+            budget: Counts the buffered bytes.
+            resume: Called when the pause has elapsed; it calls `end`.
+        """
+        self.active = False
+        self.reading_paused = False
+        self.buffered = bytearray()
+        self._reactor = reactor
+        self._budget = budget
+        self._resume = resume
+        self._invalid_commands = 0
+        self._timer: Any = None
+
+    @property
+    def overflowed(self) -> bool:
+        """Tell whether more bytes wait than this connection, or all connections, may buffer."""
+        return len(self.buffered) > MAX_BUFFERED or self._budget.exceeded
+
+    def start(self) -> None:
+        """Pause parsing after a long batch, unless it is paused."""
+        if not self.active:
+            self._begin(PAUSE_S)
+
+    def start_after_invalid(self) -> None:
+        """Pause parsing after an invalid command, twice as long after each further one, unless it is paused."""
+        if not self.active:
+            self._begin(min(MAX_PAUSE_S, PAUSE_S * 2**self._invalid_commands))
+            self._invalid_commands += 1
+
+    def _begin(self, duration_s: float) -> None:
+        self.active = True
+        self._timer = self._reactor.callLater(duration_s, self._resume)
+
+    def buffer(self, data: bytes) -> None:
+        """Keep bytes until the end of the pause."""
+        self.buffered += data
+        self._budget.reserve(len(data))
+
+    def take_buffered(self) -> bytes:
+        """Empty the buffer and return what was in it."""
+        data = bytes(self.buffered)
+        self.buffered = bytearray()
+        self._budget.release(len(data))
+        return data
+
+    def pause_reading(self, stop_reading: Callable[[], None]) -> None:
+        """Pause reading as well, for `PAUSE_S` from now on."""
+        if self.reading_paused:
+            return
+        self.reading_paused = True
+        stop_reading()
+        self._timer.cancel()
+        self._timer = self._reactor.callLater(PAUSE_S, self._resume)
+
+    def end(self, continue_reading: Callable[[], None]) -> None:
+        """End both stages."""
+        self.cancel_timer()
+        self.active = False
+        if self.reading_paused:
+            self.reading_paused = False
+            continue_reading()
+
+    def cancel_timer(self) -> None:
+        """Stop the timer: the connection has ended, or the pause ends early."""
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -100,7 +100,7 @@
         "who tells the list",
         "all workers, as one file",
         "the whole file after each change, to each gatekeeper",
-        "reading: `cluster/roster.py`, ten looks a second; on the platform `resp_gateway/watch.py`; "
+        "reading: `cluster/roster.py`, ten looks a second; on the platform `resp_gateway/discovery_watch.py`; "
         "bringing it to all: " + MISSING,
     ),
     Role(
--- a/tests/connection_model.py
+++ b/tests/connection_model.py
@@ -8,8 +8,10 @@
 from twisted.internet import error
 from twisted.python.failure import Failure
 
-from anisefront.resp_gateway import front as fronts
-from anisefront.resp_gateway import resp
+from anisefront.resp_gateway import client_connection
+from anisefront.resp_gateway import connection_limits
+from anisefront.resp_gateway import input_pause
+from anisefront.resp_gateway import resp_codec
 from anisefront.policy.actions import StartAttempt
 from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
 
@@ -34,13 +36,8 @@
     "z": "a command, and bytes that can't be read",
     "n": "one that can't be used, and the first half of the next",
 }
-CAPS = {
-    "MOST_OPEN": 5,
-    "MOST_UNREAD": 400,
-    "MOST_AT_ONCE": 8,
-    "MOST_WAITING": 15,  # small ones,
-    "PAUSE_S": 1.1,
-}  # and a pause that is longer than half a command may wait
+CAPS = {"MAX_OPEN_COMMANDS": 5, "MAX_BATCH": 8, "MAX_PENDING_REPLIES": 15}  # small ones,
+PAUSE = {"MAX_BUFFERED": 400, "PAUSE_S": 1.1}  # and a pause that is longer than half a command may wait
 VALUES = 700  # bytes
 BUSY = b"-BUSY"
 ASKED = (b"$5\r\nva\r\nl", BUSY, b"-ERR failed")
@@ -69,7 +66,10 @@
         self.want_close = True
 
     def abortConnection(self):
-        if self.protocol.front.reactor.seconds() < self.protocol.since + fronts.CLOSE_S - 1e-6:
+        if (
+            self.protocol.frontend.reactor.seconds()
+            < self.protocol.state_since_s + connection_limits.CLOSE_TIMEOUT_S - 1e-6
+        ):
             raise Broken("a connection was cut off before its time")
         self.want_close = self.cut = True
         self.pending = b""
@@ -115,8 +115,8 @@
     """Plays events; raises `Broken` at the first thing that does not hold."""
 
     def __init__(self, turned_away=False):
-        room = {"most_connections": 0} if turned_away else {}
-        self.house, self.wire = House(most_bodies=VALUES, **room), Wire()
+        room = {"max_connections": 0} if turned_away else {}
+        self.house, self.wire = House(max_buffered_bytes=VALUES, **room), Wire()
         self.wire.protocol = self.house.front.buildProtocol(None)
         self.wire.protocol.makeConnection(self.wire)
         self.read = []  # whole commands that were read before our half was shut: what they may be answered with
@@ -137,7 +137,7 @@
         if self.left or self.wire.gone:
             return
         allowed = [self._allowed(parts) for parts in commands] + [ASKED] * (bool(more) and whole)
-        self.wire.waiting.append((b"".join(map(resp.command, commands)) + more, allowed, spoilt))
+        self.wire.waiting.append((b"".join(map(resp_codec.encode_command, commands)) + more, allowed, spoilt))
         self._arrive()
 
     def _arrive(self):
@@ -145,8 +145,8 @@
         wire = self.wire
         while wire.waiting and not (wire.paused or wire.gone or self.left):
             data, allowed, spoilt = wire.waiting.pop(0)
-            if wire.protocol._pause is not None:
-                if self.behind > CAPS["MOST_UNREAD"]:
+            if wire.protocol.input.active:
+                if self.behind > PAUSE["MAX_BUFFERED"]:
                     raise Broken("a flood is read as fast as it comes")
                 self.behind += len(data)
             arrivals = len(self.house.module.arrivals)
@@ -162,7 +162,7 @@
     def _allowed(parts):
         """How the answers to this command may begin."""
         if parts[0] == b"PING":
-            return (resp.bulk(parts[1]), BUSY)
+            return (resp_codec.encode_bulk(parts[1]), BUSY)
         return ASKED if parts[0].startswith(b"Q") else (b"-ERR unknown", BUSY)
 
     def _command(self, parts=ASK):
@@ -175,7 +175,7 @@
 
     def _h(self):
         if not self.half:
-            self.half = resp.command(self._command())
+            self.half = resp_codec.encode_command(self._command())
             self._deliver(more=self.half[:20], whole=False)
 
     def _r(self):
@@ -185,7 +185,7 @@
 
     def _n(self):
         if not self.half:
-            self.half = resp.command(self._command())
+            self.half = resp_codec.encode_command(self._command())
             self._deliver([b"FLUSHALL"], more=self.half[:20], whole=False)
 
     def _u(self):
@@ -194,7 +194,7 @@
 
     def _m(self):
         if not self.half:
-            names = range(self.number, self.number + CAPS["MOST_OPEN"])
+            names = range(self.number, self.number + CAPS["MAX_OPEN_COMMANDS"])
             self._deliver(*(each for name in names for each in (self._command(), [b"PING", b"%d" % name])))
 
     def _v(self):
@@ -205,7 +205,7 @@
     def _o(self):
         if not self.half:
             self._deliver([b"FLUSHALL"])
-            self._deliver(*(self._command() for _ in range(CAPS["MOST_UNREAD"] // 100)))
+            self._deliver(*(self._command() for _ in range(PAUSE["MAX_BUFFERED"] // 100)))
 
     def _z(self):
         if not self.half:
@@ -282,9 +282,9 @@
         if not all(map(bytes.startswith, found, self.read)):
             raise Broken("an answer that is another command's")
         if (
-            len(self.house.carrier.open) > CAPS["MOST_OPEN"]
-            or self.house.front.bodies > VALUES
-            or (len(self.wire.protocol.slots) > CAPS["MOST_WAITING"] + 1)
+            len(self.house.carrier.open) > CAPS["MAX_OPEN_COMMANDS"]
+            or self.house.front.buffered.used > VALUES
+            or (len(self.wire.protocol.replies.pending) > CAPS["MAX_PENDING_REPLIES"] + 1)
         ):
             raise Broken("more is held than may be")
 
@@ -306,13 +306,13 @@
         front, carrier = self.house.front, self.house.carrier
         if carrier.open or carrier._ids or self.house.ledger.entries:
             raise Broken("something is kept of a request that has ended")
-        if front.bodies or any(front.places.values()):
+        if front.buffered.used or any(front.by_state.values()):
             raise Broken("something is kept of a connection that has ended")
 
 
 def play(events, turned_away=False):
     """Play these events to the end."""
-    with mock.patch.multiple(fronts, **CAPS):
+    with mock.patch.multiple(client_connection, **CAPS), mock.patch.multiple(input_pause, **PAUSE):
         model = Model(turned_away)
         model.play(events)
         model.finish()
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -12,10 +12,11 @@
 
 from anisefront.upstream.pool import Pool, PoolLimits
 from anisefront.gateway.ledger import Ledger
-from anisefront.resp_gateway import resp
-from anisefront.resp_gateway.carrier import NodeCarrier, RespAnswers
-from anisefront.resp_gateway.front import Front, FrontLimits
-from anisefront.resp_gateway.terms import Reader
+from anisefront.resp_gateway import resp_codec
+from anisefront.resp_gateway.resp_requests import RespRequests, WorkerConnectionCodec
+from anisefront.resp_gateway.connection_limits import ConnectionLimits
+from anisefront.resp_gateway.resp_frontend import RespFrontend
+from anisefront.resp_gateway.command_mapping import CommandMapper
 from anisefront.policy.actions import StartAttempt
 from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
 
@@ -31,9 +32,11 @@
         self.ledger.roster(EndpointList(tuple(Endpoint(name, "z", 0, EndpointStatus.READY) for name in ("s1", "s2"))))
         self.listeners = {name: self._keep(socket.create_server(("127.0.0.1", 0))) for name in ("s1", "s2")}
         address = {name: listener.getsockname() for name, listener in self.listeners.items()}
-        self.pool = Pool(self.reactor, PoolLimits(rest_s=0.01, stall_s=0.4), RespAnswers, address.get)
-        self.carrier = NodeCarrier(self.ledger, self.pool, ("util", "inflight"))
-        self.front = Front(self.reactor, self.carrier, Reader(settings()), now, FrontLimits(**limits))
+        self.pool = Pool(self.reactor, PoolLimits(rest_s=0.01, stall_s=0.4), WorkerConnectionCodec, address.get)
+        self.carrier = RespRequests(self.ledger, self.pool, ("util", "inflight"))
+        self.front = RespFrontend(
+            self.reactor, self.carrier, CommandMapper(settings()), now, ConnectionLimits(**limits)
+        )
         self.port = self.reactor.listenTCP(0, self.front, interface="127.0.0.1")
 
     def _keep(self, link):
@@ -67,7 +70,7 @@
     def client(self, *commands):
         """A connection that has sent these commands, and they were taken in."""
         link = self._keep(socket.create_connection(("127.0.0.1", self.port.getHost().port)))
-        link.sendall(b"".join(map(resp.command, commands)))
+        link.sendall(b"".join(map(resp_codec.encode_command, commands)))
         self.turns()
         return link
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -10,7 +10,7 @@
 from twisted.internet import error
 from twisted.python.failure import Failure
 
-from anisefront.resp_gateway import resp
+from anisefront.resp_gateway import resp_codec
 from anisefront.policy.actions import StartAttempt
 from anisefront.policy.events import AttemptEnded, AttemptResult, Endpoint, EndpointList, EndpointStatus
 
@@ -82,7 +82,7 @@
 def test_half_a_line_between_the_look_at_a_resting_connection_and_the_write_serves_nobody(stage):
     client, worker = stage.served()
     stage.time += 0.02
-    client.sendall(resp.command(other(2)))
+    client.sendall(resp_codec.encode_command(other(2)))
     stage.turns()
     stage.decide(StartAttempt(2, "s1", 400.0))  # the connection is chosen and written to
     worker.sendall(SERVED)  # a second copy
@@ -96,7 +96,7 @@
 def test_a_connection_closed_by_its_worker_in_the_turn_in_which_we_write_never_ran(stage):
     client, worker = stage.served()
     stage.time += 0.02
-    client.sendall(resp.command(other(2)))
+    client.sendall(resp_codec.encode_command(other(2)))
     stage.turns()
     stage.decide(StartAttempt(2, "s1", 400.0))
     worker.close()
--- a/tests/test_connection_search.py
+++ b/tests/test_connection_search.py
@@ -8,10 +8,12 @@
 from connection_model import EVENTS, Broken, play
 
 from anisefront.gateway.ledger import Ledger
-from anisefront.resp_gateway import front as fronts
-from anisefront.resp_gateway import resp
-from anisefront.resp_gateway.carrier import NodeCarrier
-from anisefront.resp_gateway.front import Client
+from anisefront.resp_gateway import client_connection
+from anisefront.resp_gateway import resp_codec
+from anisefront.resp_gateway.resp_requests import RespRequests
+from anisefront.resp_gateway.client_connection import ClientConnection
+from anisefront.resp_gateway.input_pause import InputPause
+from anisefront.resp_gateway.reply_queue import ReplyQueue
 
 BEGINNINGS = ("", "c", "cg", "cgk", "uc")
 DEPTH, SEEDS, LENGTH = 3, 3000, 12
@@ -40,92 +42,90 @@
 
 
 def unwrapped(function):
-    """`_ask` as it would be without the look at whether the connection is ending."""
+    """`_handle_request` as it would be without the look at whether the connection is ending."""
 
-    def ask(self, slot, parts):
-        ending, self._ending = self._ending, False
+    def handle(self, slot, parts):
+        closing, self._closing = self._closing, False
         try:
             function(self, slot, parts)
         finally:
-            self._ending = ending
+            self._closing = closing
 
-    return ask
+    return handle
 
 
-def dropped(self, data, refuse=False):
-    """`_take_in` as it was: what would pass the cap on open commands is dropped, and the connection ends."""
+def dropped(self, data, reject=False):
+    """`_process` as it was: what would pass the cap on open commands is dropped, and the connection ends."""
     commands = self.reader.feed(data)
-    if len(self.slots) + len(commands) > fronts.MOST_OPEN:
-        self._unreadable(b"ERR")
+    if len(self.replies.pending) + len(commands) > client_connection.MAX_OPEN_COMMANDS:
+        self._protocol_error(b"ERR")
         return
     for parts in commands:
-        self._command(parts, refuse)
+        self._handle_command(parts, reject)
     self._flush()
 
 
 def dropped_unread(self, data):
-    """`_keep_unread` as it was: at its cap all that waits is dropped, and the connection ends."""
-    self._unread += data
-    self.front.bodies += len(data)
-    if len(self._unread) > fronts.MOST_UNREAD or self.front.bodies > self.front.limits.most_bodies:
-        self._forget_unread()
-        self._unreadable(b"ERR")
+    """`_buffer_input` as it was: at its cap all that waits is dropped, and the connection ends."""
+    self.input.buffer(data)
+    if self.input.overflowed:
+        self.input.take_buffered()
+        self._protocol_error(b"ERR")
 
 
 def kept_unread(self, data):
-    self._unread += data
-    self.front.bodies += len(data)
+    self.input.buffer(data)
 
 
-def uncapped(self, parts, refuse):
-    with mock.patch.object(fronts, "MOST_OPEN", 10**6):
-        COMMAND(self, parts, refuse)
+def uncapped(self, parts, reject):
+    with mock.patch.object(client_connection, "MAX_OPEN_COMMANDS", 10**6):
+        COMMAND(self, parts, reject)
 
 
-def unlimited(self, data, refuse=False):
-    with mock.patch.object(fronts, "MOST_WAITING", 10**6):
-        TAKE_IN(self, data, refuse)
+def unlimited(self, data, reject=False):
+    with mock.patch.object(client_connection, "MAX_PENDING_REPLIES", 10**6):
+        PROCESS(self, data, reject)
 
 
 def forgotten(self, line):
-    """`_refuse_all` as it was: what was read while the connection is ending is not written."""
-    if not self._ending:
-        UNREADABLE(self, line)
-    self.slots.clear()
+    """`_protocol_error` as it was: what was read while the connection is ending is not written."""
+    if not self._closing:
+        PROTOCOL_ERROR(self, line)
+    self.replies.pending.clear()
 
 
 def impatient(self):
-    self._unreadable(b"ERR")
+    self._protocol_error(b"ERR")
 
 
 def unmeasured(self, slot, parts):
-    slot.answer = resp.bulk(parts[-1])
-    slot.size = len(parts[-1])
-    self.front.bodies += slot.size
+    slot.reply = resp_codec.encode_bulk(parts[-1])
+    self.replies.reserve(slot, len(parts[-1]))
 
 
-COMMAND, TAKE_IN, UNREADABLE = Client._command, Client._take_in, Client._unreadable
+COMMAND, PROCESS = ClientConnection._handle_command, ClientConnection._process
+PROTOCOL_ERROR = ClientConnection._protocol_error
 GUARDS = [
-    (Client, "_take_in", dropped),
-    (Client, "_keep_unread", dropped_unread),
-    (Client, "_keep_unread", kept_unread),
-    (Client, "_command", uncapped),
-    (Client, "_unreadable", forgotten),
-    (Client, "overdue", impatient),
-    (Client, "_hold", lambda self: None),
-    (Client, "_fail_open", lambda self: None),
-    (Client, "_pong", unmeasured),
-    (Client, "_let_go", lambda self, slot: None),
-    (Client, "_take_in", unlimited),
-    (Client, "_write", lambda self: None),
-    (Client, "_withdraw_all", lambda self: None),
-    (Client, "_ask", unwrapped(Client._ask)),
-    (Client, "_forget_unread", lambda self: bytes(self._unread)),
-    (Client, "_read_on", lambda self: None),
-    (Client, "fail_all", Client.end),
-    (Client, "abort", lambda self: None),
+    (ClientConnection, "_process", dropped),
+    (ClientConnection, "_buffer_input", dropped_unread),
+    (ClientConnection, "_buffer_input", kept_unread),
+    (ClientConnection, "_handle_command", uncapped),
+    (ClientConnection, "_protocol_error", forgotten),
+    (ClientConnection, "command_overdue", impatient),
+    (InputPause, "pause_reading", lambda self, stop_reading: None),
+    (ClientConnection, "_fail_open", lambda self: None),
+    (ClientConnection, "_handle_ping", unmeasured),
+    (ReplyQueue, "release", lambda self, slot: None),
+    (ClientConnection, "_process", unlimited),
+    (ClientConnection, "_write_ready", lambda self: None),
+    (ClientConnection, "_withdraw_all", lambda self: None),
+    (ClientConnection, "_handle_request", unwrapped(ClientConnection._handle_request)),
+    (InputPause, "take_buffered", lambda self: bytes(self.buffered)),
+    (ClientConnection, "_resume_input", lambda self: None),
+    (ClientConnection, "fail_all", ClientConnection.shutdown_write),
+    (ClientConnection, "abort", lambda self: None),
     (Ledger, "may_begin", lambda self, request, attempt: True),
-    (NodeCarrier, "withdraw", lambda self, number: None),
+    (RespRequests, "withdraw", lambda self, number: None),
 ]
 
 
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -5,7 +5,7 @@
 from test_node_front import House, other, sent
 from test_node_wire import SERVED
 
-from anisefront.resp_gateway import resp
+from anisefront.resp_gateway import resp_codec
 from anisefront.policy.actions import StartAttempt
 from anisefront.policy.events import AttemptEnded, AttemptResult
 
@@ -35,7 +35,7 @@
     spoil(worker)
     if seen:
         stage.turns()
-    client.sendall(resp.command(other(2)))
+    client.sendall(resp_codec.encode_command(other(2)))
     stage.reactor.iterate(0)
     stage.decide(StartAttempt(2, "s1", 400.0))
     fresh = stage.accept()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -7,8 +7,8 @@
 from twisted.internet import error
 from twisted.python.failure import Failure
 
-from anisefront.resp_gateway import front as fronts
-from anisefront.resp_gateway import resp
+from anisefront.resp_gateway import input_pause
+from anisefront.resp_gateway import resp_codec
 from anisefront.policy.actions import Reject, StartAttempt
 from anisefront.policy.events import AttemptEnded, AttemptResult, ClientDisconnected
 
@@ -28,9 +28,9 @@
     [
         b"",
         b"*2\r\n$4\r\nPI",
-        resp.command(other(3)),
-        resp.command(UNFIT),
-        resp.command(UNFIT) + resp.command(other(3)) + b"*2\r\n$4\r\nPI",
+        resp_codec.encode_command(other(3)),
+        resp_codec.encode_command(UNFIT),
+        resp_codec.encode_command(UNFIT) + resp_codec.encode_command(other(3)) + b"*2\r\n$4\r\nPI",
     ],
 )
 def test_it_is_noticed_whatever_is_behind_the_request(stage, leave, behind):
@@ -42,27 +42,31 @@
     ends = [end for end in stage.module.ends if isinstance(end, ClientDisconnected)]
     assert len(ends) == len(stage.module.arrivals) >= 1
     assert not stage.carrier.open and not stage.ledger.entries and not stage.front.connections
-    assert stage.front.bodies == 0
+    assert stage.front.buffered.used == 0
 
 
 def test_it_is_noticed_while_what_follows_an_unfit_command_waits(stage):
     client = stage.client(ASK, UNFIT)
-    client.sendall(resp.command(other(3)) * 3)
+    client.sendall(resp_codec.encode_command(other(3)) * 3)
     stage.turns()
     assert len(stage.module.arrivals) == 1  # the others wait
     client.close()
     stage.turns()
     assert [type(end) for end in stage.module.ends] == [ClientDisconnected]
-    stage.wait(fronts.MOST_PAUSE_S)
-    assert len(stage.module.arrivals) == 1 and stage.front.bodies == 0
+    stage.wait(input_pause.MAX_PAUSE_S)
+    assert len(stage.module.arrivals) == 1 and stage.front.buffered.used == 0
 
 
 def test_what_waits_behind_an_unfit_command_has_a_cap_and_each_has_an_answer(stage):
     """They were dropped at the cap, and the request before them was called off."""
     client = stage.client(ASK, UNFIT)
-    client.sendall(resp.command(other(3)) * 600)
+    client.sendall(resp_codec.encode_command(other(3)) * 600)
     stage.turns(40)
-    assert not stage.module.ends and len(stage.module.arrivals) == 1 and stage.front.bodies <= fronts.MOST_UNREAD
+    assert (
+        not stage.module.ends
+        and len(stage.module.arrivals) == 1
+        and stage.front.buffered.used <= input_pause.MAX_BUFFERED
+    )
     stage.say(Reject(1, 40.0))
     for _ in range(4):
         stage.wait(0.1)
@@ -72,7 +76,7 @@
     lines = rest(client).split(b"\r\n")
     assert lines[:2] == [b"-BUSY 40", b"-ERR unknown command 'FLUSHALL'"] and len(lines) == 603 and not lines[-1]
     assert set(lines[2:-1]) <= {b"-BUSY 250", b"-BUSY 40", b"-ERR id: a request with this id is open"}
-    assert stage.front.bodies == 0
+    assert stage.front.buffered.used == 0
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.05, 0.1, 0.3])
--- a/tests/test_node_front.py
+++ b/tests/test_node_front.py
@@ -10,13 +10,15 @@
 
 from anisefront.upstream.pool import Pool, PoolLimits
 from anisefront.gateway.ledger import Ledger
-from anisefront.resp_gateway import front as fronts
-from anisefront.resp_gateway import resp
-from anisefront.resp_gateway.carrier import NodeCarrier, RespAnswers
-from anisefront.resp_gateway.front import Front, FrontLimits
+from anisefront.resp_gateway import client_connection
+from anisefront.resp_gateway import input_pause
+from anisefront.resp_gateway import resp_codec
+from anisefront.resp_gateway.resp_requests import RespRequests, WorkerConnectionCodec
+from anisefront.resp_gateway.connection_limits import ConnectionLimits
+from anisefront.resp_gateway.resp_frontend import RespFrontend
 from anisefront.resp_gateway.peers import PeerPort
-from anisefront.resp_gateway.terms import Reader
-from anisefront.resp_gateway.watch import Watch
+from anisefront.resp_gateway.command_mapping import CommandMapper
+from anisefront.resp_gateway.discovery_watch import DiscoveryWatch
 from anisefront.policy.actions import Fail, Reject, RejectionReason, StartAttempt
 from anisefront.policy.events import AttemptEnded, AttemptResult, Endpoint, EndpointList, EndpointStatus
 
@@ -71,11 +73,13 @@
         self.pool = Pool(
             self.reactor,
             PoolLimits(rest_s=0.01, stall_s=0.4, most=limits.pop("most", 0)),
-            RespAnswers,
+            WorkerConnectionCodec,
             self.address.get,
         )
-        self.carrier = NodeCarrier(self.ledger, self.pool, ("util", "inflight"))
-        self.front = Front(self.reactor, self.carrier, Reader(settings()), now, FrontLimits(**limits))
+        self.carrier = RespRequests(self.ledger, self.pool, ("util", "inflight"))
+        self.front = RespFrontend(
+            self.reactor, self.carrier, CommandMapper(settings()), now, ConnectionLimits(**limits)
+        )
 
     def client(self):
         protocol = self.front.buildProtocol(None)
@@ -87,7 +91,7 @@
         return transport
 
     def say(self, client, *commands):
-        client.protocol.dataReceived(b"".join(map(resp.command, commands)))
+        client.protocol.dataReceived(b"".join(map(resp_codec.encode_command, commands)))
         self.turn()
 
     def turn(self, *actions):
@@ -123,7 +127,7 @@
     assert (arrival.customer, arrival.units, arrival.spread, arrival.first_gateway) == ("00000000b4d65521", 2.0, 3, 1)
     house.turn(StartAttempt(arrival.id, "s1", 400.0))
     worker = house.worker()
-    assert worker.take() == resp.command([*ASK[:3], ASK[3].replace(b"480", b"400")])
+    assert worker.take() == resp_codec.encode_command([*ASK[:3], ASK[3].replace(b"480", b"400")])
     worker.protocol.dataReceived(SERVED)
     house.turn()
     assert client.take() == b"$5\r\nva\r\nl\r\n" and house.module.ends[0].result is AttemptResult.OK
@@ -151,7 +155,7 @@
     assert not house.module.arrivals
     assert client.take() == b"-ERR c: no such class\r\n-ERR unknown command 'FLUSHALL'\r\n"
     house.say(client, [b"PING"], other(3))
-    house.reactor.advance(fronts.PAUSE_S - 0.01)
+    house.reactor.advance(input_pause.PAUSE_S - 0.01)
     assert client.take() == b"" and not house.module.arrivals and not client.disconnecting
     house.reactor.advance(0.02)
     house.turn()
@@ -173,10 +177,12 @@
     house = House()
     client = house.client()
     house.say(client, ASK)
-    client.protocol.dataReceived(resp.command([b"PING"]) + resp.command(other(2)) + b"*1\r\n$62914560\r\n" + b"x" * 999)
+    client.protocol.dataReceived(
+        resp_codec.encode_command([b"PING"]) + resp_codec.encode_command(other(2)) + b"*1\r\n$62914560\r\n" + b"x" * 999
+    )
     house.turn()
     assert client.take() == b"" and not client.disconnecting and not house.module.ends
-    client.protocol.dataReceived(resp.command(other(3)))
+    client.protocol.dataReceived(resp_codec.encode_command(other(3)))
     house.turn(Reject(2, 0.0), Reject(1, 40.0))
     assert client.take() == b"-BUSY 40\r\n+PONG\r\n-BUSY\r\n-ERR Protocol error: invalid bulk length\r\n"
     assert client.disconnecting and len(house.module.arrivals) == 2
@@ -188,7 +194,7 @@
     client = house.client()
     house.say(client, *[other(n) for n in range(60)])
     house.say(client, *[other(n) for n in range(60, 70)])
-    most = fronts.MOST_OPEN
+    most = client_connection.MAX_OPEN_COMMANDS
     assert len(house.module.arrivals) == most and client.take() == b"" and not client.disconnecting
     house.turn(*[Reject(each.id, 40.0) for each in house.module.arrivals])
     assert client.take() == b"-BUSY 40\r\n" * most + b"-BUSY 250\r\n" * (70 - most)
@@ -203,19 +209,19 @@
     assert client.take() == b"+PONG\r\n" * 500 and not client.disconnecting
     house.say(client, [b"PING"])
     assert client.take() == b""  # its sender is heard no faster than others are served
-    house.reactor.advance(fronts.PAUSE_S)
+    house.reactor.advance(input_pause.PAUSE_S)
     assert client.take() == b"+PONG\r\n" and not client.disconnecting
 
 
 def test_what_waits_behind_an_unfit_command_is_refused_where_there_is_no_room_for_it():
-    house = House(most_bodies=1000)
+    house = House(max_buffered_bytes=1000)
     client = house.client()
     house.say(client, [b"FLUSHALL"])
     house.say(client, *[other(n) for n in range(5)])
     house.say(client, *[other(n) for n in range(5, 10)])
     assert client.take().endswith(b"'FLUSHALL'\r\n" + b"-BUSY 250\r\n" * 10) and not client.disconnecting
-    assert not house.module.arrivals and house.front.bodies == 0 and client.paused
-    house.reactor.advance(fronts.PAUSE_S)
+    assert not house.module.arrivals and house.front.buffered.used == 0 and client.paused
+    house.reactor.advance(input_pause.PAUSE_S)
     house.say(client, other(11))
     assert len(house.module.arrivals) == 1 and not client.paused
 
@@ -226,7 +232,9 @@
     house.say(client, [b"PING"])
     house.front.close_idle()
     client.take()
-    client.protocol.dataReceived(resp.command([b"PING"]) + resp.command(other(2)) + b"no RESP")
+    client.protocol.dataReceived(
+        resp_codec.encode_command([b"PING"]) + resp_codec.encode_command(other(2)) + b"no RESP"
+    )
     assert client.take() == b"+PONG\r\n-BUSY 250\r\n-ERR Protocol error: expected '*'\r\n"
 
 
@@ -236,8 +244,10 @@
     for _ in range(4):
         house.say(client, [b"FLUSHALL"])
         house.reactor.advance(0.8)
-    whole = resp.command(other(5))
-    client.protocol.dataReceived(resp.command([b"FLUSHALL"]) + whole[:9])  # the pause is longer than half may wait
+    whole = resp_codec.encode_command(other(5))
+    client.protocol.dataReceived(
+        resp_codec.encode_command([b"FLUSHALL"]) + whole[:9]
+    )  # the pause is longer than half may wait
     client.protocol.dataReceived(whole[9:])
     for _ in range(12):
         house.reactor.advance(0.1)
@@ -247,7 +257,7 @@
 def test_half_a_command_is_not_overdue_while_nothing_is_read_of_its_sender():
     house = House()
     client = house.client()
-    whole = resp.command(other(5))
+    whole = resp_codec.encode_command(other(5))
     client.protocol.dataReceived(whole[:9])
     client.protocol.pauseProducing()  # it does not read: the transport's buffer is full
     for _ in range(12):
@@ -276,28 +286,30 @@
     client = house.client()
     house.say(client, ASK)
     sent = 0
-    while not client.aborted and sent < 4 * fronts.MOST_DISCARDED:
+    while not client.aborted and sent < 4 * client_connection.MAX_DISCARDED:
         client.protocol.dataReceived(b"x" * 65536)
         sent += 65536
     assert client.aborted and client.take() == b"-ERR failed\r\n-ERR Protocol error: a line of over 16 bytes\r\n"
 
 
 def test_answers_that_wait_have_a_cap_for_a_client_that_sends_without_end():
-    house = House(most_bodies=100_000)
+    house = House(max_buffered_bytes=100_000)
     client = house.client()
     house.say(client, ASK)
     value = [b"PING", b"v" * 30_000]
     for _ in range(10):
         house.say(client, value)
-    assert house.front.bodies <= 100_000
+    assert house.front.buffered.used <= 100_000
     for _ in range(10):
         house.say(client, *[[b"PING"]] * 500)
-        assert len(client.protocol.slots) < 5000 and house.front.bodies <= 100_000
-        house.reactor.advance(fronts.PAUSE_S)
+        assert len(client.protocol.replies.pending) < 5000 and house.front.buffered.used <= 100_000
+        house.reactor.advance(input_pause.PAUSE_S)
     answers = client.take()
     assert answers.startswith(b"-ERR failed\r\n$30000") and answers.endswith(b"+PONG\r\n" * 500)
     assert answers.count(b"\r\n") == 1 + 10 + 3 + 10 * 500 and not client.disconnecting
-    assert [type(end).__name__ for end in house.module.ends] == ["ClientDisconnected"] and house.front.bodies == 0
+    assert [type(end).__name__ for end in house.module.ends] == [
+        "ClientDisconnected"
+    ] and house.front.buffered.used == 0
 
 
 def test_silent_and_half_commands_are_cut_within_their_time():
@@ -309,13 +321,13 @@
     for _ in range(13):
         house.reactor.advance(0.1)
     assert all(client.disconnecting and client.take().endswith(b"in time\r\n") for client in (silent, half, later))
-    assert not house.front.places["busy"] and not house.front.places["half"]
+    assert not house.front.by_state["busy"] and not house.front.by_state["half"]
 
 
 def test_a_client_whose_reads_end_in_half_a_command_each_time_is_not_cut_while_commands_come():
     house = House()
     client = house.client()
-    whole = resp.command([b"PING"])
+    whole = resp_codec.encode_command([b"PING"])
     client.protocol.dataReceived(whole[:5])
     for _ in range(30):
         house.reactor.advance(0.1)
@@ -324,7 +336,7 @@
 
 
 def test_where_there_are_many_connections_the_idle_ones_are_closed_after_their_time():
-    house = House(many_connections=1)
+    house = House(idle_close_threshold=1)
     clients = [house.client() for _ in range(3)]
     for client in clients:
         house.say(client, [b"PING"])
@@ -336,7 +348,7 @@
 
 
 def test_at_the_cap_a_connection_that_says_nothing_makes_room_and_one_with_a_request_stays():
-    house = House(most_connections=2)
+    house = House(max_connections=2)
     busy, silent = house.client(), house.client()
     house.say(busy, ASK)
     third = house.client()
@@ -349,7 +361,7 @@
 
 
 def test_a_closing_connection_is_not_cut_off_while_answers_for_it_are_still_to_be_written():
-    house = House(most_connections=1, most_closing=1)
+    house = House(max_connections=1, max_closing=1)
     first = house.client()
     house.say(first, [b"PING"])
     second = house.client()
@@ -361,12 +373,12 @@
 
 
 def test_values_held_for_open_requests_have_a_cap_and_are_let_go():
-    house = House(most_bodies=100)
+    house = House(max_buffered_bytes=100)
     client = house.client()
     house.say(client, [*DO[:4], b"x" * 60], [*other(2, DO)[:4], b"x" * 60])
     assert len(house.module.arrivals) == 1
     house.turn(Fail(house.module.arrivals[0].id))
-    assert client.take().endswith(b"-BUSY 250\r\n") and house.front.bodies == 0
+    assert client.take().endswith(b"-BUSY 250\r\n") and house.front.buffered.used == 0
 
 
 def test_a_client_that_leaves_has_its_attempts_called_off():
@@ -398,7 +410,7 @@
     idle, busy = house.client(), house.client()
     house.say(idle, [b"PING"])
     house.say(busy, ASK)
-    house.front.latest_ms = 1200.0
+    house.front.latest_reply_ms = 1200.0
     house.front.close_idle()
     assert idle.disconnecting and not busy.disconnecting
     late = house.client()
@@ -525,7 +537,9 @@
 
     def __init__(self):
         self.reactor, self.changes, self.faults = MemoryReactorClock(), [], []
-        self.watch = Watch(self.reactor, ("127.0.0.1", 8500), lambda: 41, self.changes.append, self.faults.append)
+        self.watch = DiscoveryWatch(
+            self.reactor, ("127.0.0.1", 8500), lambda: 41, self.changes.append, self.faults.append
+        )
         self.watch.start()
 
     def link(self, at=-1):
@@ -543,7 +557,7 @@
     link = told.link()
     assert b"GET /v1/endpoints?watch=1&from=41 HTTP/1.1" in link.take()
     link.protocol.dataReceived(LIST)
-    assert [each.index for each in told.changes] == [43]
+    assert [each.version for each in told.changes] == [43]
     told.reactor.advance(3.1)  # no empty line came
     told.reactor.advance(0)
     assert len(told.reactor.tcpClients) == 2
@@ -551,7 +565,7 @@
     told.reactor.advance(0.11)
     assert len(told.reactor.tcpClients) == 3 and not link.aborted
     told.link().protocol.dataReceived(LIST)
-    assert link.aborted and [each.index for each in told.changes] == [43, 43]
+    assert link.aborted and [each.version for each in told.changes] == [43, 43]
 
 
 def test_a_watch_that_cannot_be_read_says_so_and_begins_anew():
@@ -565,7 +579,7 @@
 def test_discovery_that_moves_is_followed_and_the_old_one_is_heard_no_more():
     told = Told()
     old = told.link()
-    told.watch.move(("127.0.0.1", 8501))
+    told.watch.change_address(("127.0.0.1", 8501))
     assert old.aborted and told.reactor.tcpClients[-1][:2] == ("127.0.0.1", 8501)
     old.protocol.dataReceived(LIST)
     assert not told.changes
--- a/tests/test_node_loopback.py
+++ b/tests/test_node_loopback.py
@@ -15,7 +15,7 @@
 import redis
 from test_node_wire import WIRE_SETTINGS, change, found, row
 
-from anisefront.resp_gateway import resp
+from anisefront.resp_gateway import resp_codec
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -51,13 +51,13 @@
         super().__init__(self._serve)
 
     def _serve(self, link):
-        reader = resp.CommandReader()
+        reader = resp_codec.CommandReader()
         while data := link.recv(65536):
             for parts in reader.feed(data):
                 self.took.append((parts[2], parts[3]))
                 time.sleep(self.work_s)
                 value = b"value for " + parts[2]
-                good = b"*3\r\n" + resp.bulk(value) + b"$-1\r\n$19\r\nutil=0.5,inflight=1\r\n"
+                good = b"*3\r\n" + resp_codec.encode_bulk(value) + b"$-1\r\n$19\r\nutil=0.5,inflight=1\r\n"
                 if self.manner == "silent":
                     time.sleep(30)
                 link.sendall(
@@ -244,7 +244,7 @@
         b"x" * 100_000,
         b"*1\r\n$-7\r\n",
         b"GET / HTTP/1.1\r\n\r\n",
-        resp.command([b"Q.ASK", b"z", b"z", b"c=look"]),
+        resp_codec.encode_command([b"Q.ASK", b"z", b"z", b"c=look"]),
         b"*4\r\n$5\r\nQ.A",
     ):
         link = socket.create_connection(("127.0.0.1", node.port))
@@ -261,7 +261,7 @@
     # come in one look, beyond the caps on descriptors, some are closed unread, as the page has it.
     many = socket.create_connection(("127.0.0.1", node.port))
     many.settimeout(3)
-    many.sendall(resp.command([b"PING"]) * 300)
+    many.sendall(resp_codec.encode_command([b"PING"]) * 300)
     answers = b""
     while len(answers) < 300 * len(b"+PONG\r\n"):
         data = many.recv(65536)
--- a/tests/test_node_wire.py
+++ b/tests/test_node_wire.py
@@ -7,11 +7,16 @@
 from hypothesis import strategies as st
 from test_rules import settings
 
-from anisefront.resp_gateway import resp
-from anisefront.resp_gateway.carrier import RespAnswers, outcome, refusal
-from anisefront.resp_gateway.config import ConfigFault, node_config
-from anisefront.resp_gateway.discovery import Book, DiscoveryFault, WatchReader, read_change
-from anisefront.resp_gateway.terms import Reader, TermsFault, report_row
+from anisefront.resp_gateway import resp_codec
+from anisefront.resp_gateway.errors import RespProtocolError
+from anisefront.resp_gateway.resp_requests import ReplyOutcome, WorkerConnectionCodec, classify_reply, encode_rejection
+from anisefront.resp_gateway.errors import InstanceConfigError
+from anisefront.resp_gateway.instance_config import parse_config
+from anisefront.resp_gateway.endpoint_changes import AppliedChange, EndpointDirectory, parse_change
+from anisefront.resp_gateway.errors import DiscoveryError
+from anisefront.resp_gateway.watch_codec import WatchReader
+from anisefront.resp_gateway.command_mapping import CommandMapper, load_report_values
+from anisefront.resp_gateway.errors import InvalidCommandError
 from anisefront.policy.events import AttemptResult, EndpointStatus
 
 ASK = [b"Q.ASK", b"00000000b4d65521", b"9b1f03aa5c7e2d41", b"c=look,t=rated,d=480,units=2,spread=3,first=1"]
@@ -22,12 +27,12 @@
 
 
 def test_commands_cut_at_every_byte_are_the_same():
-    data = resp.command(ASK) + resp.command(DO) + resp.command([b"PING"])
+    data = resp_codec.encode_command(ASK) + resp_codec.encode_command(DO) + resp_codec.encode_command([b"PING"])
     for cut in range(len(data)):
-        reader = resp.CommandReader()
+        reader = resp_codec.CommandReader()
         assert reader.feed(data[:cut]) + reader.feed(data[cut:]) == [ASK, DO, [b"PING"]]
-        assert not reader.midway and reader.fault is None
-    reader = resp.CommandReader()
+        assert not reader.has_partial and reader.error is None
+    reader = resp_codec.CommandReader()
     assert [each for byte in data for each in reader.feed(bytes([byte]))] == [ASK, DO, [b"PING"]]
 
 
@@ -57,33 +62,33 @@
     ],
 )
 def test_what_cannot_be_read_is_refused_when_it_is_read(data):
-    reader = resp.CommandReader()
-    assert reader.feed(resp.command([b"PING"]) + data) == [[b"PING"]]
-    assert reader.fault is not None and reader.fault.line.startswith(b"ERR Protocol error")
-    assert not reader.feed(resp.command([b"PING"])) and not reader.midway
+    reader = resp_codec.CommandReader()
+    assert reader.feed(resp_codec.encode_command([b"PING"]) + data) == [[b"PING"]]
+    assert reader.error is not None and reader.error.error_line.startswith(b"ERR Protocol error")
+    assert not reader.feed(resp_codec.encode_command([b"PING"])) and not reader.has_partial
 
 
 def test_a_promised_length_holds_nothing():
-    reader = resp.CommandReader()
+    reader = resp_codec.CommandReader()
     reader.feed(b"*4\r\n$65536\r\n")
-    assert reader.fault is None and reader.midway and len(reader._in) == 0
+    assert reader.error is None and reader.has_partial and len(reader._buffer) == 0
 
 
 @given(st.binary(max_size=200))
 def test_noise_is_a_fault_or_waits(data):
-    reader = resp.CommandReader()
+    reader = resp_codec.CommandReader()
     reader.feed(b"*2\r\n" + data)
-    answers = resp.AnswerReader()
+    answers = resp_codec.WorkerReplyReader()
     try:
         answers.feed(data)
-    except resp.RespFault as problem:
-        assert b"\r" not in problem.line and b"\n" not in problem.line
+    except RespProtocolError as problem:
+        assert b"\r" not in problem.error_line and b"\n" not in problem.error_line
 
 
 @given(st.lists(st.lists(st.binary(max_size=30), min_size=1, max_size=5), max_size=5), st.integers(1, 40))
 def test_what_is_written_is_read_however_it_is_cut(commands, step):
-    data = b"".join(map(resp.command, commands))
-    reader = resp.CommandReader()
+    data = b"".join(map(resp_codec.encode_command, commands))
+    reader = resp_codec.CommandReader()
     assert [each for at in range(0, len(data), step) for each in reader.feed(data[at : at + step])] == commands
 
 
@@ -94,11 +99,13 @@
 
 def test_answers_cut_at_every_byte_are_the_same():
     for cut in range(len(SERVED)):
-        reader = resp.AnswerReader()
+        reader = resp_codec.WorkerReplyReader()
         found = reader.feed(SERVED[:cut])
         assert found is None
         answer = reader.feed(SERVED[cut:])
-        assert answer == resp.Answer(b"va\r\nl", b"", b"", b"inflight=7,util=0.61,x") and not reader.midway
+        assert (
+            answer == resp_codec.WorkerReply(b"va\r\nl", b"", b"", b"inflight=7,util=0.61,x") and not reader.has_partial
+        )
 
 
 @pytest.mark.parametrize(
@@ -114,8 +121,8 @@
     ],
 )
 def test_error_lines_and_what_they_prove(data, result, report):
-    answer, clean = RespAnswers().feed(data)
-    assert outcome(answer) == (result, report)
+    answer, clean = WorkerConnectionCodec().feed(data)
+    assert classify_reply(answer) == ReplyOutcome(result, report)
     assert clean is (result is not None)
 
 
@@ -138,19 +145,19 @@
     ],
 )
 def test_spoilt_answers_are_faults(data):
-    with pytest.raises(resp.RespFault):
-        resp.AnswerReader().feed(data)
+    with pytest.raises(RespProtocolError):
+        resp_codec.WorkerReplyReader().feed(data)
 
 
 def test_what_follows_an_answer_leaves_its_connection_unclean():
-    answers = RespAnswers()
+    answers = WorkerConnectionCodec()
     assert answers.feed(SERVED)[1]
     answer, clean = answers.feed(SERVED + b"x")
-    assert answer.value == b"va\r\nl" and not clean
+    assert answer.payload == b"va\r\nl" and not clean
 
 
 def test_reports_go_by_name_and_what_cannot_be_read_is_as_none():
-    assert report_row(b"inflight=7,queue=2,util=0.61", ("util", "inflight")) == (0.61, 7.0)
+    assert load_report_values(b"inflight=7,queue=2,util=0.61", ("util", "inflight")) == (0.61, 7.0)
     for report in (
         b"",
         b"inflight=7",
@@ -161,29 +168,35 @@
         b"util=inf,inflight=1",
         b"util=1,inflight=1," + b"a=1," * 200,
     ):
-        assert report_row(report, ("util", "inflight")) == ()
+        assert load_report_values(report, ("util", "inflight")) == ()
 
 
 def test_refusals_tell_when_to_come_back():
-    assert refusal(0.0) == b"-BUSY\r\n" and refusal(249.6) == b"-BUSY 250\r\n" and refusal(0.2) == b"-BUSY 1\r\n"
+    assert (
+        encode_rejection(0.0) == b"-BUSY\r\n"
+        and encode_rejection(249.6) == b"-BUSY 250\r\n"
+        and encode_rejection(0.2) == b"-BUSY 1\r\n"
+    )
 
 
 # ---- terms ---------------------------------------------------------------------------------------
 
 
 def test_a_request_is_read_and_goes_on_with_its_own_deadline():
-    wanted = Reader(settings()).read(ASK)
+    wanted = CommandMapper(settings()).to_request(ASK)
     assert (wanted.customer, wanted.class_name, wanted.plan_name) == ("00000000b4d65521", "look", "rated")
-    assert (wanted.wait_ms, wanted.units, wanted.spread, wanted.first_gateway) == (480.0, 2.0, 3, 1)
-    reader = resp.CommandReader()
-    assert reader.feed(wanted.command(77.9)) == [[*ASK[:3], ASK[3].replace(b"d=480", b"d=77")]]
-    assert reader.feed(Reader(settings()).read(DO).command(0.2)) == [[*DO[:3], DO[3].replace(b"d=480", b"d=1"), DO[4]]]
+    assert (wanted.timeout_ms, wanted.units, wanted.spread, wanted.first_gateway) == (480.0, 2.0, 3, 1)
+    reader = resp_codec.CommandReader()
+    assert reader.feed(wanted.worker_command(77.9)) == [[*ASK[:3], ASK[3].replace(b"d=480", b"d=77")]]
+    assert reader.feed(CommandMapper(settings()).to_request(DO).worker_command(0.2)) == [
+        [*DO[:3], DO[3].replace(b"d=480", b"d=1"), DO[4]]
+    ]
 
 
 def test_the_deadline_is_found_wherever_it_stands():
     for terms in (b"d=9,c=look,t=rated", b"c=look,t=rated,d=9", b"c=look,d=9,t=rated,units=1"):
-        wanted = Reader(settings()).read([*ASK[:3], terms])
-        assert wanted.before + b"9" + wanted.after == terms
+        wanted = CommandMapper(settings()).to_request([*ASK[:3], terms])
+        assert wanted.terms_before_timeout + b"9" + wanted.terms_after_timeout == terms
 
 
 @pytest.mark.parametrize(
@@ -216,8 +229,8 @@
     ],
 )
 def test_terms_that_cannot_be_used_are_named(old, new):
-    with pytest.raises(TermsFault):
-        Reader(settings()).read([*ASK[:3], ASK[3].replace(old, new)])
+    with pytest.raises(InvalidCommandError):
+        CommandMapper(settings()).to_request([*ASK[:3], ASK[3].replace(old, new)])
 
 
 @pytest.mark.parametrize(
@@ -235,8 +248,8 @@
     ],
 )
 def test_commands_that_cannot_be_used_are_named(parts):
-    with pytest.raises(TermsFault):
-        Reader(settings()).read(parts)
+    with pytest.raises(InvalidCommandError):
+        CommandMapper(settings()).to_request(parts)
 
 
 # ---- discovery and configuration -----------------------------------------------------------------
@@ -272,7 +285,7 @@
     for step in (1, 7, len(data)):
         reader = WatchReader()
         found = [each for at in range(0, len(data), step) for each in reader.feed(data[at : at + step])]
-        assert [each.index for each in found] == [43, 44] and found[0].snapshot
+        assert [each.version for each in found] == [43, 44] and found[0].snapshot
         assert found[1].entries[0].endpoint.status is EndpointStatus.REMOVED
 
 
@@ -290,20 +303,20 @@
     ],
 )
 def test_a_watch_that_cannot_be_read_is_a_fault(data):
-    with pytest.raises(DiscoveryFault):
+    with pytest.raises(DiscoveryError):
         WatchReader().feed(data)
 
 
 def test_names_and_addresses_are_apart_and_old_news_changes_nothing():
-    book = Book()
-    fleet, moved = book.apply(read_change(change(5, row("s1"), row("s2", "127.0.0.1:7001"), snapshot=True)))
-    assert [each.id for each in fleet.endpoints] == ["s1", "s2"] and moved == []
-    fleet, moved = book.apply(read_change(change(6, row("s1", status="left"), row("s3"))))  # a new one at its address
-    assert moved == ["s1"] and book.address_of("s1") is None and book.address_of("s3") == ("127.0.0.1", 7000)
-    assert [each.id for each in fleet.endpoints] == ["s2", "s3"]
-    assert book.apply(read_change(change(6, row("s1")))) == (None, [])
-    _, moved = book.apply(read_change(change(7, row("s2", "127.0.0.1:7009"), row("s3", since=5))))
-    assert sorted(moved) == ["s2", "s3"]
+    book = EndpointDirectory()
+    first = book.apply(parse_change(change(5, row("s1"), row("s2", "127.0.0.1:7001"), snapshot=True)))
+    assert [each.id for each in first.endpoints.endpoints] == ["s1", "s2"] and first.replaced == []
+    second = book.apply(parse_change(change(6, row("s1", status="left"), row("s3"))))  # a new one at its address
+    assert second.replaced == ["s1"] and book.address_of("s1") is None and book.address_of("s3") == ("127.0.0.1", 7000)
+    assert [each.id for each in second.endpoints.endpoints] == ["s2", "s3"]
+    assert book.apply(parse_change(change(6, row("s1")))) == AppliedChange(None, [])
+    third = book.apply(parse_change(change(7, row("s2", "127.0.0.1:7009"), row("s3", since=5))))
+    assert sorted(third.replaced) == ["s2", "s3"]
 
 
 WIRE_SETTINGS = {
@@ -355,9 +368,9 @@
 
 
 def test_the_configuration_is_read_whole():
-    config = node_config(found(), {})
+    config = parse_config(found(), {})
     assert (config.name, config.seed, config.listen) == ("n1", 0x8C1F, ("127.0.0.1", 6379))
-    assert (config.memory_mb, config.sockets, config.known.index) == (64.0, 256, 41)
+    assert (config.memory_mb, config.sockets, config.known_endpoints.version) == (64.0, 256, 41)
     assert (config.connect_timeout_ms, config.idle_ms) == (333.0, 15000.0)
     assert config.settings.max_customers == (64 - 28) * 256
     assert config.settings.number == 1 and config.settings.load_report_fields == ("util", "inflight")
@@ -377,10 +390,10 @@
     ],
 )
 def test_what_is_wrong_in_the_configuration_is_named(more, place):
-    with pytest.raises(ConfigFault, match=f"^{place}"):
-        node_config(found(**more), {})
+    with pytest.raises(InstanceConfigError, match=f"^{place}"):
+        parse_config(found(**more), {})
 
 
 def test_the_environment_stands_in_for_addresses():
-    config = node_config(found(listen=None, discovery=None), {"PROXY_LISTEN": "127.0.0.9:1", "PROXY_DISCOVERY": "h:2"})
+    config = parse_config(found(listen=None, discovery=None), {"PROXY_LISTEN": "127.0.0.9:1", "PROXY_DISCOVERY": "h:2"})
     assert config.listen == ("127.0.0.9", 1) and config.discovery == ("h", 2)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,7 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from anisefront.daemon.lifecycle import TABLE, Do, Lifecycle, Phase, Step
-from anisefront.resp_gateway.config import node_config
+from anisefront.resp_gateway.instance_config import parse_config
 from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
 
 # ---- every order of steps ---------------------------------------------------------------------------
@@ -99,7 +99,7 @@
 
 
 def config(*deadlines):
-    return node_config(
+    return parse_config(
         found(
             listen=f"127.0.0.1:{free_port()}",
             discovery="127.0.0.1:1",
@@ -148,9 +148,9 @@
 
 def test_other_settings_after_a_hang_up_have_their_own_kill():
     _, made, _ = draining(5000, again=(5000, 5000))
-    assert made.front.latest_ms == 3400
+    assert made.front.latest_reply_ms == 3400
     _, made, _ = draining(900, again=(900, 2000))
-    assert made.front.latest_ms == 2400
+    assert made.front.latest_reply_ms == 2400
 
 
 def test_who_had_come_before_the_listener_closes_is_let_in():
@@ -263,7 +263,10 @@
 
 def test_two_signals_to_end_in_one_turn_are_one(house):  # noqa: F811
     worker = house(Worker(work_s=0.5))
-    prelude = "from anisefront.resp_gateway import front\nbefore(front.Client, '_ask', signal.SIGTERM, signal.SIGTERM)"
+    prelude = (
+        "from anisefront.resp_gateway.client_connection import ClientConnection\n"
+        "before(ClientConnection, '_handle_request', signal.SIGTERM, signal.SIGTERM)"
+    )
     rows = [row("s1", worker.address)]
     made = type("Made", (Staged,), {"prelude": prelude})
     node = house(made(house.folder, house(Discovery(*rows)).address, *rows))
--- a/tests/test_terms_processes.py
+++ b/tests/test_terms_processes.py
@@ -13,7 +13,7 @@
 from test_node_loopback import ROOT, Discovery, Node, Worker, ask, house  # noqa: F401
 from test_node_wire import row
 
-from anisefront.resp_gateway import resp
+from anisefront.resp_gateway import resp_codec
 
 SOCKETS = 128
 
@@ -67,7 +67,7 @@
         link = socket.create_connection(("127.0.0.1", node.port))
         link.settimeout(5)
         links.append(link)
-        link.sendall(resp.command([b"PING"]))
+        link.sendall(resp_codec.encode_command([b"PING"]))
     node.process.send_signal(signal.SIGCONT)
     time.sleep(0.5)
     discovery.returns.set()
@@ -175,7 +175,7 @@
         number += 1
         link = links.pop() if number % 8 == 1 and links else socket.create_connection(("127.0.0.1", node.port))
         link.settimeout(5)
-        data = resp.command(
+        data = resp_codec.encode_command(
             [b"Q.ASK", b"00000000b4d65521", b"%016x" % number, b"c=look,t=rated,d=1400,units=1,spread=1,first=0"]
         )
         try:
@@ -192,9 +192,9 @@
         except ConnectionError:
             said = b""
         link.close()
-        answered += said == resp.bulk(b"value for " + number)
+        answered += said == resp_codec.encode_bulk(b"value for " + number)
         assert (
-            said == resp.bulk(b"value for " + number)
+            said == resp_codec.encode_bulk(b"value for " + number)
             or said[:5] == b"-BUSY"
             or not said
             and number not in [each for each, _ in worker.took]
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -17,11 +17,11 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
-from anisefront.resp_gateway import front as fronts
-from anisefront.resp_gateway import resp
-from anisefront.resp_gateway import watch as watches
-from anisefront.resp_gateway.config import node_config
-from anisefront.resp_gateway.discovery import Book, read_change
+from anisefront.resp_gateway import connection_limits
+from anisefront.resp_gateway import resp_codec
+from anisefront.resp_gateway import discovery_watch
+from anisefront.resp_gateway.instance_config import parse_config
+from anisefront.resp_gateway.endpoint_changes import EndpointDirectory, parse_change
 from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
 from anisefront.policy.actions import Fail, Reject, SetTimer, StartAttempt
 from anisefront.policy.controller import Controller
@@ -52,7 +52,7 @@
     stage.client([b"PING"])  # one came in the last look
     links = [stage._keep(socket.create_connection(("127.0.0.1", stage.port.getHost().port))) for _ in range(30)]
     for link in links:
-        link.sendall(resp.command([b"PING"]))
+        link.sendall(resp_codec.encode_command([b"PING"]))
     gatekeeper = NodeGatekeeper.__new__(NodeGatekeeper)
     gatekeeper._port = stage.port
     gatekeeper._stop_listening()
@@ -65,7 +65,7 @@
 
 def test_however_many_come_in_one_look_they_hold_no_more_descriptors_than_the_caps_leave_them():
     """What is cut off for others has its descriptor until the next turn, and the watch may need one in this."""
-    stage = Stage(most_connections=10, most_closing=4)
+    stage = Stage(max_connections=10, max_closing=4)
     try:
 
         def held():
@@ -78,7 +78,7 @@
         for _ in range(6):
             stage.reactor.iterate(0)
             most = max(most, held() - before)
-        assert most <= 10 + 4 + fronts.MOST_CUT
+        assert most <= 10 + 4 + connection_limits.MAX_ABORTED
         new = stage.client([b"PING"])
         assert new.recv(100) == b"+PONG\r\n" and len(links) == 45
     finally:
@@ -199,15 +199,15 @@
     )
 
     def __init__(self, seed):
-        self.rng, self.reactor, self.book = random.Random(seed), MemoryReactorClock(), Book()
+        self.rng, self.reactor, self.book = random.Random(seed), MemoryReactorClock(), EndpointDirectory()
         self.well_s, self.index, self.calls, self.at = self.rng.uniform(0, 9), 50, [], 0
-        self.watch = watches.Watch(
+        self.watch = discovery_watch.DiscoveryWatch(
             self.reactor,
             ("127.0.0.1", 8500),
-            lambda: self.book.index,
+            lambda: self.book.version,
             self.book.apply,
             lambda why: None,
-            self.book.forget_version,
+            self.book.reset_version,
         )
 
     @property
@@ -251,7 +251,7 @@
                 self.index += 1
             for call in self.calls:
                 call.step()
-            if self.now > self.well_s + BOUND_S and self.book.index != self.index:
+            if self.now > self.well_s + BOUND_S and self.book.version != self.index:
                 return round(self.now - self.well_s, 2)
         return None
 
@@ -351,7 +351,7 @@
         self.made = []
         for n in range(2):
             made = NodeGatekeeper(
-                node_config(
+                parse_config(
                     found(settings=WIRE_SETTINGS | {"myNumber": n}, known=change(41, *rows, snapshot=True)), {}
                 ),
                 self.reactor,
@@ -368,7 +368,9 @@
             self.client.protocol = self.made[0].front.buildProtocol(None)
             self.client.protocol.makeConnection(self.client)
             terms = b"c=look,t=rated,d=1400,units=4,spread=2,first=0"
-            self.client.protocol.dataReceived(resp.command([b"Q.ASK", b"%016x" % number, b"%016x" % number, terms]))
+            self.client.protocol.dataReceived(
+                resp_codec.encode_command([b"Q.ASK", b"%016x" % number, b"%016x" % number, terms])
+            )
             self.reactor.advance(0.001)
             if self.mail:
                 return
@@ -445,7 +447,7 @@
     two.go_on()
     port = two.reactor.tcpClients[0][1]
     rows = [row(f"s{n}", f"127.0.0.1:{7000 + n}") for n in range(4) if 7000 + n != port]
-    two.made[0].told(read_change(change(43, *rows, snapshot=True)))  # it still listens, and its connection comes up
+    two.made[0].told(parse_change(change(43, *rows, snapshot=True)))  # it still listens, and its connection comes up
     for _ in range(40):
         two.connect()
         two.reactor.advance(0.02)
@@ -457,7 +459,7 @@
 
 
 def test_commands_in_pieces_are_taken_once_each_whole_and_in_order():
-    data = resp.command(ASK) + resp.command([b"PING"]) + resp.command(DO)
+    data = resp_codec.encode_command(ASK) + resp_codec.encode_command([b"PING"]) + resp_codec.encode_command(DO)
     for cut in range(1, len(data)):
         house = House()
         client = house.client()
@@ -468,4 +470,7 @@
         first, second = (each.id for each in house.module.arrivals)
         house.turn(Fail(second))
         house.turn(Reject(first, 0.0))
-        assert client.take() == b"-BUSY\r\n+PONG\r\n-ERR failed\r\n" and client.protocol.place == fronts.IDLE
+        assert (
+            client.take() == b"-BUSY\r\n+PONG\r\n-ERR failed\r\n"
+            and client.protocol.state == connection_limits.ConnectionState.IDLE
+        )
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -10,8 +10,10 @@
 from twisted.internet import error
 from twisted.python.failure import Failure
 
-from anisefront.resp_gateway import watch as watches
-from anisefront.resp_gateway.discovery import Book, DiscoveryFault, WatchReader
+from anisefront.resp_gateway import discovery_watch
+from anisefront.resp_gateway.endpoint_changes import EndpointDirectory
+from anisefront.resp_gateway.errors import DiscoveryError
+from anisefront.resp_gateway.watch_codec import WatchReader
 
 BOUND_S = 6.0
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -26,7 +28,7 @@
         super().__init__()
         self.manners, self.links = list(manners), []
         self.reactor.tcpClients.clear()
-        self.watch._factory.clientConnectionFailed(None, Failure(error.ConnectionRefusedError()))
+        self.watch._connecting.clientConnectionFailed(None, Failure(error.ConnectionRefusedError()))
         self.at = 0
 
     def play(self, seconds, stop=lambda: False):
@@ -113,18 +115,18 @@
     assert discovery.links[-1].manner is well
     assert discovery.reactor.seconds() - silent_since <= BOUND_S * (1 + silences)
     discovery.play(10)
-    assert len(discovery.watch.links) == 1 and not discovery.links[-1].aborted
+    assert len(discovery.watch.connections) == 1 and not discovery.links[-1].aborted
 
 
 def test_while_discovery_is_down_there_is_always_an_open_watch_for_what_it_tells_at_its_return():
     discovery = Discovery(falls_silent, silent_at_first)
-    discovery.play(watches.QUIET_S + watches.FIRST_S + 0.2)
+    discovery.play(discovery_watch.HEARTBEAT_TIMEOUT_S + discovery_watch.FIRST_LINE_TIMEOUT_S + 0.2)
     for _ in range(80):
         discovery.play(0.1)
         live = [link for link in discovery.links if not link.aborted]
-        assert 1 <= len(live) <= watches.MOST_LINKS
+        assert 1 <= len(live) <= discovery_watch.MAX_WATCHES
     say(live[0], HEAD + LIST[len(HEAD) :] if live[0] is not discovery.links[0] else LIST[len(HEAD) :])
-    assert [each.index for each in discovery.changes][-1] == 43
+    assert [each.version for each in discovery.changes][-1] == 43
     assert [link for link in discovery.links if not link.aborted] == [live[0]]
 
 
@@ -137,7 +139,7 @@
 def test_one_that_ends_after_each_answer_is_not_asked_in_a_circle():
     discovery = Discovery(lambda link, open_s: say(link, LIST + b"0\r\n\r\n") if open_s == 0 else None)
     discovery.play(5)
-    assert discovery.at <= 5 / watches.AGAIN_S[0]
+    assert discovery.at <= 5 / discovery_watch.BACKOFF_S[0]
 
 
 def test_what_cannot_be_read_is_said_once_and_the_last_list_stays_in_force():
@@ -158,14 +160,14 @@
     for size in (1, 7, len(data)):
         reader = WatchReader()
         found = [each for at in range(0, len(data), size) for each in reader.feed(data[at : at + size])]
-        assert [len(each.entries) for each in found] == [2, 2] and reader.lines == 4
+        assert [len(each.entries) for each in found] == [2, 2] and reader.heartbeats == 4
         assert found[0].entries[1].endpoint.id == 's"}]{['
 
 
 def test_an_object_that_never_ends_has_a_cap():
     reader = WatchReader()
     reader.feed(HEAD + b"2\r\n{\n\r\n")
-    with pytest.raises(DiscoveryFault):
+    with pytest.raises(DiscoveryError):
         for _ in range(100):
             reader.feed(b"10000\r\n" + b'"x",' * 16383 + b'"x"\n' + b"\r\n")
 
@@ -178,9 +180,9 @@
 
     def __init__(self):
         super().__init__()
-        self.book = Book()
-        self.watch.index, self.watch.told = lambda: self.book.index, self.book.apply
-        self.watch.forget = self.book.forget_version
+        self.book = EndpointDirectory()
+        self.watch.known_version, self.watch.on_change = lambda: self.book.version, self.book.apply
+        self.watch.on_version_reset = self.book.reset_version
 
 
 def tell(link, *changes):
@@ -195,7 +197,7 @@
 def test_a_discovery_that_counts_anew_from_below_is_asked_for_all_and_believed():
     kept = Kept()
     tell(kept.link(), change(41, row("s1", "127.0.0.1:1"), row("s2", "127.0.0.1:2"), snapshot=True))
-    kept.watch.links[0].abort()
+    kept.watch.connections[0].abort()
     kept.reactor.advance(0.2)
     link = kept.link()
     assert b"from=41 " in link.take()
@@ -205,14 +207,14 @@
     link = kept.link()
     assert b"from=0 " in link.take()
     tell(link, change(3, row("s1", "127.0.0.1:1", "leaving")), change(4, row("s2", "127.0.0.1:2", "left")))
-    assert kept.book.index == 4 and set(kept.book.entries) == {"s1"}
+    assert kept.book.version == 4 and set(kept.book.entries) == {"s1"}
     assert kept.book.entries["s1"].endpoint.status.value == "draining"
 
 
 def test_another_discovery_after_a_hang_up_has_versions_of_its_own():
     kept = Kept()
     tell(kept.link(), change(41, row("s1", "127.0.0.1:1"), snapshot=True))
-    kept.watch.move(("127.0.0.1", 8501))
+    kept.watch.change_address(("127.0.0.1", 8501))
     link = kept.link()
     assert b"from=0 " in link.take() and set(kept.book.entries) == {"s1"}
     tell(link, change(2, row("s1", "127.0.0.1:1", "leaving")))
@@ -239,22 +241,24 @@
     told = Told()
     link = told.link()
     link.protocol.dataReceived(LIST)
-    told.watch.move(("127.0.0.1", 8500))
+    told.watch.change_address(("127.0.0.1", 8500))
     assert len(told.reactor.tcpClients) == 1 and not link.aborted
-    told.watch.move(("127.0.0.1", 8501))
+    told.watch.change_address(("127.0.0.1", 8501))
     first = told.reactor.tcpClients[-1][2]
-    told.watch.move(("127.0.0.1", 8502))
+    told.watch.change_address(("127.0.0.1", 8502))
     assert link.aborted and first.buildProtocol(None) is None  # it came up all the same: it is closed
     told.link().protocol.dataReceived(LIST)
-    assert len(told.watch.links) == 1 and len(told.reactor.tcpClients) == 3
+    assert len(told.watch.connections) == 1 and len(told.reactor.tcpClients) == 3
 
 
 def test_a_move_before_the_start_opens_one_watch():
     told = Told()
     told.watch.stop()
     told.reactor.tcpClients.clear()
-    fresh = watches.Watch(told.reactor, ("127.0.0.1", 1), lambda: 0, told.changes.append, told.faults.append)
-    fresh.move(("127.0.0.1", 2))
+    fresh = discovery_watch.DiscoveryWatch(
+        told.reactor, ("127.0.0.1", 1), lambda: 0, told.changes.append, told.faults.append
+    )
+    fresh.change_address(("127.0.0.1", 2))
     assert not told.reactor.tcpClients
     fresh.start()
     assert [each[:2] for each in told.reactor.tcpClients] == [("127.0.0.1", 2)]
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -44,10 +44,11 @@
 from anisefront.cluster.keeper import Kept
 from anisefront.frontends import accesslog, authorization, health, jsonrpc
 from anisefront.frontends.grpcserver import GrpcFactory
-from anisefront.resp_gateway import resp, terms
-from anisefront.resp_gateway.carrier import FAILED, outcome, refusal
-from anisefront.resp_gateway.config import node_config
-from anisefront.resp_gateway.discovery import Book, WatchReader, watch_request
+from anisefront.resp_gateway import command_mapping, resp_codec
+from anisefront.resp_gateway.resp_requests import FAILED_REPLY, classify_reply, encode_rejection
+from anisefront.resp_gateway.instance_config import parse_config
+from anisefront.resp_gateway.endpoint_changes import EndpointDirectory
+from anisefront.resp_gateway.watch_codec import WatchReader, encode_watch_request
 from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
 from anisefront.policy import peer_codec
 from anisefront.protocols import grpc, http1, orca, trace
@@ -469,20 +470,24 @@
 
 
 def _commands(data: bytes) -> Any:
-    reader = resp.CommandReader()
-    return [plain(reader.feed(data)), reader.fault is None]
+    reader = resp_codec.CommandReader()
+    return [plain(reader.feed(data)), reader.error is None]
 
 
 def _wanted(data: bytes) -> Any:
-    (command,) = resp.CommandReader().feed(data)
-    wanted = terms.Reader(settings()).read(command)
+    (command,) = resp_codec.CommandReader().feed(data)
+    wanted = command_mapping.CommandMapper(settings()).to_request(command)
     return plain(wanted)
 
 
 def _answer(data: bytes) -> Any:
-    reader = resp.AnswerReader()
+    reader = resp_codec.WorkerReplyReader()
     answer = reader.feed(data)
-    return [plain(answer), plain(outcome(answer)), plain(terms.report_row(answer.report, ("util", "inflight")))]
+    return [
+        plain(answer),
+        plain(classify_reply(answer)),
+        plain(command_mapping.load_report_values(answer.load_report, ("util", "inflight"))),
+    ]
 
 
 def resp_samples() -> dict[str, Sample]:
@@ -515,7 +520,10 @@
     out = {f"to a client, {name}": Sample(lambda make=make: make()[1], bytes.hex) for name, make in client.items()}
     worker = {"asked": _f(ASK, action=go, worker=SERVED), "done": _f(DO, action=go, worker=SERVED)}
     out |= {f"to a worker, {name}": Sample(lambda make=make: make()[0], _wanted) for name, make in worker.items()}
-    out["commands"] = Sample(lambda: resp.command(ASK) + resp.command(DO) + resp.command([b"PING"]), _commands)
+    out["commands"] = Sample(
+        lambda: resp_codec.encode_command(ASK) + resp_codec.encode_command(DO) + resp_codec.encode_command([b"PING"]),
+        _commands,
+    )
     answers = {
         "served": SERVED,
         "busy": b"-BUSY util=0.5,inflight=3\r\n",
@@ -524,8 +532,10 @@
         "figures": b"*3\r\n$1\r\nx\r\n:5\r\n+util=1,inflight=2\r\n",
     }
     out |= {f"from a worker, {name}": Sample(lambda data=data: data, _answer) for name, data in answers.items()}
-    out["refusal"] = Sample(lambda: refusal(0.0) + refusal(0.2) + refusal(250.0) + FAILED, bytes.hex)
-    out["error of two lines"] = Sample(lambda: resp.error(b"ERR a\r\nb"), bytes.hex)
+    out["refusal"] = Sample(
+        lambda: encode_rejection(0.0) + encode_rejection(0.2) + encode_rejection(250.0) + FAILED_REPLY, bytes.hex
+    )
+    out["error of two lines"] = Sample(lambda: resp_codec.encode_error(b"ERR a\r\nb"), bytes.hex)
     return out
 
 
@@ -535,16 +545,25 @@
 
 def _told(data: bytes) -> Any:
     """What is known of the workers after the answer to a watch."""
-    reader, book, out = WatchReader(), Book(), []
+    reader, book, out = WatchReader(), EndpointDirectory(), []
     for told in reader.feed(data):
-        fleet, moved = book.apply(told)
-        out.append([book.index, plain(fleet), moved, {name: list(each.address) for name, each in book.entries.items()}])
+        applied = book.apply(told)
+        out.append(
+            [
+                book.version,
+                plain(applied.endpoints),
+                applied.replaced,
+                {name: list(each.address) for name, each in book.entries.items()},
+            ]
+        )
     return out
 
 
 def discovery_samples() -> dict[str, Sample]:
     """The request that opens a watch, and answers to it."""
-    request = Sample(lambda: watch_request(41, "127.0.0.1:8500"), lambda data: plain(http1.Reader(True).feed(data)[0]))
+    request = Sample(
+        lambda: encode_watch_request(41, "127.0.0.1:8500"), lambda data: plain(http1.Reader(True).feed(data)[0])
+    )
     lines = [
         json.dumps(each).encode() + b"\n"
         for each in (
@@ -1017,14 +1036,16 @@
     known = change(41, row("s1", "127.0.0.1:7001"), snapshot=True)
     own_settings = WIRE_SETTINGS | {"balancers": 1, "myNumber": 0}
     made = NodeGatekeeper(
-        node_config(found(settings=own_settings, known=known, peers=[], peer_listen=None), {}),
+        parse_config(found(settings=own_settings, known=known, peers=[], peer_listen=None), {}),
         reactor,
         lambda: 1e6 + reactor.seconds() * 1000,
     )
     made.prepare()
     client = House.worker_transport(made.front)
     terms_ = b"c=look,t=rated,d=480"
-    client.protocol.dataReceived(resp.command([*ASK[:3], terms_]) + resp.command([b"GET", b"x"]))
+    client.protocol.dataReceived(
+        resp_codec.encode_command([*ASK[:3], terms_]) + resp_codec.encode_command([b"GET", b"x"])
+    )
     reactor.advance(0.01)
     worker = House.worker_transport(reactor.tcpClients[-1][2])
     worker.protocol.dataReceived(SERVED.replace(b",x", b"").replace(b"$22", b"$20"))
