--- a/anisefront/resp_gateway/instance.py
+++ b/anisefront/resp_gateway/instance.py
@@ -22,13 +22,15 @@
 from anisefront.daemon.request_table import create_request_table
 from anisefront.policy.settings import Settings
 from anisefront.resp_gateway.bare_datagrams import BareDatagrams
-from anisefront.resp_gateway.carrier import NodeCarrier, RespAnswers
-from anisefront.resp_gateway.config import ConfigFault, NodeConfig
-from anisefront.resp_gateway.discovery import Book, Change
-from anisefront.resp_gateway.front import Front, FrontLimits
+from anisefront.resp_gateway.command_mapping import CommandMapper
+from anisefront.resp_gateway.connection_limits import ConnectionLimits
+from anisefront.resp_gateway.discovery_watch import DiscoveryWatch
+from anisefront.resp_gateway.endpoint_changes import EndpointChange, EndpointDirectory
+from anisefront.resp_gateway.errors import InstanceConfigError
+from anisefront.resp_gateway.instance_config import InstanceConfig
+from anisefront.resp_gateway.resp_frontend import RespFrontend
+from anisefront.resp_gateway.resp_requests import RespRequests, WorkerConnectionCodec
 from anisefront.resp_gateway.state_report import STATE_KEYS, RespStateReport
-from anisefront.resp_gateway.terms import Reader
-from anisefront.resp_gateway.watch import Watch
 from anisefront.upstream.pool import Pool, PoolLimits
 
 # Division of the file descriptors.
@@ -84,7 +86,7 @@
 
     def __init__(
         self,
-        config: NodeConfig,
+        config: InstanceConfig,
         reactor: Any,
         clock: Callable[[], float] | None = None,
         on_fault: Callable[[Exception], None] | None = None,
@@ -103,17 +105,17 @@
         self.ledger = create_request_table(
             reactor, self.clock, self.log, settings, config.seed, self.peer_port, max_open, on_fault
         )
-        self.book = Book()
+        self.book = EndpointDirectory()
         budget = descriptor_budget(config.sockets)
         self._create_upstream(config, budget)
         self._create_frontend(config, budget)
-        self.watch = Watch(
+        self.watch = DiscoveryWatch(
             reactor,
             config.discovery,
-            lambda: self.book.index,
+            lambda: self.book.version,
             self.apply_endpoint_change,
             self._on_discovery_fault,
-            self.book.forget_version,
+            self.book.reset_version,
         )
         self.collector = Collector(reactor, lambda: self.ledger.open, COLLECT_INTERVAL_S)
         self._port: Any = None
@@ -121,7 +123,7 @@
         self._drain_began_ms = 0.0
         self._kill_ms = 0.0
 
-    def _create_upstream(self, config: NodeConfig, budget: DescriptorBudget) -> None:
+    def _create_upstream(self, config: InstanceConfig, budget: DescriptorBudget) -> None:
         limits = PoolLimits(
             connect_s=config.connect_timeout_ms / 1000,
             idle_s=config.idle_ms * IDLE_FRACTION / 1000,
@@ -130,25 +132,24 @@
             rest_s=REUSE_DELAY_S,
             stall_s=RESPONSE_STALL_S,
         )
-        self.pool = Pool(self.reactor, limits, RespAnswers, self.book.address_of)
-        self.carrier = NodeCarrier(self.ledger, self.pool, config.settings.load_report_fields)
+        self.pool = Pool(self.reactor, limits, WorkerConnectionCodec, self.book.address_of)
+        self.carrier = RespRequests(self.ledger, self.pool, config.settings.load_report_fields)
 
-    def _create_frontend(self, config: NodeConfig, budget: DescriptorBudget) -> None:
-        limits = FrontLimits(
+    def _create_frontend(self, config: InstanceConfig, budget: DescriptorBudget) -> None:
+        limits = ConnectionLimits(
             budget.clients,
             budget.closing,
             config.sockets // DESCRIPTORS_PER_BODY,
             int(config.memory_mb * (1 << 20) * BODY_MEMORY_FRACTION),
         )
-        self.front = Front(self.reactor, self.carrier, Reader(config.settings), self.clock, limits)
+        self.front = RespFrontend(self.reactor, self.carrier, CommandMapper(config.settings), self.clock, limits)
 
     def prepare(self) -> None:
         """Do the work of the start that needs no socket; call it before `start`."""
         config = self.config
-        if config.known is not None:
-            self.apply_endpoint_change(
-                config.known
-            )  # it may be outdated, and is used until discovery sends a newer one
+        if config.known_endpoints is not None:
+            # It may be outdated, and is used until discovery sends a newer one.
+            self.apply_endpoint_change(config.known_endpoints)
         self.log.info(
             "settings",
             settings=dataclasses.asdict(config.settings) | {"tag_key": ""},
@@ -181,23 +182,23 @@
 
     # ---- discovery and settings ----------------------------------------------------------------
 
-    def apply_endpoint_change(self, change: Change) -> None:
+    def apply_endpoint_change(self, change: EndpointChange) -> None:
         """Take over an endpoint list or a change of it."""
-        endpoints, moved = self.book.apply(change)
-        if endpoints is None:
+        applied = self.book.apply(change)
+        if applied.endpoints is None:
             return
-        self.ledger.roster(endpoints)
-        for endpoint in moved:
+        self.ledger.roster(applied.endpoints)
+        for endpoint in applied.replaced:
             self.pool.drop_worker(endpoint)
 
     def _on_discovery_fault(self, why: str) -> None:
         self.log.warning("discovery_fault", fault=why)
 
-    def reload(self, read_config: Callable[[], NodeConfig]) -> bool:
+    def reload(self, read_config: Callable[[], InstanceConfig]) -> bool:
         """Apply another configuration as a whole or reject it: discovery's address, and the settings that changed.
 
         Args:
-            read_config: Reads it; raises `ConfigFault` if it is invalid.
+            read_config: Reads it; raises `InstanceConfigError` if it is invalid.
 
         Returns:
             Whether it was applied.
@@ -206,14 +207,14 @@
         try:
             config = read_config()
             faults = _rejected_changes(before, config.settings)
-        except ConfigFault as problem:
+        except InstanceConfigError as problem:
             faults = [str(problem)]
         if faults:
             self.log.error("config_not_taken", faults=faults)
             return False
-        self.watch.move(config.discovery)
+        self.watch.change_address(config.discovery)
         if config.settings != before:
-            self.front.terms = Reader(config.settings)
+            self.front.commands = CommandMapper(config.settings)
             self.ledger.change(config.settings)
         self.config = config
         self.log.info("config", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
@@ -233,11 +234,11 @@
             requests=report_of_request_table(table),
             endpoints=len(self.book.entries),
             endpoint_connections=self.pool.connections,
-            client_connections={place: len(clients) for place, clients in self.front.places.items()},
+            client_connections={place: len(clients) for place, clients in self.front.by_state.items()},
             customer_accounts=len(controller.quota_borrower.accounts),
             quota_buckets=len(controller.quota_owner.buckets),
             response_times_ms={name: round(time_ms) for name, time_ms in times_ms.items()},
-            reported_loads={name: round(load, 2) for name, load in self.carrier.seen.items()},
+            reported_loads={name: round(load, 2) for name, load in self.carrier.statistics.items()},
             endpoint_loads=self._endpoint_loads(),
             class_shares={name: round(each.share, 2) for name, each in controller.admission.shares.items()},
             batch_durations=table.turn_ms.report(),
@@ -267,15 +268,15 @@
 
     def end_drain(self) -> None:
         """End the drain now."""
-        self.front.latest_ms = self.clock()
+        self.front.latest_reply_ms = self.clock()
 
     def _begin_drain(self) -> None:
         self._drain_began_ms = self.clock()
         longest_ms = max(each.deadline_ms for each in self.config.settings.classes)
         # Requests that SIGKILL finds unanswered are lost; with short deadlines it comes soon.
         self._kill_ms = self._drain_began_ms + min(longest_ms, MAX_DEADLINE_MS) + KILL_GRACE_MS
-        self.front.latest_ms = self._kill_ms - WRITE_MS
-        answered_within_ms = self.front.latest_ms - self._drain_began_ms
+        self.front.latest_reply_ms = self._kill_ms - WRITE_MS
+        answered_within_ms = self.front.latest_reply_ms - self._drain_began_ms
         self.log.info("draining", open=self.ledger.open, answered_within_ms=answered_within_ms)
         self.front.close_idle()
         self._wait_for_answers()
@@ -283,7 +284,7 @@
     def _wait_for_answers(self) -> None:
         """Stop listening after a while, and wait until all requests are answered or the time is up."""
         now_ms = self.clock()
-        latest_ms = self.front.latest_ms
+        latest_ms = self.front.latest_reply_ms
         listen_until_ms = min(self._drain_began_ms + LISTEN_AFTER_TERM_MS, latest_ms)
         if now_ms >= listen_until_ms and self._port is not None:
             self._stop_listening()
@@ -301,7 +302,7 @@
 
     def _is_closed(self) -> bool:
         """Return whether the last answers are written and read, or the process has to end."""
-        return self.clock() >= self._kill_ms - EXIT_MS or not any(self.front.places.values())
+        return self.clock() >= self._kill_ms - EXIT_MS or not any(self.front.by_state.values())
 
     def _end(self) -> None:
         self.watch.stop()
