--- a/anisefront/daemon/collector.py
+++ b/anisefront/daemon/collector.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from anisefront.gateway.standing import Lag
+from anisefront.gateway.event_loop_lag import LagHistogram
 
 YOUNG, MIDDLE, OLD = 5000, 4, 1_000_000  # thresholds of the three generations; the last means: not by itself
 EVERY_S, MOST_S, FEW_HELD = 60.0, 1800.0, 500
@@ -24,7 +24,7 @@
 
     def __init__(self, reactor: Any, held: Callable[[], int], every_s: float = EVERY_S) -> None:
         self._reactor, self._held, self._every_s = reactor, held, every_s
-        self.pauses, self._began, self._last = Lag(), 0.0, 0.0
+        self.pauses, self._began, self._last = LagHistogram(), 0.0, 0.0
         self._started = False
         self._settled_s: float | None = None  # since when things are frozen that were not there at the start
 
@@ -52,7 +52,7 @@
         if phase == "start":
             self._began = time.perf_counter()
         else:
-            self.pauses.take((time.perf_counter() - self._began) * 1000)
+            self.pauses.record((time.perf_counter() - self._began) * 1000)
 
     def _look(self) -> None:
         now = self._reactor.seconds()
--- a/anisefront/daemon/gatekeeper.py
+++ b/anisefront/daemon/gatekeeper.py
@@ -33,7 +33,7 @@
 from anisefront.frontends.grpcserver import GrpcFactory, ServerLimits
 from anisefront.frontends.health import Health, Serving
 from anisefront.frontends.jsonrpc import Desk, JsonRpcFactory
-from anisefront.gateway.ledger import Ledger
+from anisefront.gateway.request_table import RequestTable
 from anisefront.gateway.routing import Router, first_gateway
 from anisefront.gateway.versions import Version, next_steps
 from anisefront.policy.controller import Controller
@@ -41,19 +41,20 @@
 from anisefront.policy.endpoint_state import EndpointState
 from anisefront.policy.events import EndpointList
 from anisefront.policy.settings import Plan, RequestClass, Settings
-from anisefront.upstream import proxied
-from anisefront.upstream.own import Own
-from anisefront.upstream.pool import Pool
+from anisefront.upstream.connection_pool import ConnectionPool
+from anisefront.upstream.delegated_checks import DelegationTimeouts
+from anisefront.upstream.delegated_requests import DelegatedRequests
+from anisefront.upstream.direct_requests import DirectRequests
 
 _SHARED = (
     Settings,
     Plan,
     RequestClass,
     Controller,
-    Ledger,
-    proxied.Proxied,
-    Own,
-    Pool,
+    RequestTable,
+    DelegatedRequests,
+    DirectRequests,
+    ConnectionPool,
     CustomerAccount,
     EndpointState,
     GrpcFactory,
@@ -117,21 +118,21 @@
                     seed,
                     config.members_ms,
                 )
-        self.ledger = Ledger(
+        self.request_table = RequestTable(
             Controller(settings, seed),
             self.clock,
             reactor,
             self.peer_port.tell if self.peer_port else lambda receiver, data: None,
-            most_open=config.most_open,
-            on_fault=on_fault,
-            on_raise=lambda problem: self.log.error("action_raised", exc_info=problem),
+            max_open_requests=config.most_open,
+            on_controller_error=on_fault,
+            on_action_error=lambda problem: self.log.error("action_raised", exc_info=problem),
         )
-        limits = proxied.Limits(config.log_ms, config.ask_again_ms, park_ms=config.park_ms)
+        limits = DelegationTimeouts(config.log_ms, config.ask_again_ms, max_withheld_ms=config.park_ms)
         if self.members is not None:
-            self.members.tell_gone = self.ledger.away
-        self.proxied = proxied.Proxied(self.ledger, reactor, self.life, limits)
-        self.pool = Pool(reactor)
-        self.own = Own(self.ledger, self.pool, self.life, settings.load_report_fields)
+            self.members.tell_gone = self.request_table.set_unreachable_peers
+        self.proxied = DelegatedRequests(self.request_table, reactor, self.life, limits)
+        self.pool = ConnectionPool(reactor)
+        self.own = DirectRequests(self.request_table, self.pool, self.life, settings.load_report_fields)
         self.gate = authorization.Gate(self.router, self.proxied, self.clock, self.gateways_of)
         self.desk = Desk(self.router, self.own, self.clock, self.gateways_of, self.state)
         self.health = Health(SERVICES)
@@ -155,20 +156,20 @@
                 int(self.started_ms),
                 self.members.membership,
             )
-            self.keepers.attach(self.ledger, self.own, self.proxied)
+            self.keepers.attach(self.request_table, self.own, self.proxied)
             self.members.listener = self.keepers.members
-        self.ledger.before_turn.append(self.grpc.gather)
-        self.ledger.after_turn.append(self.grpc.flush)
+        self.request_table.batches.before_iteration.append(self.grpc.gather)
+        self.request_table.batches.after_iteration.append(self.grpc.flush)
         self.jsonrpc = JsonRpcFactory(reactor, self.desk, config.most_connections)
         self.recorder = None
         if config.recording is not None:
             self.recorder = Recorder(config.recording, settings.number, self.life, self.started_ms)
-            self.ledger.observer = self.recorder.see
+            self.request_table.processor.observer = self.recorder.see
             self._record_loop = task.LoopingCall(self.recorder.flush)
             self._record_loop.clock = reactor
         self.pulse = Pulse(reactor, self.clock, self._loop_late)
-        self.collector = Collector(reactor, lambda: self.ledger.open)
-        controller, self._measured = self.ledger.controller, (0.0, {})
+        self.collector = Collector(reactor, lambda: self.request_table.open_requests)
+        controller, self._measured = self.request_table.controller, (0.0, {})
         self._purposes = (
             memory.Purpose(
                 "accounts", lambda: controller.quota_borrower.accounts, lambda: self.config.settings.max_customers
@@ -176,9 +177,9 @@
             memory.Purpose(
                 "stores", lambda: controller.quota_owner.buckets, lambda: self.config.settings.max_customers
             ),
-            memory.Purpose("requests", lambda: self.ledger.entries, lambda: self.config.most_open),
+            memory.Purpose("requests", lambda: self.request_table.requests, lambda: self.config.most_open),
             memory.Purpose("attempts", lambda: controller.attempts.in_flight),
-            memory.Purpose("exchanges", lambda: self.proxied.exchanges, lambda: self.config.most_open),
+            memory.Purpose("exchanges", lambda: self.proxied.index.by_number, lambda: self.config.most_open),
             memory.Purpose("agenda", lambda: controller.timers.pending),
             memory.Purpose(
                 "peers", lambda: self.seal.peers if self.peer_port else {}, lambda: self.config.settings.gateways
@@ -197,7 +198,9 @@
         self.roster_fault = self.settings_fault = ""
         self.settings_ms, self.settings_counts = self.started_ms, Counter[str]()  # in force since; what became of each
         self._source = source
-        self.reloader = Reloader(reactor, self._change, lambda: self.ledger.waiting > 0, self.log, self._change_raised)
+        self.reloader = Reloader(
+            reactor, self._change, lambda: self.request_table.batches.waiting > 0, self.log, self._change_raised
+        )
         self._drained: defer.Deferred[None] | None = None
 
     @property
@@ -236,7 +239,7 @@
             self._peer_listener = port
         if self.members is not None:
             self.members.start()
-        self.log.info("started", **where, life=self.life, servers=len(self.ledger.servers))
+        self.log.info("started", **where, life=self.life, servers=len(self.request_table.endpoint_statuses))
         return where
 
     def _hear(self, sender: int, data: bytes) -> None:
@@ -248,7 +251,7 @@
             if self.keepers is not None:
                 self.keepers.hear(sender, self.seal.peers[sender].incarnation, data)
         else:
-            self.ledger.hear(sender, data)
+            self.request_table.receive_peer_message(sender, data)
 
     def _loop_late(self, late_ms: float, cause: str) -> None:
         if late_ms >= LATE_LOG_MS:
@@ -292,12 +295,12 @@
         times of the path those that begin after the change are by the new version, since proxies are in step with none
         """
         before, config = self.config, version.config
-        limits = proxied.Limits(config.log_ms, config.ask_again_ms, park_ms=config.park_ms)
+        limits = DelegationTimeouts(config.log_ms, config.ask_again_ms, max_withheld_ms=config.park_ms)
         self.version = version
-        self.ledger.most_open, self.proxied.limits = config.most_open, limits
+        self.request_table.max_open_requests, self.proxied.timeouts = config.most_open, limits
         # The module looks at each customer that it is the home of; routes and keys are not its matter.
         if config.settings != before.settings:
-            self.ledger.change(config.settings)
+            self.request_table.change_settings(config.settings)
         if self.keepers is not None:
             self.keepers.change(config)
         self.settings_ms = self.clock()
@@ -360,31 +363,31 @@
             return
         self._roster_mark, self.roster_fault = mark, ""
         self.log.info("roster", servers=len(fleet.endpoints))
-        self.ledger.roster(fleet)
+        self.request_table.update_endpoints(fleet)
 
     # ---- state ---------------------------------------------------------------------------------
 
     def state(self) -> dict[str, Any]:
         """What this gatekeeper is and does, in plain values."""
-        ledger, window = self.ledger, self.ledger.controller.concurrency_limit
+        request_table, window = self.request_table, self.request_table.controller.concurrency_limit
         return {
             "gatekeeper": self.config.settings.number,
             "of": self.config.settings.gateways,
             "life": self.life,
             "state": "draining" if self.gate.closing else "serving",
             "up_ms": round(self.clock() - self.started_ms),
-            "open": ledger.open,
-            "held": len(ledger.controller.admission.queue),
+            "open": request_table.open_requests,
+            "held": len(request_table.controller.admission.queue),
             "attempts_out": window.in_flight,
             "window": round(window.limit, 2),
-            "loop_late_ms": round(ledger.turns_late_ms, 1),
+            "loop_late_ms": round(request_table.batches.lateness_ms, 1),
             "loop": self.pulse.lag.report(),
-            "turn": ledger.turn_ms.report(),
+            "turn": request_table.batches.duration_ms.report(),
             "pauses": self.collector.pauses.report(),
             "memory": self._memory(),
             "servers": {
-                state.value: sum(each is state for each in ledger.servers.values())
-                for state in set(ledger.servers.values())
+                state.value: sum(each is state for each in request_table.endpoint_statuses.values())
+                for state in set(request_table.endpoint_statuses.values())
             },
             "roster_fault": self.roster_fault,
             "settings": {
@@ -402,7 +405,7 @@
             if self.recorder is None
             else {"written": self.recorder.written, "dropped": self.recorder.dropped, "fault": self.recorder.fault},
             "connections": {"grpc": len(self.grpc.connections), "jsonrpc": len(self.jsonrpc.connections)},
-            "counts": dict(ledger.counts),
+            "counts": dict(request_table.counts),
             "proxied": dict(self.proxied.counts),
             "grpc": dict(self.grpc.counts),
             "jsonrpc": dict(self.jsonrpc.counts),
@@ -427,7 +430,7 @@
             self.health.set_all(Serving.NOT_SERVING)
             self.reloader.stop()
             self._drain_end = self.clock() + self.config.drain_ms
-            self.log.info("draining", open=self.ledger.open)
+            self.log.info("draining", open=self.request_table.open_requests)
             self._wait_for_end()
         return self._drained
 
@@ -436,7 +439,7 @@
         self._drain_end = self.clock()
 
     def _wait_for_end(self) -> None:
-        if self.ledger.entries and self.clock() < self._drain_end:
+        if self.request_table.requests and self.clock() < self._drain_end:
             self.reactor.callLater(0.02, self._wait_for_end)
             return
         self._stop_listening()
@@ -460,11 +463,11 @@
 
     def _leave(self) -> None:
         """The end of the drain: all is answered or handed over, and others are told that we go."""
-        self.log.info("drained", left_open=self.ledger.open)
+        self.log.info("drained", left_open=self.request_table.open_requests)
         if self.keepers is not None:
             self.keepers.leave()
         else:  # nobody else carries on with what is open
-            self.ledger.fail_open()
+            self.request_table.fail_open_requests()
         if self.members is not None:
             self.members.leave()
         if self.recorder is not None:
--- a/anisefront/daemon/keepers.py
+++ b/anisefront/daemon/keepers.py
@@ -19,13 +19,16 @@
 from anisefront.cluster.origin import Member, Origin
 from anisefront.config.types import Config
 from anisefront.daemon.latewake import LateWake
-from anisefront.gateway.ledger import Entry, Ledger
+from anisefront.gateway.pending_request import PendingRequest
+from anisefront.gateway.request_table import RequestTable
+from anisefront.gateway.request_terms import RequestTerms
 from anisefront.policy.events import PriorAttempts
 from anisefront.policy.settings import Idempotency
 from anisefront.protocols import http1
-from anisefront.upstream.own import Answer, Job, Own
-from anisefront.upstream.proxied import Inherited, Proxied
-from anisefront.upstream.returning import Returning, name_of
+from anisefront.upstream.deduplication import Deduplicator, request_key
+from anisefront.upstream.delegated_requests import DelegatedRequests
+from anisefront.upstream.direct_requests import DirectRequest, DirectRequests, FinalResponse
+from anisefront.upstream.inherited_requests import InheritedRequest
 
 RECORD_VERSION = 1
 LATE_MS = 50.0  # a wake-up so late means that we stood still: our sockets are read first
@@ -52,12 +55,14 @@
         self.keeper = Keeper(settings.number, life, config.lease_ms, config.most_records)
         self.witness = Witness(life)
         self.change(config)
-        self.returning = Returning(clock, reactor)
+        self.returning = Deduplicator(clock, reactor)
         self.counts: Counter[str] = Counter()
         # Of our bound requests in hand, by number: the name, and what a repeat does by the settings they came under.
         self._names: dict[int, tuple[bytes, Idempotency]] = {}
         self._numbers: dict[bytes, int] = {}
-        self._inherited: dict[bytes, Inherited] = {}  # proxies' requests taken over, that nobody came back for yet
+        self._inherited: dict[
+            bytes, InheritedRequest
+        ] = {}  # proxies' requests taken over, that nobody came back for yet
         self._turned: dict[bytes, set[int]] = {}  # whom to tell what becomes of a name
         self._words: OrderedDict[bytes, Word] = OrderedDict()  # what was told last of names without an answer here
         self._stood_by: dict[int, int] = {}  # who turned a request of ours away, until it has stood back
@@ -69,56 +74,59 @@
     def _ours(self, name: bytes, sender: int) -> bool:
         """Whether a request of this name is in hand here, or its answer."""
         inherited = self._inherited.pop(name, None)
-        if inherited is not None and inherited.waits:
-            if inherited.sent and self._kinds[inherited.terms[1]].idempotency is Idempotency.NON_IDEMPOTENT:
+        if inherited is not None and inherited.is_awaited:
+            if (
+                inherited.uncertain_attempts
+                and self._kinds[inherited.terms.class_name].idempotency is Idempotency.NON_IDEMPOTENT
+            ):
                 self._inherited[name] = inherited
                 return True
             # Its proxy went to another gatekeeper, and nothing stands in the way there: it goes on without us.
-            self._proxied.let_go(inherited)
+            self._proxied.inherited.release(inherited)
         number = self._numbers.get(name)
         return name in self.returning if number is None else not self.origin.gives_way(number, sender)
 
     def _kept(self, customer: str, identity: str) -> bool:
-        return name_of(customer, identity, self._settings.tag_key) in self.keeper.names
+        return request_key(customer, identity, self._settings.tag_key) in self.keeper.names
 
     def change(self, config: Config) -> None:
         """Other settings from now on."""
         self._settings, self._rooms, self._protected_only = config.settings, config.rooms, config.protected_only
         self._kinds = {kind.name: kind for kind in config.settings.classes}
 
-    def attach(self, ledger: Ledger, own: Own, proxied: Proxied) -> None:
+    def attach(self, request_table: RequestTable, own: DirectRequests, proxied: DelegatedRequests) -> None:
         """Stand between them."""
-        self._ledger, self._own, self._proxied = ledger, own, proxied
-        ledger.guard = self
-        ledger.after_turn.append(self.work)
-        own.returning = self
-        proxied.kept = self._kept
+        self._request_table, self._own, self._proxied = request_table, own, proxied
+        request_table.guard = self
+        request_table.batches.after_iteration.append(self.work)
+        own.duplicates = self
+        proxied.is_in_progress_elsewhere = self._kept
 
     # ---- the ledger's guard ----------------------------------------------------------------------
 
-    def taken(self, entry: Entry) -> bool:
+    def try_protect(self, entry: PendingRequest) -> bool:
         """Tell a keeper of a request that was accepted."""
         arrival, kind = entry.arrival, self._kinds[entry.arrival.class_name]
-        if entry.work is None:
+        if entry.replica is None:
             return True
         bound, name = kind.idempotency is not Idempotency.IDEMPOTENT, NO_NAME
         record = json.dumps(
             [
                 RECORD_VERSION,
-                entry.work.kind,
-                entry.work.identity,
+                entry.replica.kind,
+                entry.replica.identity,
                 arrival.customer,
                 arrival.class_name,
                 arrival.plan_name,
                 arrival.units,
                 arrival.first_gateway,
                 arrival.spread,
-                entry.work.data,
+                entry.replica.data,
             ],
             separators=(",", ":"),
         ).encode()
-        if entry.work.identity:
-            name = name_of(arrival.customer, entry.work.identity, self._settings.tag_key)
+        if entry.replica.identity:
+            name = request_key(arrival.customer, entry.replica.identity, self._settings.tag_key)
         if name != NO_NAME and bound:
             self._names[arrival.id] = name, kind.idempotency
             self._numbers.setdefault(name, arrival.id)
@@ -136,22 +144,22 @@
             return False
         return True
 
-    def sending(self, request: int, attempt: int, worker: str) -> bool:
+    def may_release_attempt(self, request: int, attempt: int, worker: str) -> bool:
         """Whether an attempt may leave now."""
         return self.origin.send(self._clock(), request, attempt, worker)
 
-    def refusing(self, request: int) -> bool:
+    def may_release_rejection(self, request: int) -> bool:
         """Whether a refusal may be said now."""
         return self.origin.refuse(self._clock(), request)
 
-    def never_executed(self, request: int, attempt: int) -> None:
+    def attempt_never_executed(self, request: int, attempt: int) -> None:
         """An attempt is proved never to have run."""
         self.origin.never_executed(self._clock(), request, attempt)
 
-    def over(self, request: int) -> None:
+    def request_completed(self, request: int) -> None:
         """A request has ended."""
         self.origin.over(self._clock(), request)
-        (name, repeat), entry = self._forget_name(request), self._ledger.entries.get(request)
+        (name, repeat), entry = self._forget_name(request), self._request_table.requests.get(request)
         if name is not None and name not in self.returning:
             # Danger: by its class's new settings an unsafe request that ran would be said never to have run.
             self._settled(
@@ -165,7 +173,7 @@
             return name, repeat
         return None, None
 
-    def _settled(self, name: bytes, word: Word, answer: Answer | None = None) -> None:
+    def _settled(self, name: bytes, word: Word, answer: FinalResponse | None = None) -> None:
         """Tell those that were turned away what became of the request that stood in their way."""
         receivers = self._turned.pop(name, ())
         if receivers and answer is None:
@@ -183,49 +191,49 @@
         """We go on purpose: what is still in hand is the keepers' as soon as they hear that we have left."""
         self.work()
         # Danger: what left here after the others were told that we do nothing more would run beside its taker.
-        self._ledger.stopped = True
+        self._request_table.batches.stopped = True
         self._wake.stop()
 
     # ---- clients and proxies that come back ------------------------------------------------------
 
-    def joins(
+    def try_join(
         self,
         customer: str,
         identity: str,
         class_name: str,
         deadline_at_ms: float,
-        job: Job,
-        done: Callable[[Answer], None],
+        job: DirectRequest,
+        done: Callable[[FinalResponse], None],
         go_on: Callable[[], None],
     ) -> bool:
         """A client's try. True: the work is in hand here or at one whose keeper we are, and it waits for its answer."""
-        name = name_of(customer, identity, self._settings.tag_key)
-        if self.returning.join(name, mark_of(job), done):
+        name = request_key(customer, identity, self._settings.tag_key)
+        if self.returning.try_join(name, mark_of(job), done):
             return True
         if name in self.keeper.names and self._kinds[class_name].idempotency is not Idempotency.IDEMPOTENT:
-            self.returning.expect(name, mark_of(job), deadline_at_ms, done, go_on)
+            self.returning.wait_for_outcome(name, mark_of(job), deadline_at_ms, done, go_on)
             return True
         return False
 
-    def waits(
+    def wait_for_outcome(
         self,
         customer: str,
         identity: str,
         deadline_at_ms: float,
-        job: Job,
-        done: Callable[[Answer], None],
+        job: DirectRequest,
+        done: Callable[[FinalResponse], None],
         go_on: Callable[[], None],
     ) -> None:
         """A client's try whose keeper knows another of its name: it waits for the keeper's word."""
-        name = name_of(customer, identity, self._settings.tag_key)
-        self.returning.expect(name, mark_of(job), deadline_at_ms, done, go_on)
+        name = request_key(customer, identity, self._settings.tag_key)
+        self.returning.wait_for_outcome(name, mark_of(job), deadline_at_ms, done, go_on)
         if self._standing_back is not None:
             self._reactor.callLater(ASK_S, self._ask, name, self._standing_back, ASK_S)
 
     def _ask(self, name: bytes, keeper: int, gap_s: float) -> None:
         """Danger: the word is one datagram. Where a gatekeeper dies with thousands in hand many are lost, and who waits
         for one would wait until its time is up."""
-        if self.returning.expects(name):
+        if self.returning.is_awaited(name):
             self.counts["asked_again"] += 1
             self._tell(keeper, pack(Asked(name)))
             # Spread, so that those who were turned away at once don't ask at once.
@@ -234,7 +242,7 @@
 
     def _asked(self, sender: int, name: bytes) -> None:
         self._turned.setdefault(name, set()).add(sender)
-        answer = self.returning.answer(name)
+        answer = self.returning.response_of(name)
         if answer is not None:
             self._settled(name, Word.ANSWERED, answer)
         elif name in self._words and name not in self.keeper.names and name not in self._numbers:
@@ -277,9 +285,9 @@
         if isinstance(message, Settled):
             answer = read(message.data) if message.word is Word.ANSWERED else None
             if answer is not None:
-                self.returning.settle(message.name, answer)
+                self.returning.responded_elsewhere(message.name, answer)
             else:
-                self.returning.released(message.name, message.word is not Word.NEVER_RAN)
+                self.returning.ended_elsewhere(message.name, message.word is not Word.NEVER_RAN)
             return
         if isinstance(message, Asked):
             self._asked(sender, message.name)
@@ -322,31 +330,31 @@
         origin.go, origin.answer, origin.lost, origin.elsewhere, origin.unkept = [], [], [], [], []
         keeper.taken, keeper.released, keeper.turned = [], [], []
         for request in unkept:
-            entry = self._ledger.entries.get(request)
+            entry = self._request_table.requests.get(request)
             if entry is not None and entry.arrival.class_name in self._protected_only:
-                self._ledger.turn_away(request)
+                self._request_table.reject_unprotected(request)
         for request, attempt in go:
-            self._ledger.go(request, attempt)
+            self._request_table.release_attempt(request, attempt)
         for request in answer:
-            self._ledger.answer(request)
+            self._request_table.release_rejection(request)
         for request in lost:
-            self._ledger.lose(request)
+            self._request_table.transfer_to_backup(request)
         for request in elsewhere:
-            entry = self._ledger.entries.get(request)
+            entry = self._request_table.requests.get(request)
             self._standing_back = self._stood_by.pop(request, None)
             if entry is not None and not entry.ended:
-                entry.carrier.stand_back(entry.arrival, entry.work.identity)
+                entry.handler.yield_to_duplicate(entry.arrival, entry.replica.identity)
             self._standing_back = None
         self._stood_by.clear()
         for sender, name in turned:
             self._turned.setdefault(name, set()).add(sender)
-            if self.returning.answer(name) is not None:
-                self._settled(name, Word.ANSWERED, self.returning.answer(name))
+            if self.returning.response_of(name) is not None:
+                self._settled(name, Word.ANSWERED, self.returning.response_of(name))
         for kept in released:
             if kept.name != NO_NAME and kept.bound and kept.name not in self.keeper.names:
                 # What a group drops when it comes again may be sent again; what is unsafe and may have run may not.
                 stands = bool(kept.sent) and not self._keyed(kept)
-                self.returning.released(kept.name, stands)
+                self.returning.ended_elsewhere(kept.name, stands)
                 self._settled(kept.name, Word.MAY_HAVE_RUN if stands else Word.NEVER_RAN)
         for number, life, kept in taken:
             self._take_over(number, life, kept)
@@ -377,23 +385,17 @@
             # Danger: ours had given way to the lost one, and is still here. One of them goes on, not both.
             self.counts["taken_in_hand"] += 1
             if kept.sent and not self._keyed(kept):
-                self._ledger.lose(number)
+                self._request_table.transfer_to_backup(number)
             return
         self._log.info("taken_over", origin=origin, life=life, request=kept.request, attempts=prior_attempts.attempts)
         if carrier == "own":
-            job = Job(data["method"], data["target"], data["headers"], base64.b64decode(data["body"]))
-            if kept.name != NO_NAME and not self.returning.begin(kept.name, mark_of(job), kept.until_ms):
+            job = DirectRequest(data["method"], data["target"], data["headers"], base64.b64decode(data["body"]))
+            if kept.name != NO_NAME and not self.returning.add(kept.name, mark_of(job), kept.until_ms):
                 return  # its client was here before: that try is in hand or answered
-            self._own.go_on(
+            self._own.resume(
                 job,
                 lambda answer: self._finished(kept.name, answer),
-                customer,
-                class_name,
-                plan,
-                kept.until_ms,
-                units,
-                first,
-                spread,
+                RequestTerms(customer, class_name, plan, kept.until_ms, units, first, spread),
                 identity,
                 prior_attempts,
             )
@@ -401,31 +403,25 @@
                 keeper = self.origin.kept_by(self._numbers[kept.name])
                 self._turned.setdefault(kept.name, set()).update(set() if keeper is None else {keeper})
         else:
-            inherited = self._proxied.go_on(
+            inherited = self._proxied.inherit(
                 data["life"],
                 kept.request,
                 identity,
-                customer,
-                class_name,
-                plan,
-                kept.until_ms,
-                units,
-                first,
-                spread,
+                RequestTerms(customer, class_name, plan, kept.until_ms, units, first, spread),
                 prior_attempts,
                 dict(kept.sent),
             )
             if kept.name == NO_NAME or not kept.bound:
                 return
-            while self._inherited and not next(iter(self._inherited.values())).waits:
+            while self._inherited and not next(iter(self._inherited.values())).is_awaited:
                 del self._inherited[next(iter(self._inherited))]
             self._inherited[kept.name] = inherited
             self._settled(kept.name, Word.NEVER_RAN if self._keyed(kept) else Word.MAY_HAVE_RUN)
 
-    def _finished(self, name: bytes, answer: Answer) -> None:
+    def _finished(self, name: bytes, answer: FinalResponse) -> None:
         if name != NO_NAME:
-            self.returning.finish(name, answer)
-            if answer.refused:
+            self.returning.record_response(name, answer)
+            if answer.is_rejected:
                 self._settled(name, Word.NEVER_RAN)
             else:
                 self._settled(name, Word.ANSWERED, answer)
@@ -453,29 +449,29 @@
     return fields if version == RECORD_VERSION and len(fields) == 9 and fields[3] in kinds else None
 
 
-def written(answer: Answer) -> bytes:
+def written(answer: FinalResponse) -> bytes:
     """An answer as bytes, for another gatekeeper."""
     message = answer.message
     served = None if message is None else [message.status, message.headers, base64.b64encode(message.body).decode()]
     return json.dumps(
-        [served, answer.worker, answer.attempts, answer.refused, answer.retry_after_ms, answer.reason],
+        [served, answer.endpoint, answer.attempts, answer.is_rejected, answer.retry_after_ms, answer.reason],
         separators=(",", ":"),
     ).encode()
 
 
-def read(data: bytes) -> Answer | None:
+def read(data: bytes) -> FinalResponse | None:
     """The answer in these bytes, None where they can't be read."""
     try:
         served, *rest = json.loads(data)
         message = (
             None if served is None else http1.Message("", "", served[0], served[1], base64.b64decode(served[2]), True)
         )
-        return Answer(message, *rest)
+        return FinalResponse(message, *rest)
     except (ValueError, TypeError, IndexError):
         return None
 
 
-def mark_of(job: Job) -> bytes:
+def mark_of(job: DirectRequest) -> bytes:
     """What a call asks for, as sixteen bytes."""
     mixed = hashlib.blake2b(digest_size=16)
     for part in (job.method.encode(), job.target.encode(), job.body):
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -37,7 +37,7 @@
 
     def before(gatekeeper: Any) -> None:
         if workers is not None:
-            gatekeeper.ledger.roster(workers(gatekeeper.reactor))
+            gatekeeper.request_table.update_endpoints(workers(gatekeeper.reactor))
 
     return run(
         lambda reactor, on_fault: Gatekeeper(first.pop(), reactor, on_fault=on_fault, source=source),
@@ -96,14 +96,14 @@
         elif do is Do.DRAIN:
             gatekeeper.drain().addBoth(lambda _: take(Step.DRAINED))
         elif do is Do.HURRY:
-            log.warning("stopped_at_once", open=gatekeeper.ledger.open)
+            log.warning("stopped_at_once", open=gatekeeper.request_table.open_requests)
             code[0] = 1
             gatekeeper.hurry()
         elif do is Do.STOP and reactor.running:
             reactor.stop()
 
     def module_fault(problem: Exception) -> None:
-        log.critical("module_fault", exc_info=problem, open_failed=gatekeeper.ledger.counts["failed"])
+        log.critical("module_fault", exc_info=problem, open_failed=gatekeeper.request_table.counts["failed"])
         code[0] = 3
         reactor.callLater(0.2, take, Step.FAULT)  # the failures are being written
 
--- a/anisefront/daemon/pulse.py
+++ b/anisefront/daemon/pulse.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from anisefront.gateway.standing import Lag, Sample, between, read_schedstat
+from anisefront.gateway.event_loop_lag import LagHistogram, SchedulerSample, parse_schedstat, thread_time_between
 
 EVERY_MS = 50.0  # twenty a second: enough to see what a client feels, too few to be felt
 
 
-def reading(pid: int | str, now_ms: float) -> Sample | None:
+def reading(pid: int | str, now_ms: float) -> SchedulerSample | None:
     """The kernel's counts for the main thread of a process; None where there are none to read."""
     try:
         with open(f"/proc/{pid}/schedstat") as file:
-            return read_schedstat(file.read(), now_ms)
+            return parse_schedstat(file.read(), now_ms)
     except OSError:
         return None
 
@@ -30,8 +30,8 @@
         every_ms: float = EVERY_MS,
     ) -> None:
         self._reactor, self._now_ms, self._on_late, self._every_ms = reactor, now_ms, on_late, every_ms
-        self.lag = Lag()
-        self._last: Sample | None = None
+        self.lag = LagHistogram()
+        self._last: SchedulerSample | None = None
         self._due_ms = 0.0
 
     def start(self) -> None:
@@ -49,8 +49,8 @@
         late, standing = now - self._due_ms, None
         if late >= self.lag.notable_ms:
             after = reading("self", now)
-            standing = between(self._last, after) if after and self._last else None
-        cause = self.lag.take(late, standing)
+            standing = thread_time_between(self._last, after) if after and self._last else None
+        cause = self.lag.record(late, standing)
         if late >= self.lag.notable_ms:
             self._on_late(late, cause)
         self._again()
--- a/anisefront/daemon/reloader.py
+++ b/anisefront/daemon/reloader.py
@@ -15,7 +15,7 @@
 from enum import Enum, auto
 from typing import Any
 
-from anisefront.gateway.standing import Lag
+from anisefront.gateway.event_loop_lag import LagHistogram
 
 SLICE_S = 0.0005  # work for settings in one turn of the loop; the step that passes it is the last
 # A request goes through several turns of the loop, and could wait for a slice in each: so most of the time is theirs.
@@ -75,7 +75,7 @@
     ) -> None:
         self._reactor, self._change, self._busy, self._log = reactor, change, busy, log
         self._on_raise, self._seconds = on_raise, seconds
-        self.phase, self.slices = Phase.IDLE, Lag()
+        self.phase, self.slices = Phase.IDLE, LagHistogram()
         self.work_ms = 0.0  # processor time of all changes so far
         self._steps: Generator[None, None, None] | None = None
         self._put_off = 0
@@ -119,7 +119,7 @@
             self._steps = None
             self._on_raise(problem)
         self.work_ms += (time.thread_time() - work_s) * 1000
-        self.slices.take((self._seconds() - began) * 1000)
+        self.slices.record((self._seconds() - began) * 1000)
         if self._steps is None:
             self._take(Step.ENDED)
         else:
--- a/anisefront/frontends/accesslog.py
+++ b/anisefront/frontends/accesslog.py
@@ -11,8 +11,8 @@
 from envoy.service.accesslog.v3 import als_pb2
 from google.protobuf.message import DecodeError
 
-from anisefront.upstream.outcomes import of_flags
-from anisefront.upstream.proxied import Proxied
+from anisefront.upstream.attempt_results import end_from_flags
+from anisefront.upstream.delegated_requests import DelegatedRequests
 from anisefront.frontends.authorization import ATTEMPT
 from anisefront.frontends.grpcserver import Call, Method
 from anisefront.protocols import grpc, orca
@@ -22,7 +22,7 @@
 _DONE = als_pb2.StreamAccessLogsResponse().SerializeToString()
 
 
-def method(proxied: Proxied, load_report_fields: tuple[str, ...]) -> Method:
+def method(proxied: DelegatedRequests, load_report_fields: tuple[str, ...]) -> Method:
     """The method's entry for a `GrpcFactory`."""
     return lambda call: _Stream(proxied, load_report_fields, call)
 
@@ -30,7 +30,7 @@
 class _Stream:
     __slots__ = ("_call", "_ended", "_fields", "_proxied", "_waiting")
 
-    def __init__(self, proxied: Proxied, fields: tuple[str, ...], call: Call) -> None:
+    def __init__(self, proxied: DelegatedRequests, fields: tuple[str, ...], call: Call) -> None:
         self._proxied, self._fields, self._call = proxied, fields, call
         self._waiting, self._ended = deque[object](), False
 
@@ -62,10 +62,10 @@
                 common.response_flags.HasField("unauthorized_details")
                 and entry.response.response_code_details == "ext_authz_error"
             ):
-                self._proxied.log_unsent(entry.request.request_id, self._call.peer)
+                self._proxied.denial_logged(entry.request.request_id, self._call.peer)
             return
         names = {field.name for field, _ in common.response_flags.ListFields()}
-        end = of_flags(names, entry.response.response_code.value, headers)
+        end = end_from_flags(names, entry.response.response_code.value, headers)
         took = None
         if common.HasField("time_to_last_upstream_rx_byte") and common.HasField("time_to_first_upstream_tx_byte"):
             took = max(
@@ -77,7 +77,7 @@
                 / 1000,
             )
         load = orca.row(orca.read(headers), self._fields) if headers else ()
-        self._proxied.log(token, end.result, took, load, end.over)
+        self._proxied.attempt_logged(token, end.result, took, load, end.is_final)
 
     def half_closed(self) -> None:
         self._ended = True
--- a/anisefront/frontends/authorization.py
+++ b/anisefront/frontends/authorization.py
@@ -17,7 +17,9 @@
 from envoy.service.auth.v3 import external_auth_pb2
 from google.protobuf.message import DecodeError
 
-from anisefront.upstream.proxied import Answer, Proxied, Verdict
+from anisefront.upstream.delegated_checks import CheckResponse, Verdict
+from anisefront.gateway.request_terms import RequestTerms
+from anisefront.upstream.delegated_requests import DelegatedRequests
 from anisefront.gateway.paths import Unclear, normal
 from anisefront.gateway.routing import Router, Unmapped
 from anisefront.frontends.grpcserver import Call, Method
@@ -32,7 +34,9 @@
 class Gate:
     """What a check needs besides its message."""
 
-    def __init__(self, router: Callable[[], Router], proxied: Proxied, now_ms: object, gateways_of: object) -> None:
+    def __init__(
+        self, router: Callable[[], Router], proxied: DelegatedRequests, now_ms: object, gateways_of: object
+    ) -> None:
         self.router, self.proxied, self.now_ms, self.gateways_of = router, proxied, now_ms, gateways_of
         self.closing = False  # while draining: what is new is refused, what was begun goes on
 
@@ -60,7 +64,7 @@
         token = headers.get(ATTEMPT, "")
         if token:
             self._target = self._other_path(http.path)
-            self._number = gate.proxied.ask_again(token, self._reply)
+            self._number = gate.proxied.next_check(token, self._reply)
             return
         try:
             if not http.method:
@@ -71,20 +75,22 @@
             return
         self._target = "" if mapped.target == http.path else mapped.target
         if gate.closing:
-            self._reply(Answer(Verdict.REFUSED, retry_after_ms=1000.0, reason="draining"))
+            self._reply(CheckResponse(Verdict.REJECTED, retry_after_ms=1000.0, reason="draining"))
             return
         first, spread = gate.gateways_of(mapped.customer)
-        self._number = gate.proxied.ask(
+        self._number = gate.proxied.first_check(
             headers.get("x-request-id", "") or http.id,
             self._reply,
-            mapped.customer,
-            mapped.class_name,
-            mapped.plan,
-            gate.now_ms() + mapped.deadline_ms,
-            mapped.units,
-            first,
-            spread,
-            mapped.is_retry,
+            RequestTerms(
+                mapped.customer,
+                mapped.class_name,
+                mapped.plan,
+                gate.now_ms() + mapped.deadline_ms,
+                mapped.units,
+                first,
+                spread,
+                mapped.is_retry,
+            ),
             self._call.peer,
             headers.get("x-idempotency-key", ""),
         )
@@ -104,13 +110,13 @@
 
     def gone(self) -> None:
         if self._number is not None:
-            self._gate.proxied.withdraw(self._number)
+            self._gate.proxied.check_cancelled(self._number)
 
-    def _reply(self, answer: Answer) -> None:
+    def _reply(self, answer: CheckResponse) -> None:
         self._number = None
-        if answer.verdict is Verdict.GO:
+        if answer.verdict is Verdict.START_ATTEMPT:
             self._call.finish(allowed(answer, self._target))
-        elif answer.verdict is Verdict.REFUSED:
+        elif answer.verdict is Verdict.REJECTED:
             status = 429 if answer.reason == "quota" else 409 if answer.reason == "in-progress" else 503
             retry = {"retry-after": str(max(1, math.ceil(answer.retry_after_ms / 1000)))}
             self._call.finish(denied(status, answer.reason, retry | {FINAL: "refused"}))
@@ -118,12 +124,12 @@
             self._call.finish(denied(502, answer.reason, {FINAL: "failed"}))
 
 
-def allowed(answer: Answer, target: str = "") -> bytes:
+def allowed(answer: CheckResponse, target: str = "") -> bytes:
     """The message that lets one attempt go; `target`: with another path than the request's."""
     response = external_auth_pb2.CheckResponse()
     response.status.code = 0
     for name, value in (
-        ("x-envoy-original-dst-host", answer.worker),
+        ("x-envoy-original-dst-host", answer.endpoint),
         ("x-envoy-upstream-rq-timeout-ms", str(max(1, int(answer.timeout_ms)))),
         (ATTEMPT, answer.attempt),
         *(((":path", target),) if target else ()),
--- a/anisefront/frontends/jsonrpc.py
+++ b/anisefront/frontends/jsonrpc.py
@@ -17,7 +17,8 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from anisefront.upstream.own import Answer, Job, Own
+from anisefront.upstream.direct_requests import DirectRequest, DirectRequests, FinalResponse
+from anisefront.gateway.request_terms import RequestTerms
 from anisefront.gateway.routing import Router, Unmapped
 from anisefront.frontends.backpressure import Backpressure
 from anisefront.protocols import http1, jsonrpc
@@ -42,7 +43,7 @@
     """Parameters that can't be taken: which, and why."""
 
 
-def job_from(params: Any) -> tuple[Job, str]:
+def job_from(params: Any) -> tuple[DirectRequest, str]:
     """The job and its host; raises `BadParams`."""
     if not isinstance(params, dict):
         raise BadParams("params: an object is due")
@@ -72,7 +73,7 @@
         http1.request(texts["method"], texts["path"], kept, body)
     except (ValueError, UnicodeEncodeError, binascii.Error) as problem:
         raise BadParams(f"no request can be made of this: {problem}") from problem
-    return Job(texts["method"], texts["path"], kept, body), texts["host"]
+    return DirectRequest(texts["method"], texts["path"], kept, body), texts["host"]
 
 
 class Desk:
@@ -81,7 +82,7 @@
     def __init__(
         self,
         router: Callable[[], Router],
-        own: Own,
+        own: DirectRequests,
         now_ms: Callable[[], float],
         gateways_of: Callable[[str], tuple[int, int]],
         state: Callable[[], dict[str, Any]],
@@ -89,30 +90,32 @@
         self.router, self.own, self.now_ms, self.gateways_of, self.state = router, own, now_ms, gateways_of, state
         self.closing = False
 
-    def ask(self, params: Any, done: Callable[[Answer], None]) -> int | None:
+    def ask(self, params: Any, done: Callable[[FinalResponse], None]) -> int | None:
         """Take a request in; raises `BadParams` or `Unmapped`."""
         job, host = job_from(params)
         mapped = self.router().map(job.method, host, job.target, job.headers)
         job = replace(job, target=mapped.target)
         if self.closing:
-            done(Answer(refused=True, retry_after_ms=1000.0, reason="draining"))
+            done(FinalResponse(is_rejected=True, retry_after_ms=1000.0, reason="draining"))
             return None
         first, spread = self.gateways_of(mapped.customer)
-        return self.own.ask(
+        return self.own.accept(
             job,
             done,
-            mapped.customer,
-            mapped.class_name,
-            mapped.plan,
-            self.now_ms() + mapped.deadline_ms,
-            mapped.units,
-            first,
-            spread,
-            mapped.is_retry,
+            RequestTerms(
+                mapped.customer,
+                mapped.class_name,
+                mapped.plan,
+                self.now_ms() + mapped.deadline_ms,
+                mapped.units,
+                first,
+                spread,
+                mapped.is_retry,
+            ),
         )
 
 
-def written(call_id: Any, answer: Answer) -> dict[str, Any]:
+def written(call_id: Any, answer: FinalResponse) -> dict[str, Any]:
     """The final answer as the client gets it."""
     if answer.message is not None:
         message = answer.message
@@ -126,11 +129,11 @@
                 "status": message.status,
                 "headers": message.headers,
                 **body,
-                "worker": answer.worker,
+                "worker": answer.endpoint,
                 "attempts": answer.attempts,
             },
         )
-    if answer.refused:
+    if answer.is_rejected:
         data = {"final": "refused", "reason": answer.reason, "retry_after_ms": round(answer.retry_after_ms)}
         return jsonrpc.error(call_id, REFUSED, "refused: safe to try again", data)
     return jsonrpc.error(call_id, FAILED, "failed: it may have run", {"final": "failed", "reason": answer.reason})
@@ -232,7 +235,7 @@
         number: int | None = None
         answered = False
 
-        def done(answer: Answer) -> None:
+        def done(answer: FinalResponse) -> None:
             nonlocal answered
             answered = True
             self._waiting -= 1
@@ -242,7 +245,7 @@
                 self.transport.loseConnection()
 
         if self._waiting >= self.factory.most_waiting:
-            answer = Answer(refused=True, retry_after_ms=1000.0, reason="too-many-calls")
+            answer = FinalResponse(is_rejected=True, retry_after_ms=1000.0, reason="too-many-calls")
             batch.add(None if call.notification else written(call.id, answer))
             return
         self._waiting += 1
@@ -280,7 +283,7 @@
     def _withdraw(self) -> None:
         """Nobody waits for what is open here any more."""
         for number in list(self._open):
-            self.factory.desk.own.withdraw(number)
+            self.factory.desk.own.client_disconnected(number)
         self._open.clear()
         self._waiting = 0
         self._unread.clear()
--- /dev/null
+++ b/anisefront/gateway/interfaces.py
@@ -0,0 +1,73 @@
+"""Interfaces between the request table and what is handed to it: timers, attempt handlers and a replication guard."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+from anisefront.gateway.pending_request import PendingRequest
+from anisefront.policy.actions import RejectionReason
+from anisefront.policy.events import Arrival
+
+
+class Timers(Protocol):
+    """One-shot timers of an event loop. Twisted's reactor and `Clock` both provide them."""
+
+    def callLater(self, delay: float, call: Callable[..., None], *args: object) -> object:
+        """Call after `delay` seconds."""
+
+
+class AttemptHandler(Protocol):
+    """Carries the attempts of a request to endpoints and its final response to the client."""
+
+    def start_attempt(self, request: int, attempt: int, endpoint: str, timeout_ms: float) -> None:
+        """Start an attempt. Its end must be reported to `RequestTable.attempt_ended` in every case."""
+
+    def cancel_attempt(self, request: int, attempt: int) -> None:
+        """Stop waiting for an attempt. Its end must still be reported."""
+
+    def reject(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
+        """Send the final response: the request was not executed and may be retried."""
+
+    def fail(self, request: int) -> None:
+        """Send the final response: the request may have been executed."""
+
+    def yield_to_duplicate(self, arrival: Arrival, identity: str) -> None:
+        """Give way to a request of the same identity that is in progress at another gateway instance.
+
+        No attempt of this request has left. The handler ends it by `RequestTable.client_disconnected` and remains
+        responsible for the client.
+        """
+
+
+class ReplicationGuard(Protocol):
+    """Ensures that another gateway instance knows of a request before the request can have an effect."""
+
+    def try_protect(self, request: PendingRequest) -> bool:
+        """Begin to replicate an accepted request.
+
+        Returns:
+            Whether the request may proceed. False: its class requires a backup and none is available.
+        """
+
+    def may_release_attempt(self, request: int, attempt: int, endpoint: str) -> bool:
+        """Replicate the start of an attempt.
+
+        Returns:
+            Whether the attempt may leave now. Otherwise `RequestTable.release_attempt` or
+            `RequestTable.transfer_to_backup` is called later.
+        """
+
+    def may_release_rejection(self, request: int) -> bool:
+        """Replicate the rejection of a request.
+
+        Returns:
+            Whether the rejection may be sent now. Otherwise `RequestTable.release_rejection` or
+            `RequestTable.transfer_to_backup` is called later.
+        """
+
+    def attempt_never_executed(self, request: int, attempt: int) -> None:
+        """Record that an attempt is proved never to have been executed."""
+
+    def request_completed(self, request: int) -> None:
+        """Record that a request has its final response or its client has disconnected."""
--- /dev/null
+++ b/anisefront/gateway/process_stall.py
@@ -0,0 +1,44 @@
+"""Detection of a stall of the whole process, after which timers are deferred until the sockets have been read.
+
+After a stall (a stopped or starved process) the event loop runs its timers first. A controller whose timers fire
+before it receives the responses that wait in the sockets would fail requests that were served, and would count
+failures against their endpoints.
+"""
+
+from __future__ import annotations
+
+MIN_STALL_MS = 250.0  # lateness of a timer above which the whole process must have stalled
+MAX_IDLE_DEFERRALS = 3  # deferrals without a new event after which the sockets are taken as read
+MAX_DEFERRALS = 20
+
+
+class StallDetector:
+    """Decides whether the timers of an event loop iteration are deferred."""
+
+    def __init__(self) -> None:
+        """Start without a stall."""
+        self.deferrals = 0  # of the present stall
+        self._idle_deferrals = 0
+        self._received_events = 0
+
+    def should_defer(self, lateness_ms: float, received_events: int) -> bool:
+        """Decide on one iteration.
+
+        Args:
+            lateness_ms: How late the earliest timer is.
+            received_events: Events received since the start of the process.
+
+        Returns:
+            Whether the iteration is to be repeated after the event loop has read its sockets.
+        """
+        if lateness_ms <= MIN_STALL_MS or self._idle_deferrals >= MAX_IDLE_DEFERRALS or self.deferrals >= MAX_DEFERRALS:
+            self.deferrals = 0
+            self._idle_deferrals = 0
+            return False
+        if received_events == self._received_events:
+            self._idle_deferrals += 1
+        else:
+            self._idle_deferrals = 0
+        self._received_events = received_events
+        self.deferrals += 1
+        return True
--- /dev/null
+++ b/anisefront/gateway/request_table.py
@@ -0,0 +1,338 @@
+"""The requests and attempts of one gateway instance, between frontends, attempt handlers and the controller.
+
+Everything that happens becomes an event for the controller; every action of the controller is carried out. The table
+opens no socket, reads no clock of its own and decides nothing: clock, timers and the connection to peers are handed
+in.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+
+from anisefront.gateway.action_executor import ActionExecutor
+from anisefront.gateway.batch_processor import BatchProcessor
+from anisefront.gateway.event_batches import EventBatches
+from anisefront.gateway.interfaces import AttemptHandler, ReplicationGuard, Timers
+from anisefront.gateway.pending_request import PendingRequest, ReplicaRecord
+from anisefront.gateway.request_terms import RequestTerms
+from anisefront.policy.actions import Action, Reject, RejectionReason
+from anisefront.policy.controller import Controller
+from anisefront.policy.events import (
+    Arrival,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    EndpointList,
+    EndpointStatus,
+    PeerMessage,
+    PeersUnreachable,
+    PriorAttempts,
+)
+from anisefront.policy.settings import Settings
+
+UNPROTECTED_RETRY_AFTER_MS = 1000.0  # advice where no other gateway instance can know of a request
+MAX_REMOVED_ENDPOINTS_MULTIPLIER = 4  # of the listed endpoints: known ones beyond which the removed ones are evicted
+MIN_KNOWN_ENDPOINTS = 256  # below which removed endpoints are never evicted
+
+
+class RequestTable:
+    """The requests and attempts of one gateway instance, around one `Controller`."""
+
+    def __init__(
+        self,
+        controller: Controller,
+        now_ms: Callable[[], float],
+        timers: Timers,
+        send_to_peer: Callable[[int, bytes], None] = lambda receiver, data: None,
+        subscribe: Callable[[], None] = lambda: None,
+        max_open_requests: int = 50_000,
+        on_controller_error: Callable[[Exception], None] | None = None,
+        on_action_error: Callable[[Exception], None] | None = None,
+    ) -> None:
+        """Create an empty table.
+
+        Args:
+            controller: Decides on all requests.
+            now_ms: The clock.
+            timers: The event loop's timers.
+            send_to_peer: Sends bytes to another gateway instance, given its number.
+            subscribe: Asks for endpoint lists.
+            max_open_requests: Requests above which further ones are not accepted.
+            on_controller_error: Called after the controller raised and all requests failed; if None, it is raised.
+            on_action_error: Called where an action could not be carried out; if None, it is raised.
+        """
+        self.controller = controller
+        self.now_ms = now_ms
+        self.max_open_requests = max_open_requests
+        self.guard: ReplicationGuard | None = None
+        self.requests: dict[int, PendingRequest] = {}
+        self.endpoint_statuses: dict[str, EndpointStatus] = {}
+        self.counts: Counter[str] = Counter()
+        self.open_requests = 0  # accepted and not ended
+        self._executor = ActionExecutor(self, send_to_peer, subscribe)
+        self.processor = BatchProcessor(
+            lambda now_ms, events: self.controller.handle(now_ms, events),
+            self._executor.carry_out,
+            self._controller_failed,
+            self._action_failed,
+        )
+        self.batches = EventBatches(self.processor.process, now_ms, timers, self.counts)
+        self._timers = timers
+        self._on_controller_error = on_controller_error
+        self._on_action_error = on_action_error
+        self._last_number = 0
+
+    # ---- events --------------------------------------------------------------------------------
+
+    def accept(
+        self,
+        handler: AttemptHandler,
+        terms: RequestTerms,
+        allows_hedging: bool = True,
+        prior_attempts: PriorAttempts | None = None,
+        replica: ReplicaRecord | None = None,
+    ) -> int | None:
+        """Accept a request, which is then owed one final response by `deadline_at_ms`.
+
+        Returns:
+            Its number. None where the table is at capacity or stopped, or where a backup is required and none is
+            available: then it is not counted, and the caller rejects it at once.
+        """
+        if self.open_requests >= self.max_open_requests or self.batches.stopped:
+            self.counts["turned_away"] += 1
+            return None
+        self._last_number += 1
+        arrival = _arrival(self._last_number, terms, allows_hedging, prior_attempts)
+        attempts = prior_attempts.attempts if prior_attempts else 0
+        request = PendingRequest(arrival, handler, self.now_ms(), attempts, replica=replica)
+        if self.guard is not None and not self.guard.try_protect(request):
+            self.counts["unprotected_refused"] += 1
+            return None
+        self.requests[arrival.id] = request
+        self.open_requests += 1
+        self.counts["accepted"] += 1
+        self.batches.post(arrival)
+        return arrival.id
+
+    def attempt_ended(
+        self,
+        number: int,
+        attempt: int,
+        result: AttemptResult,
+        duration_ms: float | None = None,
+        load: tuple[float, ...] = (),
+        actual_units: float = 0.0,
+    ) -> bool:
+        """Record the end of an attempt. An attempt that is not known, or has ended before, changes nothing.
+
+        Returns:
+            Whether this served the request: the response is the client's.
+        """
+        request = self.requests.get(number)
+        ended = request.in_flight.pop(attempt, None) if request else None
+        if request is None or ended is None:
+            self.counts["outcomes_unknown"] += 1
+            return False
+        is_served = result is AttemptResult.OK and not request.ended
+        if is_served:
+            self._end(request)
+            self.counts["served"] += 1
+        self.counts[f"attempts_{result.value}"] += 1
+        if self.guard is not None and result.never_executed:
+            self.guard.attempt_never_executed(number, attempt)
+        if duration_ms is None:
+            duration_ms = self.now_ms() - ended.started_ms
+        self.batches.post(
+            AttemptEnded(number, attempt, ended.endpoint, duration_ms, result, request.ended, actual_units, 0, load)
+        )
+        if request.transferred and not request.in_flight and not request.ended:
+            self.fail(request)
+        self.remove_if_complete(request)
+        return is_served
+
+    def client_disconnected(self, number: int) -> None:
+        """End a request whose client, or proxy on its behalf, has disconnected or has a response from elsewhere."""
+        request = self.requests.get(number)
+        if request is not None and not request.ended:
+            self._end(request)
+            self.counts["left"] += 1
+            self.batches.post(ClientDisconnected(number))
+            self.remove_if_complete(request)
+
+    def receive_peer_message(self, sender: int, data: bytes) -> None:
+        """Accept authenticated bytes from another gateway instance."""
+        self.batches.post(PeerMessage(sender, data))
+
+    def set_unreachable_peers(self, gateways: frozenset[int]) -> None:
+        """Replace the set of all gateway instances that are known to have failed or left."""
+        self.batches.post(PeersUnreachable(gateways))
+
+    def update_endpoints(self, endpoint_list: EndpointList) -> None:
+        """Replace the endpoints by a complete list."""
+        if not endpoint_list.failed:
+            listed = {endpoint.id: endpoint.status for endpoint in endpoint_list.endpoints}
+            known = dict.fromkeys(self.endpoint_statuses, EndpointStatus.REMOVED) | listed
+            max_known = MAX_REMOVED_ENDPOINTS_MULTIPLIER * len(listed) + MIN_KNOWN_ENDPOINTS
+            self.endpoint_statuses = known if len(known) <= max_known else listed
+        self.batches.post(endpoint_list)
+
+    def change_settings(self, settings: Settings) -> None:
+        """Apply other settings to the requests that arrive from now on."""
+        self.batches.post(settings)
+
+    def fail_open_requests(self) -> None:
+        """Fail every request that is still owed its final response, at the end of the process."""
+        for request in list(self.requests.values()):
+            if not request.ended:
+                self.fail(request)
+
+    def may_start_attempt(self, number: int, attempt: int) -> bool:
+        """Whether an attempt that was decided earlier may still leave; asked at the last moment before it does.
+
+        Meanwhile its endpoint may have begun to drain, its client may have disconnected, another gateway instance may
+        have taken the request over, or the time in which the endpoints recognize a retry may have passed.
+        """
+        request = self.requests.get(number)
+        pending = request.in_flight.get(attempt) if request is not None else None
+        return (
+            pending is not None
+            and not request.ended
+            and not request.transferred
+            and self.now_ms() <= pending.start_before_ms
+            and self.endpoint_statuses.get(pending.endpoint) is EndpointStatus.READY
+        )
+
+    # ---- results of replication ----------------------------------------------------------------
+
+    def release_attempt(self, number: int, attempt: int) -> None:
+        """Start a withheld attempt, now that another gateway instance knows of it."""
+        request = self.requests.get(number)
+        pending = request.in_flight.get(attempt) if request is not None else None
+        if pending is None or pending.withheld_until_ms is None:
+            return
+        timeout_ms = pending.withheld_until_ms - self.now_ms()
+        pending.withheld_until_ms = None
+        pending.started_ms = self.now_ms()
+        if timeout_ms <= 0 or not self.may_start_attempt(number, attempt):  # the controller decides again
+            self.attempt_ended(number, attempt, AttemptResult.DISCARDED, 0.0)
+        else:
+            request.handler.start_attempt(number, attempt, pending.endpoint, timeout_ms)
+
+    def release_rejection(self, number: int) -> None:
+        """Send a withheld rejection, now that another gateway instance knows of it."""
+        request = self.requests.get(number)
+        if request is not None and request.withheld_rejection is not None and not request.ended:
+            self.reject(request, request.withheld_rejection)
+            self.remove_if_complete(request)
+
+    def reject_unprotected(self, number: int) -> None:
+        """Reject a request that requires a backup and has none, unless an attempt of it has left."""
+        request = self.requests.get(number)
+        if request is None or request.ended or len(request.withheld_attempts) < len(request.in_flight):
+            return
+        self.counts["unprotected_refused"] += 1
+        self.batches.post_before_later_attempt_ends(ClientDisconnected(number))
+        self.reject(request, Reject(number, UNPROTECTED_RETRY_AFTER_MS, RejectionReason.CAPACITY))
+        self.remove_if_complete(request)
+
+    def transfer_to_backup(self, number: int) -> None:
+        """Yield a request to the gateway instance that has taken it over.
+
+        Attempts in flight may still bring its response. No further attempt leaves.
+        """
+        request = self.requests.get(number)
+        if request is None or request.ended or request.transferred:
+            return
+        request.transferred = True
+        self.counts["lost"] += 1
+        # If the controller received the ends below first, it would start a further attempt.
+        self.batches.post_before_later_attempt_ends(ClientDisconnected(number))
+        self._discard_withheld_attempts(request)
+        if request.ended:
+            return
+        if request.in_flight:
+            self.fail_at_deadline(request, self.now_ms())
+        else:
+            self.fail(request)
+            self.remove_if_complete(request)
+
+    def fail_at_deadline(self, request: PendingRequest, now_ms: float) -> None:
+        """Ensure the final response of a request that the controller no longer watches."""
+        delay_ms = max(0.0, request.arrival.deadline_at_ms - now_ms)
+        self._timers.callLater(delay_ms / 1000, self._deadline_passed, request.arrival.id)
+
+    def _deadline_passed(self, number: int) -> None:
+        request = self.requests.get(number)
+        if request is not None and not request.ended:
+            self.fail(request)
+            self.remove_if_complete(request)
+
+    # ---- errors --------------------------------------------------------------------------------
+
+    def _controller_failed(self, error: Exception) -> None:
+        """Fail all requests after the controller raised within a batch.
+
+        Its state is undefined then: it must not be called again, and its requests would never get a response. The
+        process is to end afterwards.
+        """
+        if self._on_controller_error is None:
+            raise error
+        self.batches.stopped = True
+        self.fail_open_requests()
+        self._on_controller_error(error)
+
+    def _action_failed(self, action: Action, error: Exception) -> None:
+        if self._on_action_error is None:
+            raise error
+        self.counts["raised"] += 1
+        self._on_action_error(error)
+        self._executor.limit_failure(action)
+
+    # ---- ends of requests ----------------------------------------------------------------------
+
+    def reject(self, request: PendingRequest, action: Reject) -> None:
+        """Send the final response of a request: not executed, and may be retried."""
+        self._end(request)
+        self.counts["refused"] += 1
+        self.counts[f"refused_{action.reason.value}"] += 1
+        request.handler.reject(action.id, action.retry_after_ms, action.reason)
+
+    def fail(self, request: PendingRequest) -> None:
+        """Send the final response of a request: it may have been executed."""
+        self._end(request)
+        self.counts["failed"] += 1
+        request.handler.fail(request.arrival.id)
+
+    def _end(self, request: PendingRequest) -> None:
+        request.ended = True
+        self.open_requests -= 1
+        if self.guard is not None:
+            self.guard.request_completed(request.arrival.id)
+        self._discard_withheld_attempts(request)
+
+    def _discard_withheld_attempts(self, request: PendingRequest) -> None:
+        """End the attempts that the replication guard withholds: they never left."""
+        for attempt in request.withheld_attempts:
+            self.attempt_ended(request.arrival.id, attempt, AttemptResult.DISCARDED, 0.0)
+
+    def remove_if_complete(self, request: PendingRequest) -> None:
+        """Remove a request that has ended and has no attempt in flight."""
+        if request.ended and not request.in_flight:
+            self.requests.pop(request.arrival.id, None)
+
+
+def _arrival(number: int, terms: RequestTerms, allows_hedging: bool, prior_attempts: PriorAttempts | None) -> Arrival:
+    return Arrival(
+        number,
+        terms.customer,
+        terms.class_name,
+        terms.plan_name,
+        terms.deadline_at_ms,
+        terms.units,
+        terms.first_gateway,
+        terms.spread,
+        terms.is_retry,
+        allows_hedging,
+        prior_attempts,
+    )
--- a/anisefront/resp_gateway/carrier.py
+++ b/anisefront/resp_gateway/carrier.py
@@ -6,13 +6,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from anisefront.gateway.ledger import Ledger
+from anisefront.gateway.request_table import RequestTable
+from anisefront.gateway.request_terms import RequestTerms
 from anisefront.policy.actions import RejectionReason
 from anisefront.policy.events import AttemptResult
 from anisefront.resp_gateway import resp
 from anisefront.resp_gateway.terms import Wanted, report_row
-from anisefront.upstream.pool import Pool
-from anisefront.upstream.pooled import Open, Pooled
+from anisefront.upstream.connection_pool import ConnectionPool
+from anisefront.upstream.pooled_requests import OpenRequest, PooledRequests
 
 Final = Callable[[bytes], None]  # hears the one answer, written for the client
 FAILED = resp.error(b"ERR failed")
@@ -61,7 +62,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Open(Open):
+class _Open(OpenRequest):
     wanted: Wanted
     final: Final
     came_ms: float
@@ -69,11 +70,11 @@
     sent_ms: float = 0.0  # its first attempt
 
 
-class NodeCarrier(Pooled):
+class NodeCarrier(PooledRequests):
     """The carrier for what comes over the platform's front."""
 
-    def __init__(self, ledger: Ledger, pool: Pool, load_report_fields: tuple[str, ...]) -> None:
-        super().__init__(ledger, pool)
+    def __init__(self, request_table: RequestTable, pool: ConnectionPool, load_report_fields: tuple[str, ...]) -> None:
+        super().__init__(request_table, pool)
         self._fields = load_report_fields
         self._ids: set[bytes] = set()
         self.seen = Counter[str]()  # sums of what served attempts took and what workers reported, for the state report
@@ -87,32 +88,34 @@
     ) -> int | None:
         """Take a request in. `final` hears its one answer, `left` is asked whether its client has closed; the number
         is for `withdraw`, None where it was refused."""
-        number = self._ledger.accept(
+        number = self._request_table.accept(
             self,
-            wanted.customer,
-            wanted.class_name,
-            wanted.plan_name,
-            deadline_at_ms,
-            wanted.units,
-            wanted.first_gateway,
-            wanted.spread,
-            wanted.is_retry,
+            RequestTerms(
+                wanted.customer,
+                wanted.class_name,
+                wanted.plan_name,
+                deadline_at_ms,
+                wanted.units,
+                wanted.first_gateway,
+                wanted.spread,
+                wanted.is_retry,
+            ),
         )
         if number is not None:
-            self.open[number] = _Open(wanted, final, self._ledger.now_ms(), left)
+            self.open_requests[number] = _Open(wanted, final, self._request_table.now_ms(), left)
             self._ids.add(wanted.id)
         return number
 
-    def left(self, entry: _Open) -> bool:
+    def has_disconnected(self, entry: _Open) -> bool:
         """Asked at the last moment before an attempt begins."""
         return entry.left()
 
-    def written(self, entry: _Open, name: str, worker: str, timeout_ms: float) -> tuple[bytes, bool]:
+    def encode_request(self, entry: _Open, name: str, worker: str, timeout_ms: float) -> tuple[bytes, bool]:
         """The client's command with the time that is left."""
-        entry.sent_ms = entry.sent_ms or self._ledger.now_ms()
+        entry.sent_ms = entry.sent_ms or self._request_table.now_ms()
         return entry.wanted.command(timeout_ms), False
 
-    def read(self, answer: resp.Answer) -> tuple[AttemptResult, tuple[float, ...]]:
+    def interpret_response(self, answer: resp.Answer) -> tuple[AttemptResult, tuple[float, ...]]:
         """By its form; an error line that the platform does not name may have run."""
         result, report = outcome(answer)
         if result is None:
@@ -125,10 +128,10 @@
                 self.seen[name] += value
         return result, load
 
-    def served(self, entry: _Open, answer: resp.Answer, worker: str) -> None:
+    def deliver_response(self, entry: _Open, answer: resp.Answer, worker: str) -> None:
         """Final: the value as the worker gave it."""
         wanted, seen = entry.wanted, self.seen
-        waited, took = entry.sent_ms - entry.came_ms, self._ledger.now_ms() - entry.sent_ms
+        waited, took = entry.sent_ms - entry.came_ms, self._request_table.now_ms() - entry.sent_ms
         seen["served"] += 1
         seen[f"served {wanted.class_name} {wanted.plan_name}"] += 1
         seen["wait_ms"] += waited
@@ -138,22 +141,22 @@
         seen["late_took"] += took > wanted.latency_objective_ms
         entry.final(resp.bulk(answer.value))
 
-    def refuse(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
+    def reject(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
         """Final: not done, safe to try again."""
-        entry = self.close(request)
+        entry = self.close_request(request)
         if entry is not None:
             self.seen[f"refused {entry.wanted.class_name} {entry.wanted.plan_name} {reason.value}"] += 1
             entry.final(refusal(retry_after_ms))
 
     def fail(self, request: int) -> None:
         """Final: no promise."""
-        entry = self.close(request)
+        entry = self.close_request(request)
         if entry is not None:
             entry.final(FAILED)
 
-    def close(self, request: int) -> _Open | None:
+    def close_request(self, request: int) -> _Open | None:
         """The request has ended, and its id may come again."""
-        entry = super().close(request)
+        entry = super().close_request(request)
         if entry is not None:
             self._ids.discard(entry.wanted.id)
         return entry
--- a/anisefront/resp_gateway/front.py
+++ b/anisefront/resp_gateway/front.py
@@ -271,7 +271,7 @@
         self._let_go(slot)
         if slot.number is not None:
             number, slot.number = slot.number, None
-            self.front.carrier.withdraw(number)
+            self.front.carrier.client_disconnected(number)
 
     def _let_go(self, slot: _Slot) -> None:
         self.front.bodies -= slot.size
--- a/anisefront/resp_gateway/gatekeeper.py
+++ b/anisefront/resp_gateway/gatekeeper.py
@@ -15,7 +15,7 @@
 from anisefront.daemon import reload
 from anisefront.daemon.clock import Clock
 from anisefront.daemon.collector import Collector
-from anisefront.gateway.ledger import Ledger
+from anisefront.gateway.request_table import RequestTable
 from anisefront.policy.controller import Controller
 from anisefront.resp_gateway.carrier import NodeCarrier, RespAnswers
 from anisefront.resp_gateway.config import ConfigFault, NodeConfig
@@ -24,7 +24,7 @@
 from anisefront.resp_gateway.peers import PeerPort
 from anisefront.resp_gateway.terms import Reader
 from anisefront.resp_gateway.watch import Watch
-from anisefront.upstream.pool import Pool, PoolLimits
+from anisefront.upstream.connection_pool import ConnectionPool, PoolLimits
 
 OTHER_SOCKETS = 24  # standard streams, event loop, listener, datagrams, discovery old and new, and some to spare
 CLIENT_PART = 0.5  # of the descriptors; the rest is for workers
@@ -56,35 +56,37 @@
         self.peer_port = None
         if config.peer_listen is not None and settings.peer_messages_enabled:
             self.peer_port = PeerPort(
-                settings.number, config.peers, lambda sender, data: self.ledger.hear(sender, data)
+                settings.number,
+                config.peers,
+                lambda sender, data: self.request_table.receive_peer_message(sender, data),
             )
-        self.ledger = Ledger(
+        self.request_table = RequestTable(
             Controller(settings, config.seed),
             self.clock,
             reactor,
             self.peer_port.tell if self.peer_port else lambda receiver, data: None,
-            most_open=max(64, int(config.memory_mb * 16)),
-            on_fault=on_fault,
-            on_raise=lambda problem: self.log.error("action_raised", exc_info=problem),
+            max_open_requests=max(64, int(config.memory_mb * 16)),
+            on_controller_error=on_fault,
+            on_action_error=lambda problem: self.log.error("action_raised", exc_info=problem),
         )
         self.book = Book()
         most = max(32, config.sockets - OTHER_SOCKETS)
         clients = int(most * CLIENT_PART)
         closing = max(8, int(clients * CLOSING_PART))
-        self.pool = Pool(
+        self.pool = ConnectionPool(
             reactor,
             PoolLimits(
-                connect_s=config.connect_timeout_ms / 1000,
-                idle_s=config.idle_ms * IDLE_PART / 1000,
-                idle_each=64,
-                most=most - clients,
-                rest_s=REST_S,
-                stall_s=STALL_S,
+                connect_timeout_s=config.connect_timeout_ms / 1000,
+                idle_timeout_s=config.idle_ms * IDLE_PART / 1000,
+                max_idle_per_endpoint=64,
+                max_connections=most - clients,
+                quiet_period_s=REST_S,
+                stall_timeout_s=STALL_S,
             ),
             RespAnswers,
             self.book.address_of,
         )
-        self.carrier = NodeCarrier(self.ledger, self.pool, settings.load_report_fields)
+        self.carrier = NodeCarrier(self.request_table, self.pool, settings.load_report_fields)
         self.front = Front(
             reactor,
             self.carrier,
@@ -100,7 +102,7 @@
             self._discovery_fault,
             self.book.forget_version,
         )
-        self.collector = Collector(reactor, lambda: self.ledger.open, every_s=COLLECT_S)
+        self.collector = Collector(reactor, lambda: self.request_table.open_requests, every_s=COLLECT_S)
         self._port: Any = None
         self._drained: defer.Deferred[None] | None = None
 
@@ -117,7 +119,7 @@
             idle_ms=config.idle_ms,
             connect_timeout_ms=config.connect_timeout_ms,
         )
-        self.ledger.settle()
+        self.request_table.batches.run_scheduled()
 
     def start(self) -> dict[str, Any]:
         """Listen, and say where. `OSError` where a port can't be had."""
@@ -140,9 +142,9 @@
         """A fleet list or a change of it."""
         fleet, moved = self.book.apply(change)
         if fleet is not None:
-            self.ledger.roster(fleet)
+            self.request_table.update_endpoints(fleet)
             for worker in moved:
-                self.pool.drop_worker(worker)
+                self.pool.close_idle(worker)
 
     def _discovery_fault(self, why: str) -> None:
         self.log.warning("discovery_fault", fault=why)
@@ -166,7 +168,7 @@
         self.watch.move(config.discovery)
         if config.settings != before:
             self.front.terms = Reader(config.settings)
-            self.ledger.change(config.settings)
+            self.request_table.change_settings(config.settings)
         self.config = config
         self.log.info("config", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
         return True
@@ -175,13 +177,13 @@
 
     def state(self) -> dict[str, Any]:
         """What this gatekeeper is and does, in plain values."""
-        ledger, controller = self.ledger, self.ledger.controller
+        request_table, controller = self.request_table, self.request_table.controller
         return {
-            "open": ledger.open,
+            "open": request_table.open_requests,
             "held": len(controller.admission.queue),
             "out": controller.concurrency_limit.in_flight,
             "window": round(controller.concurrency_limit.limit, 2),
-            "late_ms": round(ledger.turns_late_ms, 1),
+            "late_ms": round(request_table.batches.lateness_ms, 1),
             "workers": len(self.book.entries),
             "to_workers": self.pool.connections,
             "connections": {place: len(kept) for place, kept in self.front.places.items()},
@@ -195,9 +197,9 @@
                 if name in self.book.entries
             },
             "shares": {name: round(each.share, 2) for name, each in controller.admission.shares.items()},
-            "turn": ledger.turn_ms.report(),
+            "turn": request_table.batches.duration_ms.report(),
             "pauses": self.collector.pauses.report(),
-            "counts": dict(ledger.counts),
+            "counts": dict(request_table.counts),
             "front": dict(self.front.counts),
             "pool": dict(self.pool.counts),
             "peers": dict(self.peer_port.counts) if self.peer_port else {},
@@ -218,7 +220,11 @@
             # Danger: what the kill finds unanswered is lost; where all deadlines are short it comes soon.
             self._kill_ms = self._drain_ms + min(longest, MOST_DEADLINE_MS) + KILL_MS
             self.front.latest_ms = self._kill_ms - WRITE_MS
-            self.log.info("draining", open=self.ledger.open, answered_within_ms=self.front.latest_ms - self._drain_ms)
+            self.log.info(
+                "draining",
+                open=self.request_table.open_requests,
+                answered_within_ms=self.front.latest_ms - self._drain_ms,
+            )
             self.front.close_idle()
             self._wait_for_end()
         return self._drained
@@ -232,10 +238,10 @@
         listen_until = min(self._drain_ms + LISTEN_ON_MS, latest)
         if now >= listen_until and self._port is not None:
             self._stop_listening()
-        if now < listen_until or (now < latest and (self.ledger.open or self.front.connections)):
+        if now < listen_until or (now < latest and (self.request_table.open_requests or self.front.connections)):
             self.reactor.callLater(0.02, self._wait_for_end)
             return
-        self.log.info("drained", left_open=self.ledger.open)
+        self.log.info("drained", left_open=self.request_table.open_requests)
         self.front.fail_all()
         self._wait_for_close()
 
--- a/anisefront/testbed/clients.py
+++ b/anisefront/testbed/clients.py
@@ -17,7 +17,7 @@
 from anisefront.policy.events import AttemptResult
 from anisefront.protocols import http1
 from anisefront.testbed.records import Record, now_ms
-from anisefront.upstream.pool import Pool
+from anisefront.upstream.connection_pool import ConnectionPool
 
 PATIENCE_MS = 1000.0  # how long after its time a client still listens, so that a late answer is seen as late
 
@@ -83,7 +83,7 @@
         self.proxies: dict[int, str] = {}
         self.gatekeepers: dict[int, str] = {}
         self._links: dict[int, RpcLink] = {}
-        self._pool = Pool(reactor)
+        self._pool = ConnectionPool(reactor)
         self._serial = 0
         self.open = 0
 
--- a/anisefront/testbed/model/imported.py
+++ b/anisefront/testbed/model/imported.py
@@ -11,7 +11,7 @@
 from anisefront.policy.events import AttemptResult
 from anisefront.protocols import trace
 from anisefront.testbed.model.traces import Arrival, Attempt, Trace
-from anisefront.upstream.outcomes import of_flags
+from anisefront.upstream.attempt_results import end_from_flags
 
 MOST_PROBLEMS = 20
 
@@ -75,7 +75,7 @@
     sent = common.time_to_first_upstream_tx_byte.ToMicroseconds() / 1000
     took = common.time_to_last_upstream_rx_byte.ToMicroseconds() / 1000 - sent
     flags = {field.name for field, _ in common.response_flags.ListFields()}
-    result = of_flags(flags, entry.response.response_code.value, entry.response.response_headers).result
+    result = end_from_flags(flags, entry.response.response_code.value, entry.response.response_headers).result
     return (
         Attempt(at + sent, f"{where.address}:{where.port_value}", name, 1.0, result.value, max(0.0, took), 0.0)
         if result is not AttemptResult.DISCARDED
--- a/anisefront/testbed/proxy.py
+++ b/anisefront/testbed/proxy.py
@@ -22,7 +22,8 @@
 from anisefront.policy.events import AttemptResult
 from anisefront.protocols import http1
 from anisefront.testbed.records import Record, now_ms
-from anisefront.upstream.pool import Exchange, Pool, PoolLimits
+from anisefront.upstream.connection_pool import ConnectionPool, PoolLimits
+from anisefront.upstream.pool_exchange import Exchange
 
 ATTEMPT = "x-anisefront-attempt"
 _CHECK = "/envoy.service.auth.v3.Authorization/Check"
@@ -77,7 +78,13 @@
     """One proxy in front of one gatekeeper."""
 
     def __init__(
-        self, reactor: Any, name: str, gatekeeper: str, record: Record, check_s: float = 10.0, pool: Pool | None = None
+        self,
+        reactor: Any,
+        name: str,
+        gatekeeper: str,
+        record: Record,
+        check_s: float = 10.0,
+        pool: ConnectionPool | None = None,
     ) -> None:
         self.reactor, self.name, self.record, self.check_s = reactor, name, record, check_s
         options = [("grpc.initial_reconnect_backoff_ms", 100), ("grpc.max_reconnect_backoff_ms", 500)]
@@ -86,7 +93,7 @@
             _CHECK, external_auth_pb2.CheckRequest.SerializeToString, external_auth_pb2.CheckResponse.FromString
         )
         self.logs = LogStream(self._channel, name)
-        self.pool = pool or Pool(reactor, PoolLimits(connect_s=0.5))
+        self.pool = pool or ConnectionPool(reactor, PoolLimits(connect_timeout_s=0.5))
         self.delay_logs_s, self.double_logs = 0.0, False  # trouble on command
         self.port = reactor.listenTCP(0, _Factory(self), backlog=512, interface="127.0.0.1")
         self.address = f"127.0.0.1:{self.port.getHost().port}"
--- a/anisefront/testbed/sabotage.py
+++ b/anisefront/testbed/sabotage.py
@@ -13,7 +13,8 @@
 from collections.abc import Callable
 
 from anisefront.cluster import roster
-from anisefront.gateway.ledger import Ledger
+from anisefront.gateway.action_executor import ActionExecutor
+from anisefront.gateway.event_batches import EventBatches
 from anisefront.policy.actions import Fail, Reject
 from anisefront.policy.concurrency_limit import ConcurrencyLimit
 from anisefront.policy.endpoint_selection import EndpointSelection
@@ -24,29 +25,29 @@
 
 def _answers_lost() -> None:
     """Rule 1: one refusal or failure in three is never told."""
-    kept, count = Ledger._carry_out, [0]
+    kept, count = ActionExecutor.carry_out, [0]
 
-    def carry_out(self: Ledger, now: float, action: object) -> None:
+    def carry_out(self: ActionExecutor, now: float, action: object) -> None:
         if isinstance(action, Reject | Fail):
             count[0] += 1
             if count[0] % 3 == 0:
                 return
         kept(self, now, action)
 
-    Ledger._carry_out = carry_out
+    ActionExecutor.carry_out = carry_out
 
 
 def _loop_blocked() -> None:
     """Rule 1 by our own doing: the loop sleeps in a call. The kernel counts that as no lack of a core."""
-    kept, last = Ledger._turn, [time.monotonic()]
+    kept, last = EventBatches.run_iteration, [time.monotonic()]
 
-    def turn(self: Ledger) -> None:
+    def turn(self: EventBatches) -> None:
         if time.monotonic() - last[0] > 4.0:
             time.sleep(3.0)
             last[0] = time.monotonic()
         kept(self)
 
-    Ledger._turn = turn
+    EventBatches.run_iteration = turn
 
 
 def _repeats_anywhere() -> None:
--- a/anisefront/testbed/watch.py
+++ b/anisefront/testbed/watch.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from anisefront.daemon.pulse import reading
-from anisefront.gateway.standing import Sample, between
+from anisefront.gateway.event_loop_lag import SchedulerSample, thread_time_between
 from anisefront.testbed.records import Record, now_ms
 
 EVERY_MS = 25.0
@@ -22,7 +22,7 @@
 
     def __init__(self, reactor: Any, record: Record, pids: Callable[[], dict[int, int]]) -> None:
         self._reactor, self._record, self._pids = reactor, record, pids
-        self._last: dict[str, Sample] = {}
+        self._last: dict[str, SchedulerSample] = {}
         self._at_ms = 0.0
 
     def start(self) -> None:
@@ -38,7 +38,7 @@
         samples = {name: sample for name, pid in ids.items() if (sample := reading(pid, now)) is not None}
         for name, sample in samples.items():
             if name in self._last:
-                stood[name] = between(self._last[name], sample).waited_ms
+                stood[name] = thread_time_between(self._last[name], sample).waited_ms
         self._last = samples
         stood["lab"] = max(stood.get("lab", 0.0), now - before - EVERY_MS)
         told = {name: round(ms, 1) for name, ms in stood.items() if ms >= LEAST_MS}
--- /dev/null
+++ b/anisefront/upstream/delegated_checks.py
@@ -0,0 +1,123 @@
+"""Records of the requests that a proxy delegates: its checks, our responses to them, and names of attempts."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import Enum
+from typing import NamedTuple
+
+
+class Verdict(Enum):
+    """The meaning of the response to a check."""
+
+    START_ATTEMPT = "go"
+    REJECTED = "refused"
+    FAILED = "failed"
+
+
+@dataclass(frozen=True, slots=True)
+class CheckResponse:
+    """The response to one check.
+
+    Attributes:
+        verdict: What the proxy is to do.
+        endpoint: Where an attempt goes.
+        timeout_ms: How long it may take.
+        attempt: The name by which the proxy refers to it.
+        retry_after_ms: Advice with a rejection.
+        reason: Of a rejection or failure.
+    """
+
+    verdict: Verdict
+    endpoint: str = ""
+    timeout_ms: float = 0.0
+    attempt: str = ""
+    retry_after_ms: float = 0.0
+    reason: str = ""
+
+
+Reply = Callable[[CheckResponse], None]
+
+AT_CAPACITY = CheckResponse(Verdict.REJECTED, retry_after_ms=1000.0, reason="held-requests")
+IN_PROGRESS = CheckResponse(Verdict.REJECTED, retry_after_ms=1000.0, reason="in-progress")
+UNKNOWN_ATTEMPT = CheckResponse(Verdict.FAILED, reason="unknown-attempt")
+FAILED = CheckResponse(Verdict.FAILED, reason="failed")
+
+
+class WithheldAttempt(NamedTuple):
+    """An attempt that waits for the proxy's next check."""
+
+    number: int
+    endpoint: str
+    timeout_ms: float
+    since_ms: float
+
+
+@dataclass(slots=True, eq=False)
+class DelegatedRequest:
+    """A request that a proxy asked about.
+
+    Attributes:
+        request_id: The proxy's name of it; "" if it has none.
+        number: Its number in the request table.
+        reply: Responds to the check that is open, if one is.
+        attempt: The number of the last attempt that was started.
+        in_flight: Whether the proxy was told to start the attempt and has not logged its end.
+        peer: The proxy's host.
+        is_ambiguous: Whether another check came with the same request id.
+        withheld: An attempt that no check waits for yet.
+        final: The final response, while no check waits for it.
+        customer: Its customer.
+        revision: Number of changes of its state, by which timers of an earlier state are recognized.
+    """
+
+    request_id: str
+    number: int
+    reply: Reply | None
+    attempt: int = -1
+    in_flight: bool = False
+    peer: str = ""
+    is_ambiguous: bool = False
+    withheld: WithheldAttempt | None = None
+    final: CheckResponse | None = None
+    customer: str = ""
+    revision: int = 0
+
+    def take_reply(self) -> Reply | None:
+        """Return what responds to the open check, which is then open no more."""
+        reply = self.reply
+        self.reply = None
+        return reply
+
+
+@dataclass(slots=True)
+class DelegationTimeouts:
+    """Times in milliseconds that the path through a proxy takes.
+
+    Attributes:
+        log_ms: Time after an attempt's timeout without a log after which the attempt counts as timed out.
+        next_check_ms: Time without a check after which the proxy has answered its client by itself.
+        proxy_overhead_ms: Subtracted from an attempt's timeout, so that the proxy's timeout fires before ours.
+        max_withheld_ms: Time for which an attempt may wait for its check. After it the controller decides again.
+    """
+
+    log_ms: float = 1000.0
+    next_check_ms: float = 500.0
+    proxy_overhead_ms: float = 25.0
+    max_withheld_ms: float = 100.0
+
+
+class AttemptName(NamedTuple):
+    """The parts of an attempt's name: `INCARNATION.REQUEST.ATTEMPT`, the last two as text."""
+
+    incarnation: str
+    request: str
+    attempt: str
+
+
+def split_attempt_name(name: str) -> AttemptName:
+    """Split an attempt's name; what is missing is empty."""
+    incarnation, _, rest = name.partition(".")
+    request, _, attempt = rest.partition(".")
+    return AttemptName(incarnation, request, attempt)
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -23,8 +23,9 @@
 from twisted.protocols.basic import LineOnlyReceiver
 
 from anisefront.cli.config import checked
+from anisefront.gateway.request_terms import RequestTerms
 from anisefront.config.types import Address, Config
-from anisefront.gateway.ledger import Ledger
+from anisefront.gateway.request_table import RequestTable
 from anisefront.gateway.routing import LISTED, first_gateway
 from anisefront.daemon.clock import Clock
 from anisefront.daemon.gatekeeper import KEEPING_MARK, MEMBERS_MARK, ROSTER_S
@@ -72,16 +73,16 @@
 class Attempts:
     """Carries attempts out by letting them end well after a while."""
 
-    def __init__(self, ledger: Ledger) -> None:
-        self._ledger = ledger
+    def __init__(self, request_table: RequestTable) -> None:
+        self._request_table = request_table
 
-    def send(self, request: int, number: int, worker: str, timeout_ms: float) -> None:
-        reactor.callLater(WORK_S, self._ledger.outcome, request, number, AttemptResult.OK)
+    def start_attempt(self, request: int, number: int, worker: str, timeout_ms: float) -> None:
+        reactor.callLater(WORK_S, self._request_table.attempt_ended, request, number, AttemptResult.OK)
 
-    def cancel(self, request: int, attempt: int) -> None:
+    def cancel_attempt(self, request: int, attempt: int) -> None:
         """It ends by itself."""
 
-    def refuse(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
+    def reject(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
         """Nobody waits for the answer."""
 
     def fail(self, request: int) -> None:
@@ -108,9 +109,9 @@
             house.seed ^ number,
             config.members_ms,
         )
-        self.ledger = Ledger(Controller(settings, house.seed ^ number), clock, reactor, self.port.tell)
-        self.members.tell_gone = self.ledger.away
-        self.carrier, self._call = Attempts(self.ledger), None
+        self.request_table = RequestTable(Controller(settings, house.seed ^ number), clock, reactor, self.port.tell)
+        self.members.tell_gone = self.request_table.set_unreachable_peers
+        self.carrier, self._call = Attempts(self.request_table), None
 
     def start(self) -> None:
         self.listen()
@@ -121,8 +122,8 @@
         host, port = self.address
         self.listener = reactor.listenUDP(port, self.port, interface=host, maxPacketSize=2048)
         self.listener.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
-        self.ledger.roster(self.house.fleet)
-        self.ledger.settle()
+        self.request_table.update_endpoints(self.house.fleet)
+        self.request_table.batches.run_scheduled()
 
     def begin(self) -> None:
         """Say that it is there."""
@@ -134,7 +135,7 @@
         if data[:1] == MEMBERS_MARK:
             self.members.hear(sender, self.seal.peers[sender].incarnation, data)
         elif data[:1] != KEEPING_MARK:
-            self.ledger.hear(sender, data)
+            self.request_table.receive_peer_message(sender, data)
 
     def know(self, lives: dict[int, int]) -> None:
         """Hear of all others at once, as one that has been there for long; what all know is no news any more."""
@@ -159,15 +160,17 @@
         customer = LISTED + house.chance.choice(house.customers[self.number])
         settings = house.config.settings
         kind = settings.classes[0]
-        self.ledger.accept(
+        self.request_table.accept(
             self.carrier,
-            customer,
-            kind.name,
-            settings.plans[0].name,
-            house.clock() + kind.deadline_ms,
-            1.0,
-            first_gateway(customer, settings.tag_key, settings.gateways),
-            min(SPREAD, settings.gateways),
+            RequestTerms(
+                customer,
+                kind.name,
+                settings.plans[0].name,
+                house.clock() + kind.deadline_ms,
+                1.0,
+                first_gateway(customer, settings.tag_key, settings.gateways),
+                min(SPREAD, settings.gateways),
+            ),
         )
 
     def end(self, leaves: bool) -> Any:
@@ -178,7 +181,7 @@
             self.members._call.cancel()
         if self._call is not None and self._call.active():
             self._call.cancel()
-        self.ledger.stopped = True
+        self.request_table.batches.stopped = True
         return self.listener.stopListening()
 
 
@@ -268,7 +271,7 @@
         self.config, self.version = config, self.version + 1
         self.digest = self._digest()
         for number, each in self.hollow.items():
-            each.ledger.change(replace(config.settings, number=number, zone=zone(number)))
+            each.request_table.change_settings(replace(config.settings, number=number, zone=zone(number)))
         return {"version": self.version}
 
     def restart(self, told: dict[str, Any]) -> dict[str, Any]:
@@ -286,7 +289,8 @@
         """Who knows of whom, and what is in force, over all here."""
         alive = Counter(len(each.members.membership.alive()) for each in self.hollow.values())
         held = Counter(
-            sum(state.value == "ready" for state in each.ledger.servers.values()) for each in self.hollow.values()
+            sum(state.value == "ready" for state in each.request_table.endpoint_statuses.values())
+            for each in self.hollow.values()
         )
         with open(f"/proc/{os.getpid()}/statm") as file:
             resident = int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
@@ -297,8 +301,8 @@
             "digest": self.digest,
             "rss_mb": resident / 1e6,
             "late": self.pulse.lag.report(),
-            "accepted": sum(each.ledger.counts["accepted"] for each in self.hollow.values()),
-            "served": sum(each.ledger.counts["served"] for each in self.hollow.values()),
+            "accepted": sum(each.request_table.counts["accepted"] for each in self.hollow.values()),
+            "served": sum(each.request_table.counts["served"] for each in self.hollow.values()),
             "out": sum(each.members.membership.counts["out"] for each in self.hollow.values()),
         }
 
@@ -315,7 +319,7 @@
             self.fleet = roster.parse(file.read())
         # Danger: a whole list at all of them in one turn of the loop is seconds, in which none answers a probe.
         for each in self.hollow.values():
-            reactor.callLater(0, each.ledger.roster, self.fleet)
+            reactor.callLater(0, each.request_table.update_endpoints, self.fleet)
 
 
 class Commands(LineOnlyReceiver):
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -80,7 +80,7 @@
         "gatekeeper",
         "settings, list of workers, members, requests in hand",
         "its clients' and workers' aside: those of the other roles",
-        "`daemon/gatekeeper.py`, `gateway/ledger.py`",
+        "`daemon/gatekeeper.py`, `gateway/request_table.py`",
     ),
     Role(
         "home of quotas",
@@ -120,13 +120,13 @@
         "worker",
         "its connections",
         "requests, and the load that its answers tell",
-        "`upstream/pool.py`; which workers a gatekeeper knows: all of its pool; subsets: " + MISSING,
+        "`upstream/connection_pool.py`; which workers a gatekeeper knows: all of its pool; subsets: " + MISSING,
     ),
     Role(
         "client side",
         "a connection to a gatekeeper, its requests in hand",
         "its requests; a repeat where it is told to come again",
-        "`fronts/`, `upstream/returning.py`; which gatekeeper a client goes to is its proxy's matter",
+        "`fronts/`, `upstream/deduplication.py`; which gatekeeper a client goes to is its proxy's matter",
     ),
 )
 
@@ -335,13 +335,13 @@
     ),
     (
         "idle connections are swept",
-        "`upstream/pool.py`, `_sweep`",
+        "`upstream/connection_pool.py`, `_sweep`",
         "workers with open connections, each sweep",
         "one timer for all costs less than one each",
     ),
     (
         "the longest idle connection is looked for",
-        "`upstream/pool.py`, `make_room`",
+        "`upstream/connection_pool.py`, `ensure_capacity`",
         "workers with open connections, each new one at the cap",
         "only where a cap is set",
     ),
--- a/benchmarks/scale/subsets.py
+++ b/benchmarks/scale/subsets.py
@@ -19,7 +19,7 @@
 SEED = 37
 BUSY = 0.7  # taken: the part of a worker's capacity that the peak uses
 RATE_SPREAD = 0.5  # taken: sigma of the gatekeepers' shares of the traffic, log-normal; some see several times the mean
-IDLE_S = (2.0, 60.0)  # the pool's own (`upstream/pool.py`, `idle_s`), and one that most servers bear
+IDLE_S = (2.0, 60.0)  # the pool's own (`upstream/connection_pool.py`, `idle_timeout_s`), and one that most servers bear
 KNOWN = (2, 3, 4, 6, 8, 12, 24)
 KNOWLEDGE = ("chance", "reports", "true")
 SPLIT_KNOWN, GROUPS = 6, (1, 2, 4, 8, 50)  # services split over so many groups of gatekeepers
--- a/tests/connection_model.py
+++ b/tests/connection_model.py
@@ -234,7 +234,7 @@
 
     def _l(self):
         self.draining = True
-        self.house.ledger.roster(
+        self.house.request_table.update_endpoints(
             EndpointList(
                 (Endpoint("s1", "z", 0, EndpointStatus.DRAINING), Endpoint("s2", "z", 0, EndpointStatus.READY))
             )
@@ -245,7 +245,7 @@
         if waiting:
             self.sent.add(waiting[0])
             self.house.module.next = [StartAttempt(waiting[0], "s1", 1400.0)]
-            self.house.ledger._plan_turn()
+            self.house.request_table.batches.schedule_iteration()
 
     def _k(self):
         while len(self.workers) < len(self.house.reactor.tcpClients):
@@ -282,7 +282,7 @@
         if not all(map(bytes.startswith, found, self.read)):
             raise Broken("an answer that is another command's")
         if (
-            len(self.house.carrier.open) > CAPS["MOST_OPEN"]
+            len(self.house.carrier.open_requests) > CAPS["MOST_OPEN"]
             or self.house.front.bodies > VALUES
             or (len(self.wire.protocol.slots) > CAPS["MOST_WAITING"] + 1)
         ):
@@ -304,7 +304,7 @@
         self.wire.turn()
         self.house.reactor.advance(0)
         front, carrier = self.house.front, self.house.carrier
-        if carrier.open or carrier._ids or self.house.ledger.entries:
+        if carrier.open_requests or carrier._ids or self.house.request_table.requests:
             raise Broken("something is kept of a request that has ended")
         if front.bodies or any(front.places.values()):
             raise Broken("something is kept of a connection that has ended")
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -10,8 +10,8 @@
 from test_rules import settings
 from twisted.internet.epollreactor import EPollReactor
 
-from anisefront.upstream.pool import Pool, PoolLimits
-from anisefront.gateway.ledger import Ledger
+from anisefront.upstream.connection_pool import ConnectionPool, PoolLimits
+from anisefront.gateway.request_table import RequestTable
 from anisefront.resp_gateway import resp
 from anisefront.resp_gateway.carrier import NodeCarrier, RespAnswers
 from anisefront.resp_gateway.front import Front, FrontLimits
@@ -27,12 +27,16 @@
         self.time, self.reactor, self.module, self.links = 0.0, EPollReactor(), Script(), []
         self.reactor.seconds = lambda: self.time
         now = lambda: self.time * 1000 + 1000  # noqa: E731
-        self.ledger = Ledger(self.module, now, self.reactor)
-        self.ledger.roster(EndpointList(tuple(Endpoint(name, "z", 0, EndpointStatus.READY) for name in ("s1", "s2"))))
+        self.request_table = RequestTable(self.module, now, self.reactor)
+        self.request_table.update_endpoints(
+            EndpointList(tuple(Endpoint(name, "z", 0, EndpointStatus.READY) for name in ("s1", "s2")))
+        )
         self.listeners = {name: self._keep(socket.create_server(("127.0.0.1", 0))) for name in ("s1", "s2")}
         address = {name: listener.getsockname() for name, listener in self.listeners.items()}
-        self.pool = Pool(self.reactor, PoolLimits(rest_s=0.01, stall_s=0.4), RespAnswers, address.get)
-        self.carrier = NodeCarrier(self.ledger, self.pool, ("util", "inflight"))
+        self.pool = ConnectionPool(
+            self.reactor, PoolLimits(quiet_period_s=0.01, stall_timeout_s=0.4), RespAnswers, address.get
+        )
+        self.carrier = NodeCarrier(self.request_table, self.pool, ("util", "inflight"))
         self.front = Front(self.reactor, self.carrier, Reader(settings()), now, FrontLimits(**limits))
         self.port = self.reactor.listenTCP(0, self.front, interface="127.0.0.1")
 
@@ -61,7 +65,7 @@
     def say(self, *actions):
         """The module says this now."""
         self.module.next = list(actions)
-        self.ledger._plan_turn()
+        self.request_table.batches.schedule_iteration()
         self.turns()
 
     def client(self, *commands):
@@ -74,8 +78,8 @@
     def decide(self, *actions):
         """The module says this now, and the loop has read and written no socket since."""
         self.module.next = list(actions)
-        self.ledger._turn_due = None
-        self.ledger._turn()
+        self.request_table.batches._scheduled = False
+        self.request_table.batches.run_iteration()
 
     def served(self):
         """A client, and a worker's connection that has carried its request and has not rested yet."""
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -166,7 +166,7 @@
     house = House()
     house.say(house.client(), ASK)
     house.turn(StartAttempt(1, "s1", 400.0))
-    house.ledger.lose(1)
+    house.request_table.transfer_to_backup(1)
     late = house.worker()
     house.turn()
     assert late.take() == b"" and results(house.module) == [AttemptResult.DISCARDED]
@@ -177,7 +177,7 @@
     stage.decide(StartAttempt(1, "s1", 400.0))
     stage.reactor.runUntilCurrent()  # the system has made the connection, the loop has not seen it
     assert stage.pool.connections == 1
-    stage.carrier.cancel(1, 0)
+    stage.carrier.cancel_attempt(1, 0)
     stage.turns()
     assert stage.pool.connections == 0 and results(stage.module) == [AttemptResult.CANCELLED]
     try:
@@ -217,9 +217,9 @@
 def test_a_list_between_the_choice_and_the_write_keeps_the_drain(stage):
     stage.client(ASK)
     stage.module.next = [StartAttempt(1, "s1", 400.0)]
-    stage.ledger._plan_turn()
+    stage.request_table.batches.schedule_iteration()
     stage.reactor.iterate(0)
-    stage.ledger.roster(
+    stage.request_table.update_endpoints(
         EndpointList((Endpoint("s1", "z", 0, EndpointStatus.DRAINING), Endpoint("s2", "z", 0, EndpointStatus.READY)))
     )
     stage.turns()
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -2,7 +2,13 @@
 
 import pytest
 
-from anisefront.gateway.standing import Lag, Sample, Standing, between, read_schedstat
+from anisefront.gateway.event_loop_lag import (
+    LagHistogram,
+    SchedulerSample,
+    ThreadTime,
+    parse_schedstat,
+    thread_time_between,
+)
 from anisefront.testbed.audit import Auditor
 
 
@@ -65,17 +71,17 @@
 
 
 def test_causes_of_lateness_add_up():
-    ran, waited, slept = Sample(0, 100, 50), Sample(500, 400, 150), Standing(300, 100, 100)
-    assert between(ran, waited) == slept
-    lag = Lag()
-    assert lag.take(5.0) == "" and lag.take(450.0, Standing(300, 100, 100)) == "own"
-    assert lag.take(450.0, Standing(50, 400, 50)) == "machine"
-    assert lag.take(450.0, Standing(10, 10, 480)) == "blocked"  # 50 of the 480 it was to sleep
+    ran, waited, slept = SchedulerSample(0, 100, 50), SchedulerSample(500, 400, 150), ThreadTime(300, 100, 100)
+    assert thread_time_between(ran, waited) == slept
+    lag = LagHistogram()
+    assert lag.record(5.0) == "" and lag.record(450.0, ThreadTime(300, 100, 100)) == "own"
+    assert lag.record(450.0, ThreadTime(50, 400, 50)) == "machine"
+    assert lag.record(450.0, ThreadTime(10, 10, 480)) == "blocked"  # 50 of the 480 it was to sleep
     told = lag.report()
     assert told["worst_ms"] == 450.0 and sum(told["late"].values()) == 4
     assert told["notable_ms_by_cause"] == {"own": 360.0, "machine": 510.0, "blocked": 480.0}
 
 
 def test_kernel_line():
-    assert read_schedstat("656105320 932521764 172\n", 7.0) == Sample(7.0, 656.10532, 932.521764)
-    assert read_schedstat("", 0) is None and read_schedstat("x y z", 0) is None
+    assert parse_schedstat("656105320 932521764 172\n", 7.0) == SchedulerSample(7.0, 656.10532, 932.521764)
+    assert parse_schedstat("", 0) is None and parse_schedstat("x y z", 0) is None
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -25,7 +25,7 @@
     client = stage.client(ASK)
     stage.front.close_idle()
     stage.module.next = [Reject(1, 0.0)]
-    stage.ledger._plan_turn()
+    stage.request_table.batches.schedule_iteration()
     stage.reactor.iterate(0)  # the answer is written, the end begun
     stage.turns()
     client.sendall(resp.command(other(2)))  # it crosses our end
@@ -157,7 +157,7 @@
         if not stage.front.connections:
             break
     assert 0 < kept < 500_000 and len(ends) == 1  # what was open is called off long before it is cut off
-    assert not stage.carrier.open and not stage.front.connections and stage.front.bodies == 0
+    assert not stage.carrier.open_requests and not stage.front.connections and stage.front.bodies == 0
 
 
 def test_a_client_that_reads_is_not_cut_off_where_its_full_buffer_was_written_to_twice(stage):
--- a/tests/test_connection_search.py
+++ b/tests/test_connection_search.py
@@ -7,7 +7,7 @@
 import pytest
 from connection_model import EVENTS, Broken, play
 
-from anisefront.gateway.ledger import Ledger
+from anisefront.gateway.request_table import RequestTable
 from anisefront.resp_gateway import front as fronts
 from anisefront.resp_gateway import resp
 from anisefront.resp_gateway.carrier import NodeCarrier
@@ -124,8 +124,8 @@
     (Client, "_read_on", lambda self: None),
     (Client, "fail_all", Client.end),
     (Client, "abort", lambda self: None),
-    (Ledger, "may_begin", lambda self, request, attempt: True),
-    (NodeCarrier, "withdraw", lambda self, number: None),
+    (RequestTable, "may_start_attempt", lambda self, request, attempt: True),
+    (NodeCarrier, "client_disconnected", lambda self, number: None),
 ]
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The ledger and its carriers on a clock of the test's own: each hard case of the path, caused by hand."""
+"""The request table and its attempt handlers on a simulated clock: each hard case of the path, caused by hand."""
 
 from dataclasses import replace
 
@@ -6,9 +6,11 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import MemoryReactorClock
 
-from anisefront.upstream.outcomes import FLAGS, of_answer, of_flags
-from anisefront.upstream.proxied import Proxied, Verdict
-from anisefront.gateway.ledger import Ledger
+from anisefront.upstream.attempt_results import RESPONSE_FLAGS, end_from_flags, result_of_response
+from anisefront.gateway.request_terms import RequestTerms
+from anisefront.upstream.delegated_checks import Verdict
+from anisefront.upstream.delegated_requests import DelegatedRequests
+from anisefront.gateway.request_table import RequestTable
 from anisefront.policy.controller import Controller
 from anisefront.policy.actions import Reject, StartAttempt
 from anisefront.policy.events import AttemptEnded
@@ -50,9 +52,11 @@
             tick_ms=5,
             **more,
         )
-        self.ledger = Ledger(Controller(settings, 7), lambda: 1e6 + self.clock.seconds() * 1000, self.clock)
-        self.proxied = Proxied(self.ledger, self.clock, "life")
-        self.ledger.roster(EndpointList(SERVERS))
+        self.request_table = RequestTable(
+            Controller(settings, 7), lambda: 1e6 + self.clock.seconds() * 1000, self.clock
+        )
+        self.proxied = DelegatedRequests(self.request_table, self.clock, "life")
+        self.request_table.update_endpoints(EndpointList(SERVERS))
         self.told = []
         self.run(0.01)
 
@@ -61,49 +65,52 @@
             self.clock.advance(0.001)
 
     def ask(self, name="r", kind="safe", due_ms=2000.0, peer="p"):
-        number = self.proxied.ask(
-            name, self.told.append, "c", kind, "wide", self.ledger.now_ms() + due_ms, 1.0, 0, 1, False, peer
+        number = self.proxied.first_check(
+            name,
+            self.told.append,
+            RequestTerms("c", kind, "wide", self.request_table.now_ms() + due_ms, 1.0, 0, 1, False),
+            peer,
         )
         self.run(0.005)
         return number
 
     def again(self, token):
-        number = self.proxied.ask_again(token, self.told.append)
+        number = self.proxied.next_check(token, self.told.append)
         self.run(0.005)
         return number
 
     def log(self, token, result, over=False):
-        taken = self.proxied.log(token, result, 10.0, (), over)
+        taken = self.proxied.attempt_logged(token, result, 10.0, (), over)
         self.run(0.005)
         return taken
 
     def empty(self):
         return (
-            not self.ledger.entries
-            and not self.ledger.open
-            and not self.proxied.exchanges
-            and not self.ledger.controller.requests
-            and not self.ledger.controller.concurrency_limit.in_flight
+            not self.request_table.requests
+            and not self.request_table.open_requests
+            and not self.proxied.index.by_number
+            and not self.request_table.controller.requests
+            and not self.request_table.controller.concurrency_limit.in_flight
         )
 
 
 def test_served():
     desk = Desk()
     desk.ask()
-    assert desk.told[0].verdict is Verdict.GO and desk.told[0].timeout_ms < 2000
+    assert desk.told[0].verdict is Verdict.START_ATTEMPT and desk.told[0].timeout_ms < 2000
     assert desk.log(desk.told[0].attempt, AttemptResult.OK)
-    assert desk.empty() and desk.ledger.counts["served"] == 1
+    assert desk.empty() and desk.request_table.counts["served"] == 1
 
 
 @pytest.mark.parametrize(
     ("kind", "result", "verdict"),
     [
-        ("safe", AttemptResult.RESET, Verdict.GO),
-        ("safe", AttemptResult.CONNECT_FAILED, Verdict.GO),
-        ("keyed", AttemptResult.RESET, Verdict.GO),
-        ("keyed", AttemptResult.ERROR, Verdict.GO),
-        ("unsafe", AttemptResult.CONNECT_FAILED, Verdict.GO),
-        ("unsafe", AttemptResult.OVERLOADED, Verdict.GO),
+        ("safe", AttemptResult.RESET, Verdict.START_ATTEMPT),
+        ("safe", AttemptResult.CONNECT_FAILED, Verdict.START_ATTEMPT),
+        ("keyed", AttemptResult.RESET, Verdict.START_ATTEMPT),
+        ("keyed", AttemptResult.ERROR, Verdict.START_ATTEMPT),
+        ("unsafe", AttemptResult.CONNECT_FAILED, Verdict.START_ATTEMPT),
+        ("unsafe", AttemptResult.OVERLOADED, Verdict.START_ATTEMPT),
         ("unsafe", AttemptResult.RESET, Verdict.FAILED),
         ("unsafe", AttemptResult.ERROR, Verdict.FAILED),
         ("unsafe", AttemptResult.TIMEOUT, Verdict.FAILED),
@@ -119,8 +126,8 @@
     assert second.verdict is verdict
     if kind == "keyed":  # only where repeats are dropped
         cells = {server.id: server.cell for server in SERVERS}
-        assert cells[second.worker] == cells[first.worker]
-    if verdict is Verdict.GO:
+        assert cells[second.endpoint] == cells[first.endpoint]
+    if verdict is Verdict.START_ATTEMPT:
         desk.log(second.attempt, AttemptResult.OK)
     assert desk.empty()
 
@@ -131,17 +138,17 @@
     desk.again(desk.told[0].attempt)
     assert len(desk.told) == 1
     desk.log(desk.told[0].attempt, AttemptResult.CONNECT_FAILED)
-    assert desk.told[1].verdict is Verdict.GO and desk.told[1].attempt == "life.1.1"
+    assert desk.told[1].verdict is Verdict.START_ATTEMPT and desk.told[1].attempt == "life.1.1"
 
 
 def test_proxy_out_of_time_while_our_ok_is_on_the_wire():
     desk = Desk()
     desk.ask("r9")
-    assert desk.told[0].verdict is Verdict.GO  # it was counted, and went out
-    assert not desk.proxied.log_unsent("r9", "another proxy")
-    assert desk.proxied.log_unsent("r9", "p")
+    assert desk.told[0].verdict is Verdict.START_ATTEMPT  # it was counted, and went out
+    assert not desk.proxied.denial_logged("r9", "another proxy")
+    assert desk.proxied.denial_logged("r9", "p")
     desk.run(0.01)
-    assert desk.empty() and desk.ledger.counts["attempts_moot"] == 1
+    assert desk.empty() and desk.request_table.counts["attempts_moot"] == 1
     assert not desk.log(desk.told[0].attempt, AttemptResult.OK)
 
 
@@ -149,17 +156,17 @@
     desk = Desk()
     desk.ask("r")
     desk.ask("r")
-    assert desk.told[1].verdict is Verdict.REFUSED and desk.told[1].reason == "in-progress"
-    assert not desk.proxied.log_unsent("r", "p")
+    assert desk.told[1].verdict is Verdict.REJECTED and desk.told[1].reason == "in-progress"
+    assert not desk.proxied.denial_logged("r", "p")
     desk.log(desk.told[0].attempt, AttemptResult.OK)
-    assert desk.empty() and desk.ledger.counts["attempts"] == 1
+    assert desk.empty() and desk.request_table.counts["attempts"] == 1
 
 
 def test_no_log_in_time_may_have_run():
     desk = Desk()
     desk.ask(kind="unsafe", due_ms=500)
     desk.run(2.5)
-    assert desk.empty() and desk.ledger.counts["attempts_timeout"] == 1
+    assert desk.empty() and desk.request_table.counts["attempts_timeout"] == 1
     assert not desk.log(desk.told[0].attempt, AttemptResult.OK)
 
 
@@ -167,9 +174,9 @@
     desk = Desk()
     desk.ask(kind="safe", due_ms=300)
     desk.run(0.4)  # the module's guard has answered; the proxy has not asked for it
-    assert desk.ledger.counts["refused"] == 1 and not desk.empty()
+    assert desk.request_table.counts["refused"] == 1 and not desk.empty()
     desk.log(desk.told[0].attempt, AttemptResult.OK)
-    assert desk.empty() and desk.ledger.counts["served"] == 0
+    assert desk.empty() and desk.request_table.counts["served"] == 0
 
 
 def test_proxy_that_does_not_ask_again_gets_nothing_more():
@@ -187,8 +194,8 @@
     desk = Desk()
     desk.ask()
     desk.log(desk.told[0].attempt, AttemptResult.RESET)
-    parked = next(iter(desk.proxied.exchanges.values())).parked[1]
-    desk.ledger.roster(
+    parked = next(iter(desk.proxied.index.by_number.values())).withheld.endpoint
+    desk.request_table.update_endpoints(
         EndpointList(
             tuple(
                 Endpoint(s.id, s.zone, s.cell, EndpointStatus.DRAINING if s.id == parked else s.status) for s in SERVERS
@@ -196,7 +203,7 @@
         )
     )
     desk.again(desk.told[0].attempt)
-    assert desk.told[1].verdict is Verdict.GO and desk.told[1].worker != parked
+    assert desk.told[1].verdict is Verdict.START_ATTEMPT and desk.told[1].endpoint != parked
     desk.log(desk.told[1].attempt, AttemptResult.OK)
     assert desk.empty()
 
@@ -204,12 +211,12 @@
 def test_client_leaves_while_held():
     desk = Desk(Plan("wide", 1, 1))
     numbers = [desk.ask(f"r{n}") for n in range(3)]
-    assert [answer.verdict for answer in desk.told] == [Verdict.GO]
-    desk.proxied.withdraw(numbers[1])
+    assert [answer.verdict for answer in desk.told] == [Verdict.START_ATTEMPT]
+    desk.proxied.check_cancelled(numbers[1])
     desk.run(1.0)
     desk.log(desk.told[0].attempt, AttemptResult.OK)
     desk.run(3.0)
-    assert desk.empty() and desk.ledger.counts["left"] == 1
+    assert desk.empty() and desk.request_table.counts["left"] == 1
 
 
 def test_client_gone_midway_ends_the_request():
@@ -221,11 +228,11 @@
 
 def test_full_ledger_turns_away_at_once():
     desk = Desk(Plan("wide", 0.1, 1))
-    desk.ledger.most_open = 2
+    desk.request_table.max_open_requests = 2
     for number in range(4):
         desk.ask(f"r{number}")
     assert [answer.reason for answer in desk.told[-2:]] == ["held-requests"] * 2
-    assert desk.ledger.counts["turned_away"] == 2
+    assert desk.request_table.counts["turned_away"] == 2
 
 
 def test_every_request_is_answered_before_its_time_whatever_is_lost():
@@ -233,10 +240,10 @@
     due = {}
     for number in range(200):
         desk.ask(f"r{number}", ("safe", "keyed", "unsafe")[number % 3], 300.0 + number % 7 * 100)
-        due[number] = desk.ledger.now_ms()
+        due[number] = desk.request_table.now_ms()
     desk.run(5.0)  # no log ever comes
     assert desk.empty() and len(desk.told) == 200
-    assert desk.ledger.counts["accepted"] == 200
+    assert desk.request_table.counts["accepted"] == 200
 
 
 class Late(Clock):
@@ -256,16 +263,18 @@
     late.rightNow = desk.clock.seconds()
     desk.ask(kind="unsafe", due_ms=1000)
     desk.clock.__class__ = Late
-    desk.clock.stand_still(1.5, lambda: desk.proxied.log(desk.told[0].attempt, AttemptResult.OK, 20.0, (), False))
-    assert desk.ledger.counts["served"] == 1 and desk.ledger.counts["failed"] == 0
-    assert desk.ledger.counts["standstills"] == 1
+    desk.clock.stand_still(
+        1.5, lambda: desk.proxied.attempt_logged(desk.told[0].attempt, AttemptResult.OK, 20.0, (), False)
+    )
+    assert desk.request_table.counts["served"] == 1 and desk.request_table.counts["failed"] == 0
+    assert desk.request_table.counts["standstills"] == 1
 
 
-@pytest.mark.parametrize("row", FLAGS)
+@pytest.mark.parametrize("row", RESPONSE_FLAGS)
 def test_response_flags(row):
     name, end = row
-    assert of_flags({name}, 0, {}) == end
-    assert of_flags({name, "unauthorized_details"}, 0, {}).result is AttemptResult.DISCARDED
+    assert end_from_flags({name}, 0, {}) == end
+    assert end_from_flags({name, "unauthorized_details"}, 0, {}).result is AttemptResult.DISCARDED
 
 
 @pytest.mark.parametrize(
@@ -281,18 +290,18 @@
     ],
 )
 def test_statuses(status, headers, result):
-    assert of_answer(status, headers) is result
+    assert result_of_response(status, headers) is result
 
 
 def test_module_that_raises_leaves_nobody_unanswered():
     desk, faults = Desk(Plan("wide", 0.1, 1)), []
-    desk.ledger._on_fault = faults.append
+    desk.request_table._on_controller_error = faults.append
     desk.ask("r0")
     desk.ask("r1")
-    desk.ledger.controller.handle = lambda now, events: 1 / 0
+    desk.request_table.controller.handle = lambda now, events: 1 / 0
     desk.ask("r2")
-    assert [answer.verdict for answer in desk.told] == [Verdict.GO, Verdict.FAILED, Verdict.FAILED]
-    assert len(faults) == 1 and desk.ledger.open == 0
+    assert [answer.verdict for answer in desk.told] == [Verdict.START_ATTEMPT, Verdict.FAILED, Verdict.FAILED]
+    assert len(faults) == 1 and desk.request_table.open_requests == 0
     desk.ask("r3")
     assert desk.told[-1].reason == "held-requests"
 
@@ -304,8 +313,8 @@
     page = (pathlib.Path(__file__).parent.parent / "docs/operators/outcomes.md").read_text()
     rows = re.findall(r"^\| `(\w+)` \| `(\w+)` \| (yes|no) \| (yes|no) \|$", page, re.M)
     assert rows == [
-        (name, end.result.value, "no" if end.result.never_executed else "yes", "yes" if end.over else "no")
-        for name, end in FLAGS
+        (name, end.result.value, "no" if end.result.never_executed else "yes", "yes" if end.is_final else "no")
+        for name, end in RESPONSE_FLAGS
     ]
 
 
@@ -328,15 +337,17 @@
 
 
 def test_second_copies_and_cancels_on_our_own_connections():
-    from anisefront.upstream.own import Job, Own
+    from anisefront.upstream.direct_requests import DirectRequest, DirectRequests
     from anisefront.protocols.http1 import Message
 
     patient = tuple(replace(kind, latency_objective_ms=1900) for kind in CLASSES)
     desk = Desk(classes=patient, hedging_enabled=True)
     lines, answers = Lines(), []
-    own = Own(desk.ledger, lines, "life", ())
-    own.ask(
-        Job("GET", "/a", {}, b""), answers.append, "c", "safe", "wide", desk.ledger.now_ms() + 2000, 1.0, 0, 1, False
+    own = DirectRequests(desk.request_table, lines, "life", ())
+    own.accept(
+        DirectRequest("GET", "/a", {}, b""),
+        answers.append,
+        RequestTerms("c", "safe", "wide", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
     )
     desk.run(0.01)
     assert len(lines.asked) == 1
@@ -345,9 +356,11 @@
     lines.asked[1].done(None, Message("", "", 200, {}, b"ok", True))
     desk.run(0.01)
     assert [answer.message.body for answer in answers] == [b"ok"] and lines.asked[0].called_off
-    assert desk.empty() and not own.open and not own._exchanges
-    own.ask(
-        Job("GET", "/a", {}, b""), answers.append, "c", "unsafe", "wide", desk.ledger.now_ms() + 2000, 1.0, 0, 1, False
+    assert desk.empty() and not own.open_requests and not own._exchanges
+    own.accept(
+        DirectRequest("GET", "/a", {}, b""),
+        answers.append,
+        RequestTerms("c", "unsafe", "wide", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
     )
     desk.run(1.0)
     assert len(lines.asked) == 3  # never a copy of what must not run twice
@@ -357,7 +370,7 @@
     desk = Desk(classes=tuple(replace(kind, latency_objective_ms=1900) for kind in CLASSES), hedging_enabled=True)
     desk.ask(kind="safe")
     desk.run(1.0)
-    assert len(desk.told) == 1 and desk.ledger.counts["attempts"] == 1
+    assert len(desk.told) == 1 and desk.request_table.counts["attempts"] == 1
 
 
 # ---- the turn ------------------------------------------------------------------------------------------------------
@@ -376,28 +389,28 @@
 
 
 def test_a_turn_is_bounded_and_serves_all_lines_in_turn():
-    from anisefront.gateway import ledger as ledgers
+    from anisefront.gateway.event_batches import MAX_ITERATION_MS, SLICE_EVENTS
 
     desk = Desk()
-    ledger = desk.ledger
-    slow = ledger.controller = Slow(desk, 0.05)
+    request_table = desk.request_table
+    slow = request_table.controller = Slow(desk, 0.05)
     for number in range(400):
-        ledger._post(AttemptEnded(number, 0, "w", 1.0, AttemptResult.OK, True))
+        request_table.batches.post(AttemptEnded(number, 0, "w", 1.0, AttemptResult.OK, True))
     for _ in range(200):
-        ledger.accept(desk.proxied, "c", "safe", "wide", ledger.now_ms() + 2000)
-        ledger.hear(1, b"x")
-    ledger.roster(EndpointList(SERVERS))
+        request_table.accept(desk.proxied, RequestTerms("c", "safe", "wide", request_table.now_ms() + 2000))
+        request_table.receive_peer_message(1, b"x")
+    request_table.update_endpoints(EndpointList(SERVERS))
     ends = []
-    ledger.after_turn.append(lambda: ends.append(len(slow.turns)))
+    request_table.batches.after_iteration.append(lambda: ends.append(len(slow.turns)))
     desk.clock.advance(0)
     first = [name for _, names in slow.turns[: ends[0]] for name in names]
     assert (
         first[0] == "EndpointList" and len(first) < 200
     )  # a turn's time is up after about 80 events of 50 microseconds
     assert len(ends) > 5  # between them the loop reads its sockets
-    assert ledger.turn_ms.worst_ms < ledgers.TURN_MS + 3 * ledgers.SLICE * 0.05 + 0.1
-    assert abs(first.count("AttemptEnded") - first.count("Arrival")) <= ledgers.SLICE and first.count("PeerMessage") > 0
-    assert ledger.waiting == 0 and sum(len(names) for _, names in slow.turns) == 801
+    assert request_table.batches.duration_ms.worst_ms < MAX_ITERATION_MS + 3 * SLICE_EVENTS * 0.05 + 0.1
+    assert abs(first.count("AttemptEnded") - first.count("Arrival")) <= SLICE_EVENTS and first.count("PeerMessage") > 0
+    assert request_table.batches.waiting == 0 and sum(len(names) for _, names in slow.turns) == 801
     order = slow.turns[0][1]
     assert (
         order[1:17] == ["AttemptEnded"] * 16 and order[17:33] == ["Arrival"] * 16 and order[33:] == ["PeerMessage"] * 16
@@ -405,37 +418,43 @@
 
 
 def test_peers_messages_that_no_turn_takes_in_are_dropped_at_their_cap():
-    from anisefront.gateway import ledger as ledgers
+    from anisefront.gateway.event_batches import MAX_PEER_MESSAGES
 
     desk = Desk()
-    for _ in range(ledgers.MOST_HEARD + 50):
-        desk.ledger.hear(1, b"x")
-    assert desk.ledger.waiting == ledgers.MOST_HEARD and desk.ledger.counts["heard_dropped"] == 50
+    for _ in range(MAX_PEER_MESSAGES + 50):
+        desk.request_table.receive_peer_message(1, b"x")
+    assert desk.request_table.batches.waiting == MAX_PEER_MESSAGES and desk.request_table.counts["heard_dropped"] == 50
     desk.ask()
     assert desk.told
 
 
 def test_an_answer_that_is_due_while_a_turn_is_cut_is_given_in_time():
     desk = Desk(Plan("narrow", 0.001, 1))
-    desk.proxied.ask("first", desk.told.append, "c", "safe", "narrow", desk.ledger.now_ms() + 2000, 1.0, 0, 1, False)
+    desk.proxied.first_check(
+        "first",
+        desk.told.append,
+        RequestTerms("c", "safe", "narrow", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
+    )
     desk.run(0.01)
     answers = []
-    due = desk.ledger.now_ms() + 300
-    desk.proxied.ask(
-        "held", lambda answer: answers.append(desk.ledger.now_ms()), "c", "safe", "narrow", due, 1.0, 0, 1, False
+    due = desk.request_table.now_ms() + 300
+    desk.proxied.first_check(
+        "held",
+        lambda answer: answers.append(desk.request_table.now_ms()),
+        RequestTerms("c", "safe", "narrow", due, 1.0, 0, 1, False),
     )
     desk.run(0.1)
-    kept = desk.ledger.controller.handle
+    kept = desk.request_table.controller.handle
 
     def slow(now, events):
         desk.clock.rightNow += 0.0002 * len(events)
         return kept(now, events)
 
-    desk.ledger.controller.handle = slow
+    desk.request_table.controller.handle = slow
     for _ in range(40):  # a flood that never lets a turn take all in
         for number in range(60):
-            desk.ledger.outcome(10**6 + number, 0, AttemptResult.OK)
-            desk.ledger.hear(0, b"flood")
+            desk.request_table.attempt_ended(10**6 + number, 0, AttemptResult.OK)
+            desk.request_table.receive_peer_message(0, b"flood")
         desk.run(0.005)
     assert answers and answers[0] <= due
 
@@ -454,28 +473,28 @@
         def __init__(self, good):
             self.good, self.did = good, []
 
-        def send(self, *what):
-            self.refuse(*what)
+        def start_attempt(self, *what):
+            self.reject(*what)
 
-        def refuse(self, *what):
+        def reject(self, *what):
             if not self.good:
                 raise OSError("no more descriptors")
             self.did.append(what)
 
     reactor, raised = MemoryReactorClock(), []
     module, bad, good = Module(), Carrier(False), Carrier(True)
-    ledger = Ledger(module, lambda: reactor.seconds() * 1000, reactor, on_raise=raised.append)
-    ledger.roster(EndpointList((Endpoint("s1", "z", 0, EndpointStatus.READY),)))
+    request_table = RequestTable(module, lambda: reactor.seconds() * 1000, reactor, on_action_error=raised.append)
+    request_table.update_endpoints(EndpointList((Endpoint("s1", "z", 0, EndpointStatus.READY),)))
     for carrier in (bad, good, bad, good):
-        ledger.accept(carrier, "f", "look", "rated", 5000.0)
+        request_table.accept(carrier, RequestTerms("f", "look", "rated", 5000.0))
     module.next = [StartAttempt(1, "s1", 100.0), StartAttempt(2, "s1", 100.0), Reject(3), Reject(4)]
     reactor.advance(0)
     reactor.advance(0)
     assert [type(each) for each in raised] == [OSError, OSError] and len(good.did) == 2
     assert [each.result for each in module.events if isinstance(each, AttemptEnded)] == [AttemptResult.ERROR]
-    assert set(ledger.entries) == {1, 2} and ledger.open == 2
+    assert set(request_table.requests) == {1, 2} and request_table.open_requests == 2
     module.next = [StartAttempt(1, "s1", 100.0)]
-    ledger._on_raise = None
-    ledger._plan_turn()
+    request_table._on_action_error = None
+    request_table.batches.schedule_iteration()
     with pytest.raises(OSError):
         reactor.advance(0)
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -15,7 +15,7 @@
 from test_path import ROOT, Running, told
 from twisted.internet.task import Clock
 
-from anisefront.gateway.standing import Sample
+from anisefront.gateway.event_loop_lag import SchedulerSample
 from anisefront.daemon import collector, memory, pulse
 from anisefront.policy.controller import Controller
 from anisefront.protocols import grpc as wire_grpc
@@ -101,8 +101,8 @@
 
 def test_a_pulse_tells_whose_time_it_was(monkeypatch):
     clock, late = Clock(), []
-    told_ = Sample(150, 90, 5), Sample(400, 95, 195)
-    readings = iter([Sample(0, 0, 0), told_[0], told_[0], told_[1], told_[1]])
+    told_ = SchedulerSample(150, 90, 5), SchedulerSample(400, 95, 195)
+    readings = iter([SchedulerSample(0, 0, 0), told_[0], told_[0], told_[1], told_[1]])
     monkeypatch.setattr(pulse, "reading", lambda pid, now: next(readings))
     beat = pulse.Pulse(clock, lambda: clock.seconds() * 1000, lambda *row: late.append(row))
     beat.start()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -163,7 +163,7 @@
     real = roster.parse
     monkeypatch.setattr(roster, "parse", lambda text: 1 / 0)
     gatekeeper.start()
-    assert "division" in gatekeeper.state()["roster_fault"] and not gatekeeper.ledger.servers
+    assert "division" in gatekeeper.state()["roster_fault"] and not gatekeeper.request_table.endpoint_statuses
     monkeypatch.setattr(roster, "parse", real)
     reactor.advance(1.1)
-    assert gatekeeper.roster_fault == "" and list(gatekeeper.ledger.servers) == ["127.0.0.1:1"]
+    assert gatekeeper.roster_fault == "" and list(gatekeeper.request_table.endpoint_statuses) == ["127.0.0.1:1"]
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -8,9 +8,9 @@
 from test_module import FLEET, ask, gateway, of
 from twisted.internet.task import Clock
 
-from anisefront.upstream.own import Answer
-from anisefront.upstream.proxied import Verdict
-from anisefront.upstream.returning import Returning
+from anisefront.upstream.direct_requests import FinalResponse
+from anisefront.upstream.delegated_checks import Verdict
+from anisefront.upstream.deduplication import Deduplicator
 from anisefront.daemon.keepers import read_record
 from anisefront.policy.actions import Fail, Reject, SendToPeer, StartAttempt
 from anisefront.policy.events import AttemptResult, EndpointList, EndpointStatus, PriorAttempts
@@ -24,27 +24,27 @@
     def __init__(self):
         self.asked, self.refusals, self.never, self.ended = [], [], [], []
 
-    def taken(self, entry):
+    def try_protect(self, entry):
         return True
 
-    def sending(self, request, attempt, worker):
+    def may_release_attempt(self, request, attempt, worker):
         self.asked.append((request, attempt, worker))
         return False
 
-    def refusing(self, request):
+    def may_release_rejection(self, request):
         self.refusals.append(request)
         return False
 
-    def never_executed(self, request, attempt):
+    def attempt_never_executed(self, request, attempt):
         self.never.append((request, attempt))
 
-    def over(self, request):
+    def request_completed(self, request):
         self.ended.append(request)
 
 
 def guarded():
     desk, guard = Desk(), Guard()
-    desk.ledger.guard = guard
+    desk.request_table.guard = guard
     return desk, guard
 
 
@@ -86,9 +86,9 @@
     number = desk.ask(kind="unsafe")
     desk.run(0.1)
     assert desk.told == [] and guard.asked[0][:2] == (number, 0)
-    desk.ledger.go(number, 0)
-    assert desk.told[0].verdict is Verdict.GO and desk.told[0].timeout_ms < 1900
-    desk.ledger.go(number, 0)  # said twice
+    desk.request_table.release_attempt(number, 0)
+    assert desk.told[0].verdict is Verdict.START_ATTEMPT and desk.told[0].timeout_ms < 1900
+    desk.request_table.release_attempt(number, 0)  # said twice
     desk.log(desk.told[0].attempt, AttemptResult.OK)
     assert desk.empty() and guard.ended == [number] and len(desk.told) == 1
 
@@ -97,13 +97,13 @@
     desk, guard = guarded()
     number = desk.ask(kind="unsafe")
     gone = guard.asked[0][2]
-    desk.ledger.roster(
+    desk.request_table.update_endpoints(
         EndpointList(
             tuple(replace(each, status=EndpointStatus.DRAINING) if each.id == gone else each for each in SERVERS)
         )
     )
     desk.run(0.005)
-    desk.ledger.go(number, 0)
+    desk.request_table.release_attempt(number, 0)
     desk.run(0.005)
     assert guard.never == [(number, 0)] and guard.asked[1][1:] != (0, gone) and guard.asked[1][2] != gone
 
@@ -111,23 +111,25 @@
 def test_a_lost_request_is_failed_and_nothing_leaves_for_it():
     desk, guard = guarded()
     number = desk.ask(kind="unsafe")
-    desk.ledger.lose(number)
-    desk.ledger.go(number, 0)
+    desk.request_table.transfer_to_backup(number)
+    desk.request_table.release_attempt(number, 0)
     desk.run(0.01)
     assert [answer.verdict for answer in desk.told] == [Verdict.FAILED] and desk.empty()
-    assert desk.ledger.counts["lost"] == 1
+    assert desk.request_table.counts["lost"] == 1
 
 
 def test_a_lost_request_passes_on_what_its_own_attempt_brings_and_asks_for_no_other():
     desk, guard = guarded()
     number = desk.ask(kind="unsafe")
-    desk.ledger.go(number, 0)
-    desk.ledger.lose(number)
+    desk.request_table.release_attempt(number, 0)
+    desk.request_table.transfer_to_backup(number)
     desk.run(0.01)
-    assert desk.log(desk.told[0].attempt, AttemptResult.OK) and desk.ledger.counts["served"] == 1 and desk.empty()
+    assert (
+        desk.log(desk.told[0].attempt, AttemptResult.OK) and desk.request_table.counts["served"] == 1 and desk.empty()
+    )
     other = desk.ask("r2", kind="unsafe")
-    desk.ledger.go(other, 0)
-    desk.ledger.lose(other)
+    desk.request_table.release_attempt(other, 0)
+    desk.request_table.transfer_to_backup(other)
     desk.log(desk.told[1].attempt, AttemptResult.CONNECT_FAILED)
     desk.again(desk.told[1].attempt)
     assert desk.told[-1].verdict is Verdict.FAILED and len(guard.asked) == 2
@@ -135,21 +137,21 @@
 
 def test_a_refusal_waits_for_the_guard_and_is_failed_where_no_word_comes_in_time():
     desk, guard = guarded()
-    desk.ledger.roster(EndpointList(()))
+    desk.request_table.update_endpoints(EndpointList(()))
     number, other = desk.ask("r1", "unsafe", 600.0), desk.ask("r2", "unsafe", 600.0)
     desk.run(0.55)
     assert guard.refusals and desk.told == []
-    desk.ledger.answer(number)
-    assert [answer.verdict for answer in desk.told] == [Verdict.REFUSED]
+    desk.request_table.release_rejection(number)
+    assert [answer.verdict for answer in desk.told] == [Verdict.REJECTED]
     desk.run(0.1)
-    assert [answer.verdict for answer in desk.told] == [Verdict.REFUSED, Verdict.FAILED]  # no promise without a word
+    assert [answer.verdict for answer in desk.told] == [Verdict.REJECTED, Verdict.FAILED]  # no promise without a word
     assert desk.empty() and other in guard.ended
 
 
 def test_a_guard_that_wants_protection_has_nothing_counted():
     desk, guard = guarded()
-    guard.taken = lambda entry: False
-    assert desk.ask(kind="unsafe") is None and desk.told[0].verdict is Verdict.REFUSED and desk.empty()
+    guard.try_protect = lambda entry: False
+    assert desk.ask(kind="unsafe") is None and desk.told[0].verdict is Verdict.REJECTED and desk.empty()
 
 
 def test_a_record_of_another_version_or_class_is_no_record():
@@ -165,39 +167,39 @@
 
 def returning():
     clock = Clock()
-    return clock, Returning(lambda: clock.seconds() * 1000, clock), []
+    return clock, Deduplicator(lambda: clock.seconds() * 1000, clock), []
 
 
 def test_all_tries_of_one_name_get_the_one_answer_before_and_after_it_came():
     _, desk, told = returning()
-    desk.expect(b"n", b"m", 5000.0, told.append, lambda: told.append("alone"))
-    assert desk.begin(b"n", b"m", 5000.0) and not desk.begin(b"n", b"m", 5000.0)
-    assert desk.join(b"n", b"m", told.append) and desk.join(b"n", b"x", told.append)
+    desk.wait_for_outcome(b"n", b"m", 5000.0, told.append, lambda: told.append("alone"))
+    assert desk.add(b"n", b"m", 5000.0) and not desk.add(b"n", b"m", 5000.0)
+    assert desk.try_join(b"n", b"m", told.append) and desk.try_join(b"n", b"x", told.append)
     assert [answer.reason for answer in told] == ["another-request-under-this-name"]
-    answer = Answer(reason="failed")
-    desk.finish(b"n", answer)
-    desk.finish(b"n", Answer(refused=True))
-    assert desk.join(b"n", b"m", told.append) and told[1:] == [answer] * 3
+    answer = FinalResponse(reason="failed")
+    desk.record_response(b"n", answer)
+    desk.record_response(b"n", FinalResponse(is_rejected=True))
+    assert desk.try_join(b"n", b"m", told.append) and told[1:] == [answer] * 3
 
 
 def test_a_try_whose_time_is_up_or_whose_way_is_free_waits_no_longer():
     clock, desk, told = returning()
-    desk.expect(b"n", b"m", 1000.0, told.append, lambda: told.append("alone"))
-    desk.expect(b"o", b"m", 9000.0, told.append, lambda: told.append("alone"))
+    desk.wait_for_outcome(b"n", b"m", 1000.0, told.append, lambda: told.append("alone"))
+    desk.wait_for_outcome(b"o", b"m", 9000.0, told.append, lambda: told.append("alone"))
     clock.advance(1.1)
     assert [answer.reason for answer in told] == ["in-progress"]
-    desk.released(b"o", False)
-    desk.released(b"n", False)
-    desk.expect(b"o", b"m", 9000.0, told.append, lambda: told.append("alone"))
-    desk.released(b"o", True)
+    desk.ended_elsewhere(b"o", False)
+    desk.ended_elsewhere(b"n", False)
+    desk.wait_for_outcome(b"o", b"m", 9000.0, told.append, lambda: told.append("alone"))
+    desk.ended_elsewhere(b"o", True)
     assert told[1] == "alone" and told[2].reason == "ended-elsewhere" and len(told) == 3
 
 
 def test_answers_are_let_go_when_their_time_is_over():
     clock, desk, _ = returning()
     for number in range(5):
-        desk.begin(b"%d" % number, b"m", 1000.0)
-        desk.finish(b"%d" % number, Answer())
+        desk.add(b"%d" % number, b"m", 1000.0)
+        desk.record_response(b"%d" % number, FinalResponse())
     clock.advance(60.0)
-    desk.begin(b"last", b"m", 70_000.0)
+    desk.add(b"last", b"m", 70_000.0)
     assert len(desk) == 1
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -55,10 +55,10 @@
     _, worker = sent(house)
     worker.protocol.dataReceived(SERVED)
     house.reactor.advance(0.02)
-    assert house.pool.take("s1") is worker.protocol
-    house.pool.keep(worker.protocol)
-    house.reactor.rightNow += house.pool.limits.idle_s + 1
-    assert house.pool.take("s1") is None and worker.aborted
+    assert house.pool.take_idle("s1") is worker.protocol
+    house.pool.add_idle(worker.protocol)
+    house.reactor.rightNow += house.pool.limits.idle_timeout_s + 1
+    assert house.pool.take_idle("s1") is None and worker.aborted
 
 
 def test_a_second_copy_while_it_rests_ends_it(stage):
--- a/tests/test_kill_points.py
+++ b/tests/test_kill_points.py
@@ -38,7 +38,13 @@
 
 
 @pytest.mark.parametrize(("path", "final"), [("/pay", "failed"), ("/order", "served"), ("/look", "served")])
-@pytest.mark.parametrize("line", [("core.ledger", "Ledger", "outcome"), ("carriers.own", "Own", "served")])
+@pytest.mark.parametrize(
+    "line",
+    [
+        ("gateway.request_table", "RequestTable", "attempt_ended"),
+        ("upstream.direct_requests", "DirectRequests", "deliver_response"),
+    ],
+)
 def test_killed_after_the_worker_ran_and_before_its_client_has_the_answer(hands, line, path, final):
     """As the answer is read, and after it was read and told the module: in both the client has nothing."""
     dying(hands, *line)
@@ -55,7 +61,7 @@
 @pytest.mark.parametrize(("path", "final"), [("/pay", "failed"), ("/order", "served")])
 def test_killed_after_the_keepers_word_and_before_the_attempt_leaves(hands, path, final):
     """The keeper knows of an attempt that never left: an unsafe one is failed, the side to err on."""
-    dying(hands, "core.ledger", "Ledger", "go")
+    dying(hands, "gateway.request_table", "RequestTable", "release_attempt")
     first = hands.call(0, path, "a")
     assert first.final() == "gone"
     hands.fleet.up.pop(0).process.wait()
@@ -64,7 +70,7 @@
 
 
 def test_killed_before_its_keeper_was_told_anything_it_runs_for_its_client_alone(hands):
-    dying(hands, "daemon.keepers", "Keepers", "taken")
+    dying(hands, "daemon.keepers", "Keepers", "try_protect")
     assert hands.call(0, "/pay", "a").final() == "gone"
     hands.fleet.up.pop(0).process.wait()
     assert hands.call(1, "/pay", "a").final() == "served" and hands.workers.came["/pay", "a"] == 1
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -41,7 +41,7 @@
     stage.turns()
     ends = [end for end in stage.module.ends if isinstance(end, ClientDisconnected)]
     assert len(ends) == len(stage.module.arrivals) >= 1
-    assert not stage.carrier.open and not stage.ledger.entries and not stage.front.connections
+    assert not stage.carrier.open_requests and not stage.request_table.requests and not stage.front.connections
     assert stage.front.bodies == 0
 
 
@@ -86,7 +86,7 @@
     house.reactor.advance(after_s)
     worker = house.worker()
     house.turn()
-    assert worker.take() == b"" and worker.disconnecting and not house.ledger.entries
+    assert worker.take() == b"" and worker.disconnecting and not house.request_table.requests
     assert [each.result for each in house.module.ends if isinstance(each, AttemptEnded)] == [AttemptResult.DISCARDED]
 
 
@@ -94,7 +94,7 @@
     client = stage.client(ASK)
     client.close()
     stage.module.next = [StartAttempt(1, "s1", 400.0)]
-    stage.ledger._plan_turn()
+    stage.request_table.batches.schedule_iteration()
     stage.turns()
     stage.listeners["s1"].setblocking(False)
     with pytest.raises(BlockingIOError):
--- a/tests/test_node_front.py
+++ b/tests/test_node_front.py
@@ -8,8 +8,8 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
-from anisefront.upstream.pool import Pool, PoolLimits
-from anisefront.gateway.ledger import Ledger
+from anisefront.upstream.connection_pool import ConnectionPool, PoolLimits
+from anisefront.gateway.request_table import RequestTable
 from anisefront.resp_gateway import front as fronts
 from anisefront.resp_gateway import resp
 from anisefront.resp_gateway.carrier import NodeCarrier, RespAnswers
@@ -66,15 +66,17 @@
         self.reactor, self.module = MemoryReactorClock(), Script()
         self.address = {"s1": ("127.0.0.1", 7001), "s2": ("127.0.0.1", 7002)}
         now = lambda: self.reactor.seconds() * 1000 + 1000  # noqa: E731
-        self.ledger = Ledger(self.module, now, self.reactor)
-        self.ledger.roster(EndpointList(tuple(Endpoint(name, "z", 0, EndpointStatus.READY) for name in self.address)))
-        self.pool = Pool(
+        self.request_table = RequestTable(self.module, now, self.reactor)
+        self.request_table.update_endpoints(
+            EndpointList(tuple(Endpoint(name, "z", 0, EndpointStatus.READY) for name in self.address))
+        )
+        self.pool = ConnectionPool(
             self.reactor,
-            PoolLimits(rest_s=0.01, stall_s=0.4, most=limits.pop("most", 0)),
+            PoolLimits(quiet_period_s=0.01, stall_timeout_s=0.4, max_connections=limits.pop("most", 0)),
             RespAnswers,
             self.address.get,
         )
-        self.carrier = NodeCarrier(self.ledger, self.pool, ("util", "inflight"))
+        self.carrier = NodeCarrier(self.request_table, self.pool, ("util", "inflight"))
         self.front = Front(self.reactor, self.carrier, Reader(settings()), now, FrontLimits(**limits))
 
     def client(self):
@@ -93,7 +95,7 @@
     def turn(self, *actions):
         """Let the module say this in a turn now."""
         self.module.next = list(actions)
-        self.ledger._plan_turn()
+        self.request_table.batches.schedule_iteration()
         self.reactor.advance(0)
 
     def worker(self, full=False):
@@ -378,10 +380,10 @@
     client.protocol.connectionLost(Failure(error.ConnectionDone()))
     house.turn()
     assert [type(end).__name__ for end in house.module.ends] == ["ClientDisconnected"]
-    house.carrier.cancel(1, 0)
+    house.carrier.cancel_attempt(1, 0)
     house.turn()
     assert worker.aborted and house.module.ends[1].result is AttemptResult.CANCELLED
-    assert not house.front.connections and not house.carrier.open and not house.ledger.entries
+    assert not house.front.connections and not house.carrier.open_requests and not house.request_table.requests
 
 
 def test_a_request_is_due_before_its_time_is_up_by_as_much_as_it_may_have_waited_to_be_read():
@@ -390,7 +392,7 @@
     house.say(house.client(), ASK)
     (arrival,) = house.module.arrivals
     wait = float(ASK[3].split(b"d=")[1].split(b",")[0])
-    assert arrival.deadline_at_ms == house.ledger.now_ms() + wait - min(100.0, wait / 10)
+    assert arrival.deadline_at_ms == house.request_table.now_ms() + wait - min(100.0, wait / 10)
 
 
 def test_the_end_serves_what_still_comes_and_closes_between_requests():
@@ -461,9 +463,9 @@
     house = House()
     _, worker = sent(house)
     worker.protocol.dataReceived(SERVED)
-    assert house.pool.take("s1") is None  # a second copy may be on its way
+    assert house.pool.take_idle("s1") is None  # a second copy may be on its way
     house.reactor.advance(0.02)
-    assert house.pool.take("s1") is worker.protocol
+    assert house.pool.take_idle("s1") is worker.protocol
 
 
 def test_what_waits_unread_in_the_socket_ends_a_connection_instead_of_answering_the_next():
@@ -472,7 +474,7 @@
     worker.protocol.dataReceived(SERVED)
     house.reactor.advance(0.02)
     worker.handle.recv = lambda size, flags: b"*"
-    assert house.pool.take("s1") is None and worker.aborted
+    assert house.pool.take_idle("s1") is None and worker.aborted
 
 
 def test_an_attempt_still_connecting_when_its_worker_leaves_is_not_begun():
@@ -480,7 +482,7 @@
     client = house.client()
     house.say(client, ASK)
     house.turn(StartAttempt(1, "s1", 400.0))
-    house.ledger.roster(
+    house.request_table.update_endpoints(
         EndpointList((Endpoint("s1", "z", 0, EndpointStatus.DRAINING), Endpoint("s2", "z", 0, EndpointStatus.READY)))
     )
     worker = house.worker()
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -6,7 +6,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from anisefront.upstream.pool import Pool, PoolLimits
+from anisefront.upstream.connection_pool import ConnectionPool, PoolLimits
 from anisefront.policy.events import AttemptResult
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -64,7 +64,7 @@
 
     def __init__(self, **limits):
         self.reactor = MemoryReactorClock()
-        self.pool, self.ends, self.made = Pool(self.reactor, PoolLimits(**limits)), [], []
+        self.pool, self.ends, self.made = ConnectionPool(self.reactor, PoolLimits(**limits)), [], []
 
     def ask(self, allow=1.0):
         return self.pool.request(
@@ -107,7 +107,7 @@
 
 
 def test_idle_connections_are_closed_and_capped():
-    line = Line(idle_each=1, idle_s=2.0)
+    line = Line(max_idle_per_endpoint=1, idle_timeout_s=2.0)
     for _ in range(2):
         line.ask()
         line.connect()
@@ -115,7 +115,7 @@
         transport.protocol.dataReceived(ANSWER)
     assert [transport.disconnecting for transport in line.made] == [False, True]
     line.reactor.advance(2.1)
-    assert line.made[0].disconnecting and line.pool.take("127.0.0.1:80") is None
+    assert line.made[0].disconnecting and line.pool.take_idle("127.0.0.1:80") is None
 
 
 def test_cancel_closes_the_connection_and_ends_once():
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -93,9 +93,9 @@
     for number in range(5):
         desk.ask(f"r{number}", kind="unsafe")
     assert len(desk.told) == 5
-    old = desk.ledger.controller.settings
+    old = desk.request_table.controller.settings
     kinds = tuple(RequestClass(kind.name, 500, 2000, 1.0, Idempotency.IDEMPOTENT) for kind in old.classes)
-    desk.ledger.change(
+    desk.request_table.change_settings(
         type(old)(
             **{name: getattr(old, name) for name in old.__slots__}
             | {"classes": kinds, "plans": (Plan("wide", 10, 50),)}
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -12,7 +12,7 @@
 from anisefront.config import reading
 from anisefront.config.loader import Disk
 from anisefront.config.reading import Outcome
-from anisefront.gateway.ledger import Entry, Work
+from anisefront.gateway.pending_request import PendingRequest, ReplicaRecord
 from anisefront.gateway.routing import Unmapped
 from anisefront.gateway.versions import at_once, next_steps
 from anisefront.daemon import reloader
@@ -430,30 +430,32 @@
 
 
 def test_the_module_hears_of_its_own_settings_only_and_before_what_arrives_after_them(stage):
-    stage.made.ledger.settle()
+    stage.made.request_table.batches.run_scheduled()
     stage.service("two")
     stage.change()
-    assert stage.made.ledger.waiting == 0  # routes are no matter of the module's
+    assert stage.made.request_table.batches.waiting == 0  # routes are no matter of the module's
     stage.path.write_text(stage.path.read_text().replace("rate 40/s", "rate 41/s"))
     stage.made.reload()
     while stage.settings()["version"] == 2:
         stage.reactor.turn()
-    assert [type(each).__name__ for each in stage.made.ledger._requests] == ["Settings"]
-    assert stage.made.ledger.controller.settings.plans[1].rate_per_s == 40
+    assert [type(each).__name__ for each in stage.made.request_table.batches._queues._requests] == ["Settings"]
+    assert stage.made.request_table.controller.settings.plans[1].rate_per_s == 40
     stage.reactor.turn()
-    assert stage.made.ledger.controller.settings.plans[1].rate_per_s == 41
+    assert stage.made.request_table.controller.settings.plans[1].rate_per_s == 41
 
 
 def test_what_became_of_a_request_is_told_by_the_class_that_it_came_with(tmp_path):
     text = GOOD.replace("repeat keyed\n    scope cell\n    window 5s", "repeat unsafe")
     made = Staged(tmp_path, text=text + "members\nkeepers lease 1s\n")
-    keepers, ledger = made.made.keepers, made.made.ledger
-    entry = Entry(Arrival(1, "customer", "order", "stall", 2e6), None, 0.0, attempts=1, work=Work("own", "try-1", {}))
-    ledger.entries[1] = entry
-    assert keepers.taken(entry)
+    keepers, request_table = made.made.keepers, made.made.request_table
+    entry = PendingRequest(
+        Arrival(1, "customer", "order", "stall", 2e6), None, 0.0, attempts=1, replica=ReplicaRecord("own", "try-1", {})
+    )
+    request_table.requests[1] = entry
+    assert keepers.try_protect(entry)
     made.path.write_text(made.path.read_text().replace("repeat unsafe", "repeat safe"))
     assert made.change()["version"] == 2
     name = next(iter(keepers._numbers))
     keepers._turned[name] = {1}
-    keepers.over(1)
+    keepers.request_completed(1)
     assert keepers._words[name] is Word.MAY_HAVE_RUN
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -139,7 +139,7 @@
 )
 def test_all_is_answered_before_the_kill_that_follows_from_the_settings(deadlines, kill_ms):
     reactor, made, ended = draining(*deadlines)
-    made.ledger.open = 1  # one that nothing ends
+    made.request_table.open_requests = 1  # one that nothing ends
     assert made.front.deadline_at_ms(1e6) <= kill_ms - 250
     for _ in range(400):
         reactor.advance(0.01)
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -8,7 +8,8 @@
 from test_module import FLEET, ask, gateway, of
 from test_path import Running, told
 
-from anisefront.upstream.proxied import Verdict
+from anisefront.upstream.delegated_checks import Verdict
+from anisefront.gateway.request_terms import RequestTerms
 from anisefront.config import checker, loader
 from anisefront.gateway.paths import Unclear, normal
 from anisefront.gateway.patterns import Pattern
@@ -136,29 +137,37 @@
 def test_request_id_of_one_customer_does_not_block_anothers():
     desk = Desk()
     for customer in ("c", "d"):
-        desk.proxied.ask(
-            "same", desk.told.append, customer, "safe", "wide", desk.ledger.now_ms() + 2000, 1.0, 0, 1, False, "p"
+        desk.proxied.first_check(
+            "same",
+            desk.told.append,
+            RequestTerms(customer, "safe", "wide", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
+            "p",
         )
     desk.run(0.01)
-    assert [answer.verdict for answer in desk.told] == [Verdict.GO, Verdict.GO]
+    assert [answer.verdict for answer in desk.told] == [Verdict.START_ATTEMPT, Verdict.START_ATTEMPT]
     desk.ask("same")  # the same customer's: may be the same try over two proxies
     assert desk.told[2].reason == "in-progress"
     # With two customers under one id a denial that names the id alone proves nothing for either.
-    assert not desk.proxied.log_unsent("same", "p")
+    assert not desk.proxied.denial_logged("same", "p")
     for answer in desk.told[:2]:
         assert desk.log(answer.attempt, AttemptResult.OK)
-    assert desk.empty() and not desk.proxied._by_id
+    assert desk.empty() and not desk.proxied.index.by_request_id
 
 
 def test_request_id_is_free_again_for_each_customer_alone():
     desk = Desk()
     desk.ask("same")
-    desk.proxied.ask("same", desk.told.append, "d", "safe", "wide", desk.ledger.now_ms() + 2000, 1.0, 0, 1, False, "p")
+    desk.proxied.first_check(
+        "same",
+        desk.told.append,
+        RequestTerms("d", "safe", "wide", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
+        "p",
+    )
     desk.run(0.01)
     assert desk.log(desk.told[0].attempt, AttemptResult.OK)
-    assert desk.proxied.log_unsent("same", "p")  # only the other is left under it
+    assert desk.proxied.denial_logged("same", "p")  # only the other is left under it
     desk.run(0.01)
-    assert desk.empty() and not desk.proxied._by_id
+    assert desk.empty() and not desk.proxied.index.by_request_id
 
 
 # ---- paths ----------------------------------------------------------------------------------------------------
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -107,7 +107,7 @@
     stage.decide(StartAttempt(number, "s1", 400.0))
     stage.turns()
     assert resting.recv(1000) == b""  # it was taken for the attempt and ended unused
-    assert not stage.carrier.open and not stage.ledger.entries
+    assert not stage.carrier.open_requests and not stage.request_table.requests
 
 
 # ---- a change counts as told 6 s after discovery had it and could be reached ---------------------------
@@ -357,7 +357,7 @@
                 self.reactor,
                 lambda: self.reactor.seconds() * 1000 + 1e6,
             )
-            made.ledger._tell = lambda receiver, data, n=n: self.mail.append((receiver, n, data))
+            made.request_table._tell = lambda receiver, data, n=n: self.mail.append((receiver, n, data))
             made.prepare()
             self.made.append(made)
 
@@ -379,7 +379,7 @@
     def post(self):
         mail, self.mail[:] = list(self.mail), []
         for receiver, sender, data in mail:
-            self.made[receiver].ledger.hear(sender, data)
+            self.made[receiver].request_table.receive_peer_message(sender, data)
         self.reactor.advance(0.001)
 
     def connect(self):
@@ -431,7 +431,7 @@
             two.connect()
             two.reactor.advance(0.02)
         begun[leaves] = two.begun() - before
-        assert not leaves or not two.made[0].ledger.open
+        assert not leaves or not two.made[0].request_table.open_requests
     assert begun[True] == 0
     assert begun[False] > 0 or after_s >= 0.2 or wait == "copy"  # one that stays has its attempt
 
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -31,11 +31,14 @@
 from test_rules import settings
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from anisefront.upstream import own, proxied, returning
+from anisefront.upstream.deduplication import request_key
+from anisefront.gateway.request_terms import RequestTerms
+from anisefront.upstream.delegated_checks import CheckResponse, Verdict
+from anisefront.upstream.direct_requests import DirectRequest, DirectRequests, FinalResponse
 from anisefront.config.reading import Outcome as Reading
 from anisefront.config.types import Recording
 from anisefront.gateway.routing import Unmapped, first_gateway
-from anisefront.gateway.standing import Lag
+from anisefront.gateway.event_loop_lag import LagHistogram
 from anisefront.gateway.versions import at_once, next_steps
 from anisefront.daemon import keepers
 from anisefront.daemon.gatekeeper import Gatekeeper
@@ -317,14 +320,18 @@
 
 
 def _ask_proxied(made: Gatekeeper) -> None:
-    made.proxied.ask(
-        "request-1", lambda answer: None, "stall-7", "order", "wide", 1_004_000.0, 2.5, 1, 1, False, "h", "key-1"
+    made.proxied.first_check(
+        "request-1",
+        lambda answer: None,
+        RequestTerms("stall-7", "order", "wide", 1_004_000.0, 2.5, 1, 1, False),
+        "h",
+        "key-1",
     )
 
 
 def _answer_read(data: bytes) -> Any:
     answer = keepers.read(data)
-    rest = [answer.worker, answer.attempts, answer.refused, answer.retry_after_ms, answer.reason]
+    rest = [answer.endpoint, answer.attempts, answer.is_rejected, answer.retry_after_ms, answer.reason]
     return [plain(answer.message), *rest]
 
 
@@ -335,13 +342,18 @@
     made.keepers._take_over(1, 101, kept)
     inherited = made.keepers._inherited.get(b"the name")
     if inherited is not None:
-        return [list(inherited.token), inherited.identity, list(inherited.terms), plain(inherited.sent)]
-    (entry,) = made.ledger.entries.values()
+        return [
+            list(inherited.origin),
+            inherited.identity,
+            list(dataclasses.astuple(inherited.terms))[:-1],
+            plain(inherited.uncertain_attempts),
+        ]
+    (entry,) = made.request_table.requests.values()
     a, past = entry.arrival, entry.arrival.prior_attempts
     return [
         [a.customer, a.class_name, a.plan_name, a.deadline_at_ms, a.units, a.first_gateway, a.spread],
         [past.attempts, past.uncertain, past.endpoint, past.started_ms, past.quota_debited],
-        [entry.work.kind, entry.work.identity, entry.work.data],
+        [entry.replica.kind, entry.replica.identity, entry.replica.data],
         b"the name" in made.keepers.returning,
     ]
 
@@ -367,18 +379,18 @@
             lambda data: plain(keeping.unpack(data)),
         )
     answers = {
-        "served": own.Answer(
-            message=http1.Message("", "", 201, {"a": "b"}, b"\0body", True), worker=WORKER, attempts=2
+        "served": FinalResponse(
+            message=http1.Message("", "", 201, {"a": "b"}, b"\0body", True), endpoint=WORKER, attempts=2
         ),
-        "refused": own.Answer(refused=True, retry_after_ms=250.0, reason="quota"),
-        "failed": own.Answer(reason="failed"),
+        "refused": FinalResponse(is_rejected=True, retry_after_ms=250.0, reason="quota"),
+        "failed": FinalResponse(reason="failed"),
     }
     out |= {
         f"answer, {name}": Sample(lambda answer=answer: keepers.written(answer), _answer_read)
         for name, answer in answers.items()
     }
-    job = own.Job("POST", "/order", {"x": "y"}, b"body")
-    out["name"] = Sample(lambda: returning.name_of("stall-7", "key-1", SECRET), bytes.hex)
+    job = DirectRequest("POST", "/order", {"x": "y"}, b"body")
+    out["name"] = Sample(lambda: request_key("stall-7", "key-1", SECRET), bytes.hex)
     out["mark of what is asked"] = Sample(lambda: keepers.mark_of(job), bytes.hex)
     out["first gateways"] = Sample(
         lambda: json.dumps([first_gateway(f"customer-{n}", SECRET, 1000) for n in range(8)]).encode(), json.loads
@@ -561,12 +573,12 @@
 # ---- JSON-RPC, gRPC, HTTP ------------------------------------------------------------------------
 
 OWN_ANSWERS = {
-    "served": own.Answer(
+    "served": FinalResponse(
         http1.Message("", "", 200, {"content-type": "text/plain"}, "gr\u00fc\u00df".encode(), True), WORKER, 2
     ),
-    "served bytes": own.Answer(http1.Message("", "", 500, {}, b"\xff\0", True), WORKER, 1),
+    "served bytes": FinalResponse(http1.Message("", "", 500, {}, b"\xff\0", True), WORKER, 1),
     **{
-        f"refused for {reason}": own.Answer(refused=True, retry_after_ms=1234.5, reason=reason)
+        f"refused for {reason}": FinalResponse(is_rejected=True, retry_after_ms=1234.5, reason=reason)
         for reason in (
             *(each.value for each in RejectionReason),
             "draining",
@@ -575,8 +587,8 @@
             "another-request-under-this-name",
         )
     },
-    "failed": own.Answer(reason="failed"),
-    "ended elsewhere": own.Answer(reason="ended-elsewhere"),
+    "failed": FinalResponse(reason="failed"),
+    "ended elsewhere": FinalResponse(reason="ended-elsewhere"),
 }
 CALL_LINE = {"jsonrpc": "2.0", "id": 1, "method": "call", "params": CALL}
 
@@ -591,10 +603,10 @@
 class _Own:
     """Answers each request with the same."""
 
-    def __init__(self, answer: own.Answer) -> None:
+    def __init__(self, answer: FinalResponse) -> None:
         self._answer = answer
 
-    def ask(self, job: Any, done: Callable[[Any], None], *more: Any) -> None:
+    def accept(self, job: Any, done: Callable[[Any], None], *more: Any) -> None:
         done(self._answer)
 
 
@@ -625,7 +637,7 @@
     raise AssertionError("it is mapped")
 
 
-def _rpc(line: bytes, answer: own.Answer = OWN_ANSWERS["served"], draining: bool = False, most: int = 512) -> bytes:
+def _rpc(line: bytes, answer: FinalResponse = OWN_ANSWERS["served"], draining: bool = False, most: int = 512) -> bytes:
     """What a client gets for a line."""
     reactor = MemoryReactorClock()
     desk = jsonrpc.Desk(_router, _Own(answer), lambda: 1e6, lambda customer: (0, 1), lambda: {"state": "serving"})
@@ -693,7 +705,7 @@
         self.message = message
 
 
-def _check(answer: proxied.Answer | None, path: str = "/order", draining: bool = False) -> bytes:
+def _check(answer: CheckResponse | None, path: str = "/order", draining: bool = False) -> bytes:
     """The answer to an authorization check."""
 
     def ask(request_id: str, reply: Callable[[Any], None], *more: Any) -> None:
@@ -702,7 +714,7 @@
     request = external_auth_pb2.CheckRequest()
     http = request.attributes.request.http
     http.method, http.path, http.host = "POST", path, "shop"
-    gate = authorization.Gate(_router, SimpleNamespace(ask=ask), lambda: 1e6, lambda customer: (0, 1))
+    gate = authorization.Gate(_router, SimpleNamespace(first_check=ask), lambda: 1e6, lambda customer: (0, 1))
     gate.closing = draining
     call = _Call()
     gate.method()(call).message(request.SerializeToString())
@@ -715,8 +727,8 @@
 
 def authorization_samples() -> dict[str, Sample]:
     """Allowed with the endpoint, refused for every reason, failed, unmapped."""
-    verdict, answer = proxied.Verdict, proxied.Answer
-    go = answer(verdict.GO, WORKER, 412.7, f"{LIFE}.17.0")
+    verdict, answer = Verdict, CheckResponse
+    go = answer(verdict.START_ATTEMPT, WORKER, 412.7, f"{LIFE}.17.0")
     reasons = (*(each.value for each in RejectionReason), "in-progress", "held-requests")
     made = {
         "allowed": lambda: _check(go),
@@ -729,7 +741,7 @@
         },
         **{
             f"refused for {reason}": lambda reason=reason: _check(
-                answer(verdict.REFUSED, retry_after_ms=1234.5, reason=reason)
+                answer(verdict.REJECTED, retry_after_ms=1234.5, reason=reason)
             )
             for reason in reasons
         },
@@ -756,11 +768,11 @@
     def __init__(self) -> None:
         self.seen: list[Any] = []
 
-    def log(self, token: str, result: AttemptResult, *more: Any) -> bool:
+    def attempt_logged(self, token: str, result: AttemptResult, *more: Any) -> bool:
         self.seen.append([token, result.value, *plain(more)])
         return True
 
-    def log_unsent(self, *which: str) -> bool:
+    def denial_logged(self, *which: str) -> bool:
         self.seen.append(list(which))
         return True
 
@@ -893,18 +905,18 @@
 
 def http_samples() -> dict[str, Sample]:
     """Requests and responses that are written, and load reports that are read."""
-    carrier = own.Own(SimpleNamespace(), SimpleNamespace(), LIFE, REPORTED)
-    job = own.Job("POST", "/order?a=b", {"x-idempotency-key": "key-1"}, b"two\nlines")
+    carrier = DirectRequests(SimpleNamespace(), SimpleNamespace(), LIFE, REPORTED)
+    job = DirectRequest("POST", "/order?a=b", {"x-idempotency-key": "key-1"}, b"two\nlines")
 
-    def attempt(job: own.Job) -> bytes:
-        return carrier.written(SimpleNamespace(job=job), "17.0", WORKER, 400.0)[0]
+    def attempt(job: DirectRequest) -> bytes:
+        return carrier.encode_request(SimpleNamespace(request=job), "17.0", WORKER, 400.0)[0]
 
     def read(requests: bool) -> Callable[[bytes], Any]:
         return lambda data: [plain(each) for each in http1.Reader(requests).feed(data)]
 
     made = {
         "attempt": lambda: attempt(job),
-        "attempt of HEAD": lambda: attempt(own.Job("HEAD", "/", {}, b"")),
+        "attempt of HEAD": lambda: attempt(DirectRequest("HEAD", "/", {}, b"")),
         "request with an empty body": lambda: http1.request("PUT", "/", {"host": "x"}),
         "request without a body": lambda: http1.request("GET", "/", {"host": "x", "content-length": "9"}),
     }
@@ -994,7 +1006,7 @@
     life, peer = int(NOW_MS), datagrams.Seal(SECRET, 1, int(NOW_MS))
     made.peer_port.transport = SimpleNamespace(write=lambda data, address: None)
     made.members.start()
-    made.ledger.roster(EndpointList((Endpoint(WORKER, "a", 0, EndpointStatus.READY),)))
+    made.request_table.update_endpoints(EndpointList((Endpoint(WORKER, "a", 0, EndpointStatus.READY),)))
     for data in (membership_traffic()[1], keeping.pack(keeping.Ack(1, 1)), b"K", b"M", peer_codec.encode(1, 1, [], [])):
         with mock.patch("time.time", return_value=NOW_MS / 1000):
             made.peer_port.datagramReceived(peer.write(0, data, NOW_MS), ("127.0.0.1", 7002))
@@ -1005,7 +1017,7 @@
         made.desk.ask(
             CALL | {"headers": {"x-api-key": "stall-7", "x-idempotency-key": f"key-{number}"}}, lambda answer: None
         )
-    made.proxied.ask_again("x", lambda answer: None)
+    made.proxied.next_check("x", lambda answer: None)
     made.keepers.members([membership.Change(_row(1, life, 0, 0), None)])
     reactor.advance(0.2)
     return made.state()
@@ -1034,9 +1046,9 @@
 
 
 def _lag() -> dict[str, Any]:
-    lag = Lag()
+    lag = LagHistogram()
     for late in (0.1, 3.0, 30.0, 300.0, 3000.0, 30_000.0, 300_000.0):
-        lag.take(late, None)
+        lag.record(late, None)
     return lag.report()
 
 
