--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -357,7 +357,9 @@
                 self.reactor,
                 lambda: self.reactor.seconds() * 1000 + 1e6,
             )
-            made.request_table._tell = lambda receiver, data, n=n: self.mail.append((receiver, n, data))
+            made.request_table._executor._send_to_peer = lambda receiver, data, n=n: self.mail.append(
+                (receiver, n, data)
+            )
             made.prepare()
             self.made.append(made)
 
