--- a/anisefront/cli/config.py
+++ b/anisefront/cli/config.py
@@ -135,9 +135,9 @@
 
     A file with errors exits 2: it is taken by nobody."""
     from anisefront.config.reading import Reading
-    from anisefront.gateway.versions import at_once
+    from anisefront.gateway.steps import run_to_end
 
-    outcome = at_once(Reading(file, os.environ).steps())
+    outcome = run_to_end(Reading(file, os.environ).steps())
     for text in outcome.errors:
         click.echo(text, err=True)
     if outcome.config is None:
--- a/anisefront/cli/main.py
+++ b/anisefront/cli/main.py
@@ -58,12 +58,12 @@
 
     gc.disable()  # until the process's collector takes over: nearly all that is made from here on stays
 
-    from anisefront.gateway.versions import at_once
+    from anisefront.gateway.steps import run_to_end
     from anisefront.daemon import process
     from anisefront.daemon.source import Source
 
     source, workers = Source(file, os.environ), None
-    read = [at_once(source.steps())]  # handed on below: what is named here is held for life
+    read = [run_to_end(source.steps())]  # handed on below: what is named here is held for life
     for text in read[0].texts:
         click.echo(text, err=True)
     if read[0].config is None:
--- a/anisefront/config/across.py
+++ b/anisefront/config/across.py
@@ -12,8 +12,8 @@
 from anisefront.config.lexer import Problem
 from anisefront.config.model import Uses
 from anisefront.config.record import Part
-from anisefront.gateway.routing import Key
-from anisefront.gateway.tables import KeyEdit, KeyTable
+from anisefront.gateway.routes import Key
+from anisefront.gateway.key_table import KeyTable, KeyTableEdit
 
 ENTRIES = 32  # routes or keys that are taken in or out in one step
 Spot = tuple[Part, int]  # a route: its part and its number there
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         self.uses = Uses()
-        self.keys = KeyEdit(KeyTable())
+        self.keys = KeyTableEdit(KeyTable())
         self.doubled: dict[str, list[Key]] = {}  # all keys of a text that stands more than once
         self.split: set[str] = set()  # customers on two plans
         self._plans: dict[str, str | dict[str, int]] = {}  # of a customer: of its one key, or how many keys are on each
--- a/anisefront/config/diff.py
+++ b/anisefront/config/diff.py
@@ -13,7 +13,8 @@
 from anisefront.config.types import Config
 from anisefront.config.values import write_rate, write_time
 from anisefront.gateway.patterns import Request, common, examples, shape
-from anisefront.gateway.routing import Route, RouteIndex
+from anisefront.gateway.routing import RouteIndex
+from anisefront.gateway.routes import Route
 
 MOST_PAIRS = 2_000_000
 
--- a/anisefront/config/explain.py
+++ b/anisefront/config/explain.py
@@ -6,9 +6,11 @@
 
 from anisefront.config.checker import Checked
 from anisefront.config.values import write_time
-from anisefront.gateway.paths import Unclear, normal
+from anisefront.gateway.errors import AmbiguousPathError
+from anisefront.gateway.paths import normalize_target
 from anisefront.gateway.patterns import Request, host_rank, matches, rank, shape
-from anisefront.gateway.routing import Router, Unmapped
+from anisefront.gateway.routing import Router
+from anisefront.gateway.errors import UnroutableRequestError
 
 
 def explain(checked: Checked, request: Request) -> list[str]:
@@ -16,8 +18,8 @@
     config, model, where = checked.config, checked.model, checked.load.where
     out = [f"request {request}"]
     try:
-        target = normal(request.path)
-    except Unclear as problem:
+        target = normalize_target(request.path)
+    except AmbiguousPathError as problem:
         return [*out, f"path    unclear, denied with 400: {problem}"]
     if target != request.path:
         out.append(f"path    judged, and sent on, as {target}")
@@ -59,7 +61,7 @@
     )
     try:
         mapped = router.map(request.method, request.host, request.path, dict(request.headers))
-    except Unmapped as problem:
+    except UnroutableRequestError as problem:
         return [*out, f"customer: denied with {problem.status}, {problem} (header {config.customer_header})"]
     key = dict(request.headers)[config.customer_header]
     listed = model.named("key").get(key)
--- a/anisefront/config/loader.py
+++ b/anisefront/config/loader.py
@@ -18,7 +18,7 @@
 from anisefront.config.lexer import Place, Problem, Severity, Word, decode, fault
 from anisefront.config.parser import Directive, Document, List, parse
 from anisefront.config.values import near
-from anisefront.gateway.versions import at_once
+from anisefront.gateway.steps import run_to_end
 
 MOST_FILES, MOST_DEPTH, MOST_BYTES = 1000, 16, 64 << 20
 PIECE = 1 << 18  # bytes that are read at once
@@ -222,7 +222,7 @@
         return document.directives
 
     walk = Walk(Files(read, find), take, out.where, out.problems)
-    at_once(walk.file(path, None, ()))
+    run_to_end(walk.file(path, None, ()))
     out.directives = walk.out
     if not out.sources:
         out.sources.append(Source("settings", "", Document([], [])))
--- a/anisefront/config/meaning.py
+++ b/anisefront/config/meaning.py
@@ -9,7 +9,8 @@
 from anisefront.config.model import Entry, Model, Uses
 from anisefront.config.types import Config
 from anisefront.gateway.patterns import OTHER, OTHER_METHOD, Pattern, common, covers, rank, segments, shape
-from anisefront.gateway.routing import Route, RouteIndex
+from anisefront.gateway.routing import RouteIndex
+from anisefront.gateway.routes import Route
 
 MOST_STEPS = 20_000  # of one pattern's walk through the others; a file that needs more is told less
 MOST_OVERLAPS = 200  # pairs that are reported of one neighbourhood, and notes in all; thousands are no help to anybody
--- a/anisefront/config/model.py
+++ b/anisefront/config/model.py
@@ -12,7 +12,7 @@
 from anisefront.config.lexer import Place, Problem, Severity, Word, fault
 from anisefront.config.types import Address, Config, Embedded, Recording
 from anisefront.gateway.patterns import Pattern
-from anisefront.gateway.routing import Key, Route
+from anisefront.gateway.routes import Key, Route
 from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 _METHODS = {(method,): (method,) for method in ("GET", "POST", "PUT", "PATCH", "DELETE", "HEAD", "OPTIONS", "*")}
--- a/anisefront/config/reading.py
+++ b/anisefront/config/reading.py
@@ -23,8 +23,8 @@
 from anisefront.config.parser import Directive, Document
 from anisefront.config.record import Part, Record, Wanted, entries, lines_of, record
 from anisefront.config.types import Config
-from anisefront.gateway.routing import Route
-from anisefront.gateway.tables import parts_changed
+from anisefront.gateway.routes import Route
+from anisefront.gateway.route_groups import changed_groups
 
 MOST_TRIES = 3  # of one reading, while files change under it
 PARTS = 64  # that are gone through in one step
@@ -113,7 +113,7 @@
         if self._half_done:
             self._across, self._order = Across(), []
         self._half_done = True
-        removed, added = parts_changed(self._order, order)
+        removed, added = changed_groups(self._order, order)
         yield
         yield from self._across.take(removed, added)
         self._order, self._half_done = order, False
--- a/anisefront/config/record.py
+++ b/anisefront/config/record.py
@@ -16,7 +16,7 @@
 from anisefront.config.model import Entry, key, plain_route, route
 from anisefront.config.parser import Directive, Parser
 from anisefront.config.values import HOST, PATH, Unfit
-from anisefront.gateway.routing import Key, Route
+from anisefront.gateway.routes import Key, Route
 
 LINES = 4  # of a file that are read in one step; one line may be long, and one directive may go over many
 PLAIN = 12  # plain lines that count as one
--- a/anisefront/config/types.py
+++ b/anisefront/config/types.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from anisefront.gateway.routing import Key, Route
+from anisefront.gateway.routes import Key, Route
 from anisefront.policy.settings import Settings
 
 
--- a/anisefront/config/values.py
+++ b/anisefront/config/values.py
@@ -14,7 +14,8 @@
 from typing import Any
 
 from anisefront.config.lexer import Word
-from anisefront.gateway.paths import Unclear, normal
+from anisefront.gateway.errors import AmbiguousPathError
+from anisefront.gateway.paths import normalize_target
 
 
 class Unfit(Exception):
@@ -182,8 +183,8 @@
     names = [part[1:] for part in text.split("/") if part.startswith(":")]
     example = text[:-1] + "x" if text.endswith("*") else text
     try:
-        matched = normal(example)
-    except Unclear as problem:
+        matched = normalize_target(example)
+    except AmbiguousPathError as problem:
         raise Unfit(f"{text[:60]!r}: {problem}; such requests are refused") from problem
     if matched != example:
         raise Unfit(
--- a/anisefront/daemon/gatekeeper.py
+++ b/anisefront/daemon/gatekeeper.py
@@ -35,7 +35,7 @@
 from anisefront.frontends.jsonrpc import Desk, JsonRpcFactory
 from anisefront.gateway.request_table import RequestTable
 from anisefront.gateway.routing import Router, first_gateway
-from anisefront.gateway.versions import Version, next_steps
+from anisefront.gateway.versions import Version, build_next_version
 from anisefront.policy.controller import Controller
 from anisefront.policy.customer_account import CustomerAccount
 from anisefront.policy.endpoint_state import EndpointState
@@ -281,7 +281,7 @@
             self._settings_told("same", "")
             self.log.info("settings_same", version=self.version.number, digest=self.version.digest)
         else:
-            version = yield from next_steps(self.version, outcome)
+            version = yield from build_next_version(self.version, outcome)
             self._put_in_force(version, len(outcome.texts))
 
     def _put_in_force(self, version: Version, warnings: int) -> None:
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -31,9 +31,10 @@
     no error, and is emptied: what a caller names would be held for life, however often the settings change.
     `workers` starts an embedded fleet on the reactor."""
     from anisefront.daemon.gatekeeper import Gatekeeper
-    from anisefront.gateway.versions import at_once, next_steps
+    from anisefront.gateway.steps import run_to_end
+    from anisefront.gateway.versions import build_next_version
 
-    first = [at_once(next_steps(None, read.pop()))]
+    first = [run_to_end(build_next_version(None, read.pop()))]
 
     def before(gatekeeper: Any) -> None:
         if workers is not None:
--- a/anisefront/frontends/authorization.py
+++ b/anisefront/frontends/authorization.py
@@ -20,8 +20,10 @@
 from anisefront.upstream.delegated_checks import CheckResponse, Verdict
 from anisefront.gateway.request_terms import RequestTerms
 from anisefront.upstream.delegated_requests import DelegatedRequests
-from anisefront.gateway.paths import Unclear, normal
-from anisefront.gateway.routing import Router, Unmapped
+from anisefront.gateway.errors import AmbiguousPathError
+from anisefront.gateway.paths import normalize_target
+from anisefront.gateway.routing import Router
+from anisefront.gateway.errors import UnroutableRequestError
 from anisefront.frontends.grpcserver import Call, Method
 from anisefront.protocols import grpc
 
@@ -68,9 +70,9 @@
             return
         try:
             if not http.method:
-                raise Unmapped(400, "no-http-request")
+                raise UnroutableRequestError(400, "no-http-request")
             mapped = gate.router().map(http.method, http.host, http.path, headers)
-        except Unmapped as problem:
+        except UnroutableRequestError as problem:
             self._call.finish(denied(problem.status, str(problem), {}))
             return
         self._target = "" if mapped.target == http.path else mapped.target
@@ -99,8 +101,8 @@
     def _other_path(path: str) -> str:
         """The normal form of a path that was judged before, "" where it is in it."""
         try:
-            target = normal(path)
-        except Unclear as problem:
+            target = normalize_target(path)
+        except AmbiguousPathError as problem:
             raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, f"another path than before: {problem}") from problem
         return "" if target == path else target
 
--- a/anisefront/frontends/jsonrpc.py
+++ b/anisefront/frontends/jsonrpc.py
@@ -19,7 +19,8 @@
 
 from anisefront.upstream.direct_requests import DirectRequest, DirectRequests, FinalResponse
 from anisefront.gateway.request_terms import RequestTerms
-from anisefront.gateway.routing import Router, Unmapped
+from anisefront.gateway.routing import Router
+from anisefront.gateway.errors import UnroutableRequestError
 from anisefront.frontends.backpressure import Backpressure
 from anisefront.protocols import http1, jsonrpc
 
@@ -251,9 +252,9 @@
         self._waiting += 1
         try:
             number = self.factory.desk.ask(call.params, done)
-        except (BadParams, Unmapped) as problem:
+        except (BadParams, UnroutableRequestError) as problem:
             self._waiting -= 1
-            code = UNMAPPED if isinstance(problem, Unmapped) else jsonrpc.INVALID_PARAMS
+            code = UNMAPPED if isinstance(problem, UnroutableRequestError) else jsonrpc.INVALID_PARAMS
             batch.add(None if call.notification else jsonrpc.error(call.id, code, str(problem)))
             return
         if number is not None and not answered:
--- a/anisefront/gateway/__init__.py
+++ b/anisefront/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""One request's life between fronts, carriers and the decision module. No sockets, no decisions."""
+"""The lifecycle of requests between frontends, attempt handlers and the controller, and the routing of requests."""
--- a/anisefront/gateway/event_loop_lag.py
+++ b/anisefront/gateway/event_loop_lag.py
@@ -1,6 +1,6 @@
 """Lateness of an event loop and its cause: the process's own work, other load on the machine, or a blocking wait.
 
-The kernel's accounting of a thread tells the three causes apart. The thread ran: the process's own work took too
+The kernel's accounting of a thread distinguishes the three causes. The thread ran: the process's own work took too
 long. It was ready to run and another thread had the core: the machine is overloaded. It slept: a blocking call, or a
 stopped process. No I/O: the accounting is handed in.
 """
--- a/anisefront/gateway/patterns.py
+++ b/anisefront/gateway/patterns.py
@@ -1,4 +1,4 @@
-"""What sets of requests a route's patterns stand for: shapes, precedence, overlap and examples. Pure functions.
+"""The sets of requests that routes' patterns cover: shapes, precedence, overlap and examples. Pure functions.
 
     host    exact "a.example"  >  "*.example", longer first  >  "*"
     path    segment by segment: literal  >  :parameter  >  a final prefix*, longer first
@@ -6,19 +6,29 @@
     when    more header conditions first
     then    the earlier line
 
-These are compared in this order, so of all routes that match a request exactly one comes first.
+Compared in this order, exactly one of the routes that match a request comes first.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-OTHER_METHOD, OTHER_HOST, OTHER = "X-OTHER", "other.invalid", "other~"
+# Placeholders in examples for any method, any host, and any segment or value.
+OTHER_METHOD = "X-OTHER"
+OTHER_HOST = "other.invalid"
+OTHER = "other~"
 
 
 @dataclass(frozen=True, slots=True)
 class Pattern:
-    """The requests that a route means. `when` holds (header, value) pairs; the value "*" means any."""
+    """The requests that a route covers.
+
+    Attributes:
+        methods: HTTP methods; "*" for any.
+        path: Literal segments, ":parameter" segments, and a final prefix with "*".
+        host: A host, "*.suffix" or "*".
+        when: Conditions as pairs of header and value; the value "*" means any.
+    """
 
     methods: tuple[str, ...]
     path: str
@@ -28,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What of a request routes look at. Names of headers are lower case."""
+    """The part of a request that routes depend on. Names of headers are in lower case."""
 
     method: str
     host: str
@@ -36,17 +46,18 @@
     headers: tuple[tuple[str, str], ...] = ()
 
     def __str__(self) -> str:
+        """Return the request line with its headers."""
         more = "".join(f" {name}: {value}" for name, value in self.headers)
         return f"{self.method} {self.host}{self.path}{more}"
 
 
 def segments(path: str) -> list[str]:
-    """The segments of a path: "/a/b" has two, "/a/" has two of which the second is empty."""
+    """Split a path: "/a/b" has two segments, "/a/" has two of which the second is empty."""
     return path[1:].split("/")
 
 
 def shape(path: str) -> tuple[tuple[int, int, str], ...]:
-    """A path pattern without the names of its parameters, in the form by which it is ranked."""
+    """Return a path pattern without the names of its parameters, in the form by which it is ranked."""
     out = []
     for segment in segments(path):
         if segment.startswith(":"):
@@ -59,17 +70,21 @@
 
 
 def host_rank(host: str) -> tuple[int, int]:
-    """How particular a host pattern is; less comes first."""
-    return (2, 0) if host == "*" else (1, -len(host)) if host.startswith("*.") else (0, 0)
+    """Return how specific a host pattern is; less comes first."""
+    if host == "*":
+        return 2, 0
+    if host.startswith("*."):
+        return 1, -len(host)
+    return 0, 0
 
 
 def rank(pattern: Pattern, method: str, order: int) -> tuple:
-    """The precedence of a pattern for one of its methods; less comes first."""
+    """Return the precedence of a pattern for one of its methods; less comes first."""
     return (host_rank(pattern.host), shape(pattern.path), method == "*", -len(pattern.when), order)
 
 
 def host_matches(pattern: str, host: str) -> bool:
-    """Whether a host, lower case and without its port, is meant."""
+    """Whether a pattern covers a host, which is in lower case and without port."""
     return (
         pattern in ("*", host)
         or pattern.startswith("*.")
@@ -79,7 +94,7 @@
 
 
 def path_matches(pattern: str, path: str) -> bool:
-    """Whether a path, without its query, is meant. The plain way, which the index is held against."""
+    """Whether a pattern covers a path without query. A plain algorithm, against which the table is tested."""
     wanted, given = segments(pattern), segments(path)
     for number, segment in enumerate(wanted):
         if segment.endswith("*") and number == len(wanted) - 1 and not segment.startswith(":"):
@@ -100,7 +115,7 @@
 
 
 def matches(pattern: Pattern, request: Request) -> bool:
-    """Whether a request is meant, by the plain way."""
+    """Whether a pattern covers a request. A plain algorithm, against which the table is tested."""
     return (
         ("*" in pattern.methods or request.method in pattern.methods)
         and host_matches(pattern.host, request.host)
@@ -110,14 +125,18 @@
 
 
 def common_path(first: str, second: str) -> str | None:
-    """A path that both patterns mean, as general as can be; None where there is none."""
-    a, b, out = segments(first), segments(second), []
+    """Return the most general path that both patterns cover; None if there is none."""
+    a = segments(first)
+    b = segments(second)
+    out: list[str] = []
     at = 0
     while True:
-        left, right = (a[at] if at < len(a) else None), (b[at] if at < len(b) else None)
+        left = a[at] if at < len(a) else None
+        right = b[at] if at < len(b) else None
         if left is None or right is None:
             return "/" + "/".join(out) if left is right else None
-        left_tail, right_tail = _is_tail(left), _is_tail(right)
+        left_tail = _is_tail(left)
+        right_tail = _is_tail(right)
         if left_tail or right_tail:
             return _with_tail(out, a[at:], b[at:], left_tail, right_tail)
         segment = _common_segment(left, right)
@@ -159,7 +178,7 @@
 
 
 def common_host(first: str, second: str) -> str | None:
-    """A host that both patterns mean, or None."""
+    """Return a host that both patterns cover, or None."""
     if host_rank(first) > host_rank(second):
         first, second = second, first
     if first == "*":
@@ -169,35 +188,47 @@
 
 
 def common(first: Pattern, second: Pattern) -> list[Request]:
-    """Requests that both patterns mean, as general as can be: one for each kind of method; none if they part."""
-    path, host = common_path(first.path, second.path), common_host(first.host, second.host)
-    if path is None or host is None:
+    """Return the most general requests that both patterns cover, one for each method; none if they don't overlap."""
+    path = common_path(first.path, second.path)
+    host = common_host(first.host, second.host)
+    headers = _common_headers(first.when, second.when)
+    if path is None or host is None or headers is None:
         return []
-    headers = dict(first.when)
-    for name, value in second.when:
+    return [Request(method, host, path, headers) for method in sorted(_common_methods(first.methods, second.methods))]
+
+
+def _common_headers(
+    first: tuple[tuple[str, str], ...], second: tuple[tuple[str, str], ...]
+) -> tuple[tuple[str, str], ...] | None:
+    headers = dict(first)
+    for name, value in second:
         known = headers.get(name, "*")
         if known != "*" and value not in ("*", known):
-            return []
+            return None
         headers[name] = value if known == "*" else known
-    given = tuple(sorted((name, OTHER if value == "*" else value) for name, value in headers.items()))
-    if "*" in first.methods and "*" in second.methods:
-        methods = {*first.methods, *second.methods} - {"*"} | {OTHER_METHOD}
-    elif "*" in first.methods or "*" in second.methods:
-        methods = set(second.methods if "*" in first.methods else first.methods)
-    else:
-        methods = set(first.methods) & set(second.methods)
-    return [Request(method, host, path, given) for method in sorted(methods)]
+    return tuple(sorted((name, OTHER if value == "*" else value) for name, value in headers.items()))
+
+
+def _common_methods(first: tuple[str, ...], second: tuple[str, ...]) -> set[str]:
+    if "*" in first and "*" in second:
+        return {*first, *second} - {"*"} | {OTHER_METHOD}
+    if "*" in first:
+        return set(second)
+    if "*" in second:
+        return set(first)
+    return set(first) & set(second)
 
 
 def examples(pattern: Pattern) -> list[Request]:
-    """Requests that the pattern means, as general as can be: one for each of its methods."""
+    """Return the most general requests that a pattern covers, one for each of its methods."""
     return common(pattern, pattern)
 
 
 def covers(first: Pattern, second: Pattern) -> bool:
-    """Whether every request of the second is also one of the first, where both have one host and one shape.
+    """Whether the first pattern covers every request of the second, if both have the same host and shape.
 
-    Where they have not, the narrower of the two comes first anyway."""
+    If they have not, the more specific of the two comes first anyway.
+    """
     return (
         first.host == second.host
         and shape(first.path) == shape(second.path)
--- a/anisefront/gateway/request_table.py
+++ b/anisefront/gateway/request_table.py
@@ -71,12 +71,7 @@
         self.counts: Counter[str] = Counter()
         self.open_requests = 0  # accepted and not ended
         self._executor = ActionExecutor(self, send_to_peer, subscribe)
-        self.processor = BatchProcessor(
-            lambda now_ms, events: self.controller.handle(now_ms, events),
-            self._executor.carry_out,
-            self._controller_failed,
-            self._action_failed,
-        )
+        self.processor = self._make_processor()
         self.batches = EventBatches(self.processor.process, now_ms, timers, self.counts)
         self._timers = timers
         self._on_controller_error = on_controller_error
@@ -268,6 +263,16 @@
             self.fail(request)
             self.remove_if_complete(request)
 
+    # ---- batches of events ---------------------------------------------------------------------
+
+    def _make_processor(self) -> BatchProcessor:
+        return BatchProcessor(
+            lambda now_ms, events: self.controller.handle(now_ms, events),
+            self._executor.carry_out,
+            self._controller_failed,
+            self._action_failed,
+        )
+
     # ---- errors --------------------------------------------------------------------------------
 
     def _controller_failed(self, error: Exception) -> None:
--- a/anisefront/gateway/request_terms.py
+++ b/anisefront/gateway/request_terms.py
@@ -13,7 +13,7 @@
         customer: Whose quota it debits.
         class_name: Its request class.
         plan_name: Its customer's plan.
-        deadline_at_ms: When its final response is due at the latest.
+        deadline_at_ms: The latest time of its final response.
         units: Its cost in units of quota.
         first_gateway: The first of the gateway instances that its customer comes through.
         spread: How many gateway instances its customer comes through.
--- a/anisefront/gateway/versions.py
+++ b/anisefront/gateway/versions.py
@@ -1,7 +1,7 @@
-"""Settings in force as immutable versions: what changed from one to the next, and the look-ups of the next one.
+"""Versions of the settings: immutable, made in steps and put in force by one assignment.
 
-A version is made in steps and put in force by one assignment, so that no request is judged under a mix. It shares with
-the version before all that did not change. Pure: nothing is read here, and settings are handed in.
+Hence no request is handled by a mix of two versions. A version shares with the one before what did not change. Pure:
+nothing is read here; settings are handed in.
 """
 
 from __future__ import annotations
@@ -9,50 +9,61 @@
 import dataclasses
 from collections.abc import Generator, Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any, Protocol, TypeVar
+from typing import Any, Protocol
 
-from anisefront.gateway.routing import Key, Route, Router
-from anisefront.gateway.tables import KeyTable, Part, RouteTable, parts_changed
+from anisefront.gateway.key_table import KeyTable
+from anisefront.gateway.route_groups import changed_groups
+from anisefront.gateway.route_table import RouteTable
+from anisefront.gateway.routes import Key, Route, RouteGroup
+from anisefront.gateway.routing import Router
 
-Value = TypeVar("Value")
-ENTRIES = 100  # routes or keys that are compared in one step
+ENTRIES_PER_STEP = 100  # routes or keys that are compared in one step
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
-    """Of one kind of settings: what came, what is another now, what went. Of routes `METHODS host/path conditions`; of
-    keys the customers whose they are, one for each key, since a key's text is a secret."""
+class NameChanges:
+    """The settings of one kind that were added, changed and removed.
+
+    Of routes `METHODS host/path conditions`. Of keys the customers, one for each key, since a key's text is a secret.
+    """
 
     added: tuple[str, ...] = ()
     changed: tuple[str, ...] = ()
     removed: tuple[str, ...] = ()
 
     def __bool__(self) -> bool:
+        """Whether there is any change."""
         return bool(self.added or self.changed or self.removed)
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeSet:
-    """What differs between two versions. `others`: names of fields of other settings that differ."""
+    """What differs between two versions; `others` names the fields of other settings that differ."""
 
-    routes: Changed = Changed()
-    keys: Changed = Changed()
-    plans: Changed = Changed()
-    classes: Changed = Changed()
+    routes: NameChanges = NameChanges()
+    keys: NameChanges = NameChanges()
+    plans: NameChanges = NameChanges()
+    classes: NameChanges = NameChanges()
     others: tuple[str, ...] = ()
 
 
-class Read(Protocol):
-    """What a version is made of, as a reading hands it out: settings without an error."""
+class LoadedSettings(Protocol):
+    """What a version is made of: settings that were loaded without an error.
+
+    Attributes:
+        config: A `Config`.
+        digest: Of the files.
+        parts: The routes of `config` in groups; a group that did not change is the same object as before.
+    """
 
-    config: Any  # a Config
+    config: Any
     digest: str
-    parts: tuple[tuple[Route, ...], ...]  # config.routes in pieces; a piece that did not change is the same object
+    parts: tuple[tuple[Route, ...], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """One version of the settings. `number` counts the versions of one life, from 1."""
+    """One version of the settings; `number` counts the versions since the process started, from 1."""
 
     number: int
     digest: str
@@ -62,68 +73,76 @@
     parts: tuple[tuple[Route, ...], ...]
 
 
-def at_once(steps: Generator[None, None, Value]) -> Value:
-    """Run steps to their end, for a start and for a check: what they return."""
-    while True:
-        try:
-            next(steps)
-        except StopIteration as ended:
-            return ended.value
+def build_next_version(before: Version | None, loaded: LoadedSettings) -> Generator[None, None, Version]:
+    """Make the version after `before`, or the first if it is None, in steps.
 
+    Settings that were loaded between the two don't matter: the versions are compared by their groups of routes.
+    """
+    removed, added = changed_groups(() if before is None else before.parts, loaded.parts)
+    ranks = {id(group): number for number, group in enumerate(loaded.parts)}
+    yield
+    table = RouteTable() if before is None else before.router.table
+    table = yield from table.edited(removed, added, ranks)
+    router = _router(loaded.config, table)
+    yield
+    changes = ChangeSet()
+    if before is not None:
+        changes = yield from _changes(before.config, loaded.config, removed, added)
+    number = 1 if before is None else before.number + 1
+    return Version(number, loaded.digest, loaded.config, router, changes, loaded.parts)
 
-def next_steps(before: Version | None, read: Read) -> Generator[None, None, Version]:
-    """The version after `before` (None: the first of a life), in steps.
 
-    What a reading came to between the two is of no matter: the two are held against each other by their parts."""
-    config, settings = read.config, read.config.settings
-    removed, added = parts_changed(() if before is None else before.parts, read.parts)
-    ranks = {id(part): number for number, part in enumerate(read.parts)}
-    yield
-    table = yield from (RouteTable() if before is None else before.router.table).edited(removed, added, ranks)
-    router = Router(
+def _router(config: Any, table: RouteTable) -> Router:
+    return Router(
         config.routes,
-        {kind.name: kind.deadline_ms for kind in settings.classes},
+        {request_class.name: request_class.deadline_ms for request_class in config.settings.classes},
         config.customer_header,
         config.keys,
         config.default_plan,
-        settings.max_units,
+        config.settings.max_units,
         config.repeat_header,
         table=table,
     )
-    yield
-    changes = ChangeSet()
-    if before is not None:
-        old, new = before.config.settings, settings
-        changes = ChangeSet(
-            (yield from _routes(removed, added)),
-            (yield from _keys(before.config.keys, config.keys)),
-            _changed(_by_name(old.plans), _by_name(new.plans)),
-            _changed(_by_name(old.classes), _by_name(new.classes)),
-            (*_fields(old, new, ("classes", "plans")), *_fields(before.config, config, ("settings", "routes", "keys"))),
-        )
-    return Version(1 if before is None else before.number + 1, read.digest, config, router, changes, read.parts)
-
-
-def _routes(removed: Iterable[Part], added: Iterable[Part]) -> Generator[None, None, Changed]:
+
+
+def _changes(
+    before: Any, after: Any, removed: Iterable[RouteGroup], added: Iterable[RouteGroup]
+) -> Generator[None, None, ChangeSet]:
+    routes = yield from _routes(removed, added)
+    keys = yield from _keys(before.keys, after.keys)
+    old = before.settings
+    new = after.settings
+    others = (*_fields(old, new, ("classes", "plans")), *_fields(before, after, ("settings", "routes", "keys")))
+    return ChangeSet(
+        routes,
+        keys,
+        _changed(_by_name(old.plans), _by_name(new.plans)),
+        _changed(_by_name(old.classes), _by_name(new.classes)),
+        others,
+    )
+
+
+def _routes(removed: Iterable[RouteGroup], added: Iterable[RouteGroup]) -> Generator[None, None, NameChanges]:
     old = yield from _by_place(removed)
     new = yield from _by_place(added)
-    came, other = [], []
+    appeared: list[str] = []
+    changed: list[str] = []
     for number, (name, route) in enumerate(new.items()):
-        if number % ENTRIES == ENTRIES - 1:
+        if number % ENTRIES_PER_STEP == ENTRIES_PER_STEP - 1:
             yield
         before = old.pop(name, None)
         if before is None:
-            came.append(name)
+            appeared.append(name)
         elif before != route:
-            other.append(name)
-    return Changed(tuple(came), tuple(other), tuple(old))
+            changed.append(name)
+    return NameChanges(tuple(appeared), tuple(changed), tuple(old))
 
 
-def _by_place(parts: Iterable[Part]) -> Generator[None, None, dict[str, Route]]:
+def _by_place(groups: Iterable[RouteGroup]) -> Generator[None, None, dict[str, Route]]:
     out: dict[str, Route] = {}
-    for part in parts:
-        for number, route in enumerate(part):
-            if number % ENTRIES == ENTRIES - 1:
+    for group in groups:
+        for number, route in enumerate(group):
+            if number % ENTRIES_PER_STEP == ENTRIES_PER_STEP - 1:
                 yield
             pattern = route.pattern
             when = "".join(f" {name}={value}" for name, value in pattern.when)
@@ -131,35 +150,43 @@
     return out
 
 
-def _keys(before: Mapping[str, Key], after: Mapping[str, Key]) -> Generator[None, None, Changed]:
+def _keys(before: Mapping[str, Key], after: Mapping[str, Key]) -> Generator[None, None, NameChanges]:
     if isinstance(before, KeyTable) and isinstance(after, KeyTable):
         texts: Iterable[str] = before.differing(after)
     else:
         texts = (text for text in {**before, **after} if before.get(text) != after.get(text))
-    added, changed, removed = [], [], []
+    added: list[str] = []
+    changed: list[str] = []
+    removed: list[str] = []
     for number, text in enumerate(texts):
-        if number % ENTRIES == ENTRIES - 1:
+        if number % ENTRIES_PER_STEP == ENTRIES_PER_STEP - 1:
             yield
-        old, new = before.get(text), after.get(text)
-        (added if old is None else removed if new is None else changed).append((new or old).customer)
-    return Changed(tuple(sorted(added)), tuple(sorted(changed)), tuple(sorted(removed)))
+        old = before.get(text)
+        new = after.get(text)
+        if old is None:
+            added.append(new.customer)
+        elif new is None:
+            removed.append(old.customer)
+        else:
+            changed.append(new.customer)
+    return NameChanges(tuple(sorted(added)), tuple(sorted(changed)), tuple(sorted(removed)))
 
 
 def _by_name(values: Iterable[Any]) -> dict[str, Any]:
     return {each.name: each for each in values}
 
 
-def _changed(before: Mapping[str, Any], after: Mapping[str, Any]) -> Changed:
-    return Changed(
+def _changed(before: Mapping[str, Any], after: Mapping[str, Any]) -> NameChanges:
+    return NameChanges(
         tuple(name for name in after if name not in before),
         tuple(name for name in after if name in before and before[name] != after[name]),
         tuple(name for name in before if name not in after),
     )
 
 
-def _fields(before: Any, after: Any, left_out: tuple[str, ...]) -> tuple[str, ...]:
+def _fields(before: Any, after: Any, excluded: tuple[str, ...]) -> tuple[str, ...]:
     return tuple(
         each.name
         for each in dataclasses.fields(before)
-        if each.name not in left_out and getattr(before, each.name) != getattr(after, each.name)
+        if each.name not in excluded and getattr(before, each.name) != getattr(after, each.name)
     )
--- a/anisefront/upstream/__init__.py
+++ b/anisefront/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Who carries attempts out: the proxy that asked, or we ourselves."""
+"""Attempts: sent by the proxy that asked, or over connections of this gateway instance."""
--- a/anisefront/upstream/delegated_checks.py
+++ b/anisefront/upstream/delegated_checks.py
@@ -37,6 +37,7 @@
     reason: str = ""
 
 
+MIN_TIMEOUT_MS = 1.0  # of an attempt
 Reply = Callable[[CheckResponse], None]
 
 AT_CAPACITY = CheckResponse(Verdict.REJECTED, retry_after_ms=1000.0, reason="held-requests")
@@ -63,7 +64,7 @@
         number: Its number in the request table.
         reply: Responds to the check that is open, if one is.
         attempt: The number of the last attempt that was started.
-        in_flight: Whether the proxy was told to start the attempt and has not logged its end.
+        in_flight: Whether the proxy may have started the attempt and has not logged its end.
         peer: The proxy's host.
         is_ambiguous: Whether another check came with the same request id.
         withheld: An attempt that no check waits for yet.
@@ -98,7 +99,7 @@
     Attributes:
         log_ms: Time after an attempt's timeout without a log after which the attempt counts as timed out.
         next_check_ms: Time without a check after which the proxy has answered its client by itself.
-        proxy_overhead_ms: Subtracted from an attempt's timeout, so that the proxy's timeout fires before ours.
+        proxy_overhead_ms: Subtracted from an attempt's timeout, so that the proxy ends it before our deadline.
         max_withheld_ms: Time for which an attempt may wait for its check. After it the controller decides again.
     """
 
@@ -107,6 +108,10 @@
     proxy_overhead_ms: float = 25.0
     max_withheld_ms: float = 100.0
 
+    def proxy_timeout_ms(self, timeout_ms: float) -> float:
+        """Return the timeout that the proxy is to apply to an attempt."""
+        return max(MIN_TIMEOUT_MS, timeout_ms - self.proxy_overhead_ms)
+
 
 class AttemptName(NamedTuple):
     """The parts of an attempt's name: `INCARNATION.REQUEST.ATTEMPT`, the last two as text."""
--- a/anisefront/upstream/delegated_requests.py
+++ b/anisefront/upstream/delegated_requests.py
@@ -33,10 +33,10 @@
     WithheldAttempt,
 )
 from anisefront.upstream.delegated_index import DelegatedIndex
+from anisefront.upstream.delegated_timers import StateTimers
 from anisefront.upstream.inherited_requests import InheritedRequest, InheritedRequests
 
 REPLICA_KIND = "proxied"  # of requests of this module; read by other versions
-MIN_TIMEOUT_MS = 1.0
 
 
 class DelegatedRequests:
@@ -51,7 +51,7 @@
     ) -> None:
         """Create a handler; `incarnation` names this process in the names of attempts."""
         self._request_table = request_table
-        self._timers = timers
+        self._state_timers = StateTimers(timers)
         self._incarnation = incarnation
         self.timeouts = timeouts or DelegationTimeouts()
         self.index = DelegatedIndex(incarnation)
@@ -118,7 +118,7 @@
         if request.withheld is not None:
             self._release_withheld(request, request.withheld)
         elif request.in_flight:  # the check came before the log
-            self._call_later(self.timeouts.log_ms, request, self._log_missing)
+            self._state_timers.call_later(self.timeouts.log_ms, request, self._log_missing)
         return request.number
 
     def check_cancelled(self, number: int) -> None:
@@ -169,7 +169,7 @@
         if is_served or is_final or result is AttemptResult.OK:
             self._close(request)
         elif request.reply is None:
-            self._call_later(self.timeouts.next_check_ms, request, self._next_check_missing)
+            self._state_timers.call_later(self.timeouts.next_check_ms, request, self._next_check_missing)
         return True
 
     def denial_logged(self, request_id: str, peer: str) -> bool:
@@ -193,8 +193,6 @@
         self._close(request)
         return True
 
-    # ---- requests of a lost gateway instance -----------------------------------------------------
-
     def inherit(
         self,
         incarnation: str,
@@ -214,8 +212,7 @@
             prior_attempts: Its attempts.
             uncertain_attempts: Those that may have been executed: endpoint and start, by number.
         """
-        origin = (incarnation, number)
-        inherited = InheritedRequest(origin, identity, terms, prior_attempts, uncertain_attempts)
+        inherited = InheritedRequest((incarnation, number), identity, terms, prior_attempts, uncertain_attempts)
         self.inherited.add(inherited)
         return inherited
 
@@ -276,12 +273,9 @@
     def _is_duplicate(self, request_id: str, customer: str, identity: str) -> bool:
         """Whether the customer's request is in progress here, which is then marked as ambiguous, or elsewhere."""
         request = self.index.find(request_id, customer)
-        is_elsewhere = self._is_elsewhere(customer, identity)
         if request is not None:
             request.is_ambiguous = True
-        return request is not None or is_elsewhere
-
-    def _is_elsewhere(self, customer: str, identity: str) -> bool:
+            return True
         if self.is_in_progress_elsewhere is None or not identity:
             return False
         return self.is_in_progress_elsewhere(customer, identity)
@@ -291,10 +285,10 @@
         request.attempt = attempt
         request.in_flight = True
         request.revision += 1
-        timeout_ms = max(MIN_TIMEOUT_MS, timeout_ms - self.timeouts.proxy_overhead_ms)
+        timeout_ms = self.timeouts.proxy_timeout_ms(timeout_ms)
         name = f"{self._incarnation}.{request.number}.{attempt}"
         reply(CheckResponse(Verdict.START_ATTEMPT, endpoint, timeout_ms, name))
-        self._call_later(timeout_ms + self.timeouts.log_ms, request, self._log_missing)
+        self._state_timers.call_later(timeout_ms + self.timeouts.log_ms, request, self._log_missing)
 
     def _release_withheld(self, request: DelegatedRequest, withheld: WithheldAttempt) -> None:
         """Start a withheld attempt, unless the controller must decide again.
@@ -320,7 +314,7 @@
         delay_ms = self.timeouts.next_check_ms
         if request.in_flight:
             delay_ms += self.timeouts.log_ms
-        self._call_later(delay_ms, request, self._next_check_missing)
+        self._state_timers.call_later(delay_ms, request, self._next_check_missing)
 
     def _send_final(self, request: DelegatedRequest, response: CheckResponse) -> None:
         reply = request.take_reply()
@@ -338,17 +332,6 @@
             request.withheld = None
             self._request_table.attempt_ended(request.number, withheld.number, AttemptResult.DISCARDED, 0.0)
 
-    # ---- timeouts ------------------------------------------------------------------------------
-
-    def _call_later(self, delay_ms: float, request: DelegatedRequest, call: Callable[[DelegatedRequest], None]) -> None:
-        """Call after a time, unless the request's state has changed by then."""
-        self._timers.callLater(delay_ms / 1000, self._call_if_unchanged, request, request.revision, call)
-
-    @staticmethod
-    def _call_if_unchanged(request: DelegatedRequest, revision: int, call: Callable[[DelegatedRequest], None]) -> None:
-        if revision == request.revision:
-            call(request)
-
     def _log_missing(self, request: DelegatedRequest) -> None:
         """Take an attempt without a log for a timeout that may have been executed."""
         if not request.in_flight:
@@ -358,7 +341,7 @@
         request.revision += 1
         self._request_table.attempt_ended(request.number, request.attempt, AttemptResult.TIMEOUT)
         if request.reply is None:
-            self._call_later(self.timeouts.next_check_ms, request, self._next_check_missing)
+            self._state_timers.call_later(self.timeouts.next_check_ms, request, self._next_check_missing)
 
     def _next_check_missing(self, request: DelegatedRequest) -> None:
         """End a request whose proxy did not return: its client has a response, and nothing more may be sent."""
--- a/anisefront/upstream/direct_requests.py
+++ b/anisefront/upstream/direct_requests.py
@@ -5,6 +5,7 @@
 import base64
 from collections.abc import Callable
 from dataclasses import dataclass
+from functools import partial
 from typing import Protocol
 
 from anisefront.gateway.pending_request import ReplicaRecord
@@ -107,10 +108,7 @@
             Its number for `client_disconnected`; None if it has its response or joined another request.
         """
         identity = request.headers.get("x-idempotency-key") or request.headers.get("x-request-id", "")
-
-        def start_anew() -> int | None:
-            return self._accept(request, on_response, terms, identity, None)
-
+        start_anew = partial(self._accept, request, on_response, terms, identity, None)
         if self.duplicates is not None and identity:
             has_joined = self.duplicates.try_join(
                 terms.customer,
@@ -142,12 +140,11 @@
         self._request_table.client_disconnected(arrival.id)
         if opened is None:
             return
-
-        def start_anew() -> None:
-            self._accept(opened.request, opened.on_response, _terms_of(arrival), identity, arrival.prior_attempts)
-
+        request = opened.request
+        on_response = opened.on_response
+        start_anew = partial(self._accept, request, on_response, _terms_of(arrival), identity, arrival.prior_attempts)
         self.duplicates.wait_for_outcome(
-            arrival.customer, identity, arrival.deadline_at_ms, opened.request, opened.on_response, start_anew
+            arrival.customer, identity, arrival.deadline_at_ms, request, on_response, start_anew
         )
 
     def encode_request(
--- a/anisefront/upstream/inherited_requests.py
+++ b/anisefront/upstream/inherited_requests.py
@@ -114,8 +114,8 @@
         """Receive the proxy's check after an attempt.
 
         Returns:
-            The number of the request if it was readmitted. Otherwise the log tells whether the attempt was executed;
-            without one it may have been.
+            The number of the request if it was readmitted. Otherwise the log will show whether the attempt was
+            executed; without one it may have been.
         """
         if attempt not in inherited.uncertain_attempts:
             return self.readmit(inherited, reply)
--- a/anisefront/upstream/pooled_requests.py
+++ b/anisefront/upstream/pooled_requests.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from functools import partial
 from typing import Any
 
 from anisefront.gateway.request_table import RequestTable
@@ -41,7 +42,7 @@
         raise NotImplementedError
 
     def has_disconnected(self, request: Any) -> bool:
-        """Whether the client has disconnected, though its frontend has not been told yet."""
+        """Whether the client has disconnected, though its frontend has not received the event yet."""
         return False
 
     def client_disconnected(self, number: int) -> None:
@@ -58,14 +59,13 @@
         request.attempts += 1
         data, head_only = self.encode_request(request, f"{number}.{attempt}", endpoint, timeout_ms)
 
-        def on_end(result: AttemptResult | None, response: Any) -> None:
-            self._exchange_ended(number, attempt, endpoint, result, response)
-
-        def may_start() -> bool:
-            return self._request_table.may_start_attempt(number, attempt) and not self.has_disconnected(request)
-
         self._exchanges[number, attempt] = self._pool.request(
-            endpoint, data, timeout_ms / 1000, on_end, head_only, may_start
+            endpoint,
+            data,
+            timeout_ms / 1000,
+            partial(self._exchange_ended, number, attempt, endpoint),
+            head_only,
+            partial(self._may_start, request, number, attempt),
         )
 
     def cancel_attempt(self, number: int, attempt: int) -> None:
@@ -78,6 +78,9 @@
         """Remove and return a request that has ended; None if it was removed before."""
         return self.open_requests.pop(number, None)
 
+    def _may_start(self, request: Any, number: int, attempt: int) -> bool:
+        return self._request_table.may_start_attempt(number, attempt) and not self.has_disconnected(request)
+
     def _exchange_ended(
         self, number: int, attempt: int, endpoint: str, result: AttemptResult | None, response: Any
     ) -> None:
--- a/benchmarks/scale/files.py
+++ b/benchmarks/scale/files.py
@@ -12,7 +12,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from anisefront.gateway.routing import LISTED, first_gateway
+from anisefront.gateway.routing import first_gateway
+from anisefront.gateway.routing import LISTED_PREFIX
 from anisefront.policy.settings import Settings
 
 ZONES, SPREAD, PER_SERVICE, KEYS_A_FILE = 8, 8, 13, 1000
@@ -92,7 +93,7 @@
     """The tenants that come through each of these gatekeepers."""
     out, count = defaultdict(list), settings.gateways
     for each in range(tenants):
-        first = first_gateway(LISTED + tenant(each), settings.tag_key, count)
+        first = first_gateway(LISTED_PREFIX + tenant(each), settings.tag_key, count)
         for by in range(min(SPREAD, count)):
             if (first + by) % count in numbers:
                 out[(first + by) % count].append(tenant(each))
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -26,7 +26,8 @@
 from anisefront.gateway.request_terms import RequestTerms
 from anisefront.config.types import Address, Config
 from anisefront.gateway.request_table import RequestTable
-from anisefront.gateway.routing import LISTED, first_gateway
+from anisefront.gateway.routing import first_gateway
+from anisefront.gateway.routing import LISTED_PREFIX
 from anisefront.daemon.clock import Clock
 from anisefront.daemon.gatekeeper import KEEPING_MARK, MEMBERS_MARK, ROSTER_S
 from anisefront.daemon.members import Members
@@ -157,7 +158,7 @@
         """The next request of a client, open loop."""
         house = self.house
         self._call = reactor.callLater(house.chance.expovariate(house.rate), self._next)
-        customer = LISTED + house.chance.choice(house.customers[self.number])
+        customer = LISTED_PREFIX + house.chance.choice(house.customers[self.number])
         settings = house.config.settings
         kind = settings.classes[0]
         self.request_table.accept(
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -311,7 +311,7 @@
     ),
     (
         "the parts of all files are gone through",
-        "`config/reading.py`, `gateway/tables.py`",
+        "`config/reading.py`, `gateway/route_table.py`",
         "files, each change of settings",
         "some ms in slices; what they hold is not looked at",
     ),
--- a/benchmarks/settings.py
+++ b/benchmarks/settings.py
@@ -66,7 +66,7 @@
 def after(layout: Layout, path: Path, changes: int) -> dict[str, object]:
     """In steps: Reading and next_steps, the collector of cycles set as daemon/collector.py sets it."""
     from anisefront.config.reading import Reading
-    from anisefront.gateway.versions import next_steps
+    from anisefront.gateway.versions import build_next_version
     from anisefront.daemon import collector
 
     out: dict[str, object] = {"imported_mb": held_mb()}
@@ -85,7 +85,7 @@
                 steps_ms.append((time.perf_counter() - began) * 1000)
 
     began, wall, reading = time.process_time(), time.perf_counter(), Reading(str(path), {})
-    version = run(next_steps(None, run(reading.steps())))
+    version = run(build_next_version(None, run(reading.steps())))
     out["start_cpu_ms"] = (time.process_time() - began) * 1000
     out["start_ms"], out["held_mb"] = (time.perf_counter() - wall) * 1000, held_mb()
     gc.collect()
@@ -99,7 +99,7 @@
         began = time.process_time()
         outcome = run(reading.steps())
         assert outcome.config is not None, outcome.texts
-        version = run(next_steps(version, outcome))
+        version = run(build_next_version(version, outcome))
         costs.append((time.process_time() - began) * 1000)
         longest.append(max(steps_ms))
         longest_cpu.append(max(steps_cpu_ms))
--- a/tests/change_loop.py
+++ b/tests/change_loop.py
@@ -20,7 +20,7 @@
 from test_path import Running, told
 
 from anisefront.config.reading import Reading
-from anisefront.gateway.versions import at_once
+from anisefront.gateway.steps import run_to_end
 from benchmarks.changes import Layout
 
 HEAD = """language 2
@@ -241,7 +241,7 @@
     def put(self, version, bad=None):
         """A version for all, but that one member gets a bad one in its place."""
         self.master.put(version)
-        outcome = at_once(self.reading.steps())
+        outcome = run_to_end(self.reading.steps())
         assert outcome.config is not None, outcome.texts
         self.digests[outcome.digest] = version
         for member in self.members:
--- a/tests/fuzz_config.py
+++ b/tests/fuzz_config.py
@@ -17,7 +17,7 @@
 from anisefront.config import checker, formatter, loader  # noqa: E402
 from anisefront.config.parser import parse  # noqa: E402
 from anisefront.config.reading import Reading  # noqa: E402
-from anisefront.gateway.versions import at_once  # noqa: E402
+from anisefront.gateway.steps import run_to_end  # noqa: E402
 
 FILES = {
     "lexer.py",
@@ -89,7 +89,7 @@
         return own[path]
 
     fresh = checker.check(loader.load("f.conf", read, lambda pattern: []), {}, notes=False)
-    outcome = at_once(Reading("f.conf", {}, read, lambda pattern: []).steps())
+    outcome = run_to_end(Reading("f.conf", {}, read, lambda pattern: []).steps())
     assert outcome.problems == tuple(fresh.problems) and (outcome.config is None) == (fresh.config is None)
     document, problems = parse(text)
     if not problems:
--- a/tests/settings_samples.py
+++ b/tests/settings_samples.py
@@ -20,7 +20,7 @@
 from anisefront.cli.main import main as command_line
 from anisefront.config import checker, loader
 from anisefront.config.reading import Reading
-from anisefront.gateway.versions import at_once
+from anisefront.gateway.steps import run_to_end
 
 ROOT = Path(__file__).parent.parent
 EXPECTED = Path(__file__).parent / "data" / "settings" / "expected.json"
@@ -209,7 +209,7 @@
 
 def read_for_a_start(folder: Path) -> list[str]:
     """What a gatekeeper prints that starts with the sample: it reads by another way than the check."""
-    texts = at_once(Reading(str(folder / MAIN), {}).steps()).texts
+    texts = run_to_end(Reading(str(folder / MAIN), {}).steps()).texts
     return [without_folder(text, folder) for text in texts]
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -17,7 +17,8 @@
 from anisefront.config.migrate import migrate, prepare
 from anisefront.config.parser import parse
 from anisefront.gateway.patterns import Pattern, Request, common, covers, examples, matches
-from anisefront.gateway.routing import Route, RouteIndex
+from anisefront.gateway.routing import RouteIndex
+from anisefront.gateway.routes import Route
 
 ROOT = pathlib.Path(__file__).parent.parent
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -147,7 +147,8 @@
     from twisted.internet.testing import MemoryReactorClock
 
     from anisefront.config.reading import Outcome
-    from anisefront.gateway.versions import at_once, next_steps
+    from anisefront.gateway.steps import run_to_end
+    from anisefront.gateway.versions import build_next_version
     from anisefront.daemon.gatekeeper import Gatekeeper
 
     path = tmp_path / "roster.json"
@@ -156,7 +157,7 @@
     text = GOOD.replace("/etc/stalls.json", str(path)).replace("0 of 2", "0 of 1").replace("peer 1", "# peer 1")
     config = found(text.replace("listen peers", "listen jsonrpc")).config
     gatekeeper = Gatekeeper(
-        at_once(next_steps(None, Outcome(config, (), (), "", (config.routes,)))),
+        run_to_end(build_next_version(None, Outcome(config, (), (), "", (config.routes,)))),
         reactor,
         lambda: 1e6 + reactor.seconds() * 1000,
     )
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -18,10 +18,13 @@
 from anisefront.config.explain import explain
 from anisefront.config.model import Entry, Model
 from anisefront.config.reading import Reading
-from anisefront.gateway import tables, versions
+from anisefront.gateway import route_table, route_trie, versions
+from anisefront.gateway.key_table import KeyTable, KeyTableEdit
+from anisefront.gateway.route_trie import RouteNode
 from anisefront.gateway.patterns import Request
 from anisefront.gateway.routing import RouteIndex
-from anisefront.gateway.versions import at_once, next_steps
+from anisefront.gateway.steps import run_to_end
+from anisefront.gateway.versions import build_next_version
 
 HEAD = [
     "language 2",
@@ -257,13 +260,13 @@
 
 def held_against_fresh(world, own, version, versions):
     """Read anew, and hold all that comes of it against a fresh load; the version in force."""
-    outcome = at_once(own.steps())
+    outcome = run_to_end(own.steps())
     load = loader.load("main.conf", world.read, world.find)
     fresh = checker.check(load, world.environment, notes=False)
     assert outcome.problems == tuple(fresh.problems)
     told = sorted(fresh.problems, key=lambda problem: -problem.severity)
     assert outcome.texts == tuple(messages.text(load, problem) for problem in told)
-    again = at_once(Reading("main.conf", world.environment, world.read, world.find).steps())
+    again = run_to_end(Reading("main.conf", world.environment, world.read, world.find).steps())
     assert (outcome.digest, outcome.texts) == (again.digest, again.texts)
     assert (outcome.config is None) == (fresh.config is None)
     if fresh.config is None:
@@ -271,7 +274,7 @@
     world.good = {path: list(lines) for path, lines in world.lines.items()}
     assert replace(outcome.config, keys=dict(outcome.config.keys)) == fresh.config
     assert len(outcome.config.keys) == len(fresh.config.keys)
-    following = at_once(next_steps(version, outcome))
+    following = run_to_end(build_next_version(version, outcome))
     assert following.number == (1 if version is None else version.number + 1)
     index = RouteIndex(fresh.config.routes)
     found = judged(following.router.table.find, REQUESTS)
@@ -322,8 +325,8 @@
         (record, "LINES"),
         (record, "PLAIN"),
         (reading, "PARTS"),
-        (tables, "ROUTES"),
-        (versions, "ENTRIES"),
+        (route_table, "ROUTES_PER_STEP"),
+        (versions, "ENTRIES_PER_STEP"),
         (loader, "FILES"),
         (meaning, "PAIRS"),
     ):
@@ -401,14 +404,14 @@
 
 
 def shards_not_copied(patch):
-    whole = tables.KeyEdit.__init__
+    whole = KeyTableEdit.__init__
 
     def begin(self, before):
         whole(self, before)
-        self._own = type("All", (), {"__contains__": lambda self, each: True, "clear": lambda self: None})()
+        self._copied = type("All", (), {"__contains__": lambda self, each: True, "clear": lambda self: None})()
         self._shards = [{} for _ in self._shards]
 
-    patch.setattr(tables.KeyEdit, "__init__", begin)
+    patch.setattr(KeyTableEdit, "__init__", begin)
 
 
 def at_the_end(placed, ranks):
@@ -439,19 +442,19 @@
     "names that are near": lambda patch: patch.setattr(
         record.Record, "names", property(lambda self: None, lambda self, each: 0)
     ),
-    "files that stand elsewhere": lambda patch: patch.setattr(reading, "parts_changed", stays_in_any_order),
-    "parts that stand elsewhere": lambda patch: patch.setattr(versions, "parts_changed", stays_in_any_order),
+    "files that stand elsewhere": lambda patch: patch.setattr(reading, "changed_groups", stays_in_any_order),
+    "parts that stand elsewhere": lambda patch: patch.setattr(versions, "changed_groups", stays_in_any_order),
     "neighbours of what goes": untouched_by_what_goes,
     "findings that are gone": findings_stay,
     "uses of names by routes": lambda patch: only_up(patch, "route"),
     "uses of names by keys": lambda patch: only_up(patch, "key"),
     "keys that stand twice": doubled_goes_whole,
     "customers' plans": lambda patch: patch.setattr(across.Across, "_customer", lambda self, key, by: None),
-    "nodes are copied": lambda patch: patch.setattr(tables, "_own", lambda node, owner: node or tables._Node(owner)),
+    "nodes are copied": lambda patch: patch.setattr(route_trie, "_owned", lambda node, owner: node or RouteNode(owner)),
     "shards are copied": shards_not_copied,
-    "order at one place": lambda patch: patch.setattr(tables, "_with", at_the_end),
-    "routes that go": lambda patch: patch.setattr(tables, "_without", lambda part: lambda here, methods: here),
-    "keys that differ": lambda patch: patch.setattr(tables.KeyTable, "differing", lambda self, other: iter(())),
+    "order at one place": lambda patch: patch.setattr(route_table, "insertion", at_the_end),
+    "routes that go": lambda patch: patch.setattr(route_table, "removal", lambda part: lambda here, methods: here),
+    "keys that differ": lambda patch: patch.setattr(KeyTable, "differing", lambda self, other: iter(())),
     "readings given up": lambda patch: patch.setattr(
         Reading, "_half_done", property(lambda self: False, lambda self, each: None), raising=False
     ),
@@ -520,7 +523,7 @@
     world, own = large(files)
     most, outcome = work_of(own.steps())
     assert most <= MOST_CALLS and len(outcome.config.keys) == 1800
-    most, version = work_of(next_steps(None, outcome))
+    most, version = work_of(build_next_version(None, outcome))
     assert most <= MOST_CALLS
     for bad in (
         "",
@@ -535,7 +538,7 @@
         most, outcome = work_of(own.steps())
         assert most <= MOST_CALLS and (outcome.config is None) == bool(bad and "quota z" not in bad), outcome.texts
         if outcome.config is not None:
-            most, version = work_of(next_steps(version, outcome))
+            most, version = work_of(build_next_version(version, outcome))
             assert most <= MOST_CALLS
         del world.lines["d/000.conf"][-2:]
 
@@ -550,7 +553,7 @@
 
     def records():
         made.clear()
-        return at_once(own.steps()), len(made)
+        return run_to_end(own.steps()), len(made)
 
     assert records()[1] == 21
     assert records()[1] == 0
@@ -575,7 +578,7 @@
 
 def test_a_file_that_changes_while_it_is_read_is_read_again_and_then_refused(tmp_path):
     own = on_disk(tmp_path)
-    assert at_once(own.steps()).config is not None
+    assert run_to_end(own.steps()).config is not None
 
     def with_changes(most):
         steps, done = own.steps(), 0
@@ -595,7 +598,7 @@
     assert (
         outcome.config is None and "a.conf' changed while it was read, 3 times - let writing come" in outcome.errors[0]
     )
-    assert at_once(own.steps()).config is not None
+    assert run_to_end(own.steps()).config is not None
 
 
 def with_texts(*texts):
@@ -616,22 +619,22 @@
 
 def test_a_message_shows_lines_of_the_bytes_that_were_judged():
     _, left, own = with_texts("nonsense", "route GET /y class v pool p")
-    assert "/y" in paths(at_once(own.steps())) and len(left) == 1
+    assert "/y" in paths(run_to_end(own.steps())) and len(left) == 1
     _, left, own = with_texts(*(f"nonsense # {n}" for n in range(7)))
-    outcome = at_once(own.steps())
+    outcome = run_to_end(own.steps())
     assert outcome.config is None and "'d/b.conf' changed while it was read, 3 times" in outcome.errors[0]
-    assert "nonsense # 6" in at_once(own.steps()).errors[0]
+    assert "nonsense # 6" in run_to_end(own.steps()).errors[0]
 
 
 def test_what_is_put_in_anew_is_of_the_bytes_that_were_read():
     world, left, own = with_texts("use view [/y w]")
-    assert "/y" in paths(at_once(own.steps()))
+    assert "/y" in paths(run_to_end(own.steps()))
     world.lines["a.conf"][2] = world.lines["a.conf"][2].replace("GET", "PUT")
     left[:] = ["use view [/y w]", "route GET /z class v pool p"]
-    after = paths(at_once(own.steps()))
+    after = paths(run_to_end(own.steps()))
     assert "/z" in after and "/y" not in after and len(left) == 1
     left[:] = ["use view [/y w]"]
-    assert "/y" in paths(at_once(own.steps()))
+    assert "/y" in paths(run_to_end(own.steps()))
 
 
 def test_a_file_that_comes_while_files_are_read_is_not_missed(tmp_path):
@@ -652,9 +655,9 @@
     own = on_disk(tmp_path)
     with open(tmp_path / "main.conf", "a") as file:
         file.write("include d/a.conf\n")
-    assert "is included twice" in at_once(own.steps()).errors[0]
+    assert "is included twice" in run_to_end(own.steps()).errors[0]
     (tmp_path / "d/a.conf").rename(tmp_path / "d/a.other")
-    outcome = at_once(own.steps())
+    outcome = run_to_end(own.steps())
     assert "d/a.conf' can't be read: No such file" in outcome.errors[0] and "no file matches" in outcome.texts[1]
     (tmp_path / "d/a.other").rename(tmp_path / "d/a.conf")
     listed = os.listdir
@@ -667,7 +670,7 @@
     monkeypatch.setattr(os, "listdir", listdir)
     assert (
         f"main.conf:9:9: error: folder '{tmp_path}/d' can't be read: Permission denied - mend the folder's rights"
-        in at_once(own.steps()).errors[0]
+        in run_to_end(own.steps()).errors[0]
     )
 
 
@@ -678,11 +681,11 @@
         (tmp_path / name / "d/a.conf").write_text("route GET /x class v pool p\n")
     (tmp_path / "now").symlink_to(tmp_path / "one")
     own = Reading(str(tmp_path / "now/main.conf"))
-    first = at_once(own.steps())
+    first = run_to_end(own.steps())
     (tmp_path / "next").symlink_to(tmp_path / "two")
     os.replace(tmp_path / "next", tmp_path / "now")
     monkeypatch.setattr(reading, "record", None)
-    second = at_once(own.steps())
+    second = run_to_end(own.steps())
     assert second.config is not None and second.digest == first.digest and second.parts[0] is first.parts[0]
 
 
@@ -693,7 +696,7 @@
 def test_thousands_of_problems_are_counted_and_the_first_are_told(line, what, count, monkeypatch):
     monkeypatch.undo()
     world, own = large(12)
-    assert at_once(own.steps()).config is not None
+    assert run_to_end(own.steps()).config is not None
     if line:
         world.lines["main.conf"] = [line if each == "plan a quota q" else each for each in world.lines["main.conf"]]
     else:
@@ -704,7 +707,7 @@
                 if path != "main.conf"
             }
         )
-    outcome = at_once(own.steps())
+    outcome = run_to_end(own.steps())
     fresh = checker.check(loader.load("main.conf", world.read, world.find), {}, notes=False)
     assert outcome.problems == tuple(fresh.problems) and len(outcome.texts) == 1001
     assert f"{count - 1000} more problems" in outcome.problems[-1].what
@@ -728,9 +731,9 @@
     world, own = World(), None
     world.lines["d/b.conf"] = [f"route GET /b{n} class v pool p" for n in range(20)]
     own = Reading("main.conf", {}, world.read, world.find)
-    assert at_once(own.steps()).config is not None
+    assert run_to_end(own.steps()).config is not None
     world.lines["d/c.conf"] = [f"route GET /c{n} class v pool p" for n in range(30)]
-    outcome = at_once(own.steps())
+    outcome = run_to_end(own.steps())
     assert outcome.config is None and "definitions come to more than 60 lines" in outcome.errors[0]
     world.lines["d/c.conf"] = [
         "define a {\n use b\n use b\n}",
@@ -742,4 +745,4 @@
         "use a",
         "use a",
     ]
-    assert "definitions come to more than 60 lines" in at_once(own.steps()).errors[0]
+    assert "definitions come to more than 60 lines" in run_to_end(own.steps()).errors[0]
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -13,8 +13,9 @@
 from anisefront.config.loader import Disk
 from anisefront.config.reading import Outcome
 from anisefront.gateway.pending_request import PendingRequest, ReplicaRecord
-from anisefront.gateway.routing import Unmapped
-from anisefront.gateway.versions import at_once, next_steps
+from anisefront.gateway.errors import UnroutableRequestError
+from anisefront.gateway.steps import run_to_end
+from anisefront.gateway.versions import build_next_version
 from anisefront.daemon import reloader
 from anisefront.daemon.gatekeeper import Gatekeeper
 from anisefront.daemon.reloader import Phase, Reloader
@@ -201,7 +202,7 @@
         self.service("one")
         self.source = Source(str(self.path), {}, make)
         self.made = Gatekeeper(
-            at_once(next_steps(None, at_once(self.source.steps()))),
+            run_to_end(build_next_version(None, run_to_end(self.source.steps()))),
             self.reactor,
             lambda: 1e6 + self.reactor.seconds() * 1000,
             source=self.source,
@@ -217,7 +218,7 @@
     def takes(self, path):
         try:
             return self.made.gate.router().map("GET", "h", path, {"x-api-key": "k-1"}).class_name
-        except Unmapped:
+        except UnroutableRequestError:
             return None
 
     def turns(self, most=10_000):
--- a/tests/test_stand_in.py
+++ b/tests/test_stand_in.py
@@ -10,7 +10,8 @@
 from test_rules import Town, settings
 
 from anisefront.cli.config import checked
-from anisefront.gateway.routing import LISTED, first_gateway
+from anisefront.gateway.routing import first_gateway
+from anisefront.gateway.routing import LISTED_PREFIX
 from anisefront.policy.actions import SendToPeer, StartAttempt
 from anisefront.policy.events import PeerMessage, PeersUnreachable, TimerFired
 from anisefront.policy.peer_codec import QuotaMessageKind, customer_tag, decode, encode
@@ -163,8 +164,8 @@
     """The customers by the gatekeeper that is their home."""
     settings, found = checked(str(fleet.files[0])).config.settings, {}
     for name in KEYS:
-        first = first_gateway(LISTED + name, settings.tag_key, COUNT)
-        home = (first + customer_tag(LISTED + name, settings.tag_key) % COUNT) % COUNT
+        first = first_gateway(LISTED_PREFIX + name, settings.tag_key, COUNT)
+        home = (first + customer_tag(LISTED_PREFIX + name, settings.tag_key) % COUNT) % COUNT
         found.setdefault(home, []).append(name)
     return found
 
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -11,9 +11,12 @@
 from anisefront.upstream.delegated_checks import Verdict
 from anisefront.gateway.request_terms import RequestTerms
 from anisefront.config import checker, loader
-from anisefront.gateway.paths import Unclear, normal
+from anisefront.gateway.errors import AmbiguousPathError
+from anisefront.gateway.paths import normalize_target
 from anisefront.gateway.patterns import Pattern
-from anisefront.gateway.routing import Key, Route, Router, Unmapped
+from anisefront.gateway.routing import Router
+from anisefront.gateway.errors import UnroutableRequestError
+from anisefront.gateway.routes import Key, Route
 from anisefront.frontends.jsonrpc import BadParams, job_from
 from anisefront.policy import quota_borrower
 from anisefront.policy.actions import Reject, RejectionReason, SendToPeer, StartAttempt
@@ -204,7 +207,7 @@
     ],
 )
 def test_normal_form(raw, form):
-    assert normal(raw) == form and normal(form) == form
+    assert normalize_target(raw) == form and normalize_target(form) == form
 
 
 @pytest.mark.parametrize(
@@ -240,9 +243,9 @@
     ],
 )
 def test_unclear_paths_are_refused(raw):
-    with pytest.raises(Unclear):
-        normal(raw)
-    with pytest.raises(Unmapped, match="unclear-path") as fault:
+    with pytest.raises(AmbiguousPathError):
+        normalize_target(raw)
+    with pytest.raises(UnroutableRequestError, match="unclear-path") as fault:
         router(default_plan="wide").map("GET", "h", raw, {"x-api-key": "k"})
     assert fault.value.status == 400
 
@@ -257,7 +260,7 @@
         for raw in map("".join, itertools.product(parts, repeat=length)):
             try:
                 mapped = table.map("GET", "h", raw, {"x-api-key": "k"})
-            except Unmapped:
+            except UnroutableRequestError:
                 continue
             seen += 1
             kept: list[str] = []  # what is served, read by the shortest of readers
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -8,12 +8,14 @@
 from hypothesis import strategies as st
 from test_config import REQUESTS, ROUTES, plain
 from test_config_corpus import GOOD, found
-
-from anisefront.gateway import tables
+from anisefront.gateway import route_groups
 from anisefront.gateway.patterns import Pattern
-from anisefront.gateway.routing import Key, Route
-from anisefront.gateway.tables import KeyEdit, KeyTable, RouteTable, parts_changed
-from anisefront.gateway.versions import at_once, next_steps
+from anisefront.gateway.routes import Key, Route
+from anisefront.gateway.key_table import KeyTable, KeyTableEdit
+from anisefront.gateway.route_groups import changed_groups
+from anisefront.gateway.route_table import RouteTable
+from anisefront.gateway.steps import run_to_end
+from anisefront.gateway.versions import build_next_version
 
 
 def outcome(parts, keys=None, **more):
@@ -43,7 +45,7 @@
 
 @given(PARTS, st.lists(st.tuples(st.integers(0, 9), ROUTES, st.booleans()), max_size=6), st.lists(REQUESTS, max_size=8))
 def test_a_table_made_by_changes_is_as_one_made_at_once(parts, changes, requests):
-    version = at_once(next_steps(None, outcome(parts)))
+    version = run_to_end(build_next_version(None, outcome(parts)))
     for at, part, elsewhere in changes:
         before, parts = parts, list(parts)
         if parts and at % 2:
@@ -54,24 +56,24 @@
         if len({id(each) for each in parts if each}) < sum(map(bool, parts)):
             parts = before  # a part stands once
             continue
-        version = at_once(next_steps(version, outcome(parts)))
+        version = run_to_end(build_next_version(version, outcome(parts)))
         routes = version.config.routes
         for request in requests:
             placed = version.router.table.find(request.method, request.host, request.path, dict(request.headers))
             number = plain(routes, request)
             assert (None if placed is None else placed.route) == (None if number < 0 else routes[number])
-    empty = at_once(next_steps(version, outcome([])))
+    empty = run_to_end(build_next_version(version, outcome([])))
     assert not empty.router.table._exact and not empty.router.table._tails and empty.router.table._any is None
 
 
 def test_nodes_off_the_changed_path_are_shared_and_empty_ones_go():
     big = tuple(route(f"/s{n}/a/:x") for n in range(300))
-    first = at_once(next_steps(None, outcome([big])))
-    second = at_once(next_steps(first, outcome([big, (route("/s7/new/deep"),)])))
+    first = run_to_end(build_next_version(None, outcome([big])))
+    second = run_to_end(build_next_version(first, outcome([big, (route("/s7/new/deep"),)])))
     old, new = nodes(first.router.table._any), nodes(second.router.table._any)
     assert len(old) == 901 and len(new) == 903
     assert len({id(node) for node in new} - {id(node) for node in old}) == 4  # root, s7, new, deep
-    third = at_once(next_steps(second, outcome([big])))
+    third = run_to_end(build_next_version(second, outcome([big])))
     assert len(nodes(third.router.table._any)) == 901
     assert second.router.table.find("GET", "h", "/s7/new/deep", {}) is not None
     assert third.router.table.find("GET", "h", "/s7/new/deep", {}) is None
@@ -82,7 +84,7 @@
     known = [(route(f"/{n}"),) for n in range(12)]
     before = [known[n] for n in range(8)]
     after = [known[n] for n in (*order[:4], *sorted(new), *order[4:]) if n not in gone]
-    removed, added = parts_changed(before, after)
+    removed, added = changed_groups(before, after)
     staying = [part for part in before if all(part is not each for each in removed)]
     assert [part for part in after if all(part is not each for each in added)] == staying
     kept = [n for n in order if n not in gone]
@@ -93,10 +95,10 @@
 
 
 def test_a_change_set_names_what_changed_and_no_key():
-    keys = KeyEdit(KeyTable())
+    keys = KeyTableEdit(KeyTable())
     keys.put("secret-1", Key("ann", "stall"))
     keys.put("secret-2", Key("bo", "stall"))
-    first = at_once(next_steps(None, outcome([(route("/a"), route("/b"))], keys.table())))
+    first = run_to_end(build_next_version(None, outcome([(route("/a"), route("/b"))], keys.table())))
     keys.put("secret-1", Key("ann", "market"))
     keys.put("secret-2", None)
     keys.put("secret-3", Key("cy", "stall"))
@@ -109,7 +111,7 @@
     old = changed.config.settings
     plans = (*old.plans[:-1], replace(old.plans[-1], priority_multiplier=9.0), replace(old.plans[-1], name="new"))
     changed.config = replace(changed.config, settings=replace(old, plans=plans, max_attempts=9))
-    second = at_once(next_steps(first, changed))
+    second = run_to_end(build_next_version(first, changed))
     assert (first.number, second.number) == (1, 2)
     changes = second.changes
     assert (changes.routes.added, changes.routes.changed, changes.routes.removed) == (
@@ -125,7 +127,7 @@
 
 
 def test_a_key_more_copies_one_shard():
-    keys = KeyEdit(KeyTable())
+    keys = KeyTableEdit(KeyTable())
     for number in range(5000):
         keys.put(f"k{number}", Key("c", "p"))
     first = keys.table()
@@ -140,14 +142,14 @@
     parts = [(route("/a", name),) for name in "uvw"]
     version = None
     for order in ((0, 1, 2), (2, 0, 1), (1, 2, 0), (2, 1), (0, 2, 1), (1,), (2, 1, 0)):
-        version = at_once(next_steps(version, outcome([parts[n] for n in order])))
+        version = run_to_end(build_next_version(version, outcome([parts[n] for n in order])))
         assert version.router.table.find("GET", "h", "/a", {}).route.class_name == "uvw"[order[0]]
 
 
 @pytest.mark.parametrize("name", ["longest", "ranks"])
 def test_orders_made_wrong_are_found(monkeypatch, name):
     if name == "longest":
-        monkeypatch.setattr(tables, "_longest_rising", lambda numbers: set(numbers))
+        monkeypatch.setattr(route_groups, "_longest_increasing", lambda numbers: set(numbers))
     else:
         whole = RouteTable.edited
         monkeypatch.setattr(
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -37,9 +37,11 @@
 from anisefront.upstream.direct_requests import DirectRequest, DirectRequests, FinalResponse
 from anisefront.config.reading import Outcome as Reading
 from anisefront.config.types import Recording
-from anisefront.gateway.routing import Unmapped, first_gateway
+from anisefront.gateway.routing import first_gateway
+from anisefront.gateway.errors import UnroutableRequestError
 from anisefront.gateway.event_loop_lag import LagHistogram
-from anisefront.gateway.versions import at_once, next_steps
+from anisefront.gateway.steps import run_to_end
+from anisefront.gateway.versions import build_next_version
 from anisefront.daemon import keepers
 from anisefront.daemon.gatekeeper import Gatekeeper
 from anisefront.daemon.recorder import Recorder
@@ -296,7 +298,7 @@
     reactor = reactor or MemoryReactorClock()
     read = Reading(config, (), (), "digest", (config.routes,))
     with mock.patch("secrets.token_hex", return_value=LIFE), mock.patch("secrets.randbits", return_value=7):
-        return Gatekeeper(at_once(next_steps(None, read)), reactor, lambda: 1e6 + reactor.seconds() * 1000)
+        return Gatekeeper(run_to_end(build_next_version(None, read)), reactor, lambda: 1e6 + reactor.seconds() * 1000)
 
 
 CALL = {
@@ -612,7 +614,7 @@
 
 def _map(method: str, host: str, target: str, headers: dict) -> Any:
     if target != "/order":
-        raise Unmapped(404, "no-route")
+        raise UnroutableRequestError(404, "no-route")
     return SimpleNamespace(
         target=target,
         customer="stall-7",
@@ -632,7 +634,7 @@
     """The status and the word for a request that no settings map."""
     try:
         _gatekeeper().router().map(method, "shop", path, headers)
-    except Unmapped as problem:
+    except UnroutableRequestError as problem:
         return f"{problem.status} {problem}".encode()
     raise AssertionError("it is mapped")
 
