--- a/anisefront/daemon/collector.py
+++ b/anisefront/daemon/collector.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from anisefront.gateway.standing import Lag
+from anisefront.gateway.event_loop_lag import LagHistogram
 
 # Thresholds of the three generations.
 YOUNG_THRESHOLD = 5000
@@ -30,7 +30,7 @@
 
     def __init__(self, reactor: Any, open_requests: Callable[[], int], interval_s: float = CHECK_INTERVAL_S) -> None:
         """Prepare; `open_requests` returns how many requests are open now."""
-        self.pauses = Lag()
+        self.pauses = LagHistogram()
         self._reactor = reactor
         self._open_requests = open_requests
         self._interval_s = interval_s
@@ -67,7 +67,7 @@
         if phase == "start":
             self._collection_began_s = time.perf_counter()
         else:
-            self.pauses.take((time.perf_counter() - self._collection_began_s) * 1000)
+            self.pauses.record((time.perf_counter() - self._collection_began_s) * 1000)
 
     def _check(self) -> None:
         now_s = self._reactor.seconds()
--- a/anisefront/daemon/event_loop_monitor.py
+++ b/anisefront/daemon/event_loop_monitor.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from anisefront.gateway.standing import Lag, Sample, between, read_schedstat
+from anisefront.gateway.event_loop_lag import LagHistogram, SchedulerSample, parse_schedstat, thread_time_between
 
 INTERVAL_MS = 50.0  # frequent enough to see what a client notices, at negligible cost
 
 
-def read_thread_times(pid: int | str, now_ms: float) -> Sample | None:
+def read_thread_times(pid: int | str, now_ms: float) -> SchedulerSample | None:
     """Return the kernel's counters for the main thread of a process; None if they can't be read."""
     try:
         with open(f"/proc/{pid}/schedstat") as file:
-            return read_schedstat(file.read(), now_ms)
+            return parse_schedstat(file.read(), now_ms)
     except OSError:
         return None
 
@@ -30,12 +30,12 @@
         interval_ms: float = INTERVAL_MS,
     ) -> None:
         """Prepare a monitor; `on_late(late_ms, cause)` is called for each notable lateness."""
-        self.lag = Lag()
+        self.lag = LagHistogram()
         self._reactor = reactor
         self._now_ms = now_ms
         self._on_late = on_late
         self._interval_ms = interval_ms
-        self._previous: Sample | None = None
+        self._previous: SchedulerSample | None = None
         self._due_ms = 0.0
 
     def start(self) -> None:
@@ -53,8 +53,8 @@
         if is_notable:
             current = read_thread_times("self", now_ms)
             if current and self._previous:
-                spent = between(self._previous, current)
-        cause = self.lag.take(late_ms, spent)
+                spent = thread_time_between(self._previous, current)
+        cause = self.lag.record(late_ms, spent)
         if is_notable:
             self._on_late(late_ms, cause)
         self.start()
--- a/anisefront/daemon/gateway_instance.py
+++ b/anisefront/daemon/gateway_instance.py
@@ -39,9 +39,10 @@
 from anisefront.frontends.jsonrpc import Desk, JsonRpcFactory
 from anisefront.gateway.routing import Router, first_gateway
 from anisefront.gateway.versions import Version
-from anisefront.upstream import proxied
-from anisefront.upstream.own import Own
-from anisefront.upstream.pool import Pool
+from anisefront.upstream.connection_pool import ConnectionPool
+from anisefront.upstream.delegated_checks import DelegationTimeouts
+from anisefront.upstream.delegated_requests import DelegatedRequests
+from anisefront.upstream.direct_requests import DirectRequests
 
 PEER_RECEIVE_BUFFER_BYTES = 4 << 20  # requested of the system, which may grant less
 MIN_LOGGED_LATENESS_MS = 100.0  # clients notice it; less is only counted
@@ -54,8 +55,8 @@
 SERVICES = ("envoy.service.auth.v3.Authorization", "envoy.service.accesslog.v3.AccessLogService")
 
 
-def _delegation_limits(config: Config) -> proxied.Limits:
-    return proxied.Limits(config.log_ms, config.ask_again_ms, park_ms=config.park_ms)
+def _delegation_limits(config: Config) -> DelegationTimeouts:
+    return DelegationTimeouts(config.log_ms, config.ask_again_ms, max_withheld_ms=config.park_ms)
 
 
 class GatewayInstance:
@@ -83,20 +84,26 @@
         self.process_incarnation = int(self.started_ms)
         seed = config.seed if config.seed is not None else secrets.randbits(48)
         self._connect_peers(config, seed)
-        self.ledger = create_request_table(
+        self.request_table = create_request_table(
             reactor, self.clock, self.log, settings, seed, self.peer_port, config.most_open, on_fault
         )
         self.updates = SettingsUpdates(
-            reactor, self.clock, self.log, version, source, lambda: self.ledger.waiting > 0, self._apply_settings
+            reactor,
+            self.clock,
+            self.log,
+            version,
+            source,
+            lambda: self.request_table.batches.waiting > 0,
+            self._apply_settings,
         )
         self._create_upstreams(config)
         self._create_frontends(config)
         self._replicate_requests(config)
-        self.ledger.before_turn.append(self.grpc.gather)
-        self.ledger.after_turn.append(self.grpc.flush)
+        self.request_table.batches.before_iteration.append(self.grpc.gather)
+        self.request_table.batches.after_iteration.append(self.grpc.flush)
         self._record_events(config)
         self._create_monitoring()
-        self.endpoint_file = EndpointFile(reactor, config.roster_file, self.ledger.roster, self.log)
+        self.endpoint_file = EndpointFile(reactor, config.roster_file, self.request_table.update_endpoints, self.log)
         self._listeners: list[Any] = []
         self._drain = Drain(reactor)
         self._drain_until_ms = 0.0
@@ -128,10 +135,10 @@
     def _create_upstreams(self, config: Config) -> None:
         """Create both ways of carrying attempts out: delegated to the proxy, and over our own connections."""
         if self.members is not None:
-            self.members.tell_gone = self.ledger.away
-        self.proxied = proxied.Proxied(self.ledger, self.reactor, self.life, _delegation_limits(config))
-        self.pool = Pool(self.reactor)
-        self.own = Own(self.ledger, self.pool, self.life, config.settings.load_report_fields)
+            self.members.tell_gone = self.request_table.set_unreachable_peers
+        self.proxied = DelegatedRequests(self.request_table, self.reactor, self.life, _delegation_limits(config))
+        self.pool = ConnectionPool(self.reactor)
+        self.own = DirectRequests(self.request_table, self.pool, self.life, config.settings.load_report_fields)
 
     def _create_frontends(self, config: Config) -> None:
         """Create the gRPC services and the JSON-RPC service."""
@@ -160,7 +167,7 @@
             self.process_incarnation,
             self.members.membership,
         )
-        self.keepers.attach(self.ledger, self.own, self.proxied)
+        self.keepers.attach(self.request_table, self.own, self.proxied)
         self.members.listener = self.keepers.members
 
     def _record_events(self, config: Config) -> None:
@@ -169,14 +176,14 @@
         if config.recording is None:
             return
         self.recorder = Recorder(config.recording, config.settings.number, self.life, self.started_ms)
-        self.ledger.observer = self.recorder.record_event
+        self.request_table.processor.observer = self.recorder.record_event
         self._recording_loop = task.LoopingCall(self.recorder.flush)
         self._recording_loop.clock = self.reactor
 
     def _create_monitoring(self) -> None:
         """Create what measures this process."""
         self.event_loop_monitor = EventLoopMonitor(self.reactor, self.clock, self._on_event_loop_late)
-        self.collector = Collector(self.reactor, lambda: self.ledger.open)
+        self.collector = Collector(self.reactor, lambda: self.request_table.open_requests)
         self.memory = memory_report(self)
 
     # ---- settings ------------------------------------------------------------------------------
@@ -215,11 +222,11 @@
         Delegation: those that begin after the change use the new times, since no proxy is synchronized with it.
         """
         config = self.config
-        self.ledger.most_open = config.most_open
-        self.proxied.limits = _delegation_limits(config)
+        self.request_table.max_open_requests = config.most_open
+        self.proxied.timeouts = _delegation_limits(config)
         # The controller visits each customer whose quota it owns, so changes of routes and keys must not reach it.
         if config.settings != before.settings:
-            self.ledger.change(config.settings)
+            self.request_table.change_settings(config.settings)
         if self.keepers is not None:
             self.keepers.change(config)
         self.reactor.callLater(0, self.collector.settle)
@@ -248,7 +255,7 @@
             addresses["peers"] = self._listen_for_peers(config)
         if self.members is not None:
             self.members.start()
-        self.log.info("started", **addresses, life=self.life, servers=len(self.ledger.servers))
+        self.log.info("started", **addresses, life=self.life, servers=len(self.request_table.endpoint_statuses))
         return addresses
 
     def _listen_for_peers(self, config: Config) -> str:
@@ -270,7 +277,7 @@
             if self.keepers is not None:
                 self.keepers.hear(sender, self.seal.peers[sender].incarnation, data)
         else:
-            self.ledger.hear(sender, data)
+            self.request_table.receive_peer_message(sender, data)
 
     def _on_event_loop_late(self, late_ms: float, cause: str) -> None:
         if late_ms >= MIN_LOGGED_LATENESS_MS:
@@ -296,11 +303,11 @@
         self.health.set_all(Serving.NOT_SERVING)
         self.updates.stop()
         self._drain_until_ms = self.clock() + self.config.drain_ms
-        self.log.info("draining", open=self.ledger.open)
+        self.log.info("draining", open=self.request_table.open_requests)
         self._drain.poll(self._is_drained, self._stop_listening)
 
     def _is_drained(self) -> bool:
-        return not self.ledger.entries or self.clock() >= self._drain_until_ms
+        return not self.request_table.requests or self.clock() >= self._drain_until_ms
 
     def _stop_listening(self) -> None:
         for listener in self._listeners:
@@ -320,11 +327,11 @@
 
     def _leave(self) -> None:
         """End the drain: all requests are answered or handed over, and peers are notified."""
-        self.log.info("drained", left_open=self.ledger.open)
+        self.log.info("drained", left_open=self.request_table.open_requests)
         if self.keepers is not None:
             self.keepers.leave()
         else:  # no peer continues open requests
-            self.ledger.fail_open()
+            self.request_table.fail_open_requests()
         if self.members is not None:
             self.members.leave()
         if self.recorder is not None:
--- a/anisefront/daemon/memory_purposes.py
+++ b/anisefront/daemon/memory_purposes.py
@@ -7,15 +7,15 @@
 from anisefront.daemon.memory import MemoryReport, Purpose
 from anisefront.frontends.grpcserver import GrpcFactory
 from anisefront.frontends.jsonrpc import JsonRpcFactory
-from anisefront.gateway.ledger import Ledger
+from anisefront.gateway.request_table import RequestTable
 from anisefront.policy.controller import Controller
 from anisefront.policy.customer_account import CustomerAccount
 from anisefront.policy.endpoint_state import EndpointState
 from anisefront.policy.events import EndpointList
 from anisefront.policy.settings import Plan, RequestClass, Settings
-from anisefront.upstream.own import Own
-from anisefront.upstream.pool import Pool
-from anisefront.upstream.proxied import Proxied
+from anisefront.upstream.connection_pool import ConnectionPool
+from anisefront.upstream.delegated_requests import DelegatedRequests
+from anisefront.upstream.direct_requests import DirectRequests
 
 if TYPE_CHECKING:
     from anisefront.daemon.gateway_instance import GatewayInstance
@@ -26,10 +26,10 @@
     Plan,
     RequestClass,
     Controller,
-    Ledger,
-    Proxied,
-    Own,
-    Pool,
+    RequestTable,
+    DelegatedRequests,
+    DirectRequests,
+    ConnectionPool,
     CustomerAccount,
     EndpointState,
     GrpcFactory,
@@ -44,7 +44,7 @@
 
 
 def _purposes(instance: GatewayInstance) -> tuple[Purpose, ...]:
-    controller = instance.ledger.controller
+    controller = instance.request_table.controller
 
     def max_customers() -> int:
         return instance.config.settings.max_customers
@@ -61,9 +61,9 @@
     return (
         Purpose("accounts", lambda: controller.quota_borrower.accounts, max_customers),
         Purpose("stores", lambda: controller.quota_owner.buckets, max_customers),
-        Purpose("requests", lambda: instance.ledger.entries, max_open),
+        Purpose("requests", lambda: instance.request_table.requests, max_open),
         Purpose("attempts", lambda: controller.attempts.in_flight),
-        Purpose("exchanges", lambda: instance.proxied.exchanges, max_open),
+        Purpose("exchanges", lambda: instance.proxied.index.by_number, max_open),
         Purpose("agenda", lambda: controller.timers.pending),
         Purpose("peers", lambda: instance.seal.peers if instance.peer_port else {}, gateways),
         Purpose("workers", lambda: controller.endpoints.known),
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -60,13 +60,14 @@
         The exit code.
     """
     from anisefront.daemon.gateway_instance import GatewayInstance
-    from anisefront.gateway.versions import at_once, next_steps
+    from anisefront.gateway.steps import run_to_end
+    from anisefront.gateway.versions import build_next_version
 
-    first = [at_once(next_steps(None, read.pop()))]
+    first = [run_to_end(build_next_version(None, read.pop()))]
 
     def prepare(instance: Any) -> None:
         if workers is not None:
-            instance.ledger.roster(workers(instance.reactor))
+            instance.request_table.update_endpoints(workers(instance.reactor))
 
     return run(
         lambda reactor, on_fault: GatewayInstance(first.pop(), reactor, on_fault=on_fault, source=source),
@@ -174,7 +175,7 @@
         elif command is Command.DRAIN:
             self._instance.drain().addBoth(lambda _: self._advance(Step.DRAINED))
         elif command is Command.HURRY:
-            self._log.warning("stopped_at_once", open=self._instance.ledger.open)
+            self._log.warning("stopped_at_once", open=self._instance.request_table.open_requests)
             self._exit_code = ExitCode.STOPPED
             self._instance.end_drain()
         elif command is Command.STOP and self._reactor.running:
@@ -221,7 +222,7 @@
 
     def _on_controller_fault(self, problem: Exception) -> None:
         """End the process after the failure answers have been written."""
-        failed = self._instance.ledger.counts["failed"]
+        failed = self._instance.request_table.counts["failed"]
         self._log.critical("module_fault", exc_info=problem, open_failed=failed)
         self._exit_code = ExitCode.CONTROLLER_FAULT
         self._reactor.callLater(FAULT_WRITE_S, self._advance, Step.FAULT)
--- a/anisefront/daemon/reload_scheduler.py
+++ b/anisefront/daemon/reload_scheduler.py
@@ -15,7 +15,7 @@
 from enum import Enum, auto
 from typing import Any
 
-from anisefront.gateway.standing import Lag
+from anisefront.gateway.event_loop_lag import LagHistogram
 
 SLICE_S = 0.0005  # work on settings in one iteration; the step that exceeds it is the last
 # A request takes several iterations and may be delayed by a slice in each, so most of the time is left to requests.
@@ -83,7 +83,7 @@
             seconds: Measures slices.
         """
         self.phase = Phase.IDLE
-        self.slices = Lag()
+        self.slices = LagHistogram()
         self.work_ms = 0.0  # processor time of all changes so far
         self._reactor = reactor
         self._change = change
@@ -127,7 +127,7 @@
         processor_began_s = time.thread_time()
         self._run_steps(began_s)
         self.work_ms += (time.thread_time() - processor_began_s) * 1000
-        self.slices.take((self._seconds() - began_s) * 1000)
+        self.slices.record((self._seconds() - began_s) * 1000)
         if self._steps is None:
             self._advance(Step.ENDED)
         else:
--- a/anisefront/daemon/report_document.py
+++ b/anisefront/daemon/report_document.py
@@ -10,7 +10,7 @@
 from operator import attrgetter
 from typing import Any
 
-from anisefront.gateway.ledger import Ledger
+from anisefront.gateway.request_table import RequestTable
 
 KeyTable = Mapping[str, "str | KeyTable"]
 
@@ -26,15 +26,15 @@
     event_loop_late_ms: float
 
 
-def report_of_request_table(table: Ledger) -> RequestTableReport:
+def report_of_request_table(table: RequestTable) -> RequestTableReport:
     """Return the numbers of requests and attempts."""
     controller = table.controller
     return RequestTableReport(
-        open_requests=table.open,
+        open_requests=table.open_requests,
         queued_requests=len(controller.admission.queue),
         attempts_in_flight=controller.concurrency_limit.in_flight,
         concurrency_limit=round(controller.concurrency_limit.limit, 2),
-        event_loop_late_ms=round(table.turns_late_ms, 1),
+        event_loop_late_ms=round(table.batches.lateness_ms, 1),
     )
 
 
--- a/anisefront/daemon/request_table.py
+++ b/anisefront/daemon/request_table.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from anisefront.daemon.peer_port import PeerPort
-from anisefront.gateway.ledger import Ledger
+from anisefront.gateway.request_table import RequestTable
 from anisefront.policy.controller import Controller
 from anisefront.policy.settings import Settings
 
@@ -20,7 +20,7 @@
     peer_port: PeerPort | None,
     max_open: int,
     on_fault: Callable[[Exception], None] | None,
-) -> Ledger:
+) -> RequestTable:
     """Create the request table.
 
     Args:
@@ -33,14 +33,14 @@
         max_open: Requests that may be open at a time.
         on_fault: Called if the controller itself raises.
     """
-    return Ledger(
+    return RequestTable(
         Controller(settings, seed),
         clock,
         reactor,
         peer_port.send if peer_port is not None else _drop_message,
-        most_open=max_open,
-        on_fault=on_fault,
-        on_raise=lambda problem: log.error("action_raised", exc_info=problem),
+        max_open_requests=max_open,
+        on_controller_error=on_fault,
+        on_action_error=lambda problem: log.error("action_raised", exc_info=problem),
     )
 
 
--- a/anisefront/daemon/settings_updates.py
+++ b/anisefront/daemon/settings_updates.py
@@ -12,7 +12,7 @@
 from anisefront.daemon import immutable_settings
 from anisefront.daemon.reload_scheduler import Phase, ReloadScheduler
 from anisefront.daemon.settings_source import SettingsSource
-from anisefront.gateway.versions import Version, next_steps
+from anisefront.gateway.versions import Version, build_next_version
 
 MAX_LOGGED_NAMES = 5  # of what a change added, changed or removed, in one log entry
 MAX_LOGGED_FAULTS = 20
@@ -108,7 +108,7 @@
             self._record("same", "")
             self._log.info("settings_same", version=self.version.number, digest=self.version.digest)
         else:
-            version = yield from next_steps(self.version, outcome)
+            version = yield from build_next_version(self.version, outcome)
             self._apply(version, len(outcome.texts))
 
     def _reject(self, faults: list[Any]) -> None:
--- a/anisefront/daemon/state_report.py
+++ b/anisefront/daemon/state_report.py
@@ -86,7 +86,7 @@
 
 def report_of(instance: GatewayInstance) -> StateReport:
     """Return the state of a gateway instance now."""
-    table = instance.ledger
+    table = instance.request_table
     return StateReport(
         number=instance.config.settings.number,
         gateways=instance.config.settings.gateways,
@@ -95,10 +95,10 @@
         up_ms=round(instance.clock() - instance.started_ms),
         requests=report_of_request_table(table),
         event_loop=instance.event_loop_monitor.lag.report(),
-        batch_durations=table.turn_ms.report(),
+        batch_durations=table.batches.duration_ms.report(),
         collector_pauses=instance.collector.pauses.report(),
         memory=instance.memory.current(),
-        endpoints_by_state=_count_by_state(table.servers.values()),
+        endpoints_by_state=_count_by_state(table.endpoint_statuses.values()),
         endpoint_file_fault=instance.endpoint_file.fault,
         settings=instance.updates.report(),
         recording=instance.recorder.state() if instance.recorder is not None else {},
--- a/anisefront/resp_gateway/client_connection.py
+++ b/anisefront/resp_gateway/client_connection.py
@@ -85,7 +85,7 @@
         """
         self.frontend = frontend
         self.reader = resp_codec.CommandReader()
-        self.replies = ReplyQueue(frontend.buffered, frontend.requests.withdraw)
+        self.replies = ReplyQueue(frontend.buffered, frontend.requests.client_disconnected)
         self.state: ConnectionState | None = None
         self.state_since_s = 0.0
         self.input = InputPause(frontend.reactor, frontend.buffered, self._resume_input)
--- a/anisefront/resp_gateway/instance.py
+++ b/anisefront/resp_gateway/instance.py
@@ -31,7 +31,7 @@
 from anisefront.resp_gateway.resp_frontend import RespFrontend
 from anisefront.resp_gateway.resp_requests import RespRequests, WorkerConnectionCodec
 from anisefront.resp_gateway.state_report import STATE_KEYS, RespStateReport
-from anisefront.upstream.pool import Pool, PoolLimits
+from anisefront.upstream.connection_pool import ConnectionPool, PoolLimits
 
 # Division of the file descriptors.
 OTHER_DESCRIPTORS = 24  # standard streams, event loop, listener, datagrams, discovery old and new, and a reserve
@@ -100,9 +100,11 @@
         self.peer_port: PeerPort | None = None
         if config.peer_listen is not None and settings.peer_messages_enabled:
             datagrams = BareDatagrams(settings.number, config.peers)
-            self.peer_port = PeerPort(datagrams, lambda sender, data: self.ledger.hear(sender, data))
+            self.peer_port = PeerPort(
+                datagrams, lambda sender, data: self.request_table.receive_peer_message(sender, data)
+            )
         max_open = max(MIN_OPEN_REQUESTS, int(config.memory_mb * OPEN_REQUESTS_PER_MB))
-        self.ledger = create_request_table(
+        self.request_table = create_request_table(
             reactor, self.clock, self.log, settings, config.seed, self.peer_port, max_open, on_fault
         )
         self.book = EndpointDirectory()
@@ -117,7 +119,7 @@
             self._on_discovery_fault,
             self.book.reset_version,
         )
-        self.collector = Collector(reactor, lambda: self.ledger.open, COLLECT_INTERVAL_S)
+        self.collector = Collector(reactor, lambda: self.request_table.open_requests, COLLECT_INTERVAL_S)
         self._port: Any = None
         self._drain = Drain(reactor)
         self._drain_began_ms = 0.0
@@ -125,15 +127,15 @@
 
     def _create_upstream(self, config: InstanceConfig, budget: DescriptorBudget) -> None:
         limits = PoolLimits(
-            connect_s=config.connect_timeout_ms / 1000,
-            idle_s=config.idle_ms * IDLE_FRACTION / 1000,
-            idle_each=MAX_IDLE_PER_ENDPOINT,
-            most=budget.endpoints,
-            rest_s=REUSE_DELAY_S,
-            stall_s=RESPONSE_STALL_S,
+            connect_timeout_s=config.connect_timeout_ms / 1000,
+            idle_timeout_s=config.idle_ms * IDLE_FRACTION / 1000,
+            max_idle_per_endpoint=MAX_IDLE_PER_ENDPOINT,
+            max_connections=budget.endpoints,
+            quiet_period_s=REUSE_DELAY_S,
+            stall_timeout_s=RESPONSE_STALL_S,
         )
-        self.pool = Pool(self.reactor, limits, WorkerConnectionCodec, self.book.address_of)
-        self.carrier = RespRequests(self.ledger, self.pool, config.settings.load_report_fields)
+        self.pool = ConnectionPool(self.reactor, limits, WorkerConnectionCodec, self.book.address_of)
+        self.carrier = RespRequests(self.request_table, self.pool, config.settings.load_report_fields)
 
     def _create_frontend(self, config: InstanceConfig, budget: DescriptorBudget) -> None:
         limits = ConnectionLimits(
@@ -158,7 +160,7 @@
             idle_ms=config.idle_ms,
             connect_timeout_ms=config.connect_timeout_ms,
         )
-        self.ledger.settle()
+        self.request_table.batches.run_scheduled()
 
     def start(self) -> dict[str, Any]:
         """Listen, and return the addresses.
@@ -187,9 +189,9 @@
         applied = self.book.apply(change)
         if applied.endpoints is None:
             return
-        self.ledger.roster(applied.endpoints)
+        self.request_table.update_endpoints(applied.endpoints)
         for endpoint in applied.replaced:
-            self.pool.drop_worker(endpoint)
+            self.pool.close_idle(endpoint)
 
     def _on_discovery_fault(self, why: str) -> None:
         self.log.warning("discovery_fault", fault=why)
@@ -215,7 +217,7 @@
         self.watch.change_address(config.discovery)
         if config.settings != before:
             self.front.commands = CommandMapper(config.settings)
-            self.ledger.change(config.settings)
+            self.request_table.change_settings(config.settings)
         self.config = config
         self.log.info("config", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
         return True
@@ -227,7 +229,7 @@
         return to_document(self._report(), STATE_KEYS)
 
     def _report(self) -> RespStateReport:
-        table = self.ledger
+        table = self.request_table
         controller = table.controller
         times_ms = controller.response_times.by_class
         return RespStateReport(
@@ -241,7 +243,7 @@
             reported_loads={name: round(load, 2) for name, load in self.carrier.statistics.items()},
             endpoint_loads=self._endpoint_loads(),
             class_shares={name: round(each.share, 2) for name, each in controller.admission.shares.items()},
-            batch_durations=table.turn_ms.report(),
+            batch_durations=table.batches.duration_ms.report(),
             collector_pauses=self.collector.pauses.report(),
             request_counts=dict(table.counts),
             frontend_counts=dict(self.front.counts),
@@ -252,7 +254,7 @@
     def _endpoint_loads(self) -> dict[str, list[float]]:
         return {
             name: [state.in_flight, round(state.others_load, 1), round(state.health.latency_ratio, 2)]
-            for name, state in self.ledger.controller.endpoints.known.items()
+            for name, state in self.request_table.controller.endpoints.known.items()
             if name in self.book.entries
         }
 
@@ -277,7 +279,7 @@
         self._kill_ms = self._drain_began_ms + min(longest_ms, MAX_DEADLINE_MS) + KILL_GRACE_MS
         self.front.latest_reply_ms = self._kill_ms - WRITE_MS
         answered_within_ms = self.front.latest_reply_ms - self._drain_began_ms
-        self.log.info("draining", open=self.ledger.open, answered_within_ms=answered_within_ms)
+        self.log.info("draining", open=self.request_table.open_requests, answered_within_ms=answered_within_ms)
         self.front.close_idle()
         self._wait_for_answers()
 
@@ -288,11 +290,11 @@
         listen_until_ms = min(self._drain_began_ms + LISTEN_AFTER_TERM_MS, latest_ms)
         if now_ms >= listen_until_ms and self._port is not None:
             self._stop_listening()
-        is_busy = self.ledger.open or self.front.connections
+        is_busy = self.request_table.open_requests or self.front.connections
         if now_ms < listen_until_ms or (now_ms < latest_ms and is_busy):
             self.reactor.callLater(POLL_INTERVAL_S, self._wait_for_answers)
             return
-        self.log.info("drained", left_open=self.ledger.open)
+        self.log.info("drained", left_open=self.request_table.open_requests)
         self.front.fail_all()
         self._drain.poll(self._is_closed, self._end)
 
--- a/anisefront/resp_gateway/resp_requests.py
+++ b/anisefront/resp_gateway/resp_requests.py
@@ -7,14 +7,15 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from anisefront.gateway.ledger import Ledger
+from anisefront.gateway.request_table import RequestTable
+from anisefront.gateway.request_terms import RequestTerms
 from anisefront.policy.actions import RejectionReason
 from anisefront.policy.events import AttemptResult
 from anisefront.resp_gateway import resp_codec
 from anisefront.resp_gateway.command_mapping import ClientRequest, load_report_values
 from anisefront.resp_gateway.errors import RespProtocolError
-from anisefront.upstream.pool import Pool
-from anisefront.upstream.pooled import Open, Pooled
+from anisefront.upstream.connection_pool import ConnectionPool
+from anisefront.upstream.pooled_requests import OpenRequest, PooledRequests
 
 ReplyCallback = Callable[[bytes], None]  # receives a request's one reply, encoded for the client
 BUSY = b"BUSY"
@@ -84,7 +85,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _OpenRequest(Open):
+class _OpenRequest(OpenRequest):
     request: ClientRequest
     on_reply: ReplyCallback
     has_disconnected: Callable[[], bool]
@@ -92,22 +93,22 @@
     first_attempt_ms: float = 0.0  # 0: none yet
 
 
-class RespRequests(Pooled):
+class RespRequests(PooledRequests):
     """Open requests of RESP clients.
 
     Attributes:
         statistics: Sums over served attempts and load reports, by the keys of the state report.
     """
 
-    def __init__(self, ledger: Ledger, pool: Pool, load_report_fields: tuple[str, ...]) -> None:
+    def __init__(self, request_table: RequestTable, pool: ConnectionPool, load_report_fields: tuple[str, ...]) -> None:
         """Create an empty set of requests.
 
         Args:
-            ledger: The request table.
+            request_table: Holds the requests and their attempts.
             pool: Connections to workers.
             load_report_fields: Names of a load report's values, in the settings' order.
         """
-        super().__init__(ledger, pool)
+        super().__init__(request_table, pool)
         self._fields = load_report_fields
         self._ids: set[bytes] = set()
         self.statistics = Counter[str]()
@@ -134,32 +135,34 @@
         Returns:
             The number for `withdraw`, None where the request table is full.
         """
-        number = self._ledger.accept(
+        number = self._request_table.accept(
             self,
-            request.customer,
-            request.class_name,
-            request.plan_name,
-            deadline_ms,
-            request.units,
-            request.first_gateway,
-            request.spread,
-            request.is_retry,
+            RequestTerms(
+                request.customer,
+                request.class_name,
+                request.plan_name,
+                deadline_ms,
+                request.units,
+                request.first_gateway,
+                request.spread,
+                request.is_retry,
+            ),
         )
         if number is not None:
-            self.open[number] = _OpenRequest(request, on_reply, has_disconnected, self._ledger.now_ms())
+            self.open_requests[number] = _OpenRequest(request, on_reply, has_disconnected, self._request_table.now_ms())
             self._ids.add(request.id)
         return number
 
-    def left(self, entry: _OpenRequest) -> bool:
+    def has_disconnected(self, entry: _OpenRequest) -> bool:
         """Tell whether the client has disconnected, at the last moment before an attempt starts."""
         return entry.has_disconnected()
 
-    def written(self, entry: _OpenRequest, name: str, worker: str, timeout_ms: float) -> tuple[bytes, bool]:
+    def encode_request(self, entry: _OpenRequest, name: str, worker: str, timeout_ms: float) -> tuple[bytes, bool]:
         """Return the client's command with the remaining time, and that its reply has a body."""
-        entry.first_attempt_ms = entry.first_attempt_ms or self._ledger.now_ms()
+        entry.first_attempt_ms = entry.first_attempt_ms or self._request_table.now_ms()
         return entry.request.worker_command(timeout_ms), False
 
-    def read(self, answer: resp_codec.WorkerReply) -> tuple[AttemptResult, tuple[float, ...]]:
+    def interpret_response(self, answer: resp_codec.WorkerReply) -> tuple[AttemptResult, tuple[float, ...]]:
         """Return what a reply proves and its load report; after an undefined error line the work may have run."""
         outcome = classify_reply(answer)
         result = outcome.result
@@ -173,7 +176,7 @@
                 self.statistics[name] += value
         return result, load
 
-    def served(self, entry: _OpenRequest, answer: resp_codec.WorkerReply, worker: str) -> None:
+    def deliver_response(self, entry: _OpenRequest, answer: resp_codec.WorkerReply, worker: str) -> None:
         """Reply with the worker's payload."""
         self._record_served(entry)
         entry.on_reply(resp_codec.encode_bulk(answer.payload))
@@ -182,7 +185,7 @@
         request = entry.request
         statistics = self.statistics
         wait_ms = entry.first_attempt_ms - entry.received_ms
-        attempts_ms = self._ledger.now_ms() - entry.first_attempt_ms
+        attempts_ms = self._request_table.now_ms() - entry.first_attempt_ms
         objective_ms = request.latency_objective_ms
         statistics["served"] += 1
         statistics[f"served {request.class_name} {request.plan_name}"] += 1
@@ -192,9 +195,9 @@
         statistics["late_by_wait"] += int(wait_ms > objective_ms * LATE_WAIT_FRACTION)
         statistics["late_took"] += int(attempts_ms > objective_ms)
 
-    def refuse(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
+    def reject(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
         """Reply that the request was not executed and can be retried."""
-        entry = self.close(request)
+        entry = self.close_request(request)
         if entry is not None:
             rejected = entry.request
             self.statistics[f"refused {rejected.class_name} {rejected.plan_name} {reason.value}"] += 1
@@ -202,13 +205,13 @@
 
     def fail(self, request: int) -> None:
         """Reply that the request failed; it may have been executed."""
-        entry = self.close(request)
+        entry = self.close_request(request)
         if entry is not None:
             entry.on_reply(FAILED_REPLY)
 
-    def close(self, request: int) -> _OpenRequest | None:
+    def close_request(self, request: int) -> _OpenRequest | None:
         """Remove a request that has ended, so that its id can be used for another one."""
-        entry = super().close(request)
+        entry = super().close_request(request)
         if entry is not None:
             self._ids.discard(entry.request.id)
         return entry
--- a/tests/test_connection_search.py
+++ b/tests/test_connection_search.py
@@ -7,7 +7,7 @@
 import pytest
 from connection_model import EVENTS, Broken, play
 
-from anisefront.gateway.ledger import Ledger
+from anisefront.gateway.request_table import RequestTable
 from anisefront.resp_gateway import client_connection
 from anisefront.resp_gateway import resp_codec
 from anisefront.resp_gateway.resp_requests import RespRequests
@@ -124,8 +124,8 @@
     (ClientConnection, "_resume_input", lambda self: None),
     (ClientConnection, "fail_all", ClientConnection.shutdown_write),
     (ClientConnection, "abort", lambda self: None),
-    (Ledger, "may_begin", lambda self, request, attempt: True),
-    (RespRequests, "withdraw", lambda self, number: None),
+    (RequestTable, "may_start_attempt", lambda self, request, attempt: True),
+    (RespRequests, "client_disconnected", lambda self, number: None),
 ]
 
 
