--- a/anisefront/daemon/collector.py
+++ b/anisefront/daemon/collector.py
@@ -10,10 +10,13 @@
 import gc
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING
 
 from anisefront.gateway.standing import Lag
 
+if TYPE_CHECKING:
+    from twisted.internet.interfaces import IReactorTime
+
 # Thresholds of the three generations.
 YOUNG_THRESHOLD = 5000
 MIDDLE_THRESHOLD = 4
@@ -28,7 +31,9 @@
 class Collector:
     """Schedules the collections of this process and measures their pauses."""
 
-    def __init__(self, reactor: Any, open_requests: Callable[[], int], interval_s: float = CHECK_INTERVAL_S) -> None:
+    def __init__(
+        self, reactor: IReactorTime, open_requests: Callable[[], int], interval_s: float = CHECK_INTERVAL_S
+    ) -> None:
         """Prepare; `open_requests` returns how many requests are open now."""
         self.pauses = Lag()
         self._reactor = reactor
--- a/anisefront/daemon/deferred_timer.py
+++ b/anisefront/daemon/deferred_timer.py
@@ -4,7 +4,10 @@
 
 import math
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
+
+if TYPE_CHECKING:
+    from twisted.internet.interfaces import IReactorTime
 
 MAX_DEFERRALS = 3  # event loop iterations
 DEFERRAL_S = 0.001
@@ -18,7 +21,7 @@
     """
 
     def __init__(
-        self, reactor: Any, clock: Callable[[], float], on_timer: Callable[[], None], max_lateness_ms: float
+        self, reactor: IReactorTime, clock: Callable[[], float], on_timer: Callable[[], None], max_lateness_ms: float
     ) -> None:
         """Prepare a timer; later than `max_lateness_ms` means that the process was stalled."""
         self._reactor = reactor
--- a/anisefront/daemon/drain.py
+++ b/anisefront/daemon/drain.py
@@ -3,17 +3,20 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING
 
 from twisted.internet import defer
 
+if TYPE_CHECKING:
+    from twisted.internet.interfaces import IReactorTime
+
 POLL_INTERVAL_S = 0.02
 
 
 class Drain:
     """The drain of one gateway instance."""
 
-    def __init__(self, reactor: Any) -> None:
+    def __init__(self, reactor: IReactorTime) -> None:
         """Prepare a drain that has not begun."""
         self._reactor = reactor
         self._completed: defer.Deferred[None] | None = None
--- a/anisefront/daemon/endpoint_file.py
+++ b/anisefront/daemon/endpoint_file.py
@@ -4,13 +4,17 @@
 
 import os
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from twisted.internet import task
 
 from anisefront.cluster import roster
 from anisefront.policy.events import EndpointList
 
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+    from twisted.internet.interfaces import IReactorTime
+
 CHECK_INTERVAL_S = 0.1
 RESTART_DELAY_S = 1.0  # after an unexpected exception
 MAX_TRACE_CHARACTERS = 2000  # of a traceback in the log
@@ -19,7 +23,9 @@
 class EndpointFile:
     """Watches the endpoint file of a gateway instance."""
 
-    def __init__(self, reactor: Any, path: str, on_list: Callable[[EndpointList], None], log: Any) -> None:
+    def __init__(
+        self, reactor: IReactorTime, path: str, on_list: Callable[[EndpointList], None], log: FilteringBoundLogger
+    ) -> None:
         """Prepare; `on_list` is called with each valid list."""
         self.fault = ""  # why the newest file is not in use
         self._reactor = reactor
--- a/anisefront/daemon/event_loop_monitor.py
+++ b/anisefront/daemon/event_loop_monitor.py
@@ -3,10 +3,13 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING
 
 from anisefront.gateway.standing import Lag, Sample, between, read_schedstat
 
+if TYPE_CHECKING:
+    from twisted.internet.interfaces import IReactorTime
+
 INTERVAL_MS = 50.0  # frequent enough to see what a client notices, at negligible cost
 
 
@@ -24,7 +27,7 @@
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: IReactorTime,
         now_ms: Callable[[], float],
         on_late: Callable[[float, str], None],
         interval_ms: float = INTERVAL_MS,
--- a/anisefront/daemon/gateway_instance.py
+++ b/anisefront/daemon/gateway_instance.py
@@ -78,7 +78,7 @@
         self.reactor = reactor
         self.clock = clock or Clock()
         self.log = structlog.get_logger().bind(gatekeeper=settings.number)
-        self.life = secrets.token_hex(6)  # identifies this process incarnation
+        self.incarnation = secrets.token_hex(6)  # identifies this process in tokens and traces
         self.started_ms = self.clock()
         self.process_incarnation = int(self.started_ms)
         seed = config.seed if config.seed is not None else secrets.randbits(48)
@@ -129,9 +129,9 @@
         """Create both ways of carrying attempts out: delegated to the proxy, and over our own connections."""
         if self.members is not None:
             self.members.tell_gone = self.ledger.away
-        self.proxied = proxied.Proxied(self.ledger, self.reactor, self.life, _delegation_limits(config))
+        self.proxied = proxied.Proxied(self.ledger, self.reactor, self.incarnation, _delegation_limits(config))
         self.pool = Pool(self.reactor)
-        self.own = Own(self.ledger, self.pool, self.life, config.settings.load_report_fields)
+        self.own = Own(self.ledger, self.pool, self.incarnation, config.settings.load_report_fields)
 
     def _create_frontends(self, config: Config) -> None:
         """Create the gRPC services and the JSON-RPC service."""
@@ -168,7 +168,7 @@
         self.recorder: Recorder | None = None
         if config.recording is None:
             return
-        self.recorder = Recorder(config.recording, config.settings.number, self.life, self.started_ms)
+        self.recorder = Recorder(config.recording, config.settings.number, self.incarnation, self.started_ms)
         self.ledger.observer = self.recorder.record_event
         self._recording_loop = task.LoopingCall(self.recorder.flush)
         self._recording_loop.clock = self.reactor
@@ -248,7 +248,7 @@
             addresses["peers"] = self._listen_for_peers(config)
         if self.members is not None:
             self.members.start()
-        self.log.info("started", **addresses, life=self.life, servers=len(self.ledger.servers))
+        self.log.info("started", **addresses, life=self.incarnation, servers=len(self.ledger.servers))
         return addresses
 
     def _listen_for_peers(self, config: Config) -> str:
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 from enum import IntEnum
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Protocol
 
 import structlog
 
@@ -18,8 +18,12 @@
 from anisefront.policy.events import EndpointList
 
 if TYPE_CHECKING:  # the RESP gateway must not load these
+    from twisted.internet.defer import Deferred
+
     from anisefront.config.reading import Outcome
+    from anisefront.daemon.collector import Collector
     from anisefront.daemon.settings_source import SettingsSource
+    from anisefront.gateway.ledger import Ledger
 
 SETTLE_S = 0.002  # between the work of the start and listening, so that the event loop waits once
 FAULT_WRITE_S = 0.2  # for the answers after a fault of the controller
@@ -41,6 +45,22 @@
 }
 
 
+class Instance(Protocol):
+    """What the process needs of a gateway instance."""
+
+    ledger: Ledger
+    collector: Collector
+
+    def start(self) -> dict[str, Any]:
+        """Listen, and return the addresses by frontend."""
+
+    def drain(self) -> Deferred[None]:
+        """Reject new requests, finish those in flight, and fire when that is done."""
+
+    def end_drain(self) -> None:
+        """End the drain now."""
+
+
 def serve(
     source: SettingsSource,
     read: list[Outcome],
@@ -78,7 +98,7 @@
 
 
 def run(
-    make: Callable[[Any, Callable[[Exception], None]], Any],
+    make: Callable[[Any, Callable[[Exception], None]], Instance],
     log_level: str,
     name: str,
     prepare: Callable[[Any], None] = lambda instance: None,
@@ -87,8 +107,7 @@
     """Run a gateway instance until it ends.
 
     Args:
-        make: Creates it from the event loop and a callback for faults of its controller. It has `start`, `drain`,
-            `end_drain`, `ledger` and `collector`.
+        make: Creates it from the event loop and a callback for faults of its controller.
         log_level: Of the entries that are logged.
         name: Of the gateway instance in the log.
         prepare: Does the work of its start that needs no socket.
@@ -120,7 +139,7 @@
         self._exit_code = ExitCode.DRAINED
         self._instance: Any = None
 
-    def run(self, make: Callable[[Any, Callable[[Exception], None]], Any]) -> int:
+    def run(self, make: Callable[[Any, Callable[[Exception], None]], Instance]) -> int:
         """Create the gateway instance, run it until it ends and return the exit code."""
         # A signal must not end the process between here and the first iteration of the event loop either.
         for number in HANDLED_SIGNALS:
--- a/anisefront/daemon/reload_scheduler.py
+++ b/anisefront/daemon/reload_scheduler.py
@@ -13,10 +13,14 @@
 import time
 from collections.abc import Callable, Generator
 from enum import Enum, auto
-from typing import Any
+from typing import TYPE_CHECKING
 
 from anisefront.gateway.standing import Lag
 
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+    from twisted.internet.interfaces import IReactorTime
+
 SLICE_S = 0.0005  # work on settings in one iteration; the step that exceeds it is the last
 # A request takes several iterations and may be delayed by a slice in each, so most of the time is left to requests.
 PAUSE_S = 0.002
@@ -65,10 +69,10 @@
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: IReactorTime,
         change: Callable[[], Generator[None, None, None]],
         has_waiting_requests: Callable[[], bool],
-        log: Any,
+        log: FilteringBoundLogger,
         on_raise: Callable[[Exception], None],
         seconds: Callable[[], float] = time.perf_counter,
     ) -> None:
--- a/anisefront/daemon/request_table.py
+++ b/anisefront/daemon/request_table.py
@@ -3,18 +3,22 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING
 
 from anisefront.daemon.peer_port import PeerPort
 from anisefront.gateway.ledger import Ledger
 from anisefront.policy.controller import Controller
 from anisefront.policy.settings import Settings
 
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+    from twisted.internet.interfaces import IReactorTime
+
 
 def create_request_table(
-    reactor: Any,
+    reactor: IReactorTime,
     clock: Callable[[], float],
-    log: Any,
+    log: FilteringBoundLogger,
     settings: Settings,
     seed: int,
     peer_port: PeerPort | None,
--- a/anisefront/daemon/settings_updates.py
+++ b/anisefront/daemon/settings_updates.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Callable, Generator
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from anisefront.config.types import Config
 from anisefront.daemon import immutable_settings
@@ -14,6 +14,10 @@
 from anisefront.daemon.settings_source import SettingsSource
 from anisefront.gateway.versions import Version, next_steps
 
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+    from twisted.internet.interfaces import IReactorTime
+
 MAX_LOGGED_NAMES = 5  # of what a change added, changed or removed, in one log entry
 MAX_LOGGED_FAULTS = 20
 MAX_FAULT_CHARACTERS = 500
@@ -44,9 +48,9 @@
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: IReactorTime,
         clock: Callable[[], float],
-        log: Any,
+        log: FilteringBoundLogger,
         version: Version,
         source: SettingsSource | None,
         has_waiting_requests: Callable[[], bool],
--- a/anisefront/daemon/state_report.py
+++ b/anisefront/daemon/state_report.py
@@ -90,7 +90,7 @@
     return StateReport(
         number=instance.config.settings.number,
         gateways=instance.config.settings.gateways,
-        incarnation=instance.life,
+        incarnation=instance.incarnation,
         phase="draining" if instance.gate.closing else "serving",
         up_ms=round(instance.clock() - instance.started_ms),
         requests=report_of_request_table(table),
