--- a/anisefront/daemon/gateway_instance.py
+++ b/anisefront/daemon/gateway_instance.py
@@ -79,7 +79,7 @@
         self.reactor = reactor
         self.clock = clock or Clock()
         self.log = structlog.get_logger().bind(gatekeeper=settings.number)
-        self.life = secrets.token_hex(6)  # identifies this process incarnation
+        self.incarnation = secrets.token_hex(6)  # identifies this process in tokens and traces
         self.started_ms = self.clock()
         self.process_incarnation = int(self.started_ms)
         seed = config.seed if config.seed is not None else secrets.randbits(48)
@@ -136,9 +136,9 @@
         """Create both ways of carrying attempts out: delegated to the proxy, and over our own connections."""
         if self.members is not None:
             self.members.tell_gone = self.request_table.set_unreachable_peers
-        self.proxied = DelegatedRequests(self.request_table, self.reactor, self.life, _delegation_limits(config))
+        self.proxied = DelegatedRequests(self.request_table, self.reactor, self.incarnation, _delegation_limits(config))
         self.pool = ConnectionPool(self.reactor)
-        self.own = DirectRequests(self.request_table, self.pool, self.life, config.settings.load_report_fields)
+        self.own = DirectRequests(self.request_table, self.pool, self.incarnation, config.settings.load_report_fields)
 
     def _create_frontends(self, config: Config) -> None:
         """Create the gRPC services and the JSON-RPC service."""
@@ -175,7 +175,7 @@
         self.recorder: Recorder | None = None
         if config.recording is None:
             return
-        self.recorder = Recorder(config.recording, config.settings.number, self.life, self.started_ms)
+        self.recorder = Recorder(config.recording, config.settings.number, self.incarnation, self.started_ms)
         self.request_table.processor.observer = self.recorder.record_event
         self._recording_loop = task.LoopingCall(self.recorder.flush)
         self._recording_loop.clock = self.reactor
@@ -255,7 +255,7 @@
             addresses["peers"] = self._listen_for_peers(config)
         if self.members is not None:
             self.members.start()
-        self.log.info("started", **addresses, life=self.life, servers=len(self.request_table.endpoint_statuses))
+        self.log.info("started", **addresses, life=self.incarnation, servers=len(self.request_table.endpoint_statuses))
         return addresses
 
     def _listen_for_peers(self, config: Config) -> str:
