--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -63,7 +63,7 @@
             number = plain(routes, request)
             assert (None if placed is None else placed.route) == (None if number < 0 else routes[number])
     empty = run_to_end(build_next_version(version, outcome([])))
-    assert not empty.router.table._exact and not empty.router.table._tails and empty.router.table._any is None
+    assert not empty.router.table._exact and not empty.router.table._suffixes and empty.router.table._any is None
 
 
 def test_nodes_off_the_changed_path_are_shared_and_empty_ones_go():
