--- a/anisefront/config/model.py
+++ b/anisefront/config/model.py
@@ -17,7 +17,8 @@
 
 _METHODS = {(method,): (method,) for method in ("GET", "POST", "PUT", "PATCH", "DELETE", "HEAD", "OPTIONS", "*")}
 # Danger: where the module hears more than three eighths of it, questions to homes and their answers wait up to 60 ms
-# each for company (`Quota.post`). At the planned peak a gatekeeper hears 142 a second, at its double 284; with 200 here
+# each for company (`PeerOutbox.flush`). At the planned peak a gatekeeper hears 142 a second, at its double 284; with
+# 200 here
 # that wait was nearly all of what a request waited, and hardly anything came to go along.
 MESSAGES_PER_S = 1000.0
 TICK_MS = 5.0  # the grain of the module's turns here; its guards leave twice this
--- a/anisefront/policy/controller.py
+++ b/anisefront/policy/controller.py
@@ -233,6 +233,7 @@
             self._now_ms + request_class.latency_objective_ms,
             request_class.priority_weight * plan.priority_multiplier,
             self._arrivals,
+            size_of(arrival.units),
         )
         self.requests[arrival.id] = request
         self._set_deadlines(request)
@@ -244,7 +245,7 @@
         request_id = request.arrival.id
         answer_ms = request.arrival.deadline_at_ms - ANSWER_MARGIN_TICKS * self.settings.tick_ms
         self.timers.set(TimerKind.RESPONSE_DEADLINE, answer_ms, request_id)
-        reserved_ms = self.response_times.reserved_ms(request.request_class, size_of(request.arrival.units))
+        reserved_ms = self.response_times.reserved_ms(request.request_class, request.size)
         dispatch_ms = dispatch_deadline_ms(self._now_ms, request, reserved_ms)
         self.timers.set(TimerKind.DISPATCH_DEADLINE, dispatch_ms, request_id)
 
@@ -354,11 +355,12 @@
 
     def _try_start_attempt(self, request: Request) -> bool:
         """Start an attempt, and return whether an endpoint may take it."""
-        action = self.attempts.start(self._now_ms, request)
+        expected_ms = self.response_times.expected_ms(request.request_class.name, request.size)
+        action = self.attempts.start(self._now_ms, request, expected_ms)
         if action is None:
             return False
         self._actions.append(action)
-        hedge_delay_ms = self.attempts.hedge_delay_ms(request)
+        hedge_delay_ms = self.retries.hedge_delay_ms(expected_ms)
         self.timers.set(TimerKind.HEDGE_DELAY, self._now_ms + hedge_delay_ms, request.arrival.id)
         return True
 
@@ -367,7 +369,7 @@
         request_ids = {request_id for endpoint in self._left_service for request_id in endpoint.request_ids}
         affected = [self.requests[request_id] for request_id in request_ids]
         for request in sorted(affected, key=lambda each: each.sequence):
-            if self.retries.allows_leaving(request, self._left_service):
+            if self.retries.allows_hedging_on_removal(request, self._left_service):
                 self._try_retry(request)
 
     def _end_without_response(self, request: Request) -> None:
--- a/anisefront/policy/outlier_detection.py
+++ b/anisefront/policy/outlier_detection.py
@@ -38,16 +38,22 @@
         """Use other classes from now on; peers know a class by its place."""
         self._class_names = class_names
 
-    def record_attempt(self, now_ms: float, state: EndpointState, class_name: str, latency_ratio: float) -> None:
+    def record_attempt(
+        self, now_ms: float, state: EndpointState, class_name: str, latency_ratio: float, weight: float = 1.0
+    ) -> None:
         """Record the outcome of an attempt: its duration over the expected one, infinity for a failure.
 
         Overload responses are failures too: an endpoint that rejects at once seems idle and would attract attempts.
         """
-        self._record_first_hand(now_ms, state, class_name, latency_ratio, 1.0)
+        normalized = latency_ratio * self._load_reports.latency_normalization(now_ms, state)
+        state.health.record(now_ms, class_name, latency_ratio, normalized, weight)
+        observation = observation_of(state.endpoint.id, self._class_names.index(class_name), normalized)
+        latest = self._observations[1 - MAX_OBSERVATIONS :]
+        self._observations = [*latest, _TimedObservation(now_ms, observation)]
 
     def record_unresponsive(self, now_ms: float, state: EndpointState, class_name: str) -> None:
         """Record that an attempt has had no response for long."""
-        self._record_first_hand(now_ms, state, class_name, math.inf, UNRESPONSIVE_WEIGHT)
+        self.record_attempt(now_ms, state, class_name, math.inf, UNRESPONSIVE_WEIGHT)
 
     def record_peer_observations(
         self,
@@ -71,12 +77,3 @@
     def recent_observations(self, now_ms: float) -> list[EndpointObservation]:
         """Return the observations that peers are sent now."""
         return [each.observation for each in self._observations if now_ms - each.observed_ms <= OBSERVATION_LIFETIME_MS]
-
-    def _record_first_hand(
-        self, now_ms: float, state: EndpointState, class_name: str, latency_ratio: float, weight: float
-    ) -> None:
-        normalized = latency_ratio * self._load_reports.latency_normalization(now_ms, state)
-        state.health.record(now_ms, class_name, latency_ratio, normalized, weight)
-        observation = observation_of(state.endpoint.id, self._class_names.index(class_name), normalized)
-        latest = self._observations[1 - MAX_OBSERVATIONS :]
-        self._observations = [*latest, _TimedObservation(now_ms, observation)]
--- a/anisefront/policy/request.py
+++ b/anisefront/policy/request.py
@@ -51,6 +51,7 @@
     objective_at_ms: float  # the end of its latency objective, clock time
     priority_weight: float
     sequence: int = 0  # of its arrival among all requests
+    size: int = 1  # by which response times are distinguished
     attempts_started: int = 0
     attempts_in_flight: dict[int, EndpointState] = field(default_factory=dict)
     attempted: tuple[EndpointState, ...] = ()
@@ -120,5 +121,5 @@
 
     @property
     def answer_by_ms(self) -> float:
-        """Return by when an answer is worth having: the deadline or the end of the latency objective."""
+        """Return by when an answer is useful: the deadline or the end of the latency objective."""
         return min(self.arrival.deadline_at_ms, self.objective_at_ms)
--- a/anisefront/policy/retries.py
+++ b/anisefront/policy/retries.py
@@ -9,7 +9,7 @@
 from anisefront.policy.endpoint_registry import EndpointRegistry
 from anisefront.policy.endpoint_state import EndpointState
 from anisefront.policy.request import Request
-from anisefront.policy.response_times import UNRESPONSIVE_MULTIPLE, ResponseTimes, size_of
+from anisefront.policy.response_times import UNRESPONSIVE_MULTIPLE, ResponseTimes
 from anisefront.policy.settings import DeduplicationScope, Idempotency, Settings
 
 BUDGET_PER_REQUEST = 0.2  # retries for each first attempt, so that retries do not multiply an overload
@@ -98,8 +98,7 @@
 
     def allows_retry(self, now_ms: float, request: Request) -> bool:
         """Return whether a retry could end in time and the budget has one."""
-        size = size_of(request.arrival.units)
-        expected_end_ms = now_ms + self._response_times.reserved_ms(request.request_class, size)
+        expected_end_ms = now_ms + self._response_times.reserved_ms(request.request_class, request.size)
         return expected_end_ms <= request.answer_by_ms and self._budget >= 1
 
     def allows_hedging(self, request: Request) -> bool:
@@ -110,8 +109,8 @@
             return False
         return len(request.attempts_in_flight) == 1
 
-    def allows_leaving(self, request: Request, left: list[EndpointState]) -> bool:
-        """Return whether another attempt may be started since the only one's endpoint has left service.
+    def allows_hedging_on_removal(self, request: Request, removed: list[EndpointState]) -> bool:
+        """Return whether another attempt may be started since the only one's endpoint left service.
 
         Such an endpoint may fail before it has responded.
         """
@@ -119,7 +118,7 @@
             return False
         if request.request_class.idempotency is not Idempotency.IDEMPOTENT or len(request.attempts_in_flight) != 1:
             return False
-        return next(iter(request.attempts_in_flight.values())) in left
+        return next(iter(request.attempts_in_flight.values())) in removed
 
     @staticmethod
     def hedge_delay_ms(expected_ms: float) -> float:
--- a/benchmarks/scale/subsets.py
+++ b/benchmarks/scale/subsets.py
@@ -151,7 +151,7 @@
     the requests, and sends each to the less loaded of two that it knows.
 
     `knowledge`: "chance" (one is drawn), "reports" (its own attempts there and the load that answers told, fading and
-    with the last that told compared too, as `Servers.choose` does), "true" (loads as they are)."""
+    with the last that told compared too, as `EndpointSelection.choose` does), "true" (loads as they are)."""
     rng = random.Random(seed)
     count, per_s = len(subsets), PLAN.requests_per_s / PLAN.services
     weights = [rng.lognormvariate(0.0, RATE_SPREAD) for _ in range(count)]
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -18,11 +18,11 @@
 from twisted.python.failure import Failure
 
 from anisefront.resp_gateway import connection_limits
-from anisefront.resp_gateway import resp_codec
 from anisefront.resp_gateway import discovery_watch
+from anisefront.resp_gateway import resp_codec
 from anisefront.resp_gateway.instance_config import parse_config
 from anisefront.resp_gateway.endpoint_changes import EndpointDirectory, parse_change
-from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
+from anisefront.resp_gateway.instance import RespGatewayInstance
 from anisefront.policy.actions import Fail, Reject, SetTimer, StartAttempt
 from anisefront.policy.controller import Controller
 from anisefront.policy.events import (
@@ -53,9 +53,9 @@
     links = [stage._keep(socket.create_connection(("127.0.0.1", stage.port.getHost().port))) for _ in range(30)]
     for link in links:
         link.sendall(resp_codec.encode_command([b"PING"]))
-    gatekeeper = NodeGatekeeper.__new__(NodeGatekeeper)
-    gatekeeper._port = stage.port
-    gatekeeper._stop_listening()
+    instance = RespGatewayInstance.__new__(RespGatewayInstance)
+    instance._port = stage.port
+    instance._stop_listening()
     stage.turns()
     assert [link.recv(100) for link in links] == [b"+PONG\r\n"] * 30
 
@@ -350,7 +350,7 @@
         rows = [row(f"s{n}", f"127.0.0.1:{7000 + n}") for n in range(4)]
         self.made = []
         for n in range(2):
-            made = NodeGatekeeper(
+            made = RespGatewayInstance(
                 parse_config(
                     found(settings=WIRE_SETTINGS | {"myNumber": n}, known=change(41, *rows, snapshot=True)), {}
                 ),
@@ -447,7 +447,9 @@
     two.go_on()
     port = two.reactor.tcpClients[0][1]
     rows = [row(f"s{n}", f"127.0.0.1:{7000 + n}") for n in range(4) if 7000 + n != port]
-    two.made[0].told(parse_change(change(43, *rows, snapshot=True)))  # it still listens, and its connection comes up
+    two.made[0].apply_endpoint_change(
+        parse_change(change(43, *rows, snapshot=True))
+    )  # it still listens, and its connection comes up
     for _ in range(40):
         two.connect()
         two.reactor.advance(0.02)
