--- a/anisefront/resp_gateway/instance.py
+++ b/anisefront/resp_gateway/instance.py
@@ -148,9 +148,8 @@
         """Do the work of the start that needs no socket; call it before `start`."""
         config = self.config
         if config.known_endpoints is not None:
-            self.apply_endpoint_change(
-                config.known_endpoints
-            )  # it may be outdated, and is used until discovery sends a newer one
+            # It may be outdated, and is used until discovery sends a newer one.
+            self.apply_endpoint_change(config.known_endpoints)
         self.log.info(
             "settings",
             settings=dataclasses.asdict(config.settings) | {"tag_key": ""},
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -18,8 +18,8 @@
 from twisted.python.failure import Failure
 
 from anisefront.resp_gateway import connection_limits
-from anisefront.resp_gateway import discovery_watch
 from anisefront.resp_gateway import resp_codec
+from anisefront.resp_gateway import discovery_watch
 from anisefront.resp_gateway.instance_config import parse_config
 from anisefront.resp_gateway.endpoint_changes import EndpointDirectory, parse_change
 from anisefront.resp_gateway.instance import RespGatewayInstance
@@ -53,9 +53,9 @@
     links = [stage._keep(socket.create_connection(("127.0.0.1", stage.port.getHost().port))) for _ in range(30)]
     for link in links:
         link.sendall(resp_codec.encode_command([b"PING"]))
-    instance = RespGatewayInstance.__new__(RespGatewayInstance)
-    instance._port = stage.port
-    instance._stop_listening()
+    gatekeeper = RespGatewayInstance.__new__(RespGatewayInstance)
+    gatekeeper._port = stage.port
+    gatekeeper._stop_listening()
     stage.turns()
     assert [link.recv(100) for link in links] == [b"+PONG\r\n"] * 30
 
