--- a/anisefront/resp_gateway/command_mapping.py
+++ b/anisefront/resp_gateway/command_mapping.py
@@ -77,10 +77,7 @@
         self._plans = {plan.name for plan in settings.plans}
 
     def to_request(self, parts: list[bytes]) -> ClientRequest:
-        """Validate a command and return its request.
-
-        Args:
-            parts: The command's parts, the verb first.
+        """Validate a command, given as its parts, and return its request.
 
         Raises:
             InvalidCommandError: The command can't be used.
