--- a/anisefront/cluster/__init__.py
+++ b/anisefront/cluster/__init__.py
@@ -1,1 +1,4 @@
-"""Peers and the roster: who else is there. What is decided here is free of I/O."""
+"""Peers of a gateway instance: membership, replication of requests in flight, datagrams, the endpoint file.
+
+The modules decide without I/O and clocks; `daemon/` connects them to sockets and timers.
+"""
--- /dev/null
+++ b/anisefront/cluster/backup.py
@@ -0,0 +1,343 @@
+"""Backup of request replication: stores what primaries have in flight, and takes it over when they fail.
+
+    open --primary dead, left or lease expired--> claiming --EpochDecision, claimed--> claimed: its requests are ours
+                                                     `--EpochDecision, released--> dropped: the primary has released us
+
+The witness is asked even where the primary is certainly gone, for it may have released the epoch before. An epoch
+without a witness (a cluster of two) is claimed at once: its primary can't release it either.
+
+Once an epoch is claimed each message of it is answered by `EpochFenced`, permanently. Until then each applied entry is
+acknowledged, so a primary that was only paused or partitioned starts no attempt of which its backup does not know.
+Leases decide how soon the witness is asked, never who owns a request.
+"""
+
+from __future__ import annotations
+
+import heapq
+import math
+from collections import Counter
+from collections.abc import Callable
+
+from anisefront.cluster.backup_state import (
+    MAX_CLOSED_EPOCHS,
+    MAX_INCARNATIONS,
+    BackupEpoch,
+    EpochKey,
+    EpochState,
+    PrimaryEpochs,
+    ReplicatedRequest,
+    RequestKey,
+)
+from anisefront.cluster.replication_actions import Action, NotifyLater, ReleaseRequest, SendMessage, TakeOver
+from anisefront.cluster.replication_messages import (
+    NO_IDENTITY,
+    Accepted,
+    Append,
+    AppendAck,
+    AttemptDiscarded,
+    AttemptStarted,
+    BackupFull,
+    ClaimEpoch,
+    Completed,
+    EpochDecision,
+    EpochFenced,
+    InProgressElsewhere,
+    LogEntry,
+    Message,
+)
+
+CLAIM_RETRY_MS = 50.0  # interval of claims sent to the witness
+WITNESS_TIMEOUT_MS = 500.0  # idempotent requests are taken over without the witness's decision after this
+MAX_REQUESTS = 50_000
+
+
+class Backup:
+    """Requests of other instances that one process incarnation of an instance stores."""
+
+    def __init__(
+        self, number: int, incarnation: int, lease_ms: float = 1000.0, max_requests: int = MAX_REQUESTS
+    ) -> None:
+        """Initialize without any replicated request.
+
+        Args:
+            number: Number of the local instance.
+            incarnation: Its process incarnation.
+            lease_ms: Time without a message of a primary after which its requests are claimed.
+            max_requests: Capacity.
+        """
+        self.number = number
+        self.incarnation = incarnation
+        self.lease_ms = lease_ms
+        self.max_requests = max_requests
+        self.request_count = 0
+        self.by_identity: dict[bytes, RequestKey] = {}
+        # Whether a request of an identity is in flight here, asked for the primary with that number.
+        self.is_local_duplicate: Callable[[bytes, int], bool] | None = None
+        self.counts: Counter[str] = Counter()
+        self._actions: list[Action] = []
+        self._primaries: dict[tuple[int, int], PrimaryEpochs] = {}  # by number and incarnation
+        self._claiming: dict[EpochKey, BackupEpoch] = {}
+        self._lease_checks: list[tuple[float, EpochKey]] = []
+        self._expirations: list[tuple[float, RequestKey]] = []
+        self._terminated: dict[int, int] = {}  # incarnations of a primary up to this one have ended
+
+    def take_actions(self) -> list[Action]:
+        """Return the actions to carry out, and keep none."""
+        actions = self._actions
+        self._actions = []
+        return actions
+
+    # ---- messages --------------------------------------------------------------------------------
+
+    def receive(self, now_ms: float, sender: int, sender_incarnation: int, message: Message) -> None:
+        """Handle a message from an authenticated sender."""
+        if isinstance(message, Append):
+            self._on_append(now_ms, sender, sender_incarnation, message)
+        elif isinstance(message, EpochDecision):
+            self._on_decision(sender, sender_incarnation, message)
+
+    def _on_append(self, now_ms: float, primary: int, primary_incarnation: int, message: Append) -> None:
+        if message.backup_incarnation != self.incarnation:
+            # What an earlier incarnation has taken over is not known: an acknowledgement could let it run twice.
+            self.counts["for_another_life"] += 1
+            return
+        if primary_incarnation <= self._terminated.get(primary, 0):
+            return  # a delayed message of a terminated process: its requests would be stored, and run, again
+        epochs = self._primaries.setdefault((primary, primary_incarnation), PrimaryEpochs())
+        self._drop_finished(epochs, message.oldest_epoch)
+        epoch = epochs.by_number.get(message.epoch)
+        if epoch is None:
+            if message.epoch <= epochs.closed_up_to:
+                return  # the same hazard
+            key = EpochKey(primary, primary_incarnation, message.epoch)
+            epoch = BackupEpoch(key, message.witness, message.witness_incarnation)
+            epochs.by_number[message.epoch] = epoch
+        if epoch.state is EpochState.CLAIMED:
+            self._send(primary, EpochFenced(message.epoch))
+            return
+        epoch.lease_renewed_ms = now_ms
+        self._append(now_ms, epoch, message)
+        self._send(primary, AppendAck(message.epoch, epoch.last_sequence))
+
+    def _drop_finished(self, epochs: PrimaryEpochs, oldest_epoch: int) -> None:
+        """Drop the open epochs with which their primary has finished."""
+        for number in [number for number in epochs.by_number if number < oldest_epoch]:
+            if epochs.by_number[number].state is EpochState.OPEN:
+                self._drop(epochs.by_number[number])
+
+    def _append(self, now_ms: float, epoch: BackupEpoch, message: Append) -> None:
+        """Apply new entries in sequence, up to the first that can't be applied."""
+        for sequence, entry in enumerate(message.entries, message.first_sequence):
+            # Out of sequence, an old `Accepted` would follow the `Completed` that ended its request.
+            if sequence == epoch.last_sequence + 1:
+                if self._exceeds_capacity(epoch, entry):
+                    self._decline_remaining(epoch, message.entries[sequence - message.first_sequence :])
+                    return
+                if isinstance(entry, Accepted) and self._is_duplicate(epoch.key, entry):
+                    # Acknowledged, its attempts would start beside those of the request in flight.
+                    self.counts["names_in_hand"] += 1
+                    self._actions.append(NotifyLater(epoch.key.primary, entry.identity))
+                    self._send(epoch.key.primary, InProgressElsewhere(message.epoch, entry.request))
+                    return
+                self._apply(now_ms, epoch, entry)
+                epoch.last_sequence = sequence
+
+    def _exceeds_capacity(self, epoch: BackupEpoch, entry: LogEntry) -> bool:
+        """Return whether a request is not stored for want of capacity.
+
+        One that was declined once stays declined: its primary continues without a backup however late it is notified.
+        """
+        if not isinstance(entry, Accepted) or entry.request in epoch.requests:
+            return False
+        return self.request_count >= self.max_requests or entry.request in epoch.declined
+
+    def _decline_remaining(self, epoch: BackupEpoch, entries: tuple[LogEntry, ...]) -> None:
+        """Decline all requests without capacity; none is acknowledged, and the primary appends the others again."""
+        for entry in entries:
+            if self._exceeds_capacity(epoch, entry):
+                if entry.request not in epoch.declined:
+                    self.counts["full"] += 1
+                epoch.declined.add(entry.request)
+                self._send(epoch.key.primary, BackupFull(epoch.key.epoch, entry.request))
+
+    def _is_duplicate(self, epoch_key: EpochKey, accepted: Accepted) -> bool:
+        """Return whether another request of this identity is stored or in flight here.
+
+        A request that its own primary appends in another epoch is the same request.
+        """
+        if accepted.identity == NO_IDENTITY or not accepted.requires_ack:
+            return False
+        stored = self.by_identity.get(accepted.identity)
+        if stored is not None:
+            same_primary = (stored.primary, stored.primary_incarnation) == epoch_key[:2]
+            return not same_primary or stored.request != accepted.request
+        return self.is_local_duplicate is not None and self.is_local_duplicate(accepted.identity, epoch_key.primary)
+
+    def _apply(self, now_ms: float, epoch: BackupEpoch, entry: LogEntry) -> None:
+        stored = epoch.requests.get(entry.request)
+        match entry:
+            case Accepted() if stored is None:
+                self._store(now_ms, epoch, entry)
+            case AttemptStarted(_, attempt, endpoint, awaits_ack) if stored is not None:
+                # An attempt that awaits our acknowledgement starts no earlier than now.
+                stored.attempts[attempt] = (endpoint, now_ms if awaits_ack else -math.inf)
+            case AttemptDiscarded(_, attempt) if stored is not None:
+                stored.attempts.pop(attempt, None)
+            case Completed() if stored is not None:
+                self._release(epoch, stored)
+            case Completed(request):
+                epoch.declined.discard(request)
+
+    def _store(self, now_ms: float, epoch: BackupEpoch, accepted: Accepted) -> None:
+        deadline_ms = now_ms + accepted.remaining_ms
+        epoch.requests[accepted.request] = ReplicatedRequest(
+            accepted.request, accepted.requires_ack, deadline_ms, accepted.identity, accepted.record
+        )
+        self.request_count += 1
+        key = RequestKey(*epoch.key, accepted.request)
+        if accepted.identity != NO_IDENTITY and accepted.requires_ack:
+            self.by_identity[accepted.identity] = key
+        self._schedule_lease_check(now_ms, epoch)
+        heapq.heappush(self._expirations, (deadline_ms, key))
+
+    def _on_decision(self, sender: int, sender_incarnation: int, message: EpochDecision) -> None:
+        epoch = self._claiming.get(EpochKey(message.primary, message.primary_incarnation, message.epoch))
+        if epoch is None or (epoch.witness, epoch.witness_incarnation) != (sender, sender_incarnation):
+            return
+        if message.claimed:
+            self._take_over_epoch(epoch)
+        else:
+            self.counts["left_before"] += 1
+            self._drop(epoch)
+
+    # ---- failure of a primary --------------------------------------------------------------------
+
+    def primary_failed(self, now_ms: float, primary: int, primary_incarnation: int) -> None:
+        """Claim the epochs of a primary that is dead, has left, or is unreachable."""
+        for epoch in list(self._epochs(primary, primary_incarnation).values()):
+            if epoch.state is EpochState.OPEN and epoch.requests:
+                self._claim(now_ms, epoch)
+
+    def primary_terminated(self, now_ms: float, primary: int, primary_incarnation: int) -> None:
+        """Claim the epochs of this incarnation and those before it, which will send nothing more."""
+        for number, incarnation in list(self._primaries):
+            if number == primary and incarnation <= primary_incarnation:
+                self.primary_failed(now_ms, primary, incarnation)
+        self._terminated[primary] = max(self._terminated.get(primary, 0), primary_incarnation)
+        incarnations = sorted(incarnation for number, incarnation in self._primaries if number == primary)
+        for incarnation in incarnations[:-MAX_INCARNATIONS]:
+            for epoch in list(self._primaries[primary, incarnation].by_number.values()):
+                self._drop(epoch)
+            del self._primaries[primary, incarnation]
+
+    def _epochs(self, primary: int, primary_incarnation: int) -> dict[int, BackupEpoch]:
+        epochs = self._primaries.get((primary, primary_incarnation))
+        return epochs.by_number if epochs is not None else {}
+
+    def _claim(self, now_ms: float, epoch: BackupEpoch) -> None:
+        if epoch.witness < 0:
+            self._take_over_epoch(epoch)
+            return
+        epoch.state = EpochState.CLAIMING
+        epoch.claim_started_ms = now_ms
+        self._claiming[epoch.key] = epoch
+        self._send_claim(now_ms, epoch)
+
+    def _send_claim(self, now_ms: float, epoch: BackupEpoch) -> None:
+        epoch.claim_sent_ms = now_ms
+        self._send(epoch.witness, ClaimEpoch(*epoch.key, epoch.witness_incarnation))
+
+    def _take_over_epoch(self, epoch: BackupEpoch) -> None:
+        epoch.state = EpochState.CLAIMED
+        self._claiming.pop(epoch.key, None)
+        self.counts["epochs_taken"] += 1
+        for stored in list(epoch.requests.values()):
+            self._take_over(epoch, stored)
+        self._evict_claimed(epoch.key)
+
+    def _take_over(self, epoch: BackupEpoch, stored: ReplicatedRequest) -> None:
+        self._remove(epoch, stored)
+        self._actions.append(TakeOver(epoch.key.primary, epoch.key.primary_incarnation, stored))
+
+    def _evict_claimed(self, key: EpochKey) -> None:
+        """Bound the number of claimed epochs; an evicted one is never acknowledged again."""
+        epochs = self._primaries[key.primary, key.primary_incarnation]
+        claimed = [number for number, epoch in epochs.by_number.items() if epoch.state is EpochState.CLAIMED]
+        if len(claimed) > MAX_CLOSED_EPOCHS:
+            epochs.closed_up_to = max(epochs.closed_up_to, claimed[0])
+            del epochs.by_number[claimed[0]]
+
+    def _drop(self, epoch: BackupEpoch) -> None:
+        """Release all requests of an epoch, and close it."""
+        self._claiming.pop(epoch.key, None)
+        for stored in list(epoch.requests.values()):
+            self._release(epoch, stored)
+        epochs = self._primaries[epoch.key.primary, epoch.key.primary_incarnation]
+        del epochs.by_number[epoch.key.epoch]
+        epochs.closed_up_to = max(epochs.closed_up_to, epoch.key.epoch)
+
+    def _release(self, epoch: BackupEpoch, stored: ReplicatedRequest) -> None:
+        self._remove(epoch, stored)
+        self._actions.append(ReleaseRequest(stored))
+
+    def _remove(self, epoch: BackupEpoch, stored: ReplicatedRequest) -> None:
+        del epoch.requests[stored.request]
+        self.request_count -= 1
+        if self.by_identity.get(stored.identity) == RequestKey(*epoch.key, stored.request):
+            del self.by_identity[stored.identity]
+
+    # ---- timers ----------------------------------------------------------------------------------
+
+    def _schedule_lease_check(self, renewed_ms: float, epoch: BackupEpoch) -> None:
+        if not epoch.lease_check_scheduled:
+            epoch.lease_check_scheduled = True
+            heapq.heappush(self._lease_checks, (renewed_ms + self.lease_ms, epoch.key))
+
+    def handle_timers(self, now_ms: float) -> None:
+        """Release expired requests, check leases, repeat claims.
+
+        After a process stall the messages that wait in the sockets are to be handled first, or leases would seem
+        expired that have been renewed.
+        """
+        while self._expirations and self._expirations[0][0] <= now_ms:
+            _, key = heapq.heappop(self._expirations)
+            epoch = self._epochs(key.primary, key.primary_incarnation).get(key.epoch)
+            if epoch is not None and key.request in epoch.requests:
+                self._release(epoch, epoch.requests[key.request])
+        while self._lease_checks and self._lease_checks[0][0] <= now_ms:
+            _, epoch_key = heapq.heappop(self._lease_checks)
+            epoch = self._epochs(epoch_key.primary, epoch_key.primary_incarnation).get(epoch_key.epoch)
+            if epoch is not None:
+                self._check_lease(now_ms, epoch)
+        for epoch in list(self._claiming.values()):
+            self._continue_claim(now_ms, epoch)
+
+    def _check_lease(self, now_ms: float, epoch: BackupEpoch) -> None:
+        epoch.lease_check_scheduled = False
+        if epoch.state is not EpochState.OPEN or not epoch.requests:
+            return
+        if now_ms - epoch.lease_renewed_ms >= self.lease_ms:
+            self.counts["leases_out"] += 1
+            self._claim(now_ms, epoch)
+        else:
+            self._schedule_lease_check(epoch.lease_renewed_ms, epoch)
+
+    def _continue_claim(self, now_ms: float, epoch: BackupEpoch) -> None:
+        """Ask the witness again; take over idempotent requests that can't wait for its decision."""
+        if now_ms - epoch.claim_sent_ms >= CLAIM_RETRY_MS:
+            self._send_claim(now_ms, epoch)
+        if now_ms - epoch.claim_started_ms >= WITNESS_TIMEOUT_MS:
+            for stored in [stored for stored in epoch.requests.values() if not stored.requires_ack]:
+                self._take_over(epoch, stored)
+
+    @property
+    def next_timer_ms(self) -> float:
+        """Time at which `handle_timers` is to be called at the latest."""
+        last_claim_ms = min((epoch.claim_sent_ms for epoch in self._claiming.values()), default=math.inf)
+        claim_ms = last_claim_ms + CLAIM_RETRY_MS
+        if not self._lease_checks:
+            return claim_ms
+        return min(claim_ms, self._lease_checks[0][0])
+
+    def _send(self, receiver: int, message: Message) -> None:
+        self._actions.append(SendMessage(receiver, message))
--- /dev/null
+++ b/anisefront/cluster/backup_selection.py
@@ -0,0 +1,90 @@
+"""Selection of backups and witnesses among the live members, by rendezvous hashing.
+
+Each slot of identities has its own order of backups (Thaler, Ravishankar 1998). It is spread evenly, and few slots
+change their backup when a member joins or leaves.
+"""
+
+from __future__ import annotations
+
+import hashlib
+from typing import NamedTuple
+
+SLOTS = 64
+SLOW_BACKUP_MS = 5000.0  # a backup that timed out is not chosen for so long while there are others
+
+
+class Replica(NamedTuple):
+    """One process incarnation of an instance that may be backup or witness."""
+
+    number: int
+    incarnation: int
+    zone: str = ""
+
+
+def slot_of(data: bytes) -> int:
+    """Return the slot to which an identity belongs."""
+    return int.from_bytes(hashlib.blake2b(data, digest_size=2).digest(), "big") % SLOTS
+
+
+def placement_hash(slot: int, number: int) -> bytes:
+    """Return the rank of an instance in the order of a slot."""
+    return hashlib.blake2b(b"%d %d" % (slot, number), digest_size=8).digest()
+
+
+class BackupSelector:
+    """Orders the live members for each slot, and remembers which of them time out."""
+
+    def __init__(self, local: Replica) -> None:
+        """Initialize without any other member than `local`, which is never chosen."""
+        self._local = local
+        self._members: dict[int, Replica] = {}
+        self._slow_until_ms: dict[int, float] = {}
+        self._rankings: dict[tuple[int, str, int], list[Replica]] = {}  # cached until the members change
+
+    def update_members(self, members: dict[int, Replica]) -> None:
+        """Replace the live members, the local instance not among them."""
+        self._members = dict(members)
+        self._rankings.clear()
+
+    def has_alternative_to(self, number: int) -> bool:
+        """Return whether another member than this one is live."""
+        return any(member != number for member in self._members)
+
+    def mark_slow(self, now_ms: float, number: int) -> None:
+        """Avoid a member that did not acknowledge in time."""
+        self._slow_until_ms[number] = now_ms + SLOW_BACKUP_MS
+
+    def mark_responsive(self, number: int) -> None:
+        """Stop avoiding a member that acknowledges again."""
+        self._slow_until_ms.pop(number, None)
+
+    def candidates(self, now_ms: float, slot: int, has_identity: bool) -> list[Replica]:
+        """Return the possible backups of a slot, the preferred one first.
+
+        Two requests of one identity at two instances must meet at one backup, or both would run. So the zone is
+        considered only where there is no identity.
+        """
+        ranking = self.ranking(slot, "" if has_identity else self._local.zone, self._local.number)
+        if not self._slow_until_ms:
+            return ranking
+        responsive = [member for member in ranking if self._slow_until_ms.get(member.number, 0.0) <= now_ms]
+        return responsive or ranking
+
+    def witness_for(self, backup: Replica) -> Replica | None:
+        """Return the witness over a backup, in another zone where there is one; None without a third instance."""
+        ranking = self.ranking(self._local.number, backup.zone, backup.number)
+        return ranking[0] if ranking else None
+
+    def ranking(self, slot: int, avoided_zone: str, excluded: int) -> list[Replica]:
+        """Return the members except one, those in the avoided zone ("": none) last, then by their hash."""
+        cached = self._rankings.get((slot, avoided_zone, excluded))
+        if cached is not None:
+            return cached
+
+        def rank(member: Replica) -> tuple[bool, bytes]:
+            in_avoided_zone = bool(avoided_zone) and member.zone == avoided_zone
+            return in_avoided_zone, placement_hash(slot, member.number)
+
+        ranking = sorted((member for member in self._members.values() if member.number != excluded), key=rank)
+        self._rankings[slot, avoided_zone, excluded] = ranking
+        return ranking
--- /dev/null
+++ b/anisefront/cluster/backup_state.py
@@ -0,0 +1,91 @@
+"""State that a backup holds for its primaries: their epochs and the requests replicated in them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import IntEnum
+from typing import NamedTuple
+
+MAX_CLOSED_EPOCHS = 256  # epochs of one primary incarnation whose end is known one by one; older ones are all closed
+MAX_INCARNATIONS = 4  # incarnations of one primary of which anything is known; older ones are all closed
+
+
+class EpochKey(NamedTuple):
+    """Identifies an epoch among those of all primaries."""
+
+    primary: int
+    primary_incarnation: int
+    epoch: int
+
+
+class RequestKey(NamedTuple):
+    """Identifies a replicated request among those of all primaries and epochs."""
+
+    primary: int
+    primary_incarnation: int
+    epoch: int
+    request: int
+
+
+@dataclass(slots=True, eq=False)
+class ReplicatedRequest:
+    """A request of another instance.
+
+    Attributes:
+        request: Its number at its primary.
+        requires_ack: Whether it is not idempotent.
+        deadline_ms: When it is of no use any more.
+        identity: Digest by which a client's retry is recognized.
+        record: The request as its host encodes it.
+        attempts: Attempts that may have executed, by number: the endpoint, and the time before which the attempt had
+            not started (-inf: not known).
+    """
+
+    request: int
+    requires_ack: bool
+    deadline_ms: float
+    identity: bytes
+    record: bytes
+    attempts: dict[int, tuple[str, float]] = field(default_factory=dict)
+
+
+class EpochState(IntEnum):
+    """State of an epoch at its backup."""
+
+    OPEN = 0
+    CLAIMING = 1  # the witness has been asked for it
+    CLAIMED = 2
+
+
+@dataclass(slots=True, eq=False)
+class BackupEpoch:
+    """An epoch of one incarnation of a primary.
+
+    Attributes:
+        last_sequence: Number of the last entry applied.
+        declined: Requests for which there was no capacity, until they complete.
+        lease_renewed_ms: When the primary was last heard from.
+        lease_check_scheduled: Whether a check of the lease is due.
+        claim_started_ms: When the witness was first asked.
+        claim_sent_ms: When the witness was last asked.
+    """
+
+    key: EpochKey
+    witness: int
+    witness_incarnation: int
+    state: EpochState = EpochState.OPEN
+    last_sequence: int = 0
+    requests: dict[int, ReplicatedRequest] = field(default_factory=dict)
+    declined: set[int] = field(default_factory=set)
+    lease_renewed_ms: float = 0.0
+    lease_check_scheduled: bool = False
+    claim_started_ms: float = 0.0
+    claim_sent_ms: float = 0.0
+
+
+@dataclass(slots=True, eq=False)
+class PrimaryEpochs:
+    """Epochs of one incarnation of a primary; those up to `closed_up_to` that are not listed are closed."""
+
+    by_number: dict[int, BackupEpoch] = field(default_factory=dict)
+    closed_up_to: int = 0
--- a/anisefront/cluster/datagrams.py
+++ b/anisefront/cluster/datagrams.py
@@ -1,9 +1,9 @@
-"""Authenticated datagrams between gatekeepers: sequence, incarnation, time and an HMAC. Free of I/O.
+"""Authenticated datagrams between gateway instances: sequence number, process incarnation, time and HMAC. Free of I/O.
 
-    version 1 | sender 2 | receiver 2 | incarnation 8 | sequence 8 | sent, ms 8 | data | HMAC-SHA256, first 16
+    version 1 | sender 2 | receiver 2 | process incarnation 8 | sequence 8 | sent, ms 8 | data | HMAC-SHA256, first 16
 
-A receiver takes each datagram once, only from the sender's newest life, and none older than `MOST_AGE_MS`:
-so neither a doubled, a forged nor a kept one of an earlier life changes anything, also after a restart of ours.
+A receiver accepts each datagram once, only from the sender's newest process incarnation, and none older than
+`MAX_AGE_MS`. So a duplicated, forged or replayed datagram has no effect, not even after a restart of the receiver.
 """
 
 from __future__ import annotations
@@ -14,73 +14,94 @@
 from collections import Counter
 from dataclasses import dataclass
 
-_HEAD = struct.Struct(">BHHQQQ")
-_VERSION, _MAC_BYTES = 1, 16
-MOST_AGE_MS = 10_000.0  # a little more than clocks of one fleet may differ and a datagram may take
-REMEMBERED = 128  # sequences behind the highest that are told from repeats; older ones are dropped
-LEAST_SECRET = 16
+_HEADER = struct.Struct(">BHHQQQ")
+_VERSION = 1
+_MAC_BYTES = 16
+OVERHEAD_BYTES = _HEADER.size + _MAC_BYTES
+MAX_AGE_MS = 10_000.0  # a little more than clocks of one cluster may differ and a datagram may take
+REPLAY_WINDOW = 128  # sequence numbers behind the highest that are tracked; older datagrams are dropped
+MIN_SECRET_BYTES = 16
 
 
 @dataclass(slots=True)
 class _Peer:
-    incarnation: int = 0
-    highest: int = 0
-    seen: int = 0  # bits of the REMEMBERED sequences up to the highest
+    process_incarnation: int = 0
+    highest_sequence: int = 0
+    received: int = 0  # bits of the REPLAY_WINDOW sequence numbers up to the highest
 
+    def restart(self, process_incarnation: int) -> None:
+        """Begin to track a newer process."""
+        self.process_incarnation = process_incarnation
+        self.highest_sequence = 0
+        self.received = 0
 
-class Seal:
-    """Writes and reads the datagrams of one gatekeeper's life."""
+    def accept(self, sequence: int) -> bool:
+        """Track a sequence number; returns whether it is new, as the sliding window of RFC 4303 does."""
+        ahead = sequence - self.highest_sequence
+        if ahead > 0:
+            self.highest_sequence = sequence
+            window_mask = (1 << REPLAY_WINDOW) - 1
+            self.received = ((self.received << ahead) | 1) & window_mask if ahead < REPLAY_WINDOW else 1
+            return True
+        behind = -ahead
+        if behind >= REPLAY_WINDOW or self.received >> behind & 1:
+            return False
+        self.received |= 1 << behind
+        return True
 
-    def __init__(self, secret: bytes, number: int, incarnation: int) -> None:
-        if len(secret) < LEAST_SECRET:
-            raise ValueError(f"secret: {len(secret)} bytes, at least {LEAST_SECRET} are due")
-        self._secret, self.number, self.incarnation = secret, number, incarnation
-        self._sequence: dict[int, int] = {}
+
+class DatagramAuthenticator:
+    """Writes and reads the datagrams of one process incarnation of an instance."""
+
+    def __init__(self, secret: bytes, number: int, process_incarnation: int) -> None:
+        """Initialize with the secret that all instances share.
+
+        Raises:
+            ValueError: The secret is too short.
+        """
+        if len(secret) < MIN_SECRET_BYTES:
+            raise ValueError(f"secret: {len(secret)} bytes, at least {MIN_SECRET_BYTES} are due")
+        self.number = number
+        self.process_incarnation = process_incarnation
         self.peers: dict[int, _Peer] = {}
         self.counts: Counter[str] = Counter()
+        self._secret = secret
+        self._last_sequence: dict[int, int] = {}
 
     def _mac(self, data: bytes) -> bytes:
         return hmac.digest(self._secret, data, hashlib.sha256)[:_MAC_BYTES]
 
     def write(self, receiver: int, data: bytes, now_ms: float) -> bytes:
-        """The datagram for one receiver. `now_ms` is Unix time."""
-        sequence = self._sequence[receiver] = self._sequence.get(receiver, 0) + 1
-        body = _HEAD.pack(_VERSION, self.number, receiver, self.incarnation, sequence, int(now_ms)) + data
+        """Return the datagram for one receiver; `now_ms` is Unix time."""
+        sequence = self._last_sequence.get(receiver, 0) + 1
+        self._last_sequence[receiver] = sequence
+        header = _HEADER.pack(_VERSION, self.number, receiver, self.process_incarnation, sequence, int(now_ms))
+        body = header + data
         return body + self._mac(body)
 
     def read(self, datagram: bytes, now_ms: float) -> tuple[int, bytes] | None:
-        """Sender and data, or None where it must not be taken; `counts` says why."""
-        why, taken = self._read(datagram, now_ms)
-        self.counts[why] += 1
-        return taken
+        """Return sender and data, or None for a datagram that must be ignored; `counts` says why."""
+        result, accepted = self._read(datagram, now_ms)
+        self.counts[result] += 1
+        return accepted
 
     def _read(self, datagram: bytes, now_ms: float) -> tuple[str, tuple[int, bytes] | None]:
-        if len(datagram) < _HEAD.size + _MAC_BYTES or datagram[0] != _VERSION:
+        if len(datagram) < OVERHEAD_BYTES or datagram[0] != _VERSION:
             return "unreadable", None
-        body, mac = datagram[:-_MAC_BYTES], datagram[-_MAC_BYTES:]
-        if not hmac.compare_digest(mac, self._mac(body)):
+        body = datagram[:-_MAC_BYTES]
+        if not hmac.compare_digest(datagram[-_MAC_BYTES:], self._mac(body)):
             return "forged", None
-        _, sender, receiver, incarnation, sequence, sent_ms = _HEAD.unpack_from(body)
+        _, sender, receiver, process_incarnation, sequence, sent_ms = _HEADER.unpack_from(body)
         if receiver != self.number or sender == self.number:
             return "misdirected", None
-        if abs(now_ms - sent_ms) > MOST_AGE_MS:
-            # Danger: what was kept from an earlier life would be taken by a receiver that has just started.
+        if abs(now_ms - sent_ms) > MAX_AGE_MS:
+            # A receiver that has just started tracks no sequence numbers: it would accept a replayed datagram.
             return "too_old", None
         peer = self.peers.setdefault(sender, _Peer())
-        if incarnation < peer.incarnation:
+        if process_incarnation < peer.process_incarnation:
             return "earlier_life", None
-        if incarnation > peer.incarnation:
-            peer.incarnation, peer.highest, peer.seen = incarnation, 0, 0
-        if sequence > peer.highest:
-            peer.seen = (
-                (peer.seen << sequence - peer.highest | 1) & (1 << REMEMBERED) - 1
-                if sequence - peer.highest < REMEMBERED
-                else 1
-            )
-            peer.highest = sequence
-        else:
-            bit = peer.highest - sequence
-            if bit >= REMEMBERED or peer.seen >> bit & 1:
-                return "repeated", None
-            peer.seen |= 1 << bit
-        return "taken", (sender, body[_HEAD.size :])
+        if process_incarnation > peer.process_incarnation:
+            peer.restart(process_incarnation)
+        if not peer.accept(sequence):
+            return "repeated", None
+        return "taken", (sender, body[_HEADER.size :])
--- /dev/null
+++ b/anisefront/cluster/primary.py
@@ -0,0 +1,438 @@
+"""Primary of request replication: which backup knows of a request, and when an attempt may start. Free of I/O.
+
+A request is replicated to one backup. An attempt of a request that is not idempotent starts only when the backup has
+acknowledged it. So a backup that takes over knows of each attempt that may have executed, whatever clocks and pauses
+did (primary-backup replication with a witness; compare Liskov et al., Harp, 1991).
+
+    open --backup slow or not alive--> releasing --EpochDecision, released--> its requests go to another backup
+      |                                    `-------EpochDecision, claimed---> lost: the backup owns its requests
+      `--EpochFenced--> lost
+
+Safety rests on three orders: an attempt after the backup's acknowledgement, another backup after the witness's
+decision, and at the witness the first who asked. Times decide only when to retry or to look for another backup.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass, field, replace
+
+from anisefront.cluster.backup_selection import BackupSelector, Replica, placement_hash, slot_of
+from anisefront.cluster.epoch_log import RETRY_MS, EpochLog
+from anisefront.cluster.epoch_sender import EpochSender
+from anisefront.cluster.replication_actions import (
+    Action,
+    DeliverRejection,
+    LoseOwnership,
+    ReplicationUnavailable,
+    StartAttempt,
+    YieldToDuplicate,
+)
+from anisefront.cluster.replication_messages import (
+    NO_IDENTITY,
+    Accepted,
+    AppendAck,
+    AttemptDiscarded,
+    AttemptStarted,
+    BackupFull,
+    Completed,
+    EpochDecision,
+    EpochFenced,
+    InProgressElsewhere,
+    LogEntry,
+    Message,
+    ReleaseEpoch,
+)
+
+MAX_RETRY_MS = 480.0  # without another instance to choose, retries back off up to this interval
+BACKUP_TIMEOUT_MS = 150.0  # without an acknowledgement for so long another backup is chosen
+
+
+@dataclass(slots=True, eq=False)
+class _LocalRequest:
+    """A request of ours that was replicated.
+
+    Attributes:
+        attempts: Endpoints of the attempts that are not proved never to have executed, by number of the attempt.
+        awaiting_ack: Attempts that start when the backup has acknowledged them.
+        rejection_pending: Whether its rejection is delivered when the backup has acknowledged it.
+        lost: Whether another instance owns it: no further attempt starts here.
+    """
+
+    accepted: Accepted
+    slot: int
+    deadline_ms: float
+    epoch: int = 0
+    attempts: dict[int, str] = field(default_factory=dict)
+    awaiting_ack: set[int] = field(default_factory=set)
+    rejection_pending: bool = False
+    lost: bool = False
+
+    @property
+    def has_identity(self) -> bool:
+        """Whether a client's retry of it can be recognized."""
+        return self.accepted.identity != NO_IDENTITY
+
+
+class Primary:
+    """The requests that one process incarnation of an instance replicates to others."""
+
+    def __init__(self, local: Replica, lease_ms: float = 1000.0) -> None:
+        """Initialize without any request; `local` is this instance, `lease_ms` the lease at its backups."""
+        self.local = local
+        self.counts: Counter[str] = Counter()
+        self._requests: dict[int, _LocalRequest] = {}
+        self._selector = BackupSelector(local)
+        self._sender = EpochSender(lease_ms)
+        self._actions: list[Action] = []
+
+    def __len__(self) -> int:
+        """Return the number of replicated requests."""
+        return len(self._requests)
+
+    def take_actions(self) -> list[Action]:
+        """Return the actions to carry out, and keep none."""
+        actions = [*self._sender.take_messages(), *self._actions]
+        self._actions = []
+        return actions
+
+    # ---- requests --------------------------------------------------------------------------------
+
+    def accept(self, now_ms: float, accepted: Accepted) -> bool:
+        """Replicate a request; returns False where no backup is available."""
+        has_identity = accepted.identity != NO_IDENTITY
+        slot = slot_of(accepted.identity if has_identity else b"%d" % accepted.request)
+        log = self._choose_log(now_ms, slot, has_identity)
+        if log is None:
+            return False
+        deadline_ms = now_ms + accepted.remaining_ms
+        self._requests[accepted.request] = _LocalRequest(accepted, slot, deadline_ms, log.epoch)
+        self._sender.add_request(now_ms, log, accepted)
+        return True
+
+    def start_attempt(self, now_ms: float, request: int, attempt: int, endpoint: str) -> bool:
+        """Return whether an attempt may start at once.
+
+        Otherwise a `StartAttempt` follows when it may, or a `LoseOwnership` of its request.
+        """
+        local = self._requests.get(request)
+        if local is None:
+            return True  # not replicated, so nobody takes it over
+        if local.lost:
+            return False
+        local.attempts[attempt] = endpoint
+        log = self._sender.logs.get(local.epoch)
+        if log is None:
+            return True  # no backup is available, and the witness has excluded the last one
+        requires_ack = local.accepted.requires_ack
+        if requires_ack:
+            # Started before the acknowledgement, the attempt would run a second time if the backup takes over.
+            local.awaiting_ack.add(attempt)
+        if not log.releasing:
+            self._sender.append(log, AttemptStarted(request, attempt, endpoint), immediately=requires_ack)
+        return not requires_ack
+
+    def discard_attempt(self, now_ms: float, request: int, attempt: int) -> None:
+        """Record that an attempt is proved never to have executed."""
+        local = self._requests.get(request)
+        if local is not None and local.attempts.pop(attempt, None) is not None:
+            local.awaiting_ack.discard(attempt)
+            self._append(local, AttemptDiscarded(request, attempt), immediately=False)
+
+    def reject(self, now_ms: float, request: int) -> bool:
+        """Return whether the rejection of a request that never executed may be delivered at once.
+
+        Otherwise a `DeliverRejection` follows when it may, or a `LoseOwnership`.
+        """
+        local = self._requests.get(request)
+        if local is None:
+            return True
+        if local.lost:
+            return False
+        if local.epoch not in self._sender.logs or not local.accepted.requires_ack:
+            self.complete(now_ms, request)
+            return True
+        # A rejection lets the client retry elsewhere: a backup that takes over without knowing of it would run the
+        # request beside that retry.
+        local.rejection_pending = True
+        self._append(local, Completed(request))
+        return False
+
+    def complete(self, now_ms: float, request: int) -> None:
+        """Record that a request has its final response; the backup is notified with the next entries."""
+        local = self._requests.pop(request, None)
+        if local is None:
+            return
+        log = self._sender.logs.get(local.epoch)
+        if log is None:
+            return
+        log.requests.discard(request)
+        if log.deferred.pop(request, None) is None and not local.rejection_pending:
+            # A client's retry may wait at the backup for just this.
+            has_waiting_retry = local.accepted.requires_ack and local.has_identity
+            self._append(local, Completed(request), immediately=has_waiting_retry)
+        self._sender.close_if_finished(log)
+
+    def _append(self, local: _LocalRequest, entry: LogEntry, immediately: bool = True) -> None:
+        log = self._sender.logs.get(local.epoch)
+        if log is not None and not log.releasing:
+            self._sender.append(log, entry, immediately)
+
+    def backup_of(self, request: int) -> int | None:
+        """Return the number of the backup of a request."""
+        local = self._requests.get(request)
+        if local is None:
+            return None
+        log = self._sender.logs.get(local.epoch)
+        return log.backup.number if log is not None else None
+
+    def yields_to(self, request: int, other: int) -> bool:
+        """Return whether a request of ours yields to one of its identity at another instance.
+
+        Of two instances that are each other's backups, both would reject the other's request, or neither would. So
+        the one that comes first in the order of backups continues.
+        """
+        if self.backup_of(request) != other:
+            return False
+        slot = self._requests[request].slot
+        return placement_hash(slot, other) < placement_hash(slot, self.local.number)
+
+    # ---- backups ---------------------------------------------------------------------------------
+
+    def update_members(self, now_ms: float, alive: dict[int, Replica]) -> None:
+        """Replace the instances that may be backup or witness, the local one not among them."""
+        self._selector.update_members(alive)
+        for log in list(self._sender.logs.values()):
+            if alive.get(log.backup.number) != log.backup:
+                self._release(now_ms, log)
+            elif log.witness is not None and alive.get(log.witness.number) != log.witness:
+                self._on_witness_lost(now_ms, log)
+
+    def _on_witness_lost(self, now_ms: float, log: EpochLog) -> None:
+        """Give new requests another witness, as two of the three must agree on each change.
+
+        An epoch that is being released can't be any more: it returns to its backup, or its requests would neither
+        move nor be replicated until their deadlines. If the witness had released it the backup stores nothing of it,
+        and they are unprotected.
+        """
+        self._sender.retire(log)
+        if log.releasing:
+            log.releasing = False
+            self.counts["keepers_returned_to"] += 1
+            self._sender.resend(now_ms, log)
+
+    def _choose_log(self, now_ms: float, slot: int, has_identity: bool) -> EpochLog | None:
+        for backup in self._selector.candidates(now_ms, slot, has_identity):
+            log = self._sender.current(backup.number)
+            if log is None:
+                log = self._sender.open(backup, self._selector.witness_for(backup))
+            if log.has_capacity:
+                return log
+        return None
+
+    def _release(self, now_ms: float, log: EpochLog) -> None:
+        """Move the requests of an unresponsive backup, once the witness excludes that it takes them over."""
+        if log.releasing:
+            return
+        log.releasing = True
+        log.retry_interval_ms = RETRY_MS
+        log.deferred.clear()
+        self.counts["keepers_left"] += 1
+        self._sender.retire(log)
+        for request in sorted(log.requests):
+            if not self._requests[request].accepted.requires_ack:  # it may run any number of times
+                self._move(now_ms, request)
+        self._send_release(now_ms, log)
+
+    def _send_release(self, now_ms: float, log: EpochLog) -> None:
+        if log.witness is not None and log.requests:
+            self._sender.send(log.witness.number, ReleaseEpoch(log.epoch, log.witness.incarnation))
+            log.retry_ms = now_ms + log.retry_interval_ms
+            self._sender.schedule(log, log.retry_ms)
+
+    def _move(self, now_ms: float, request: int) -> None:
+        """Replicate a request to another backup.
+
+        One that is not idempotent moves only after the witness's decision: the backup before might have taken it over.
+        """
+        local = self._requests[request]
+        self._sender.logs[local.epoch].requests.discard(request)
+        if local.rejection_pending:  # no backup knows of it any more
+            self._deliver_rejection(request)
+            return
+        log = self._choose_log(now_ms, local.slot, local.has_identity)
+        if log is None:
+            local.epoch = 0
+            self.counts["unprotected_since"] += 1
+            self._start_awaiting(local)
+            return
+        local.epoch = log.epoch
+        remaining_ms = max(0, int(local.deadline_ms - now_ms))
+        self._sender.add_request(now_ms, log, replace(local.accepted, remaining_ms=remaining_ms))
+        for attempt, endpoint in sorted(local.attempts.items()):
+            self._sender.append(log, AttemptStarted(request, attempt, endpoint, attempt in local.awaiting_ack))
+
+    def _start_awaiting(self, local: _LocalRequest) -> None:
+        request = local.accepted.request
+        self._actions += [StartAttempt(request, attempt) for attempt in sorted(local.awaiting_ack)]
+        local.awaiting_ack.clear()
+
+    def _deliver_rejection(self, request: int) -> None:
+        del self._requests[request]
+        self._actions.append(DeliverRejection(request))
+
+    # ---- messages --------------------------------------------------------------------------------
+
+    def receive(self, now_ms: float, sender: int, sender_incarnation: int, message: Message) -> None:
+        """Handle a message from an authenticated sender."""
+        if isinstance(message, EpochDecision):
+            self._on_decision(now_ms, sender, sender_incarnation, message)
+            return
+        if not isinstance(message, AppendAck | EpochFenced | InProgressElsewhere | BackupFull):
+            return
+        log = self._sender.logs.get(message.epoch)
+        if log is None:
+            return
+        from_backup = (sender, sender_incarnation) == (log.backup.number, log.backup.incarnation)
+        if not from_backup:
+            return
+        match message:
+            case AppendAck():
+                self._on_ack(now_ms, log, message.last_sequence)
+            case EpochFenced():
+                self._lose_epoch(log)
+            case InProgressElsewhere() if message.request in log.requests:
+                self._on_duplicate(log, message.request)
+            case BackupFull() if message.request in log.requests:
+                self._on_backup_full(now_ms, log, message.request)
+
+    def _on_decision(self, now_ms: float, sender: int, sender_incarnation: int, message: EpochDecision) -> None:
+        log = self._sender.logs.get(message.epoch)
+        if log is None or (message.primary, message.primary_incarnation) != self.local[:2]:
+            return
+        witness = log.witness
+        if witness is None or (sender, sender_incarnation) != (witness.number, witness.incarnation):
+            return
+        if not log.releasing:
+            return
+        if message.claimed:
+            self._lose_epoch(log)
+            return
+        for request in sorted(log.requests):
+            self._move(now_ms, request)
+        self._sender.close_if_finished(log)
+
+    def _on_ack(self, now_ms: float, log: EpochLog, last_sequence: int) -> None:
+        progressed = False
+        for entry in log.acknowledge(last_sequence):
+            progressed = True
+            self._on_entry_acknowledged(log, entry)
+        if progressed or not log.entries:
+            log.heartbeat_unacknowledged = False
+            log.restart_retries(now_ms)
+            self._selector.mark_responsive(log.backup.number)
+        self._sender.close_if_finished(log)
+
+    def _on_entry_acknowledged(self, log: EpochLog, entry: LogEntry) -> None:
+        local = self._requests.get(entry.request)
+        if local is None or local.epoch != log.epoch:
+            return
+        if isinstance(entry, AttemptStarted) and entry.attempt in local.awaiting_ack:
+            local.awaiting_ack.discard(entry.attempt)
+            self._actions.append(StartAttempt(entry.request, entry.attempt))
+        elif isinstance(entry, Completed) and local.rejection_pending:
+            log.requests.discard(entry.request)
+            self._deliver_rejection(entry.request)
+
+    def _on_duplicate(self, log: EpochLog, request: int) -> None:
+        """Yield to another request of this identity; the entries behind this one continue without it."""
+        local = self._withdraw(log, request)
+        local.lost = True
+        self.counts["names_elsewhere"] += 1
+        # Attempts that await their acknowledgement have not started. The response of one that has may still come.
+        if local.attempts.keys() - local.awaiting_ack:
+            self._actions.append(LoseOwnership(request))
+        else:
+            self._actions.append(YieldToDuplicate(request, log.backup.number))
+        local.awaiting_ack.clear()
+
+    def _on_backup_full(self, now_ms: float, log: EpochLog, request: int) -> None:
+        """Continue without a backup: it does not know of the request, so nobody takes it over."""
+        local = self._withdraw(log, request)
+        log.waiting_since_ms = now_ms  # the backup responds
+        self.counts["unprotected_full"] += 1
+        if local.rejection_pending:
+            self._deliver_rejection(request)
+            return
+        self._actions.append(ReplicationUnavailable(request))
+        self._start_awaiting(local)
+
+    def _withdraw(self, log: EpochLog, request: int) -> _LocalRequest:
+        local = self._requests[request]
+        local.epoch = 0
+        log.requests.discard(request)
+        log.withdraw(request)
+        self._sender.mark_unsent(log)
+        return local
+
+    def _lose_epoch(self, log: EpochLog) -> None:
+        """Give up an epoch that its backup has claimed; idempotent requests continue here all the same."""
+        for request in sorted(log.requests):
+            local = self._requests[request]
+            local.epoch = 0
+            local.lost = local.accepted.requires_ack
+            if local.lost:
+                local.awaiting_ack.clear()
+                self._actions.append(LoseOwnership(request))
+        self.counts["epochs_lost"] += 1
+        log.requests.clear()
+        log.entries.clear()
+        log.deferred.clear()
+        self._sender.retire(log)
+        self._sender.close(log)
+
+    # ---- timers ----------------------------------------------------------------------------------
+
+    def flush(self, now_ms: float) -> None:
+        """Send the new entries."""
+        self._sender.flush(now_ms)
+
+    def handle_timers(self, now_ms: float) -> None:
+        """Send heartbeats, and retry what was not acknowledged.
+
+        After a process stall the messages that wait in the sockets are to be handled first, or backups would seem
+        unresponsive that have acknowledged.
+        """
+        for log in self._sender.due_logs(now_ms):
+            self._sender.append_deferred(now_ms, log)
+            self._sender.send_due_heartbeat(now_ms, log)
+            self._retry(now_ms, log)
+
+    def _retry(self, now_ms: float, log: EpochLog) -> None:
+        if now_ms < log.retry_ms:
+            if log.awaits_ack or log.releasing:
+                self._sender.schedule(log, log.retry_ms)
+        elif log.releasing:
+            log.retry_interval_ms = min(MAX_RETRY_MS, 2 * log.retry_interval_ms)
+            self._send_release(now_ms, log)
+        elif log.awaits_ack:
+            self._retry_append(now_ms, log)
+
+    def _retry_append(self, now_ms: float, log: EpochLog) -> None:
+        """Resend unacknowledged entries, or choose another backup after the timeout."""
+        has_alternative = self._selector.has_alternative_to(log.backup.number)
+        if has_alternative and now_ms - log.waiting_since_ms >= BACKUP_TIMEOUT_MS:
+            self._selector.mark_slow(now_ms, log.backup.number)
+            self._release(now_ms, log)
+            return
+        if not has_alternative:
+            log.retry_interval_ms = min(MAX_RETRY_MS, 2 * log.retry_interval_ms)
+        self.counts["fed_again"] += 1
+        log.retry_ms = now_ms + log.retry_interval_ms
+        self._sender.resend(now_ms, log)
+        self._sender.schedule(log, log.retry_ms)
+
+    @property
+    def next_timer_ms(self) -> float:
+        """Time at which `handle_timers` is to be called at the latest; infinite without one."""
+        return self._sender.next_timer_ms
--- /dev/null
+++ b/anisefront/cluster/replication_actions.py
@@ -0,0 +1,110 @@
+"""Actions that the replication roles want their host to carry out, in the order in which it must do so."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from anisefront.cluster.backup_state import ReplicatedRequest
+from anisefront.cluster.replication_messages import Message
+
+
+@dataclass(frozen=True, slots=True)
+class SendMessage:
+    """Send a message to a peer."""
+
+    receiver: int
+    message: Message
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicationUnavailable:
+    """No instance replicates this request of ours any more."""
+
+    request: int
+
+
+@dataclass(frozen=True, slots=True)
+class StartAttempt:
+    """A postponed attempt may start now."""
+
+    request: int
+    attempt: int
+
+
+@dataclass(frozen=True, slots=True)
+class DeliverRejection:
+    """A postponed rejection may be delivered now."""
+
+    request: int
+
+
+@dataclass(frozen=True, slots=True)
+class LoseOwnership:
+    """Another instance owns this request of ours now."""
+
+    request: int
+
+
+@dataclass(frozen=True, slots=True)
+class YieldToDuplicate:
+    """A request of ours that never left must wait for another of its identity, known to `backup`."""
+
+    request: int
+    backup: int
+
+
+@dataclass(frozen=True, slots=True)
+class NotifyLater:
+    """A primary's request was rejected as a duplicate; the primary is to be notified of the other's outcome."""
+
+    primary: int
+    identity: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class ReleaseRequest:
+    """A request is replicated here no longer, and not ours: completed, released by its primary, or expired."""
+
+    replica: ReplicatedRequest
+
+
+@dataclass(frozen=True, slots=True)
+class TakeOver:
+    """A request of a failed primary is ours from now on."""
+
+    primary: int
+    primary_incarnation: int
+    replica: ReplicatedRequest
+
+
+Action = (
+    SendMessage
+    | ReplicationUnavailable
+    | StartAttempt
+    | DeliverRejection
+    | LoseOwnership
+    | YieldToDuplicate
+    | NotifyLater
+    | ReleaseRequest
+    | TakeOver
+)
+
+# All actions of one type are carried out before those of the next: what other instances must learn first goes first,
+# and a client that waits for a released request is served before the requests that are taken over.
+_EXECUTION_ORDER: dict[type[Action], int] = {
+    SendMessage: 0,
+    ReplicationUnavailable: 1,
+    StartAttempt: 2,
+    DeliverRejection: 3,
+    LoseOwnership: 4,
+    YieldToDuplicate: 5,
+    NotifyLater: 6,
+    ReleaseRequest: 7,
+    TakeOver: 8,
+}
+
+
+def in_execution_order(actions: Iterable[Action]) -> list[Action]:
+    """Sort actions by type, those of one type in the order given."""
+    return sorted(actions, key=lambda action: _EXECUTION_ORDER[type(action)])
--- /dev/null
+++ b/anisefront/cluster/replication_codec.py
@@ -0,0 +1,164 @@
+"""Bytes of the messages and log entries of request replication.
+
+Each message begins with `MARK` and its kind; each log entry with its kind. All integers are big-endian.
+"""
+
+from __future__ import annotations
+
+import struct
+
+from anisefront.cluster.replication_messages import (
+    Accepted,
+    Append,
+    AppendAck,
+    AttemptDiscarded,
+    AttemptStarted,
+    BackupFull,
+    ClaimEpoch,
+    Completed,
+    EpochDecision,
+    EpochFenced,
+    InProgressElsewhere,
+    LogEntry,
+    Message,
+    Outcome,
+    OutcomeQuery,
+    OutcomeReply,
+    ReleaseEpoch,
+)
+
+MARK = 0x4B  # first byte; quota messages begin with their version, membership messages with 0x4D
+MAX_ENTRIES_BYTES = 1200  # of entries in one message: a datagram that no network fragments
+MAX_RECORD_BYTES = 1100  # of one record; a larger request is not replicated, and counted as such
+MAX_ENDPOINT_BYTES = 255
+
+_HEADER = struct.Struct(">BB")  # mark, kind
+_APPEND_KIND = 1
+_APPEND = struct.Struct(">IQhQIIB")
+_OUTCOME_REPLY_KIND = 8
+_OUTCOME_REPLY = struct.Struct(">8sB")
+_FIXED_SIZE: dict[type, tuple[int, struct.Struct]] = {
+    AppendAck: (2, struct.Struct(">II")),
+    EpochFenced: (3, struct.Struct(">I")),
+    ReleaseEpoch: (4, struct.Struct(">IQ")),
+    ClaimEpoch: (5, struct.Struct(">HQIQ")),
+    EpochDecision: (6, struct.Struct(">HQI?")),
+    InProgressElsewhere: (7, struct.Struct(">IQ")),
+    OutcomeQuery: (9, struct.Struct(">8s")),
+    BackupFull: (10, struct.Struct(">IQ")),
+}
+_FIXED_SIZE_BY_KIND = {kind: (message_type, form) for message_type, (kind, form) in _FIXED_SIZE.items()}
+
+_ACCEPTED_KIND = 1
+_ACCEPTED = struct.Struct(">BQ?I8sH")
+_ATTEMPT_STARTED_KIND = 2
+_ATTEMPT_STARTED = struct.Struct(">BQH?B")
+_ATTEMPT_DISCARDED_KIND = 3
+_ATTEMPT_DISCARDED = struct.Struct(">BQH")
+_COMPLETED_KIND = 4
+_COMPLETED = struct.Struct(">BQ")
+
+
+def encode_entry(entry: LogEntry) -> bytes:
+    """Encode one log entry.
+
+    Raises:
+        ValueError: The record or the endpoint's name is too long.
+    """
+    match entry:
+        case Accepted(request, requires_ack, remaining_ms, identity, record):
+            if len(record) > MAX_RECORD_BYTES:
+                raise ValueError(f"record: {len(record)} bytes are more than {MAX_RECORD_BYTES}")
+            head = _ACCEPTED.pack(_ACCEPTED_KIND, request, requires_ack, remaining_ms, identity, len(record))
+            return head + record
+        case AttemptStarted(request, attempt, endpoint, awaits_ack):
+            name = endpoint.encode()
+            if len(name) > MAX_ENDPOINT_BYTES:
+                raise ValueError(f"endpoint: {len(name)} bytes of a name are more than {MAX_ENDPOINT_BYTES}")
+            return _ATTEMPT_STARTED.pack(_ATTEMPT_STARTED_KIND, request, attempt, awaits_ack, len(name)) + name
+        case AttemptDiscarded(request, attempt):
+            return _ATTEMPT_DISCARDED.pack(_ATTEMPT_DISCARDED_KIND, request, attempt)
+        case Completed(request):
+            return _COMPLETED.pack(_COMPLETED_KIND, request)
+
+
+def _decode_entry(data: bytes, offset: int) -> tuple[LogEntry, int]:
+    """Decode the entry at `offset`; returns it and the offset behind it."""
+    kind = data[offset]
+    if kind == _ACCEPTED_KIND:
+        _, request, requires_ack, remaining_ms, identity, length = _ACCEPTED.unpack_from(data, offset)
+        offset += _ACCEPTED.size
+        record = _exactly(data, offset, length)
+        return Accepted(request, requires_ack, remaining_ms, identity, record), offset + length
+    if kind == _ATTEMPT_STARTED_KIND:
+        _, request, attempt, awaits_ack, length = _ATTEMPT_STARTED.unpack_from(data, offset)
+        offset += _ATTEMPT_STARTED.size
+        endpoint = _exactly(data, offset, length).decode()
+        return AttemptStarted(request, attempt, endpoint, awaits_ack), offset + length
+    if kind == _ATTEMPT_DISCARDED_KIND:
+        _, request, attempt = _ATTEMPT_DISCARDED.unpack_from(data, offset)
+        return AttemptDiscarded(request, attempt), offset + _ATTEMPT_DISCARDED.size
+    if kind == _COMPLETED_KIND:
+        _, request = _COMPLETED.unpack_from(data, offset)
+        return Completed(request), offset + _COMPLETED.size
+    raise ValueError(f"entry of kind {kind}")
+
+
+def _exactly(data: bytes, offset: int, length: int) -> bytes:
+    if offset + length > len(data):
+        raise ValueError("an entry that ends beyond the message")
+    return data[offset : offset + length]
+
+
+def encode(message: Message) -> bytes:
+    """Encode a message."""
+    if isinstance(message, Append):
+        return _encode_append(message)
+    if isinstance(message, OutcomeReply):
+        head = _HEADER.pack(MARK, _OUTCOME_REPLY_KIND) + _OUTCOME_REPLY.pack(message.identity, message.outcome)
+        return head + message.response
+    kind, form = _FIXED_SIZE[type(message)]
+    return _HEADER.pack(MARK, kind) + form.pack(*(getattr(message, name) for name in message.__slots__))
+
+
+def _encode_append(message: Append) -> bytes:
+    head = _APPEND.pack(
+        message.epoch,
+        message.backup_incarnation,
+        message.witness,
+        message.witness_incarnation,
+        message.oldest_epoch,
+        message.first_sequence,
+        len(message.entries),
+    )
+    entries = message.encoded_entries or b"".join(map(encode_entry, message.entries))
+    return _HEADER.pack(MARK, _APPEND_KIND) + head + entries
+
+
+def decode(data: bytes) -> Message | None:
+    """Decode a message; None where the bytes are malformed."""
+    try:
+        mark, kind = _HEADER.unpack_from(data)
+        if mark != MARK:
+            return None
+        if kind == _OUTCOME_REPLY_KIND:
+            identity, outcome = _OUTCOME_REPLY.unpack_from(data, _HEADER.size)
+            return OutcomeReply(identity, Outcome(outcome), data[_HEADER.size + _OUTCOME_REPLY.size :])
+        if kind == _APPEND_KIND:
+            return _decode_append(data)
+        message_type, form = _FIXED_SIZE_BY_KIND[kind]
+        return message_type(*form.unpack(data[_HEADER.size :]))
+    except (struct.error, ValueError, KeyError, IndexError, UnicodeDecodeError):
+        return None
+
+
+def _decode_append(data: bytes) -> Append | None:
+    *head, count = _APPEND.unpack_from(data, _HEADER.size)
+    offset = _HEADER.size + _APPEND.size
+    entries = list[LogEntry]()
+    for _ in range(count):
+        entry, offset = _decode_entry(data, offset)
+        entries.append(entry)
+    if offset != len(data):
+        return None
+    return Append(*head, tuple(entries))
--- /dev/null
+++ b/anisefront/cluster/suspicion.py
@@ -0,0 +1,49 @@
+"""Suspicions of members and the time they have to refute them.
+
+Lifeguard's (Dadgar, Phillips, Currey 2018) dynamic suspicion timeout: it is long while nobody else suspects the
+member, shrinks with each confirmation, and is stretched while we are slow ourselves.
+"""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+from anisefront.cluster.member_state import MemberRow
+
+MAX_CONFIRMATIONS = 3  # suspicions by others that shorten the timeout
+SUSPICION_PERIODS = 4.0  # minimum timeout, in probe periods times the logarithm of the cluster's size
+MAX_SUSPICION_MULTIPLIER = 6.0  # of the minimum, while nobody else suspects the member
+MAX_AWARENESS = 8
+
+
+@dataclass(slots=True, eq=False)
+class Suspicion:
+    """A suspicion of one row, and the members that share it."""
+
+    row: MemberRow
+    started_ms: float
+    suspected_by: set[int]
+
+    @property
+    def confirmations(self) -> int:
+        """Number of members that share it with the first."""
+        return len(self.suspected_by) - 1
+
+
+def suspicion_timeout_ms(period_ms: float, members: int, confirmations: int, awareness: int) -> float:
+    """Return the time after which a suspect member that did not refute is dead.
+
+    Args:
+        period_ms: Probe period.
+        members: Number of known members, the local one included.
+        confirmations: Members that share the suspicion.
+        awareness: How slow we take ourselves to be, up to `MAX_AWARENESS`.
+    """
+    slowness_multiplier = 1 + awareness / MAX_AWARENESS
+    minimum_ms = SUSPICION_PERIODS * max(1.0, math.log10(max(2, members))) * period_ms
+    if members <= 2:  # nobody else could confirm it
+        return minimum_ms * slowness_multiplier
+    maximum_ms = MAX_SUSPICION_MULTIPLIER * minimum_ms
+    confirmed_fraction = min(1.0, math.log(confirmations + 1) / math.log(MAX_CONFIRMATIONS + 1))
+    return (maximum_ms - (maximum_ms - minimum_ms) * confirmed_fraction) * slowness_multiplier
--- /dev/null
+++ b/anisefront/daemon/duplicate_requests.py
@@ -0,0 +1,150 @@
+"""Duplicates: requests of one identity that are in flight at several gateway instances.
+
+A backup that knows a request of some identity rejects another's request of it as a duplicate. The rejected one waits
+at its own instance for the outcome of the first: it gets the same response, runs after all, or fails.
+"""
+
+from __future__ import annotations
+
+from collections import Counter, OrderedDict
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from anisefront.cluster.replication_codec import MAX_RECORD_BYTES, encode
+from anisefront.cluster.replication_messages import Outcome, OutcomeQuery, OutcomeReply
+from anisefront.daemon.request_records import content_digest, decode_response, encode_response
+from anisefront.policy.settings import Idempotency
+from anisefront.upstream.own import Answer, Job
+from anisefront.upstream.returning import Returning
+
+QUERY_INTERVAL_S = 0.25  # a request that waits for an outcome queries it again, with exponential backoff
+MAX_QUERY_INTERVAL_S = 1.0
+MIN_QUERY_JITTER = 0.75  # of the interval, up to 1.25: those rejected at the same time do not query at the same time
+QUERY_JITTER_DIVISOR = 512
+MAX_OUTCOMES = 10_000  # remembered for those that query again; the oldest are evicted
+
+
+class LocalRequest(NamedTuple):
+    """A request in flight here that must not run twice, and the idempotency of its class when it was accepted."""
+
+    identity: bytes
+    idempotency: Idempotency
+
+
+class DuplicateRequests:
+    """Requests in flight here by identity, and the instances that wait for their outcome.
+
+    `send(receiver, data)` sends a datagram, `counts` are the counters of the replication service.
+    """
+
+    def __init__(
+        self, send: Callable[[int, bytes], None], reactor: Any, returning: Returning, counts: Counter[str]
+    ) -> None:
+        self._send = send
+        self._reactor = reactor
+        self._returning = returning
+        self._counts = counts
+        self._local: dict[int, LocalRequest] = {}
+        self._request_numbers: dict[bytes, int] = {}
+        self._waiting_instances: dict[bytes, set[int]] = {}
+        self._outcomes: OrderedDict[bytes, Outcome] = OrderedDict()  # last sent, of identities without a response here
+
+    # ---- requests in flight here -----------------------------------------------------------------
+
+    def add(self, request: int, identity: bytes, idempotency: Idempotency) -> None:
+        """Add a request; the first one of an identity represents it."""
+        self._local[request] = LocalRequest(identity, idempotency)
+        self._request_numbers.setdefault(identity, request)
+
+    def remove(self, request: int) -> LocalRequest | None:
+        """Remove a request, and return it if it represents its identity."""
+        local = self._local.pop(request, None)
+        if local is None or self._request_numbers.get(local.identity) != request:
+            return None
+        del self._request_numbers[local.identity]
+        return local
+
+    def request_number(self, identity: bytes) -> int | None:
+        """Return the number of the request in flight here that has this identity."""
+        return self._request_numbers.get(identity)
+
+    # ---- instances that wait for an outcome ------------------------------------------------------
+
+    def add_waiting_instance(self, identity: bytes, number: int) -> None:
+        """Notify an instance of the outcome of an identity, at once where the response is here already."""
+        self.wait_for(identity, {number})
+        answer = self._returning.answer(identity)
+        if answer is not None:
+            self.notify(identity, Outcome.RESPONDED, answer)
+
+    def wait_for(self, identity: bytes, numbers: set[int]) -> None:
+        """Notify some instances of the outcome of an identity."""
+        self._waiting_instances.setdefault(identity, set()).update(numbers)
+
+    def notify(self, identity: bytes, outcome: Outcome, answer: Answer | None = None) -> None:
+        """Notify the waiting instances of an outcome."""
+        receivers = self._waiting_instances.pop(identity, ())
+        if receivers and answer is None:
+            self._remember(identity, outcome)
+        for receiver in receivers:
+            response = encode_response(answer) if answer is not None else b""
+            if len(response) > MAX_RECORD_BYTES:
+                outcome = Outcome.MAY_HAVE_EXECUTED
+                response = b""
+            self._send(receiver, encode(OutcomeReply(identity, outcome, response)))
+
+    def _remember(self, identity: bytes, outcome: Outcome) -> None:
+        self._outcomes[identity] = outcome
+        self._outcomes.move_to_end(identity)
+        while len(self._outcomes) > MAX_OUTCOMES:
+            self._outcomes.popitem(last=False)
+
+    def on_query(self, sender: int, identity: bytes, is_replicated_here: bool) -> None:
+        """Answer an outcome query, now or when the outcome is known; `is_replicated_here`: a request is stored here."""
+        self.wait_for(identity, {sender})
+        in_progress = is_replicated_here or identity in self._request_numbers
+        answer = self._returning.answer(identity)
+        if answer is not None:
+            self.notify(identity, Outcome.RESPONDED, answer)
+        elif identity in self._outcomes and not in_progress:
+            self.notify(identity, self._outcomes[identity])
+        elif not in_progress and identity not in self._returning:
+            del self._waiting_instances[identity]  # the outcome is not known: no reply is better than a wrong one
+
+    # ---- requests here that wait for an outcome --------------------------------------------------
+
+    def wait_here(
+        self,
+        identity: bytes,
+        job: Job,
+        deadline_ms: float,
+        on_response: Callable[[Answer], None],
+        on_released: Callable[[], None],
+        backup: int | None,
+    ) -> None:
+        """Let a request wait for the outcome of another of its identity, of which `backup` knows."""
+        self._returning.expect(identity, content_digest(job), deadline_ms, on_response, on_released)
+        if backup is not None:
+            self._reactor.callLater(QUERY_INTERVAL_S, self._query, identity, backup, QUERY_INTERVAL_S)
+
+    def _query(self, identity: bytes, backup: int, interval_s: float) -> None:
+        """Query an outcome while a request waits for it.
+
+        The reply is a single datagram. When an instance fails with thousands of requests in flight many are lost, and
+        a request would wait until its deadline.
+        """
+        if not self._returning.expects(identity):
+            return
+        self._counts["asked_again"] += 1
+        self._send(backup, encode(OutcomeQuery(identity)))
+        interval_s = min(MAX_QUERY_INTERVAL_S, 2 * interval_s)
+        delay_s = interval_s * (MIN_QUERY_JITTER + identity[0] / QUERY_JITTER_DIVISOR)
+        self._reactor.callLater(delay_s, self._query, identity, backup, interval_s)
+
+    def on_reply(self, reply: OutcomeReply) -> None:
+        """End the wait of the requests of an identity."""
+        answer = decode_response(reply.response) if reply.outcome is Outcome.RESPONDED else None
+        if answer is not None:
+            self._returning.settle(reply.identity, answer)
+        else:
+            self._returning.released(reply.identity, reply.outcome is not Outcome.NEVER_EXECUTED)
--- a/anisefront/daemon/gatekeeper.py
+++ b/anisefront/daemon/gatekeeper.py
@@ -16,18 +16,18 @@
 import structlog
 from twisted.internet import defer, task
 
-from anisefront.cluster import keeping, membership, roster
-from anisefront.cluster.datagrams import Seal
+from anisefront.cluster import endpoint_file, membership_messages, replication_codec
+from anisefront.cluster.datagrams import DatagramAuthenticator
 from anisefront.config.types import Config
 from anisefront.daemon import memory, reload
 from anisefront.daemon.clock import Clock
 from anisefront.daemon.collector import Collector
-from anisefront.daemon.keepers import Keepers
-from anisefront.daemon.members import Members
+from anisefront.daemon.membership_service import MembershipService
 from anisefront.daemon.peers import PeerPort
 from anisefront.daemon.pulse import Pulse
 from anisefront.daemon.recorder import Recorder
 from anisefront.daemon.reloader import Phase, Reloader
+from anisefront.daemon.replication import ReplicationService
 from anisefront.daemon.source import Source
 from anisefront.frontends import accesslog, authorization
 from anisefront.frontends.grpcserver import GrpcFactory, ServerLimits
@@ -66,7 +66,7 @@
 BACKLOG = 1024  # connections that the system lets in before we do
 LAST_LOOKS = 3  # turns of the loop at the drain's end in which what had come is read
 ROSTER_S = 0.1  # how often the roster file is looked at
-MEMBERS_MARK, KEEPING_MARK = bytes((membership.MARK,)), bytes((keeping.MARK,))
+MEMBERS_MARK, KEEPING_MARK = bytes((membership_messages.MARK,)), bytes((replication_codec.MARK,))
 SERVICES = ("envoy.service.auth.v3.Authorization", "envoy.service.accesslog.v3.AccessLogService")
 
 
@@ -103,10 +103,10 @@
         settings = config.settings
         self.peer_port = self.members = None
         if config.peers_listen is not None:
-            seal = self.seal = Seal(config.secret, settings.number, int(self.started_ms))
+            seal = self.seal = DatagramAuthenticator(config.secret, settings.number, int(self.started_ms))
             self.peer_port = PeerPort(seal, config.peers, self._hear)
             if config.members_ms:
-                self.members = Members(
+                self.members = MembershipService(
                     reactor,
                     self.clock,
                     self.peer_port.tell,
@@ -128,7 +128,7 @@
         )
         limits = proxied.Limits(config.log_ms, config.ask_again_ms, park_ms=config.park_ms)
         if self.members is not None:
-            self.members.tell_gone = self.ledger.away
+            self.members.on_unavailable = self.ledger.away
         self.proxied = proxied.Proxied(self.ledger, reactor, self.life, limits)
         self.pool = Pool(reactor)
         self.own = Own(self.ledger, self.pool, self.life, settings.load_report_fields)
@@ -146,7 +146,7 @@
         )
         self.keepers = None
         if self.members is not None and config.lease_ms:
-            self.keepers = Keepers(
+            self.keepers = ReplicationService(
                 reactor,
                 self.clock,
                 self.peer_port.tell,
@@ -156,7 +156,7 @@
                 self.members.membership,
             )
             self.keepers.attach(self.ledger, self.own, self.proxied)
-            self.members.listener = self.keepers.members
+            self.members.on_changes = self.keepers.on_member_changes
         self.ledger.before_turn.append(self.grpc.gather)
         self.ledger.after_turn.append(self.grpc.flush)
         self.jsonrpc = JsonRpcFactory(reactor, self.desk, config.most_connections)
@@ -243,10 +243,10 @@
         """Bytes of a peer: for whoever they are."""
         if data[:1] == MEMBERS_MARK:
             if self.members is not None:
-                self.members.hear(sender, self.seal.peers[sender].incarnation, data)
+                self.members.receive(sender, self.seal.peers[sender].process_incarnation, data)
         elif data[:1] == KEEPING_MARK:
             if self.keepers is not None:
-                self.keepers.hear(sender, self.seal.peers[sender].incarnation, data)
+                self.keepers.receive(sender, self.seal.peers[sender].process_incarnation, data)
         else:
             self.ledger.hear(sender, data)
 
@@ -299,7 +299,7 @@
         if config.settings != before.settings:
             self.ledger.change(config.settings)
         if self.keepers is not None:
-            self.keepers.change(config)
+            self.keepers.update_config(config)
         self.settings_ms = self.clock()
         self._settings_told("taken", "")
         self.reactor.callLater(0, self.collector.settle)
@@ -351,9 +351,9 @@
             if mark == self._roster_mark:
                 return
             with open(path, "rb") as file:
-                text = file.read(roster.MOST_BYTES + 1)
-            fleet = roster.parse(text)
-        except (OSError, roster.RosterFault) as problem:
+                text = file.read(endpoint_file.MAX_FILE_BYTES + 1)
+            fleet = endpoint_file.parse(text)
+        except (OSError, endpoint_file.EndpointFileError) as problem:
             if str(problem) != self.roster_fault:
                 self.roster_fault = str(problem)
                 self.log.warning("roster_not_taken", file=path, fault=self.roster_fault)
@@ -462,7 +462,7 @@
         """The end of the drain: all is answered or handed over, and others are told that we go."""
         self.log.info("drained", left_open=self.ledger.open)
         if self.keepers is not None:
-            self.keepers.leave()
+            self.keepers.stop()
         else:  # nobody else carries on with what is open
             self.ledger.fail_open()
         if self.members is not None:
--- a/anisefront/daemon/peers.py
+++ b/anisefront/daemon/peers.py
@@ -7,7 +7,7 @@
 
 from twisted.internet import protocol
 
-from anisefront.cluster.datagrams import Seal
+from anisefront.cluster.datagrams import DatagramAuthenticator
 from anisefront.config.types import Address
 
 
@@ -16,7 +16,9 @@
 
     noisy = False
 
-    def __init__(self, seal: Seal, peers: dict[int, Address], hear: Callable[[int, bytes], None]) -> None:
+    def __init__(
+        self, seal: DatagramAuthenticator, peers: dict[int, Address], hear: Callable[[int, bytes], None]
+    ) -> None:
         self._seal, self._peers, self._hear = seal, peers, hear
 
     def tell(self, receiver: int, data: bytes) -> None:
--- /dev/null
+++ b/anisefront/daemon/replication.py
@@ -0,0 +1,346 @@
+"""Replication of requests in flight, on the event loop: `cluster/primary.py` and `cluster/backup.py` decide.
+
+The service stands between the request table (as its guard), the peers' datagrams and the upstreams.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from typing import Any
+
+from anisefront.cluster import replication_actions as actions
+from anisefront.cluster.backup import Backup
+from anisefront.cluster.backup_selection import Replica
+from anisefront.cluster.backup_state import ReplicatedRequest
+from anisefront.cluster.member_state import MemberStatus
+from anisefront.cluster.membership import MemberChange, Membership
+from anisefront.cluster.primary import Primary
+from anisefront.cluster.replication_codec import MAX_RECORD_BYTES, decode, encode
+from anisefront.cluster.replication_messages import NO_IDENTITY, Accepted, Outcome, OutcomeQuery, OutcomeReply
+from anisefront.cluster.witness import Witness
+from anisefront.config.types import Config
+from anisefront.daemon.duplicate_requests import DuplicateRequests
+from anisefront.daemon.latewake import LateWake
+from anisefront.daemon.request_records import RequestRecord, content_digest
+from anisefront.daemon.request_takeover import RequestTakeover
+from anisefront.gateway.ledger import Entry, Ledger
+from anisefront.policy.settings import Idempotency
+from anisefront.upstream.own import Answer, Job, Own
+from anisefront.upstream.proxied import Proxied
+from anisefront.upstream.returning import Returning, name_of
+
+STALL_MS = 50.0  # a timer that is so late means a process stall: the sockets are read first
+
+
+class ReplicationService:
+    """Replication of one gateway instance."""
+
+    def __init__(
+        self,
+        reactor: Any,
+        clock: Callable[[], float],
+        send: Callable[[int, bytes], None],
+        log: Any,
+        config: Config,
+        incarnation: int,
+        membership: Membership,
+    ) -> None:
+        """Initialize primary, backup and witness.
+
+        Args:
+            reactor: Twisted's event loop.
+            clock: Current time in milliseconds.
+            send: Sends a datagram to a peer.
+            log: Structured log.
+            config: Configuration in force.
+            incarnation: Process incarnation of this instance.
+            membership: Members that may replicate.
+        """
+        settings = config.settings
+        self._clock = clock
+        self._send = send
+        self._membership = membership
+        self.primary = Primary(Replica(settings.number, incarnation, settings.zone), config.lease_ms)
+        self.backup = Backup(settings.number, incarnation, config.lease_ms, config.most_records)
+        self.backup.is_local_duplicate = self._is_local_duplicate
+        self.witness = Witness(incarnation)
+        self.returning = Returning(clock, reactor)
+        self.counts: Counter[str] = Counter()
+        self.duplicates = DuplicateRequests(send, reactor, self.returning, self.counts)
+        self.takeover = RequestTakeover(clock, log, self.primary, self.returning, self.duplicates, self.counts)
+        self.update_config(config)
+        self._timer = LateWake(reactor, clock, self._on_timer, STALL_MS)
+        self._is_processing = False
+        self._duplicate_at: int | None = None  # backup that rejected the request which yields now
+
+    def update_config(self, config: Config) -> None:
+        """Put another configuration in force."""
+        self._settings = config.settings
+        self._zones = config.rooms
+        self._protected_only = config.protected_only
+        self._classes = {request_class.name: request_class for request_class in config.settings.classes}
+        self.takeover.update_classes(self._classes)
+
+    def attach(self, ledger: Ledger, own: Own, proxied: Proxied) -> None:
+        """Connect to the request table and the upstreams."""
+        self._ledger = ledger
+        self.takeover.attach(ledger, own, proxied)
+        ledger.guard = self
+        ledger.after_turn.append(self.process)
+        own.returning = self
+        proxied.kept = self._is_replicated
+
+    def _identity(self, customer: str, identity: str) -> bytes:
+        return name_of(customer, identity, self._settings.tag_key)
+
+    def _is_replicated(self, customer: str, identity: str) -> bool:
+        return self._identity(customer, identity) in self.backup.by_identity
+
+    def _idempotency(self, class_name: str) -> Idempotency:
+        return self._classes[class_name].idempotency
+
+    # ---- guard of the request table --------------------------------------------------------------
+
+    def taken(self, entry: Entry) -> bool:
+        """Replicate a request that was accepted; returns False where it must not run without."""
+        if entry.work is None:
+            return True
+        now_ms = self._clock()
+        accepted = self._accepted(now_ms, entry)
+        if accepted.identity != NO_IDENTITY and accepted.requires_ack:
+            self.duplicates.add(accepted.request, accepted.identity, self._idempotency(entry.arrival.class_name))
+        reason = self._replicate(now_ms, accepted)
+        if reason is None:
+            self.counts["protected"] += 1
+            return True
+        self.counts[f"unprotected_{reason}"] += 1
+        if entry.arrival.class_name in self._protected_only:
+            self.duplicates.remove(accepted.request)
+            return False
+        return True
+
+    def _accepted(self, now_ms: float, entry: Entry) -> Accepted:
+        arrival = entry.arrival
+        has_identity = bool(entry.work.identity)
+        return Accepted(
+            request=arrival.id,
+            requires_ack=self._idempotency(arrival.class_name) is not Idempotency.IDEMPOTENT,
+            remaining_ms=max(0, int(arrival.deadline_at_ms - now_ms)),
+            identity=self._identity(arrival.customer, entry.work.identity) if has_identity else NO_IDENTITY,
+            record=RequestRecord.of(entry).encode(),
+        )
+
+    def _replicate(self, now_ms: float, accepted: Accepted) -> str | None:
+        """Return why a request is not replicated; None where it is."""
+        if len(accepted.record) > MAX_RECORD_BYTES:
+            return "too_large"
+        return None if self.primary.accept(now_ms, accepted) else "no_keeper"
+
+    def sending(self, request: int, attempt: int, worker: str) -> bool:
+        """Return whether an attempt may start now."""
+        return self.primary.start_attempt(self._clock(), request, attempt, worker)
+
+    def refusing(self, request: int) -> bool:
+        """Return whether a rejection may be delivered now."""
+        return self.primary.reject(self._clock(), request)
+
+    def never_executed(self, request: int, attempt: int) -> None:
+        """Record that an attempt is proved never to have executed."""
+        self.primary.discard_attempt(self._clock(), request, attempt)
+
+    def over(self, request: int) -> None:
+        """Record that a request has ended."""
+        self.primary.complete(self._clock(), request)
+        local = self.duplicates.remove(request)
+        entry = self._ledger.entries.get(request)
+        if local is None or local.identity in self.returning:
+            return
+        # By the settings in force now, a class that was not idempotent could be one whose requests never executed.
+        may_have_executed = local.idempotency is Idempotency.NON_IDEMPOTENT and entry.attempts
+        outcome = Outcome.MAY_HAVE_EXECUTED if may_have_executed else Outcome.NEVER_EXECUTED
+        self.duplicates.notify(local.identity, outcome)
+
+    def stop(self) -> None:
+        """Stop before the process leaves: its backups own what is in flight once they learn that it has left."""
+        self.process()
+        # An attempt that starts after the others were notified would run beside that of the new owner.
+        self._ledger.stopped = True
+        self._timer.stop()
+
+    # ---- retries by clients ----------------------------------------------------------------------
+
+    def joins(
+        self,
+        customer: str,
+        identity: str,
+        class_name: str,
+        deadline_at_ms: float,
+        job: Job,
+        done: Callable[[Answer], None],
+        go_on: Callable[[], None],
+    ) -> bool:
+        """Return whether a client's request is in progress, here or at a primary of ours, and waits for its response.
+
+        Otherwise it is a new request.
+        """
+        digest = self._identity(customer, identity)
+        if self.returning.join(digest, content_digest(job), done):
+            return True
+        if digest not in self.backup.by_identity or self._idempotency(class_name) is Idempotency.IDEMPOTENT:
+            return False
+        self.returning.expect(digest, content_digest(job), deadline_at_ms, done, go_on)
+        return True
+
+    def waits(
+        self,
+        customer: str,
+        identity: str,
+        deadline_at_ms: float,
+        job: Job,
+        done: Callable[[Answer], None],
+        go_on: Callable[[], None],
+    ) -> None:
+        """Let a request wait whose backup knows another of its identity."""
+        digest = self._identity(customer, identity)
+        self.duplicates.wait_here(digest, job, deadline_at_ms, done, go_on, self._duplicate_at)
+
+    def _is_local_duplicate(self, identity: bytes, primary: int) -> bool:
+        """Return whether a request of this identity, or its response, is here."""
+        if self.takeover.blocks(identity):
+            return True
+        request = self.duplicates.request_number(identity)
+        if request is None:
+            return identity in self.returning
+        return not self.primary.yields_to(request, primary)
+
+    # ---- membership and messages -----------------------------------------------------------------
+
+    def on_member_changes(self, changes: list[MemberChange]) -> None:
+        """Handle changes of the membership."""
+        now_ms = self._clock()
+        for change in changes:
+            if change.row.number != self._settings.number:
+                self._on_member_change(now_ms, change)
+        rows = self._membership.rows
+        others = [number for number in self._membership.alive() if number != self._settings.number]
+        self.primary.update_members(
+            now_ms,
+            {
+                number: Replica(number, rows[number].process_incarnation, self._zones.get(number, ""))
+                for number in others
+            },
+        )
+        self.process()
+
+    def _on_member_change(self, now_ms: float, change: MemberChange) -> None:
+        row = change.row
+        previous = change.previous
+        if previous is not None and previous.process_incarnation < row.process_incarnation:
+            self.backup.primary_terminated(now_ms, row.number, previous.process_incarnation)
+        if row.status is MemberStatus.LEFT:
+            self.backup.primary_terminated(now_ms, row.number, row.process_incarnation)
+        elif row.status is MemberStatus.DEAD:
+            self.backup.primary_failed(now_ms, row.number, row.process_incarnation)
+
+    def receive(self, sender: int, incarnation: int, data: bytes) -> None:
+        """Handle a datagram from an authenticated sender."""
+        message = decode(data)
+        if message is None:
+            self.counts["unreadable"] += 1
+        elif isinstance(message, OutcomeReply):
+            self.duplicates.on_reply(message)
+        elif isinstance(message, OutcomeQuery):
+            is_replicated_here = message.identity in self.backup.by_identity
+            self.duplicates.on_query(sender, message.identity, is_replicated_here)
+        else:
+            now_ms = self._clock()
+            self.primary.receive(now_ms, sender, incarnation, message)
+            self.backup.receive(now_ms, sender, incarnation, message)
+            self.witness.receive(sender, incarnation, message)
+            self.process()
+
+    def _on_timer(self) -> None:
+        now_ms = self._clock()
+        self.primary.handle_timers(now_ms)
+        self.backup.handle_timers(now_ms)
+        self.process()
+
+    # ---- actions ---------------------------------------------------------------------------------
+
+    def process(self) -> None:
+        """Carry out what was decided, until nothing is left to do."""
+        if self._is_processing:
+            return
+        self._is_processing = True
+        try:
+            has_effects = True
+            while has_effects:
+                self.primary.flush(self._clock())
+                has_effects = self._carry_out_all()
+        finally:
+            self._is_processing = False
+        self._timer.at(min(self.primary.next_timer_ms, self.backup.next_timer_ms))
+
+    def _carry_out_all(self) -> bool:
+        """Carry out the pending actions; returns whether some may have led to others."""
+        pending = [*self.primary.take_actions(), *self.backup.take_actions(), *self.witness.take_actions()]
+        has_effects = False
+        for action in actions.in_execution_order(pending):
+            if isinstance(action, actions.SendMessage):
+                self._send(action.receiver, encode(action.message))
+            else:
+                has_effects = True
+                self._carry_out(action)
+        return has_effects
+
+    def _carry_out(self, action: actions.Action) -> None:
+        match action:
+            case actions.ReplicationUnavailable(request):
+                self._on_replication_unavailable(request)
+            case actions.StartAttempt(request, attempt):
+                self._ledger.go(request, attempt)
+            case actions.DeliverRejection(request):
+                self._ledger.answer(request)
+            case actions.LoseOwnership(request):
+                self._ledger.lose(request)
+            case actions.YieldToDuplicate(request, backup):
+                self._yield_to_duplicate(request, backup)
+            case actions.NotifyLater(primary, identity):
+                self.duplicates.add_waiting_instance(identity, primary)
+            case actions.ReleaseRequest(replica):
+                self._on_released(replica)
+            case actions.TakeOver(primary, incarnation, replica):
+                self.takeover.take_over(primary, incarnation, replica)
+
+    def _on_replication_unavailable(self, request: int) -> None:
+        entry = self._ledger.entries.get(request)
+        if entry is not None and entry.arrival.class_name in self._protected_only:
+            self._ledger.turn_away(request)
+
+    def _yield_to_duplicate(self, request: int, backup: int) -> None:
+        entry = self._ledger.entries.get(request)
+        if entry is None or entry.ended:
+            return
+        self._duplicate_at = backup  # for `waits`, which the upstream calls
+        entry.carrier.stand_back(entry.arrival, entry.work.identity)
+        self._duplicate_at = None
+
+    def _on_released(self, replica: ReplicatedRequest) -> None:
+        """Let the requests continue that wait for one which is not stored here any more."""
+        if replica.identity == NO_IDENTITY or not replica.requires_ack or replica.identity in self.backup.by_identity:
+            return
+        outcome = self.takeover.uncertain_outcome(replica) if replica.attempts else Outcome.NEVER_EXECUTED
+        self.returning.released(replica.identity, outcome is Outcome.MAY_HAVE_EXECUTED)
+        self.duplicates.notify(replica.identity, outcome)
+
+    # ---- state -----------------------------------------------------------------------------------
+
+    def state(self) -> dict[str, Any]:
+        """Return the state report: its keys are read by others and keep their names."""
+        return {
+            "kept_for_others": self.backup.request_count,
+            "kept_by_others": len(self.primary),
+            "answers": len(self.returning),
+            "counts": dict(self.counts + self.primary.counts + self.backup.counts + self.returning.counts),
+        }
--- /dev/null
+++ b/anisefront/daemon/request_takeover.py
@@ -0,0 +1,181 @@
+"""Requests of failed primaries that continue here: the policy decides what is to be done, as for any other request.
+
+A request of our own connection pool is called again; one that a proxy executes waits for the proxy to come back.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from typing import Any
+
+from anisefront.cluster.backup_state import ReplicatedRequest
+from anisefront.cluster.primary import Primary
+from anisefront.cluster.replication_messages import NO_IDENTITY, Outcome
+from anisefront.daemon.duplicate_requests import DuplicateRequests
+from anisefront.daemon.request_records import RequestRecord, content_digest, decode_record
+from anisefront.gateway.ledger import Ledger
+from anisefront.policy.events import PriorAttempts
+from anisefront.policy.settings import Idempotency, RequestClass
+from anisefront.upstream.own import Answer, Own
+from anisefront.upstream.proxied import Inherited, Proxied
+from anisefront.upstream.returning import Returning
+
+OWN_POOL = "own"  # records of requests that our own connection pool executes
+
+
+class RequestTakeover:
+    """Continues requests of failed primaries, and reports the outcome of each to those that wait for it."""
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        log: Any,
+        primary: Primary,
+        returning: Returning,
+        duplicates: DuplicateRequests,
+        counts: Counter[str],
+    ) -> None:
+        self._clock = clock
+        self._log = log
+        self._primary = primary
+        self._returning = returning
+        self._duplicates = duplicates
+        self._counts = counts
+        self._classes: dict[str, RequestClass] = {}
+        self._inherited: dict[bytes, Inherited] = {}  # delegated requests taken over, whose proxy has not come back
+
+    def update_classes(self, classes: dict[str, RequestClass]) -> None:
+        """Put other request classes in force."""
+        self._classes = classes
+
+    def attach(self, ledger: Ledger, own: Own, proxied: Proxied) -> None:
+        """Connect to the request table and the upstreams."""
+        self._ledger = ledger
+        self._own = own
+        self._proxied = proxied
+
+    def _idempotency(self, class_name: str) -> Idempotency:
+        return self._classes[class_name].idempotency
+
+    def uncertain_outcome(self, replica: ReplicatedRequest) -> Outcome:
+        """Return the outcome of a request that may have executed.
+
+        With an idempotency key it may be sent again: the endpoints of a cell drop it if it has executed.
+        """
+        return Outcome.NEVER_EXECUTED if self._has_idempotency_key(replica) else Outcome.MAY_HAVE_EXECUTED
+
+    def _has_idempotency_key(self, replica: ReplicatedRequest) -> bool:
+        record = decode_record(replica.record, self._classes)
+        return record is not None and self._idempotency(record.class_name) is Idempotency.KEYED
+
+    def blocks(self, identity: bytes) -> bool:
+        """Return whether a delegated request taken over blocks others of its identity; one that does not is released.
+
+        Its proxy went to another instance then, where nothing prevents the request: it continues without us.
+        """
+        inherited = self._inherited.pop(identity, None)
+        if inherited is None or not inherited.waits:
+            return False
+        class_name = inherited.terms[1]
+        if inherited.sent and self._idempotency(class_name) is Idempotency.NON_IDEMPOTENT:
+            self._inherited[identity] = inherited
+            return True
+        self._proxied.let_go(inherited)
+        return False
+
+    def take_over(self, primary: int, incarnation: int, replica: ReplicatedRequest) -> None:
+        """Continue a request of a failed primary."""
+        self._counts["taken_over"] += 1
+        if replica.deadline_ms <= self._clock():
+            self._counts["taken_too_late"] += 1
+            return
+        record = decode_record(replica.record, self._classes)
+        if record is None:
+            self._counts["records_unreadable"] += 1
+            return
+        local_request = self._duplicates.request_number(replica.identity)
+        if local_request is not None:
+            # Ours has yielded to that of the failed primary, and is still here: only one of them may continue.
+            self._counts["taken_in_hand"] += 1
+            if replica.attempts and not self._has_idempotency_key(replica):
+                self._ledger.lose(local_request)
+            return
+        prior_attempts = _prior_attempts(replica)
+        self._log.info(
+            "taken_over",
+            origin=primary,
+            life=incarnation,
+            request=replica.request,
+            attempts=prior_attempts.attempts,
+        )
+        if record.carrier == OWN_POOL:
+            self._continue_own(record, replica, prior_attempts)
+        else:
+            self._continue_delegated(record, replica, prior_attempts)
+
+    def _continue_own(self, record: RequestRecord, replica: ReplicatedRequest, prior_attempts: PriorAttempts) -> None:
+        job = record.job()
+        identity = replica.identity
+        if identity != NO_IDENTITY and not self._returning.begin(identity, content_digest(job), replica.deadline_ms):
+            return  # its client has retried here before: that request is in flight or has its response
+        self._own.go_on(
+            job,
+            lambda answer: self._on_response(identity, answer),
+            record.customer,
+            record.class_name,
+            record.plan_name,
+            replica.deadline_ms,
+            record.units,
+            record.first_gateway,
+            record.spread,
+            record.identity,
+            prior_attempts,
+        )
+        local_request = self._duplicates.request_number(identity)
+        if local_request is not None:  # its new backup may have clients waiting for this identity
+            backup = self._primary.backup_of(local_request)
+            self._duplicates.wait_for(identity, set() if backup is None else {backup})
+
+    def _continue_delegated(
+        self, record: RequestRecord, replica: ReplicatedRequest, prior_attempts: PriorAttempts
+    ) -> None:
+        inherited = self._proxied.go_on(
+            record.data["life"],
+            replica.request,
+            record.identity,
+            record.customer,
+            record.class_name,
+            record.plan_name,
+            replica.deadline_ms,
+            record.units,
+            record.first_gateway,
+            record.spread,
+            prior_attempts,
+            dict(replica.attempts),
+        )
+        if replica.identity == NO_IDENTITY or not replica.requires_ack:
+            return
+        while self._inherited and not next(iter(self._inherited.values())).waits:
+            del self._inherited[next(iter(self._inherited))]
+        self._inherited[replica.identity] = inherited
+        self._duplicates.notify(replica.identity, self.uncertain_outcome(replica))
+
+    def _on_response(self, identity: bytes, answer: Answer) -> None:
+        """Deliver the response to all that wait for this identity."""
+        if identity == NO_IDENTITY:
+            return
+        self._returning.finish(identity, answer)
+        if answer.refused:
+            self._duplicates.notify(identity, Outcome.NEVER_EXECUTED)
+        else:
+            self._duplicates.notify(identity, Outcome.RESPONDED, answer)
+
+
+def _prior_attempts(replica: ReplicatedRequest) -> PriorAttempts:
+    """Return what the policy must know of the attempts of a failed primary."""
+    attempts = sorted(replica.attempts.items())
+    if not attempts:
+        return PriorAttempts(0, 0, "", 0.0, False)
+    endpoint, started_ms = attempts[0][1]
+    return PriorAttempts(attempts[-1][0] + 1, len(attempts), endpoint, started_ms, True)
--- a/anisefront/testbed/day.py
+++ b/anisefront/testbed/day.py
@@ -17,7 +17,7 @@
 
 from twisted.internet import defer, error, protocol
 
-from anisefront.cluster import roster
+from anisefront.cluster import endpoint_file
 from anisefront.config import checker, loader, messages
 from anisefront.config.types import Config
 from anisefront.policy.events import Endpoint, EndpointStatus
@@ -279,7 +279,7 @@
         import zlib
 
         names = {zlib.crc32(cell.name.encode()): cell.name for cell in self._cells}
-        text = roster.write("stalls", self._listed(), names)
+        text = endpoint_file.write("stalls", self._listed(), names)
         part = Path(self._roster_file + ".part")
         part.write_text(text)
         part.rename(self._roster_file)
--- a/anisefront/testbed/sabotage.py
+++ b/anisefront/testbed/sabotage.py
@@ -12,7 +12,7 @@
 import time
 from collections.abc import Callable
 
-from anisefront.cluster import roster
+from anisefront.cluster import endpoint_file
 from anisefront.gateway.ledger import Ledger
 from anisefront.policy.actions import Fail, Reject
 from anisefront.policy.concurrency_limit import ConcurrencyLimit
@@ -63,7 +63,7 @@
 
 def _drains_ignored() -> None:
     """Rule 3: what the list says drains is taken for ready, and what is gone for still there."""
-    parse = roster.parse
+    parse = endpoint_file.parse
 
     def blind(text: bytes) -> EndpointList:
         servers = {server.id: server for server in parse(text).endpoints}
@@ -73,7 +73,7 @@
         )
 
     known: dict[str, Endpoint] = {}
-    roster.parse = blind
+    endpoint_file.parse = blind
 
 
 def _cold_as_warm() -> None:
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -12,7 +12,7 @@
 import sys
 import time
 
-from anisefront.cluster.datagrams import Seal
+from anisefront.cluster.datagrams import DatagramAuthenticator
 from anisefront.cluster.membership import Membership
 
 SECRET, PERIOD_MS = b"sixteen bytes at least", 1000.0
@@ -23,7 +23,7 @@
     link = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     link.bind(("127.0.0.1", ports[number]))
     life, ended = int(time.time() * 1000), []
-    seal = Seal(SECRET, number, life)
+    seal = DatagramAuthenticator(SECRET, number, life)
     known = Membership(number, life, range(len(ports)), life ^ number, PERIOD_MS)
     signal.signal(signal.SIGTERM, lambda *_: ended.append(1))
 
@@ -39,7 +39,7 @@
         if ready:
             taken = seal.read(link.recv(2048), time.time() * 1000)
             if taken is not None:
-                heard.append((taken[0], seal.peers[taken[0]].incarnation, taken[1]))
+                heard.append((taken[0], seal.peers[taken[0]].process_incarnation, taken[1]))
         send(known.handle(time.time() * 1000, heard))
         for change in known.changes:
             print(json.dumps([time.time(), number, change.row.number, change.row.status.name]))
@@ -97,10 +97,10 @@
     fleet.start(0)
     found = {"members": count, "start_s": fleet.until(0, "ALIVE") - began}
     time.sleep(30)
-    false = sum(status == "OUT" for _, status in fleet.said().values())
+    false = sum(status == "DEAD" for _, status in fleet.said().values())
     fleet.up.pop(1).kill()
     began = time.time()
-    found["death_s"] = fleet.until(1, "OUT") - began
+    found["death_s"] = fleet.until(1, "DEAD") - began
     leaver = fleet.up.pop(2)
     began = time.time()
     leaver.terminate()
--- a/benchmarks/scale/carrying.py
+++ b/benchmarks/scale/carrying.py
@@ -7,11 +7,11 @@
 import random
 from dataclasses import dataclass
 
-from anisefront.cluster import datagrams, keeping, membership
+from anisefront.cluster import datagrams, dissemination, replication_codec
 from benchmarks.scale.plan import CONTROL_MACHINES, DAY_S, PLAN
 
 SEED = 37
-SEAL_BYTES = datagrams._HEAD.size + datagrams._MAC_BYTES
+SEAL_BYTES = datagrams._HEADER.size + datagrams._MAC_BYTES
 UDP_BYTES = 28  # IPv4 and UDP
 CHANGE_BYTES = 8 + 8 + 32 + 32 + 128  # taken: two versions, two digests, one line of settings with its place
 GREETING_BYTES = 8 + 32  # a version and its digest
@@ -34,7 +34,7 @@
 
 def on_wire(data: float) -> float:
     """Bytes on the wire of so many, cut into datagrams that no network has to cut."""
-    parts = max(1, math.ceil(data / keeping.MOST_BYTES))
+    parts = max(1, math.ceil(data / replication_codec.MAX_ENTRIES_BYTES))
     return data + parts * (SEAL_BYTES + UDP_BYTES)
 
 
@@ -76,7 +76,7 @@
         ("a change set to each, straight from the five", float(CHANGE_BYTES)),
     ):
         if data is not None:
-            parts = max(1, math.ceil(data / keeping.MOST_BYTES))
+            parts = max(1, math.ceil(data / replication_codec.MAX_ENTRIES_BYTES))
             late = (tries(PLAN.gatekeepers * parts) - 1) * RESEND_S + calm
             out.append(
                 Way(name, each * on_wire(data), day * (on_wire(data) + on_wire(0)) + greet, calm, late, lost + calm)
@@ -92,7 +92,7 @@
             lost + 2 * calm,
         )
     )
-    times = membership.SPREAD * math.ceil(math.log2(PLAN.gatekeepers + 1))
+    times = dissemination.RETRANSMIT_MULTIPLIER * math.ceil(math.log2(PLAN.gatekeepers + 1))
     calm_s, lossy_s = float(rounds(PLAN.gatekeepers, 0.0)), float(rounds(PLAN.gatekeepers, LOSS))
     out.append(
         Way(
--- a/benchmarks/scale/counting.py
+++ b/benchmarks/scale/counting.py
@@ -4,10 +4,18 @@
 
 from collections import Counter
 
-from anisefront.cluster import keeping, membership
-from anisefront.cluster.membership import Kind
+from anisefront.cluster import membership_messages, replication_codec
+from anisefront.cluster.membership_messages import MessageKind
 
 HEAD = 29  # bytes before the data of a sealed datagram (cluster/datagrams.py)
+KIND_NAMES = {  # as stored measurements have them
+    MessageKind.PING: "ping",
+    MessageKind.ACK: "answer",
+    MessageKind.INDIRECT_PING: "ping_for",
+    MessageKind.NACK: "nothing",
+    MessageKind.JOIN: "join",
+    MessageKind.ROWS: "rows",
+}
 PURPOSES = ("members", "quotas", "keeping")
 
 
@@ -16,9 +24,9 @@
     if len(datagram) <= HEAD + 16:
         return "unreadable"
     mark = datagram[HEAD]
-    if mark == membership.MARK:
-        return f"members.{Kind(datagram[HEAD + 1]).name.lower()}"
-    return "keeping" if mark == keeping.MARK else "quotas"
+    if mark == membership_messages.MARK:
+        return f"members.{KIND_NAMES[MessageKind(datagram[HEAD + 1])]}"
+    return "keeping" if mark == replication_codec.MARK else "quotas"
 
 
 def ends(datagram: bytes) -> tuple[int, int]:
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -28,12 +28,12 @@
 from anisefront.gateway.routing import LISTED, first_gateway
 from anisefront.daemon.clock import Clock
 from anisefront.daemon.gatekeeper import KEEPING_MARK, MEMBERS_MARK, ROSTER_S
-from anisefront.daemon.members import Members
+from anisefront.daemon.membership_service import MembershipService
 from anisefront.daemon.peers import PeerPort
 from anisefront.daemon.pulse import Pulse
-from anisefront.cluster import membership, roster
-from anisefront.cluster.datagrams import Seal
-from anisefront.cluster.members import MOST_ROWS, Row, Status, pack
+from anisefront.cluster import endpoint_file, membership_messages
+from anisefront.cluster.datagrams import DatagramAuthenticator
+from anisefront.cluster.member_state import MAX_ROWS, MemberRow, MemberStatus, encode_rows
 from anisefront.policy.controller import Controller
 from benchmarks.scale import child, counting
 from benchmarks.scale.files import SPREAD, Sizes, customers_of, zone
@@ -43,7 +43,7 @@
 
 WORK_S = 0.02  # of an attempt
 BUFFER = 1 << 20
-_ROWS = membership._HEAD.pack(membership.MARK, membership.Kind.ROWS, 0, 0)
+_ROWS = membership_messages._HEADER.pack(membership_messages.MARK, membership_messages.MessageKind.ROWS, 0, 0)
 
 
 class Silent:
@@ -95,9 +95,9 @@
         config, clock = house.config, house.clock
         self.house, self.number, self.address, self.life = house, number, address, int(clock())
         settings = replace(config.settings, number=number, zone=zone(number))
-        self.seal = Seal(config.secret, number, self.life)
+        self.seal = DatagramAuthenticator(config.secret, number, self.life)
         self.port = Port(house, number, self.seal, house.peers, self._hear)
-        self.members = Members(
+        self.members = MembershipService(
             reactor,
             clock,
             self.port.tell,
@@ -109,7 +109,7 @@
             config.members_ms,
         )
         self.ledger = Ledger(Controller(settings, house.seed ^ number), clock, reactor, self.port.tell)
-        self.members.tell_gone = self.ledger.away
+        self.members.on_unavailable = self.ledger.away
         self.carrier, self._call = Attempts(self.ledger), None
 
     def start(self) -> None:
@@ -132,16 +132,21 @@
     def _hear(self, sender: int, data: bytes) -> None:
         """As `Gatekeeper._hear`."""
         if data[:1] == MEMBERS_MARK:
-            self.members.hear(sender, self.seal.peers[sender].incarnation, data)
+            self.members.receive(sender, self.seal.peers[sender].process_incarnation, data)
         elif data[:1] != KEEPING_MARK:
             self.ledger.hear(sender, data)
 
     def know(self, lives: dict[int, int]) -> None:
         """Hear of all others at once, as one that has been there for long; what all know is no news any more."""
-        rows = [Row(number, life, 0, Status.ALIVE) for number, life in lives.items() if number != self.number]
+        rows = [
+            MemberRow(number, life, 0, MemberStatus.ALIVE) for number, life in lives.items() if number != self.number
+        ]
         known = self.members.membership
-        for at in range(0, len(rows), MOST_ROWS):
-            known.handle(self.house.clock(), [(rows[0].number, rows[0].life, _ROWS + pack(rows[at : at + MOST_ROWS]))])
+        for at in range(0, len(rows), MAX_ROWS):
+            known.handle(
+                self.house.clock(),
+                [(rows[0].number, rows[0].process_incarnation, _ROWS + encode_rows(rows[at : at + MAX_ROWS]))],
+            )
         known._told.clear()
         known.changes.clear()
 
@@ -312,7 +317,7 @@
             return
         self._mark = mark
         with open(self.roster, "rb") as file:
-            self.fleet = roster.parse(file.read())
+            self.fleet = endpoint_file.parse(file.read())
         # Danger: a whole list at all of them in one turn of the loop is seconds, in which none answers a probe.
         for each in self.hollow.values():
             reactor.callLater(0, each.ledger.roster, self.fleet)
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -11,7 +11,7 @@
 from functools import partial
 from pathlib import Path
 
-from anisefront.cluster.roster import MOST_BYTES
+from anisefront.cluster.endpoint_file import MAX_FILE_BYTES
 from benchmarks.scale import apart, carrying, estimates, fit, results, roles, subsets
 from benchmarks.scale.estimates import Crossing
 from benchmarks.scale.plan import (
@@ -307,7 +307,7 @@
         "the list, as a file",
         "bytes",
         _plain(lambda found, size: _file_bytes(found, size, "roster")),
-        float(MOST_BYTES),
+        float(MAX_FILE_BYTES),
     ),
     ("", "whole at each change, to one", "bytes/s", _plain(list_bytes_s), TRAFFIC.most),
     (
@@ -510,7 +510,7 @@
             (
                 "the list's file is taken",
                 "workers",
-                estimates.solve("workers", lambda size: each * size, MOST_BYTES, PLAN.workers),
+                estimates.solve("workers", lambda size: each * size, MAX_FILE_BYTES, PLAN.workers),
             )
         )
         out.append(
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -6,8 +6,8 @@
 import math
 from dataclasses import dataclass
 
-from anisefront.cluster import keeping, membership, origin
-from anisefront.cluster.members import ROW
+from anisefront.cluster import dissemination, primary, replication_codec, suspicion
+from anisefront.cluster.member_state import ROW_FORMAT
 from benchmarks.scale import subsets
 from benchmarks.scale.plan import APART_S, CONTROL_MACHINES, IN_HAND_S, PLAN, RACK_MACHINES, REGIONS, SET, ZONES
 
@@ -67,7 +67,7 @@
 
 def out_after_s(period_s: float = 1.0) -> float:
     """Seconds for which a suspicion may be refuted where enough others share it."""
-    return membership.SUSPICION * math.log10(PLAN.gatekeepers) * period_s
+    return suspicion.SUSPICION_PERIODS * math.log10(PLAN.gatekeepers) * period_s
 
 
 def asks_a_second() -> float:
@@ -88,19 +88,20 @@
         f"at most {short(asks_a_second())} questions a second in, as many answers out, and as borrower the same again",
         "`policy/quota_owner.py`, `QuotaOwner`; while one is gone the next of its set: `policy/quota_borrower.py`, "
         "`QuotaBorrower.lender_of`, told by "
-        "`daemon/members.py`",
+        "`daemon/membership_service.py`",
     ),
     Role(
         "keeper",
-        f"records of others' requests, at most {keeping.MOST_RECORD:,} bytes each, about {short(in_hand())} at a time",
+        f"records of others' requests, at most {replication_codec.MAX_RECORD_BYTES:,} bytes each, "
+        f"about {short(in_hand())} at a time",
         "of each request that may not simply run again: taken, sent, over, and a word for each",
-        "`cluster/origin.py`, `cluster/keeper.py`, `daemon/keepers.py`",
+        "`cluster/primary.py`, `cluster/backup.py`, `daemon/replication.py`",
     ),
     Role(
         "who tells the list",
         "all workers, as one file",
         "the whole file after each change, to each gatekeeper",
-        "reading: `cluster/roster.py`, ten looks a second; on the platform `resp_gateway/watch.py`; "
+        "reading: `cluster/endpoint_file.py`, ten looks a second; on the platform `resp_gateway/watch.py`; "
         "bringing it to all: " + MISSING,
     ),
     Role(
@@ -148,9 +149,9 @@
     )
     per_worker = subsets.connections(subsets.SPLIT_KNOWN, subsets.IDLE_S[1])
     open_each = per_worker.open_there / PLAN.gatekeepers
-    patience = origin.PATIENCE_MS
-    told = membership.SPREAD * math.ceil(math.log2(PLAN.gatekeepers + 1))
-    rows = f"{ROW.size} bytes a row, told {told} times by each"
+    patience = primary.BACKUP_TIMEOUT_MS
+    told = dissemination.RETRANSMIT_MULTIPLIER * math.ceil(math.log2(PLAN.gatekeepers + 1))
+    rows = f"{ROW_FORMAT.size} bytes a row, told {told} times by each"
     return [
         (
             "gatekeeper",
@@ -263,7 +264,7 @@
     ),
     (
         "the whole list is read and parsed",
-        "`cluster/roster.py`",
+        "`cluster/endpoint_file.py`",
         "workers, each change",
         "not accepted for good: see the order of work",
     ),
@@ -281,13 +282,13 @@
     ),
     (
         "a round of pings is shuffled anew",
-        "`cluster/membership.py`, `_next`",
+        "`cluster/probes.py`, `ProbeOrder.next`",
         "members, once a round",
         "a round is as many periods",
     ),
     (
         "who is gone is gathered anew",
-        "`daemon/members.py`, `_look_who_is_gone`",
+        "`daemon/membership_service.py`, `_report_unavailable`",
         "members, each change of one",
         "a row is looked at, tens of microseconds; the module is told only what has changed",
     ),
--- a/benchmarks/scale/services.py
+++ b/benchmarks/scale/services.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from anisefront.cluster import roster
+from anisefront.cluster import endpoint_file
 from anisefront.policy.controller import Controller
 from benchmarks.scale import child
 from benchmarks.scale.files import Files, Sizes
@@ -143,7 +143,7 @@
         text, took = file.read_bytes(), []
         for _ in range(3):
             began = time.perf_counter()
-            roster.parse(text)
+            endpoint_file.parse(text)
             took.append((time.perf_counter() - began) * 1e3)
     return {"list_bytes": float(len(text)), "parse_list_ms": min(took)}
 
--- a/tests/members_net.py
+++ b/tests/membership_net.py
@@ -3,7 +3,7 @@
 import heapq
 import random
 
-from anisefront.cluster.members import Status
+from anisefront.cluster.member_state import MemberStatus
 from anisefront.cluster.membership import Membership
 
 PERIOD = 1000.0
@@ -58,8 +58,8 @@
     def _note(self, number, change):
         """What a member's row is never goes back, whatever order things came in."""
         seen = self.history.setdefault((number, self.lives[number], change.row.number), [])
-        assert not seen or change.row.key > seen[-1], f"{number} took {change.row} after {seen[-1]}"
-        seen.append(change.row.key)
+        assert not seen or change.row.precedence > seen[-1], f"{number} took {change.row} after {seen[-1]}"
+        seen.append(change.row.precedence)
 
     def _carry(self, sender, out):
         for receiver, data in out:
@@ -82,7 +82,7 @@
     def views(self, about):
         """What each node that is up says of a member: its life and status."""
         rows = {number: node.rows.get(about) for number, node in self.nodes.items() if number != about}
-        return {number: row and (row.life, row.status) for number, row in rows.items()}
+        return {number: row and (row.process_incarnation, row.status) for number, row in rows.items()}
 
     def settled(self):
         """Faults in what the nodes that are up believe; empty where all know who is up and who is not."""
@@ -90,9 +90,9 @@
         for about in range(self.count):
             for number, seen in self.views(about).items():
                 if about in self.nodes:
-                    right = seen == (self.lives[about], Status.ALIVE)
+                    right = seen == (self.lives[about], MemberStatus.ALIVE)
                 else:
-                    right = seen is None or seen[0] <= self.lives.get(about, 0) and seen[1] >= Status.OUT
+                    right = seen is None or seen[0] <= self.lives.get(about, 0) and seen[1] >= MemberStatus.DEAD
                 if not right:
                     out.append(f"{number} takes {about} for {seen}")
         return out
--- a/tests/keeping_net.py
+++ b/tests/replication_net.py
@@ -9,51 +9,79 @@
 import sys
 import types
 
-from anisefront.cluster.keeping import NO_NAME, Taken, pack, unpack
+from anisefront.cluster.backup_selection import Replica
+from anisefront.cluster.replication_actions import (
+    DeliverRejection,
+    SendMessage,
+    StartAttempt,
+    TakeOver,
+    in_execution_order,
+)
+from anisefront.cluster.replication_codec import decode, encode
+from anisefront.cluster.replication_messages import NO_IDENTITY, Accepted
 
 TICK, WAIT = 200.0, 40.0  # past every patience at once; time to ask again only
 
 
 def fresh(*cuts):
     """The deciding code, with guards taken out: each cut is (module, text, what stands there instead)."""
-    out = types.SimpleNamespace()
-    for name, wanted in (("origin", ("Origin", "Member")), ("keeper", ("Keeper", "Witness"))):
+    out = types.SimpleNamespace(Replica=Replica)
+    for name, wanted in (("primary", "Primary"), ("backup", "Backup"), ("witness", "Witness")):
         source = importlib.import_module(f"anisefront.cluster.{name}").__spec__.loader.get_source(
             f"anisefront.cluster.{name}"
         )
         for _, text, instead in (cut for cut in cuts if cut[0] == name):
             assert source.count(text) == 1, f"{text!r} stands {source.count(text)} times in {name}.py"
             source = source.replace(text, instead)
-        module = types.ModuleType(f"keeping_{name}_{abs(hash(str(cuts)))}")
+        module = types.ModuleType(f"replication_{name}_{abs(hash(str(cuts)))}")
         sys.modules[module.__name__] = module  # pickle looks classes up by it
         exec(compile(source, f"{name}.py", "exec"), module.__dict__)
-        for each in wanted:
-            setattr(out, each, getattr(module, each))
+        setattr(out, wanted, getattr(module, wanted))
     return out
 
 
+def _drain(part):
+    if not hasattr(part, "mail"):
+        part.mail, part.done = [], []
+    for action in part.take_actions():
+        (part.mail if isinstance(action, SendMessage) else part.done).append(action)
+
+
+def messages(part):
+    """Receivers and messages that a primary, backup or witness has sent since the last call."""
+    _drain(part)
+    mail, part.mail = part.mail, []
+    return [(action.receiver, action.message) for action in mail]
+
+
+def done(part, kind):
+    """All actions of a kind that it has wanted so far."""
+    _drain(part)
+    return [action for action in part.done if isinstance(action, kind)]
+
+
 class Node:
     """One life of one gatekeeper."""
 
-    def __init__(self, code, number, life, most):
+    def __init__(self, code, number, life, max_requests):
         self.life = life
-        self.origin = code.Origin(code.Member(number, life))
-        self.keeper, self.witness = code.Keeper(number, life, most=most), code.Witness(life)
+        self.primary = code.Primary(code.Replica(number, life))
+        self.backup, self.witness = code.Backup(number, life, max_requests=max_requests), code.Witness(life)
         self.named = 0  # our request that has the name
-        self.keeper.ours = self.ours
+        self.backup.is_local_duplicate = self.is_duplicate
 
-    def ours(self, name, sender):
-        return bool(self.named) and not self.origin.gives_way(self.named, sender)
+    def is_duplicate(self, name, sender):
+        return bool(self.named) and not self.primary.yields_to(self.named, sender)
 
 
 class World:
     """`count` gatekeepers. `left` says how often each kind of fault may still come."""
 
-    def __init__(self, code, count, left, most=50_000):
-        self.code, self.count, self.left, self.most = code, count, dict(left), most
+    def __init__(self, code, count, left, max_requests=50_000):
+        self.code, self.count, self.left, self.max_requests = code, count, dict(left), max_requests
         self.now = 0.0
         self.lives = [1] * count
-        self.nodes = {n: Node(code, n, 1, most) for n in range(count)}
+        self.nodes = {n: Node(code, n, 1, max_requests) for n in range(count)}
         self.seen = {n: {m: 1 for m in range(count) if m != n} for n in range(count)}  # who is alive, by whom
         self.net = []  # (sender, its life, receiver, bytes)
         self.runs = {}  # by request's name
@@ -63,11 +91,11 @@
         for n in range(count):
             self._members(n)
 
-    def take(self, number, request, name, called=NO_NAME):
+    def take(self, number, request, name, called=NO_IDENTITY):
         node = self.nodes[number]
-        if called != NO_NAME:
+        if called != NO_IDENTITY:
             node.named = request
-        node.origin.take(self.now, Taken(request, True, 1_000_000, called, b""))
+        node.primary.accept(self.now, Accepted(request, True, 1_000_000, called, b""))
         self.names[number, node.life, request] = name
         self.todo.append((number, node.life, request))
         self._after(number)
@@ -114,10 +142,10 @@
         node = self.nodes.get(receiver)
         if node is None or self.seen[receiver].get(sender, 0) > life:
             return  # sealed messages of an earlier life are refused once the next has been heard of
-        message = unpack(data)
-        node.origin.hear(self.now, sender, life, message)
-        node.keeper.hear(self.now, sender, life, message)
-        node.witness.hear(sender, life, message)
+        message = decode(data)
+        node.primary.receive(self.now, sender, life, message)
+        node.backup.receive(self.now, sender, life, message)
+        node.witness.receive(sender, life, message)
         self._after(receiver)
 
     def _twice(self, i):
@@ -128,13 +156,13 @@
 
     def _send(self, i):
         number, life, request = self.todo.pop(i)
-        if self.nodes[number].origin.send(self.now, request, 0, "w"):
+        if self.nodes[number].primary.start_attempt(self.now, request, 0, "w"):
             self._ran(self.names[number, life, request])
         self._after(number)
 
     def _refuse(self, i):
         number, life, request = self.todo.pop(i)
-        if self.nodes[number].origin.refuse(self.now, request):
+        if self.nodes[number].primary.reject(self.now, request):
             self._ran(self.names[number, life, request])
         self._after(number)
 
@@ -151,7 +179,7 @@
 
     def _start(self, number):
         self.lives[number] += 1
-        self.nodes[number] = Node(self.code, number, self.lives[number], self.most)
+        self.nodes[number] = Node(self.code, number, self.lives[number], self.max_requests)
         self.seen[number] = {m: self.lives[m] for m in range(self.count) if m != number}
         self._members(number)
 
@@ -159,50 +187,43 @@
         """One hears that another has a new life, or that it is there after all."""
         life = self.seen[number][other] = self.lives[other]
         self._members(number)
-        self.nodes[number].keeper.gone(self.now, other, life - 1)
+        self.nodes[number].backup.primary_terminated(self.now, other, life - 1)
         self._after(number)
 
     def _doubt(self, number, other):
         """One takes another for out, rightly or not."""
         life = self.seen[number].pop(other)
         self._members(number)
-        self.nodes[number].keeper.lost(self.now, other, life)
+        self.nodes[number].backup.primary_failed(self.now, other, life)
         self._after(number)
 
     def _members(self, number):
-        self.nodes[number].origin.members(
-            self.now, {m: self.code.Member(m, life) for m, life in self.seen[number].items()}
+        self.nodes[number].primary.update_members(
+            self.now, {m: self.code.Replica(m, life) for m, life in self.seen[number].items()}
         )
 
     def _after(self, number):
         """Carry out what a node wants done."""
         node = self.nodes[number]
-        node.origin.look(self.now)
-        node.origin.flush(self.now)
-        node.keeper.look(self.now)
-        for part in (node.origin, node.keeper, node.witness):
-            for receiver, message in part.out:
-                sent = (number, node.life, receiver, pack(message))
+        node.primary.handle_timers(self.now)
+        node.primary.flush(self.now)
+        node.backup.handle_timers(self.now)
+        parts = (node.primary, node.backup, node.witness)
+        for action in in_execution_order(action for part in parts for action in part.take_actions()):
+            self._carry_out(number, node.life, action)
+        for part in (node.primary, node.backup):
+            part.counts.clear()
+
+    def _carry_out(self, number, life, action):
+        match action:
+            case SendMessage(receiver, message):
+                sent = (number, life, receiver, encode(message))
                 if sent not in self.net:  # the same again on its way is a doubling, which has its own count
                     self.net.append(sent)
-            part.out.clear()
-        for request, _ in node.origin.go:
-            self._ran(self.names[number, node.life, request])
-        for request in node.origin.answer:
-            self._ran(self.names[number, node.life, request])
-        node.origin.go.clear()
-        node.origin.answer.clear()
-        node.origin.lost.clear()
-        node.origin.elsewhere.clear()
-        node.origin.unkept.clear()
-        node.keeper.turned.clear()
-        for origin, life, kept in node.keeper.taken:
-            if not kept.sent:
-                self._ran(self.names[origin, life, kept.request])
-        node.keeper.taken.clear()
-        node.keeper.released.clear()
-        for part in (node.origin, node.keeper):
-            part.counts.clear()
+            case StartAttempt(request) | DeliverRejection(request):
+                self._ran(self.names[number, life, request])
+            case TakeOver(primary, incarnation, replica) if not replica.attempts:
+                self._ran(self.names[primary, incarnation, replica.request])
 
     def _ran(self, name):
         self.runs[name] = self.runs.get(name, 0) + 1
@@ -225,7 +246,7 @@
     return world
 
 
-def explore(world, depth, most=10**9):
+def explore(world, depth, max_states=10**9):
     """Every order of steps up to a depth: (states seen, the steps that lead to a fault or None)."""
     code, seen, layer = world.code, set(), [(world.data(), ())]
     for _ in range(depth):
@@ -242,7 +263,7 @@
                 if key not in seen:
                     seen.add(key)
                     following.append((after, (*path, step)))
-                    if len(seen) >= most:
+                    if len(seen) >= max_states:
                         return len(seen), None
         layer = following
     return len(seen), None
--- a/tests/search.py
+++ b/tests/search.py
@@ -6,7 +6,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 import connection_model
-import keeping_net
+import replication_net
 from test_connection_search import BEGINNINGS
 from test_membership import schedule
 
@@ -17,9 +17,9 @@
     """The fault of one seed, "" where there is none."""
     try:
         schedule(seed, 3 + seed % 6)
-        code = keeping_net.fresh()
+        code = replication_net.fresh()
         for each in range(seed * KEEPING, (seed + 1) * KEEPING):
-            keeping_net.schedule(code, each, 3 + each % 3, 1 + each % 4, 40 + each % 40)
+            replication_net.schedule(code, each, 3 + each % 3, 1 + each % 4, 40 + each % 40)
     except AssertionError as problem:
         return f"seed {seed}: {str(problem)[:300]}"
     return ""
@@ -27,9 +27,9 @@
 
 def all_orders(left):
     """Every order of six steps of one request among three, with these faults: (states, the fault)."""
-    world = keeping_net.World(keeping_net.fresh(), 3, left)
+    world = replication_net.World(replication_net.fresh(), 3, left)
     world.take(0, 1, "r")
-    return keeping_net.explore(world, 6)
+    return replication_net.explore(world, 6)
 
 
 def connection_orders(first):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,15 +6,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from anisefront.cluster import roster
-from anisefront.cluster.datagrams import MOST_AGE_MS, REMEMBERED, Seal
+from anisefront.cluster import endpoint_file
+from anisefront.cluster.datagrams import DatagramAuthenticator, MAX_AGE_MS, REPLAY_WINDOW
 from anisefront.policy.events import Endpoint, EndpointStatus
 
 SECRET, NOW = b"0123456789abcdef", 1.8e12
 
 
 def pair(incarnation=1):
-    return Seal(SECRET, 0, incarnation), Seal(SECRET, 1, 1)
+    return DatagramAuthenticator(SECRET, 0, incarnation), DatagramAuthenticator(SECRET, 1, 1)
 
 
 def test_taken_once():
@@ -27,9 +27,9 @@
 def test_out_of_order_is_taken_within_memory():
     a, b = pair()
     datagrams = [a.write(1, bytes((n,)), NOW) for n in range(200)]
-    assert b.read(datagrams[199], NOW) and b.read(datagrams[199 - REMEMBERED + 1], NOW)
+    assert b.read(datagrams[199], NOW) and b.read(datagrams[199 - REPLAY_WINDOW + 1], NOW)
     assert b.read(datagrams[198], NOW) and b.read(datagrams[198], NOW) is None
-    assert b.read(datagrams[199 - REMEMBERED], NOW) is None
+    assert b.read(datagrams[199 - REPLAY_WINDOW], NOW) is None
 
 
 def test_forged_misdirected_and_cut():
@@ -40,7 +40,7 @@
         assert b.read(changed, NOW) is None
         assert b.read(datagram[:at], NOW) is None
     assert b.read(a.write(2, b"news", NOW), NOW) is None
-    assert Seal(b"another secret..", 1, 1).read(datagram, NOW) is None
+    assert DatagramAuthenticator(b"another secret..", 1, 1).read(datagram, NOW) is None
     assert b.read(datagram, NOW)
 
 
@@ -51,13 +51,13 @@
     new, _ = pair(incarnation=2)
     assert b.read(new.write(1, b"new", NOW), NOW) == (0, b"new")
     assert b.read(kept[1], NOW) is None and b.counts["earlier_life"] == 1
-    restarted = Seal(SECRET, 1, 9)  # remembers nobody
-    assert restarted.read(kept[2], NOW + MOST_AGE_MS + 1) is None and restarted.counts["too_old"] == 1
+    restarted = DatagramAuthenticator(SECRET, 1, 9)  # remembers nobody
+    assert restarted.read(kept[2], NOW + MAX_AGE_MS + 1) is None and restarted.counts["too_old"] == 1
 
 
 def test_short_secret_is_refused():
     with pytest.raises(ValueError, match="secret"):
-        Seal(b"short", 0, 1)
+        DatagramAuthenticator(b"short", 0, 1)
 
 
 @given(st.binary(max_size=300))
@@ -81,7 +81,7 @@
         Endpoint(s.id, s.zone, cell, s.status, s.weight, s.started_ms)
         for s, cell in zip(SERVERS, [*cells, next(iter(cells))], strict=True)
     ]
-    fleet = roster.parse(roster.write("c", rows, cells).encode())
+    fleet = endpoint_file.parse(endpoint_file.write("c", rows, cells).encode())
     assert fleet.endpoints == tuple(rows[:2]) and fleet.complete
 
 
@@ -109,7 +109,7 @@
             }
         ]
     }
-    assert roster.parse(json.dumps(text).encode()).endpoints[0].status is state
+    assert endpoint_file.parse(json.dumps(text).encode()).endpoints[0].status is state
 
 
 @pytest.mark.parametrize(
@@ -126,20 +126,20 @@
     ],
 )
 def test_rosters_that_are_not_taken(text):
-    with pytest.raises(roster.RosterFault):
-        roster.parse(text)
+    with pytest.raises(endpoint_file.EndpointFileError):
+        endpoint_file.parse(text)
 
 
 def test_half_a_roster_is_not_taken():
-    text = roster.write("c", SERVERS, {}).encode()
+    text = endpoint_file.write("c", SERVERS, {}).encode()
     for at in range(0, len(text) - 1, 13):
-        with pytest.raises(roster.RosterFault):
-            roster.parse(text[:at])
+        with pytest.raises(endpoint_file.EndpointFileError):
+            endpoint_file.parse(text[:at])
 
 
 def test_roster_with_a_worker_twice():
-    with pytest.raises(roster.RosterFault, match="stands twice"):
-        roster.parse(roster.write("c", [SERVERS[0], SERVERS[0]], {}).encode())
+    with pytest.raises(endpoint_file.EndpointFileError, match="stands twice"):
+        endpoint_file.parse(endpoint_file.write("c", [SERVERS[0], SERVERS[0]], {}).encode())
 
 
 def test_a_roster_reader_that_raises_is_told_and_goes_on(tmp_path, monkeypatch):
@@ -151,7 +151,7 @@
     from anisefront.daemon.gatekeeper import Gatekeeper
 
     path = tmp_path / "roster.json"
-    path.write_text(roster.write("c", SERVERS[:1], {}))
+    path.write_text(endpoint_file.write("c", SERVERS[:1], {}))
     reactor = MemoryReactorClock()
     text = GOOD.replace("/etc/stalls.json", str(path)).replace("0 of 2", "0 of 1").replace("peer 1", "# peer 1")
     config = found(text.replace("listen peers", "listen jsonrpc")).config
@@ -160,10 +160,10 @@
         reactor,
         lambda: 1e6 + reactor.seconds() * 1000,
     )
-    real = roster.parse
-    monkeypatch.setattr(roster, "parse", lambda text: 1 / 0)
+    real = endpoint_file.parse
+    monkeypatch.setattr(endpoint_file, "parse", lambda text: 1 / 0)
     gatekeeper.start()
     assert "division" in gatekeeper.state()["roster_fault"] and not gatekeeper.ledger.servers
-    monkeypatch.setattr(roster, "parse", real)
+    monkeypatch.setattr(endpoint_file, "parse", real)
     reactor.advance(1.1)
     assert gatekeeper.roster_fault == "" and list(gatekeeper.ledger.servers) == ["127.0.0.1:1"]
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -11,7 +11,7 @@
 from anisefront.upstream.own import Answer
 from anisefront.upstream.proxied import Verdict
 from anisefront.upstream.returning import Returning
-from anisefront.daemon.keepers import read_record
+from anisefront.daemon.request_records import RequestRecord, decode_record
 from anisefront.policy.actions import Fail, Reject, SendToPeer, StartAttempt
 from anisefront.policy.events import AttemptResult, EndpointList, EndpointStatus, PriorAttempts
 
@@ -154,10 +154,10 @@
 
 def test_a_record_of_another_version_or_class_is_no_record():
     good = [1, "own", "", "c", "pay", "p", 1.0, 0, 1, {}]
-    assert read_record(json.dumps(good).encode(), {"pay": None}) == good[1:]
+    assert decode_record(json.dumps(good).encode(), {"pay": None}) == RequestRecord(*good[1:])
     for bad in (b"", b"[]", b"3", b"{}", b"\xff", json.dumps([2, *good[1:]]).encode(), json.dumps(good[:-1]).encode()):
-        assert read_record(bad, {"pay": None}) is None
-    assert read_record(json.dumps(good).encode(), {"order": None}) is None
+        assert decode_record(bad, {"pay": None}) is None
+    assert decode_record(json.dumps(good).encode(), {"order": None}) is None
 
 
 # ---- clients that come back --------------------------------------------------------------------------
--- a/tests/test_kill_points.py
+++ b/tests/test_kill_points.py
@@ -64,7 +64,7 @@
 
 
 def test_killed_before_its_keeper_was_told_anything_it_runs_for_its_client_alone(hands):
-    dying(hands, "daemon.keepers", "Keepers", "taken")
+    dying(hands, "daemon.replication", "ReplicationService", "taken")
     assert hands.call(0, "/pay", "a").final() == "gone"
     hands.fleet.up.pop(0).process.wait()
     assert hands.call(1, "/pay", "a").final() == "served" and hands.workers.came["/pay", "a"] == 1
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -4,11 +4,12 @@
 import random
 
 import pytest
-from members_net import PERIOD, Net
+from membership_net import PERIOD, Net
 
 from anisefront.cluster import membership
-from anisefront.cluster.members import ROW, Row, Status, newer, pack, unpack
-from anisefront.cluster.membership import MARK, Change, Membership
+from anisefront.cluster.member_state import ROW_FORMAT, MemberRow, MemberStatus, decode_rows, encode_rows, supersedes
+from anisefront.cluster.membership import MemberChange, Membership
+from anisefront.cluster.membership_messages import MARK
 
 
 def fleet(count, **more):
@@ -20,23 +21,27 @@
 
 
 def test_rows_merge_alike_in_every_order():
-    rows = [Row(1, life, incarnation, status) for life in (1, 2) for incarnation in (0, 1) for status in Status]
+    rows = [
+        MemberRow(1, life, incarnation, status) for life in (1, 2) for incarnation in (0, 1) for status in MemberStatus
+    ]
     for heard in itertools.combinations(rows, 3):
         ends = set()
         for order in itertools.permutations(heard):
             known = None
             for row in (*order, order[0]):
-                known = row if newer(row, known) else known
+                known = row if supersedes(row, known) else known
             ends.add(known)
         assert len(ends) == 1
 
 
 def test_rows_as_bytes():
-    rows = [Row(7, 1 << 40, 3, Status.SUSPECTED), Row(0, 1, 0, Status.LEFT)]
-    data = pack(rows)
-    assert unpack(data) == rows and unpack(b"") == []
-    assert unpack(data[:-1]) is None and unpack(data[:-1] + b"\x09") is None and unpack(data * 40) is None
-    assert len(data) == 2 * ROW.size
+    rows = [MemberRow(7, 1 << 40, 3, MemberStatus.SUSPECT), MemberRow(0, 1, 0, MemberStatus.LEFT)]
+    data = encode_rows(rows)
+    assert decode_rows(data) == rows and decode_rows(b"") == []
+    assert (
+        decode_rows(data[:-1]) is None and decode_rows(data[:-1] + b"\x09") is None and decode_rows(data * 40) is None
+    )
+    assert len(data) == 2 * ROW_FORMAT.size
 
 
 @pytest.mark.parametrize("count", [2, 6, 24])
@@ -79,7 +84,7 @@
     half = {0, 1, 2}
     net.cut = lambda sender, receiver: (sender in half) != (receiver in half)
     net.run(60 * PERIOD)
-    assert net.nodes[0].status(5) is Status.OUT and net.nodes[5].status(0) is Status.OUT
+    assert net.nodes[0].status(5) is MemberStatus.DEAD and net.nodes[5].status(0) is MemberStatus.DEAD
     net.cut = lambda sender, receiver: False
     net.until_settled(80 * PERIOD)
 
@@ -93,7 +98,7 @@
     net = fleet(64, seed=8)
     net.cut = lambda sender, receiver: (sender % 8 == 3) != (receiver % 8 == 3)
     net.run(60 * PERIOD)
-    assert net.nodes[0].status(3) is Status.OUT and len(net.nodes[3].alive()) < 64
+    assert net.nodes[0].status(3) is MemberStatus.DEAD and len(net.nodes[3].alive()) < 64
     net.cut = lambda sender, receiver: False
     net.until_settled(25 * PERIOD, step=PERIOD)
 
@@ -169,10 +174,10 @@
 def test_what_was_said_of_an_earlier_life_changes_nothing():
     node = Membership(0, 1, range(3), 1, PERIOD)
     node.handle(0.0, [(1, 5, bytes((MARK, 6, 0, 0, 0, 0, 0, 0)))])
-    assert node.rows[1] == Row(1, 5, 0, Status.ALIVE) and node.changes == [Change(node.rows[1], None)]
-    stale = pack([Row(1, 4, 9, Status.LEFT), Row(1, 4, 9, Status.OUT)])
+    assert node.rows[1] == MemberRow(1, 5, 0, MemberStatus.ALIVE) and node.changes == [MemberChange(node.rows[1], None)]
+    stale = encode_rows([MemberRow(1, 4, 9, MemberStatus.LEFT), MemberRow(1, 4, 9, MemberStatus.DEAD)])
     node.handle(1.0, [(2, 1, bytes((MARK, 6, 0, 0, 0, 0, 0, 0)) + stale)])
-    assert node.rows[1] == Row(1, 5, 0, Status.ALIVE)
+    assert node.rows[1] == MemberRow(1, 5, 0, MemberStatus.ALIVE)
 
 
 def test_bytes_that_no_member_sent_change_nothing():
@@ -181,27 +186,32 @@
     before = dict(node.rows)
     for _ in range(2000):
         node.handle(1.0, [(1, 0, bytes((MARK, rng.choice((0, 7, 99)))) + rng.randbytes(rng.randrange(40)))])
-        node.handle(1.0, [(9, 7, bytes((MARK, 6, 0, 0, 0, 0, 0, 9)) + pack([Row(9, 7, 0, Status.ALIVE)]))])
+        node.handle(
+            1.0, [(9, 7, bytes((MARK, 6, 0, 0, 0, 0, 0, 9)) + encode_rows([MemberRow(9, 7, 0, MemberStatus.ALIVE)]))]
+        )
     assert set(node.rows) <= set(before) | {1}  # settings name who may be there
 
 
 def _no_life(row, known):
-    return known is None or row.key[1:] > known.key[1:]
+    return known is None or row.precedence[1:] > known.precedence[1:]
 
 
 GUARDS = {
     "lives in the order of rows": (
-        lambda patch: patch.setattr(membership, "newer", _no_life),
+        lambda patch: patch.setattr(membership, "supersedes", _no_life),
         lambda: [schedule(seed) for seed in range(40)],
     ),
-    "refutation": (lambda patch: patch.setattr(Membership, "_about_us", lambda self, row: None), paused_for_long),
-    "those that are out are asked again": (lambda patch: patch.setattr(membership, "BACK_PERIODS", 10**9), cut_in_two),
+    "refutation": (lambda patch: patch.setattr(Membership, "_merge_local", lambda self, row: None), paused_for_long),
+    "those that are out are asked again": (
+        lambda patch: patch.setattr(membership, "DEAD_PROBE_PERIODS", 10**9),
+        cut_in_two,
+    ),
     "indirect probes": (
-        lambda patch: patch.setattr(membership, "INDIRECT", 0),
+        lambda patch: patch.setattr(membership, "INDIRECT_PINGS", 0),
         test_a_link_that_is_cut_one_way_accuses_nobody_others_reach,
     ),
     "time to refute": (
-        lambda patch: patch.setattr(Membership, "_patience", lambda self, confirmers: 0.0),
+        lambda patch: patch.setattr(Membership, "_suspicion_timeout_ms", lambda self, confirmations: 0.0),
         test_loss_doubling_and_delay_accuse_nobody,
     ),
 }
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -19,7 +19,7 @@
 from anisefront.daemon.gatekeeper import Gatekeeper
 from anisefront.daemon.reloader import Phase, Reloader
 from anisefront.daemon.source import Source
-from anisefront.cluster.keeping import Word
+from anisefront.cluster import replication_messages
 from anisefront.policy.events import Arrival
 
 # ---- every order, on files in memory ------------------------------------------------------------------
@@ -453,7 +453,7 @@
     assert keepers.taken(entry)
     made.path.write_text(made.path.read_text().replace("repeat unsafe", "repeat safe"))
     assert made.change()["version"] == 2
-    name = next(iter(keepers._numbers))
-    keepers._turned[name] = {1}
+    name = next(iter(keepers.duplicates._request_numbers))
+    keepers.duplicates._waiting_instances[name] = {1}
     keepers.over(1)
-    assert keepers._words[name] is Word.MAY_HAVE_RUN
+    assert keepers.duplicates._outcomes[name] is replication_messages.Outcome.MAY_HAVE_EXECUTED
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from anisefront.cli.config import checked
-from anisefront.cluster.datagrams import Seal
-from anisefront.cluster.keeping import MARK
+from anisefront.cluster.datagrams import DatagramAuthenticator
+from anisefront.cluster.replication_codec import MARK
 from anisefront.cluster.membership import Membership
 from anisefront.frontends.jsonrpc import UNMAPPED
 from anisefront.policy.peer_codec import encode
@@ -106,7 +106,7 @@
 
 
 def test_datagrams_are_told_by_purpose_as_the_program_writes_them():
-    seal, member = Seal(SECRET.encode(), 3, 7), Membership(3, 7, range(5), 1, 1000.0)
+    seal, member = DatagramAuthenticator(SECRET.encode(), 3, 7), Membership(3, 7, range(5), 1, 1000.0)
     sent = [member.handle(0.0), member.handle(2000.0, [(1, 9, b"\x4d\x06\0\0\0\0\0\0")])]
     kinds = [counting.purpose(seal.write(to, data, 0.0)) for part in sent for to, data in part]
     assert kinds[:3] == ["members.join"] * 3 and "members.ping" in kinds[3:]
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -37,11 +37,11 @@
 from anisefront.gateway.routing import Unmapped, first_gateway
 from anisefront.gateway.standing import Lag
 from anisefront.gateway.versions import at_once, next_steps
-from anisefront.daemon import keepers
+from anisefront.daemon import request_records
 from anisefront.daemon.gatekeeper import Gatekeeper
 from anisefront.daemon.recorder import Recorder
-from anisefront.cluster import datagrams, keeping, members, membership
-from anisefront.cluster.keeper import Kept
+from anisefront.cluster import datagrams, member_state, membership, replication_codec, replication_messages
+from anisefront.cluster.backup_state import ReplicatedRequest
 from anisefront.frontends import accesslog, authorization, health, jsonrpc
 from anisefront.frontends.grpcserver import GrpcFactory
 from anisefront.resp_gateway import resp, terms
@@ -176,12 +176,14 @@
     return membership.Membership(number, 100 + number, range(4), 7, 100.0)
 
 
-def _row(number: int, life: int, incarnation: int, status: int) -> members.Row:
-    return members.Row(number=number, life=life, incarnation=incarnation, status=members.Status(status))
+def _row(number: int, life: int, incarnation: int, status: int) -> member_state.MemberRow:
+    return member_state.MemberRow(
+        number=number, process_incarnation=life, swim_incarnation=incarnation, status=member_state.MemberStatus(status)
+    )
 
 
 def _rows_read(rows: Any) -> list[Any]:
-    return [[row.number, row.life, row.incarnation, int(row.status)] for row in rows]
+    return [[row.number, row.process_incarnation, row.swim_incarnation, int(row.status)] for row in rows]
 
 
 def membership_traffic() -> dict[int, bytes]:
@@ -194,7 +196,7 @@
     ]
     ask = struct.Struct(">BBIH")
     heard = [
-        (1, 101, ask.pack(0x4D, 5, 0, 0) + members.pack(rows)),
+        (1, 101, ask.pack(0x4D, 5, 0, 0) + member_state.encode_rows(rows)),
         (2, 102, ask.pack(0x4D, 1, 9, 0)),
         (1, 101, ask.pack(0x4D, 3, 11, 3)),
     ]
@@ -227,39 +229,64 @@
         made.handle(0.0, [(1, 101, traffic[1])])
         return made.leave()[0][1]
 
-    rows = [_row(number, 2**40 + number, 7, number) for number in range(len(members.Status))]
+    rows = [_row(number, 2**40 + number, 7, number) for number in range(len(member_state.MemberStatus))]
     out["leave"] = Sample(leaving, membership_read)
-    out["rows"] = Sample(lambda: members.pack(rows), lambda data: _rows_read(members.unpack(data)))
+    out["rows"] = Sample(
+        lambda: member_state.encode_rows(rows), lambda data: _rows_read(member_state.decode_rows(data))
+    )
     return out
 
 
 # Fields are named, here and in all samples of records that are packed in the order of their fields: with places alone a
 # field that changed its place would be written and read alike.
 ENTRIES = (
-    keeping.Taken(request=7, bound=True, left_ms=900, name=b"12345678", record=b"record"),
-    keeping.Sent(request=7, attempt=0, worker="10.0.0.1:80"),
-    keeping.Sent(request=7, attempt=1, worker="w", waits=False),
-    keeping.Ended(request=7, attempt=0),
-    keeping.Over(request=7),
+    replication_messages.Accepted(
+        request=7, requires_ack=True, remaining_ms=900, identity=b"12345678", record=b"record"
+    ),
+    replication_messages.AttemptStarted(request=7, attempt=0, endpoint="10.0.0.1:80"),
+    replication_messages.AttemptStarted(request=7, attempt=1, endpoint="w", awaits_ack=False),
+    replication_messages.AttemptDiscarded(request=7, attempt=0),
+    replication_messages.Completed(request=7),
 )
 MESSAGES = (
-    keeping.Feed(epoch=3, keeper_life=2**40, witness=4, witness_life=2**41, oldest=1, first=9, entries=ENTRIES),
-    keeping.Feed(epoch=1, keeper_life=1, witness=-1, witness_life=0, oldest=1, first=1, entries=()),
-    keeping.Ack(epoch=3, upto=12),
-    keeping.NotYours(epoch=3),
-    keeping.Leave(epoch=3, witness_life=5),
-    keeping.Close(origin=4, life=2**41, epoch=3, witness_life=5),
-    keeping.Ruled(origin=4, life=2**41, epoch=3, closed=True),
-    keeping.Ruled(origin=0, life=1, epoch=3, closed=False),
-    keeping.Elsewhere(epoch=3, request=2**33),
-    keeping.Full(epoch=3, request=2**33),
-    keeping.Asked(name=b"the name"),
-    *(keeping.Settled(name=b"the name", word=word, data=b"answer" if word else b"") for word in keeping.Word),
+    replication_messages.Append(
+        epoch=3,
+        backup_incarnation=2**40,
+        witness=4,
+        witness_incarnation=2**41,
+        oldest_epoch=1,
+        first_sequence=9,
+        entries=ENTRIES,
+    ),
+    replication_messages.Append(
+        epoch=1, backup_incarnation=1, witness=-1, witness_incarnation=0, oldest_epoch=1, first_sequence=1, entries=()
+    ),
+    replication_messages.AppendAck(epoch=3, last_sequence=12),
+    replication_messages.EpochFenced(epoch=3),
+    replication_messages.ReleaseEpoch(epoch=3, witness_incarnation=5),
+    replication_messages.ClaimEpoch(primary=4, primary_incarnation=2**41, epoch=3, witness_incarnation=5),
+    replication_messages.EpochDecision(primary=4, primary_incarnation=2**41, epoch=3, claimed=True),
+    replication_messages.EpochDecision(primary=0, primary_incarnation=1, epoch=3, claimed=False),
+    replication_messages.InProgressElsewhere(epoch=3, request=2**33),
+    replication_messages.BackupFull(epoch=3, request=2**33),
+    replication_messages.OutcomeQuery(identity=b"the name"),
+    *(
+        replication_messages.OutcomeReply(identity=b"the name", outcome=word, response=b"answer" if word else b"")
+        for word in replication_messages.Outcome
+    ),
 )
 
 
-def _feed(*entries: Any) -> keeping.Feed:
-    return keeping.Feed(epoch=2, keeper_life=5, witness=-1, witness_life=0, oldest=1, first=1, entries=entries)
+def _feed(*entries: Any) -> replication_messages.Append:
+    return replication_messages.Append(
+        epoch=2,
+        backup_incarnation=5,
+        witness=-1,
+        witness_incarnation=0,
+        oldest_epoch=1,
+        first_sequence=1,
+        entries=entries,
+    )
 
 
 def replication_samples() -> dict[str, Sample]:
@@ -268,10 +295,12 @@
     every |= {f"entry {number}": _feed(entry) for number, entry in enumerate(ENTRIES)}
 
     def read(data: bytes) -> Any:
-        message = keeping.unpack(data)
-        return [keeping.pack(message).hex(), plain(message)]
+        message = replication_codec.decode(data)
+        return [replication_codec.encode(message).hex(), plain(message)]
 
-    return {name: Sample(lambda message=message: keeping.pack(message), read) for name, message in every.items()}
+    return {
+        name: Sample(lambda message=message: replication_codec.encode(message), read) for name, message in every.items()
+    }
 
 
 def _gatekeeper(reactor: MemoryReactorClock | None = None, settings_more: str = "") -> Gatekeeper:
@@ -307,7 +336,7 @@
 def _taken(ask: Callable[[Gatekeeper], Any]) -> Any:
     """What a peer would be told of a request that comes in."""
     made, out = _gatekeeper(), []
-    made.keepers.origin.take = lambda now, taken: bool(out.append(taken)) or True
+    made.keepers.primary.accept = lambda now, taken: bool(out.append(taken)) or True
     ask(made)
     return out[0]
 
@@ -323,7 +352,7 @@
 
 
 def _answer_read(data: bytes) -> Any:
-    answer = keepers.read(data)
+    answer = request_records.decode_response(data)
     rest = [answer.worker, answer.attempts, answer.refused, answer.retry_after_ms, answer.reason]
     return [plain(answer.message), *rest]
 
@@ -331,9 +360,16 @@
 def _taken_over(data: bytes) -> Any:
     """What a gatekeeper that takes a request over by its record goes on with, and under which mark of its content."""
     made = _gatekeeper()
-    kept = Kept(request=9, bound=True, until_ms=1_005_000.0, name=b"the name", record=data, sent={1: (WORKER, 900.0)})
-    made.keepers._take_over(1, 101, kept)
-    inherited = made.keepers._inherited.get(b"the name")
+    kept = ReplicatedRequest(
+        request=9,
+        requires_ack=True,
+        deadline_ms=1_005_000.0,
+        identity=b"the name",
+        record=data,
+        attempts={1: (WORKER, 900.0)},
+    )
+    made.keepers.takeover.take_over(1, 101, kept)
+    inherited = made.keepers.takeover._inherited.get(b"the name")
     if inherited is not None:
         return [list(inherited.token), inherited.identity, list(inherited.terms), plain(inherited.sent)]
     (entry,) = made.ledger.entries.values()
@@ -360,11 +396,11 @@
     out = {}
     for name, ask in (("own", _ask_own), ("proxied", _ask_proxied)):
         out[f"record of a request, {name}"] = Sample(
-            lambda ask=ask: _taken(ask).record, lambda data: keepers.read_record(data, kinds)
+            lambda ask=ask: _taken(ask).record, lambda data: plain(request_records.decode_record(data, kinds))
         )
         out[f"entry of a request, {name}"] = Sample(
-            lambda ask=ask: keeping.pack(keeping.Feed(1, 2, -1, 0, 1, 1, (_taken(ask),))),
-            lambda data: plain(keeping.unpack(data)),
+            lambda ask=ask: replication_codec.encode(replication_messages.Append(1, 2, -1, 0, 1, 1, (_taken(ask),))),
+            lambda data: plain(replication_codec.decode(data)),
         )
     answers = {
         "served": own.Answer(
@@ -374,12 +410,12 @@
         "failed": own.Answer(reason="failed"),
     }
     out |= {
-        f"answer, {name}": Sample(lambda answer=answer: keepers.written(answer), _answer_read)
+        f"answer, {name}": Sample(lambda answer=answer: request_records.encode_response(answer), _answer_read)
         for name, answer in answers.items()
     }
     job = own.Job("POST", "/order", {"x": "y"}, b"body")
     out["name"] = Sample(lambda: returning.name_of("stall-7", "key-1", SECRET), bytes.hex)
-    out["mark of what is asked"] = Sample(lambda: keepers.mark_of(job), bytes.hex)
+    out["mark of what is asked"] = Sample(lambda: request_records.content_digest(job), bytes.hex)
     out["first gateways"] = Sample(
         lambda: json.dumps([first_gateway(f"customer-{n}", SECRET, 1000) for n in range(8)]).encode(), json.loads
     )
@@ -390,19 +426,19 @@
     """Authenticated datagrams: time and sequence are handed in, so all bytes are the same each time."""
 
     def write(count: int, data: bytes) -> bytes:
-        seal = datagrams.Seal(SECRET, 3, 2**41 + 5)
+        seal = datagrams.DatagramAuthenticator(SECRET, 3, 2**41 + 5)
         return [seal.write(9, data, NOW_MS + 0.75) for _ in range(count)][-1]
 
     def read(data: bytes) -> Any:
-        seal = datagrams.Seal(SECRET, 9, 1)
+        seal = datagrams.DatagramAuthenticator(SECRET, 9, 1)
         taken = seal.read(data, NOW_MS + 10.0)
-        return [plain(taken), seal.peers[3].incarnation, dict(seal.counts)]
+        return [plain(taken), seal.peers[3].process_incarnation, dict(seal.counts)]
 
     return {"first": Sample(lambda: write(1, b"news"), read), "third": Sample(lambda: write(3, b""), read)}
 
 
 def _sealed_read(data: bytes) -> Any:
-    seal = datagrams.Seal(SECRET, 9, 1)
+    seal = datagrams.DatagramAuthenticator(SECRET, 9, 1)
     return [seal.read(data, NOW_MS + 10.0), dict(seal.counts)]
 
 
@@ -410,9 +446,9 @@
     """What is not taken: of another version, kind or class, cut off, too long, forged, misdirected, too old."""
     quota = quota_samples()["item of kind 1"].write()
     reply = membership_traffic()[2]
-    feed, sealed = keeping.pack(MESSAGES[0]), sealed_samples()["first"].write()
+    feed, sealed = replication_codec.encode(MESSAGES[0]), sealed_samples()["first"].write()
     kinds = {"order": None}
-    other, late = datagrams.Seal(SECRET, 3, 1), datagrams.Seal(SECRET, 3, 1)
+    other, late = datagrams.DatagramAuthenticator(SECRET, 3, 1), datagrams.DatagramAuthenticator(SECRET, 3, 1)
     made: dict[str, tuple[bytes, Callable[[bytes], Any]]] = {
         "quota: version": (b"\x02" + quota[1:], peer_codec.decode),
         "quota: kind": (quota[:6] + b"\x07" + quota[7:], peer_codec.decode),
@@ -421,25 +457,28 @@
         "membership: mark": (b"\x4e" + reply[1:], membership_read),
         "membership: kind": (reply[:1] + b"\x09" + reply[2:], membership_read),
         "membership: cut off": (reply[:-1], membership_read),
-        "replication: mark": (b"\x4c" + feed[1:], keeping.unpack),
-        "replication: kind": (feed[:1] + b"\x0b" + feed[2:], keeping.unpack),
-        "replication: cut off": (feed[:-1], keeping.unpack),
-        "replication: too long": (feed + b"x", keeping.unpack),
-        "replication: entry": (feed[:33] + b"\x05" + feed[34:], keeping.unpack),
+        "replication: mark": (b"\x4c" + feed[1:], replication_codec.decode),
+        "replication: kind": (feed[:1] + b"\x0b" + feed[2:], replication_codec.decode),
+        "replication: cut off": (feed[:-1], replication_codec.decode),
+        "replication: too long": (feed + b"x", replication_codec.decode),
+        "replication: entry": (feed[:33] + b"\x05" + feed[34:], replication_codec.decode),
         "sealed: version": (b"\x02" + sealed[1:], _sealed_read),
         "sealed: forged": (sealed[:-1] + b"x", _sealed_read),
         "sealed: misdirected": (other.write(8, b"news", NOW_MS), _sealed_read),
         "sealed: too old": (late.write(9, b"news", NOW_MS - 10_000.0), _sealed_read),
         "record: version": (
             b'[2,"own","","c","order","wide",1.0,0,1,{}]',
-            lambda data: keepers.read_record(data, kinds),
+            lambda data: plain(request_records.decode_record(data, kinds)),
+        ),
+        "record: class": (
+            b'[1,"own","","c","x","wide",1.0,0,1,{}]',
+            lambda data: plain(request_records.decode_record(data, kinds)),
         ),
-        "record: class": (b'[1,"own","","c","x","wide",1.0,0,1,{}]', lambda data: keepers.read_record(data, kinds)),
         "record: too short": (
             b'[1,"own","","c","order","wide",1.0,0,1]',
-            lambda data: keepers.read_record(data, kinds),
+            lambda data: plain(request_records.decode_record(data, kinds)),
         ),
-        "answer: no list": (b"{}", keepers.read),
+        "answer: no list": (b"{}", request_records.decode_response),
         "trace: version": (b"anisefront trace 2\n", lambda data: plain(trace.read(data))),
         "trace: cut off": (trace.HEAD + b"AT\0", lambda data: plain(trace.read(data))),
     }
@@ -991,22 +1030,28 @@
     reactor = MemoryReactorClock()
     with tempfile.TemporaryDirectory() as folder:
         made = _gatekeeper(reactor, f'record "{folder}/trace" key "sixteen bytes at least"\n')
-    life, peer = int(NOW_MS), datagrams.Seal(SECRET, 1, int(NOW_MS))
+    life, peer = int(NOW_MS), datagrams.DatagramAuthenticator(SECRET, 1, int(NOW_MS))
     made.peer_port.transport = SimpleNamespace(write=lambda data, address: None)
     made.members.start()
     made.ledger.roster(EndpointList((Endpoint(WORKER, "a", 0, EndpointStatus.READY),)))
-    for data in (membership_traffic()[1], keeping.pack(keeping.Ack(1, 1)), b"K", b"M", peer_codec.encode(1, 1, [], [])):
+    for data in (
+        membership_traffic()[1],
+        replication_codec.encode(replication_messages.AppendAck(1, 1)),
+        b"K",
+        b"M",
+        peer_codec.encode(1, 1, [], []),
+    ):
         with mock.patch("time.time", return_value=NOW_MS / 1000):
             made.peer_port.datagramReceived(peer.write(0, data, NOW_MS), ("127.0.0.1", 7002))
     made.peer_port.datagramReceived(b"x", ("127.0.0.1", 7002))
     reactor.advance(0.01)
-    assert made.seal.peers[1].incarnation == life
+    assert made.seal.peers[1].process_incarnation == life
     for number in range(3):
         made.desk.ask(
             CALL | {"headers": {"x-api-key": "stall-7", "x-idempotency-key": f"key-{number}"}}, lambda answer: None
         )
     made.proxied.ask_again("x", lambda answer: None)
-    made.keepers.members([membership.Change(_row(1, life, 0, 0), None)])
+    made.keepers.on_member_changes([membership.MemberChange(_row(1, life, 0, 0), None)])
     reactor.advance(0.2)
     return made.state()
 
