--- a/anisefront/cluster/dissemination.py
+++ b/anisefront/cluster/dissemination.py
@@ -29,6 +29,10 @@
         """Start to spread a member's row, from the first transmission on."""
         self._transmissions[number] = 0
 
+    def clear(self) -> None:
+        """Spread nothing more of what is known."""
+        self._transmissions.clear()
+
     def piggyback(self, rows: dict[int, MemberRow], first: list[MemberRow]) -> list[MemberRow]:
         """Return the rows that a message carries: those given, and as many to be spread as there is room for."""
         carried = list(first)
--- /dev/null
+++ b/anisefront/cluster/local_requests.py
@@ -0,0 +1,151 @@
+"""Requests of a primary: their attempts, and what becomes of them when their backup replies. Free of I/O."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass, field
+
+from anisefront.cluster.epoch_log import EpochLog
+from anisefront.cluster.epoch_sender import EpochSender
+from anisefront.cluster.replication_actions import (
+    Action,
+    DeliverRejection,
+    LoseOwnership,
+    ReplicationUnavailable,
+    StartAttempt,
+    YieldToDuplicate,
+)
+from anisefront.cluster.replication_messages import NO_IDENTITY, Accepted, AttemptStarted, Completed, LogEntry
+
+
+@dataclass(slots=True, eq=False)
+class LocalRequest:
+    """A request of ours that was replicated.
+
+    Attributes:
+        attempts: Endpoints of the attempts that are not proved never to have executed, by number of the attempt.
+        awaiting_ack: Attempts that start when the backup has acknowledged them.
+        rejection_pending: Whether its rejection is delivered when the backup has acknowledged it.
+        lost: Whether another instance owns it: no further attempt starts here.
+    """
+
+    accepted: Accepted
+    slot: int
+    deadline_ms: float
+    epoch: int = 0
+    attempts: dict[int, str] = field(default_factory=dict)
+    awaiting_ack: set[int] = field(default_factory=set)
+    rejection_pending: bool = False
+    lost: bool = False
+
+    @property
+    def has_identity(self) -> bool:
+        """Whether a client's retry of it can be recognized."""
+        return self.accepted.identity != NO_IDENTITY
+
+
+class LocalRequests:
+    """The replicated requests of one primary, by number, and the actions that follow from the replies of backups."""
+
+    def __init__(self, sender: EpochSender, counts: Counter[str]) -> None:
+        """Initialize without any request; `counts` are the primary's counters."""
+        self._sender = sender
+        self._counts = counts
+        self._requests: dict[int, LocalRequest] = {}
+        self._actions: list[Action] = []
+
+    def __len__(self) -> int:
+        """Return the number of requests."""
+        return len(self._requests)
+
+    def __getitem__(self, request: int) -> LocalRequest:
+        """Return a request that is replicated."""
+        return self._requests[request]
+
+    def get(self, request: int) -> LocalRequest | None:
+        """Return a request, None where it is not replicated."""
+        return self._requests.get(request)
+
+    def add(self, local: LocalRequest) -> None:
+        """Add a request."""
+        self._requests[local.accepted.request] = local
+
+    def remove(self, request: int) -> LocalRequest | None:
+        """Remove a request that has completed."""
+        return self._requests.pop(request, None)
+
+    def take_actions(self) -> list[Action]:
+        """Return the actions to carry out, and keep none."""
+        actions = self._actions
+        self._actions = []
+        return actions
+
+    def start_awaiting(self, local: LocalRequest) -> None:
+        """Start the attempts that await an acknowledgement."""
+        request = local.accepted.request
+        self._actions += [StartAttempt(request, attempt) for attempt in sorted(local.awaiting_ack)]
+        local.awaiting_ack.clear()
+
+    def deliver_rejection(self, request: int) -> None:
+        """Deliver a pending rejection."""
+        del self._requests[request]
+        self._actions.append(DeliverRejection(request))
+
+    def on_entry_acknowledged(self, log: EpochLog, entry: LogEntry) -> None:
+        """Carry out what waits for an entry."""
+        local = self._requests.get(entry.request)
+        if local is None or local.epoch != log.epoch:
+            return
+        if isinstance(entry, AttemptStarted) and entry.attempt in local.awaiting_ack:
+            local.awaiting_ack.discard(entry.attempt)
+            self._actions.append(StartAttempt(entry.request, entry.attempt))
+        elif isinstance(entry, Completed) and local.rejection_pending:
+            log.requests.discard(entry.request)
+            self.deliver_rejection(entry.request)
+
+    def on_duplicate(self, log: EpochLog, request: int) -> None:
+        """Yield to another request of this identity; the entries behind this one continue without it."""
+        local = self._withdraw(log, request)
+        local.lost = True
+        self._counts["names_elsewhere"] += 1
+        # Attempts that await their acknowledgement have not started. The response of one that has may still come.
+        if local.attempts.keys() - local.awaiting_ack:
+            self._actions.append(LoseOwnership(request))
+        else:
+            self._actions.append(YieldToDuplicate(request, log.backup.number))
+        local.awaiting_ack.clear()
+
+    def on_backup_full(self, now_ms: float, log: EpochLog, request: int) -> None:
+        """Continue without a backup: it does not know of the request, so nobody takes it over."""
+        local = self._withdraw(log, request)
+        log.waiting_since_ms = now_ms  # the backup responds
+        self._counts["unprotected_full"] += 1
+        if local.rejection_pending:
+            self.deliver_rejection(request)
+            return
+        self._actions.append(ReplicationUnavailable(request))
+        self.start_awaiting(local)
+
+    def _withdraw(self, log: EpochLog, request: int) -> LocalRequest:
+        local = self._requests[request]
+        local.epoch = 0
+        log.requests.discard(request)
+        log.withdraw(request)
+        self._sender.mark_unsent(log)
+        return local
+
+    def lose_epoch(self, log: EpochLog) -> None:
+        """Give up an epoch that its backup has claimed; idempotent requests continue here all the same."""
+        for request in sorted(log.requests):
+            local = self._requests[request]
+            local.epoch = 0
+            local.lost = local.accepted.requires_ack
+            if local.lost:
+                local.awaiting_ack.clear()
+                self._actions.append(LoseOwnership(request))
+        self._counts["epochs_lost"] += 1
+        log.requests.clear()
+        log.entries.clear()
+        log.deferred.clear()
+        self._sender.retire(log)
+        self._sender.close(log)
--- a/anisefront/cluster/member_state.py
+++ b/anisefront/cluster/member_state.py
@@ -12,7 +12,7 @@
 
 import struct
 from collections.abc import Iterable
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from enum import IntEnum
 
 ROW_FORMAT = struct.Struct(">HQIB")  # number, process incarnation, SWIM incarnation, status
@@ -42,6 +42,18 @@
         """Position of this row in the order of all rows of one member."""
         return self.process_incarnation, self.status is MemberStatus.LEFT, self.swim_incarnation, int(self.status)
 
+    def with_status(self, status: MemberStatus) -> MemberRow:
+        """Return the row with another status of the same incarnations."""
+        return replace(self, status=status)
+
+
+@dataclass(frozen=True, slots=True)
+class MemberChange:
+    """A member's row has changed; `previous` is None where nothing was known."""
+
+    row: MemberRow
+    previous: MemberRow | None
+
 
 def supersedes(row: MemberRow, known: MemberRow | None) -> bool:
     """Return whether `row` replaces the known row.
--- a/anisefront/cluster/membership.py
+++ b/anisefront/cluster/membership.py
@@ -13,16 +13,12 @@
 
 from __future__ import annotations
 
-import heapq
-import math
 import random
 from collections import Counter
 from collections.abc import Iterable
-from dataclasses import dataclass
-from enum import Enum, auto
 
 from anisefront.cluster.dissemination import Dissemination, retransmit_limit
-from anisefront.cluster.member_state import MAX_ROWS, MemberRow, MemberStatus, supersedes
+from anisefront.cluster.member_state import MAX_ROWS, MemberChange, MemberRow, MemberStatus, supersedes
 from anisefront.cluster.membership_messages import (
     MembershipMessage,
     MessageKind,
@@ -30,6 +26,7 @@
     encode_message,
     is_membership_message,
 )
+from anisefront.cluster.membership_timers import MembershipTimers, Timer
 from anisefront.cluster.probes import PendingProbes, Probe, ProbeOrder
 from anisefront.cluster.suspicion import MAX_AWARENESS, MAX_CONFIRMATIONS, Suspicion, suspicion_timeout_ms
 
@@ -42,23 +39,6 @@
 DEAD_PROBE_PERIODS = 5  # a dead or unknown member is pinged so often
 
 
-class _Timer(Enum):
-    JOIN = auto()
-    PERIOD = auto()
-    ACK_TIMEOUT = auto()
-    NACK = auto()
-    PROBE_END = auto()
-    SUSPICION = auto()
-
-
-@dataclass(frozen=True, slots=True)
-class MemberChange:
-    """A member's row has changed; `previous` is None where nothing was known."""
-
-    row: MemberRow
-    previous: MemberRow | None
-
-
 class Membership:
     """One instance's view of the cluster."""
 
@@ -87,8 +67,7 @@
         self._periods = 0
         self._suspicions: dict[int, Suspicion] = {}
         self._dissemination = Dissemination()
-        self._timers: list[tuple[float, int, _Timer, int]] = []
-        self._timer_serial = 0
+        self._timers = MembershipTimers()
         self._outgoing: list[tuple[int, bytes]] = []
         self._has_started = False
         self._has_left = False
@@ -110,7 +89,7 @@
     @property
     def next_timer_ms(self) -> float:
         """Time at which `handle` is to be called again at the latest."""
-        return self._timers[0][0] if self._timers else math.inf
+        return self._timers.next_ms
 
     # ---- entry points ----------------------------------------------------------------------------
 
@@ -128,12 +107,11 @@
         if not self._has_started:
             self._has_started = True
             self._dissemination.spread(self.number)
-            self._set_timer(now_ms, _Timer.JOIN)
-            self._set_timer(now_ms + self._rng.random() * self.period_ms, _Timer.PERIOD)
+            self._timers.set(now_ms, Timer.JOIN)
+            self._timers.set(now_ms + self._rng.random() * self.period_ms, Timer.PERIOD)
         for sender, process_incarnation, data in received:
             self._receive(now_ms, sender, process_incarnation, data)
-        while self._timers and self._timers[0][0] <= now_ms:
-            _, _, timer, argument = heapq.heappop(self._timers)
+        for timer, argument in self._timers.expired(now_ms):
             if not self._has_left:
                 self._on_timer(now_ms, timer, argument)
         return self._outgoing
@@ -141,7 +119,7 @@
     def leave(self) -> list[tuple[int, bytes]]:
         """Leave the cluster; returns the last datagrams to send. Nothing is probed or acknowledged afterwards."""
         row = self.rows[self.number]
-        left = MemberRow(self.number, row.process_incarnation, row.swim_incarnation, MemberStatus.LEFT)
+        left = row.with_status(MemberStatus.LEFT)
         self.rows[self.number] = left
         self._has_left = True
         self._outgoing = []
@@ -152,23 +130,19 @@
 
     # ---- timers ----------------------------------------------------------------------------------
 
-    def _set_timer(self, at_ms: float, timer: _Timer, argument: int = -1) -> None:
-        self._timer_serial += 1
-        heapq.heappush(self._timers, (at_ms, self._timer_serial, timer, argument))
-
-    def _on_timer(self, now_ms: float, timer: _Timer, argument: int) -> None:
+    def _on_timer(self, now_ms: float, timer: Timer, argument: int) -> None:
         match timer:
-            case _Timer.JOIN:
+            case Timer.JOIN:
                 self._join(now_ms)
-            case _Timer.PERIOD:
+            case Timer.PERIOD:
                 self._start_period(now_ms)
-            case _Timer.ACK_TIMEOUT:
+            case Timer.ACK_TIMEOUT:
                 self._send_indirect_pings(argument)
-            case _Timer.NACK:
+            case Timer.NACK:
                 self._send_nack(argument)
-            case _Timer.PROBE_END:
+            case Timer.PROBE_END:
                 self._end_probe(now_ms, argument)
-            case _Timer.SUSPICION:
+            case Timer.SUSPICION:
                 self._check_suspicion(now_ms, argument)
 
     def _join(self, now_ms: float) -> None:
@@ -177,13 +151,13 @@
             return
         for number in self._rng.sample(self.peers, min(JOIN_SEEDS, len(self.peers))):
             self._send(number, MessageKind.JOIN, rows=[self.rows[self.number]])
-        self._set_timer(now_ms + JOIN_RETRY_MS * (0.5 + self._rng.random()), _Timer.JOIN)
+        self._timers.set(now_ms + JOIN_RETRY_MS * (0.5 + self._rng.random()), Timer.JOIN)
 
     def _start_period(self, now_ms: float) -> None:
         """Probe the next member; a slow instance does so less often and allows more time."""
         self._periods += 1
         period_ms = self.period_ms * (1 + self.awareness)
-        self._set_timer(now_ms + period_ms, _Timer.PERIOD)
+        self._timers.set(now_ms + period_ms, Timer.PERIOD)
         if self._periods % SYNC_PERIODS == 0:
             self._request_rows()
         if self._periods % DEAD_PROBE_PERIODS == 0:
@@ -193,8 +167,8 @@
             self._change_awareness(-1)  # an instance that knows nobody must not probe ever less often
             return
         sequence = self._ping(Probe(number))
-        self._set_timer(now_ms + ACK_TIMEOUT_FRACTION * period_ms, _Timer.ACK_TIMEOUT, sequence)
-        self._set_timer(now_ms + period_ms, _Timer.PROBE_END, sequence)
+        self._timers.set(now_ms + ACK_TIMEOUT_FRACTION * period_ms, Timer.ACK_TIMEOUT, sequence)
+        self._timers.set(now_ms + period_ms, Timer.PROBE_END, sequence)
 
     def _is_alive(self, number: int) -> bool:
         return self.rows[number].status <= MemberStatus.SUSPECT
@@ -251,8 +225,7 @@
         row = self.rows.get(probe.number)
         if row is not None and row.status is MemberStatus.ALIVE:
             self.counts["suspected"] += 1
-            suspect = MemberRow(row.number, row.process_incarnation, row.swim_incarnation, MemberStatus.SUSPECT)
-            self._merge(now_ms, suspect, self.number)
+            self._merge(now_ms, row.with_status(MemberStatus.SUSPECT), self.number)
 
     def _check_suspicion(self, now_ms: float, number: int) -> None:
         """Declare a suspect member dead once its time to refute is over."""
@@ -261,12 +234,10 @@
             return
         expires_ms = suspicion.started_ms + self._suspicion_timeout_ms(suspicion.confirmations)
         if now_ms < expires_ms:
-            self._set_timer(expires_ms, _Timer.SUSPICION, number)
+            self._timers.set(expires_ms, Timer.SUSPICION, number)
             return
-        row = suspicion.row
         self.counts["out"] += 1
-        dead = MemberRow(number, row.process_incarnation, row.swim_incarnation, MemberStatus.DEAD)
-        self._merge(now_ms, dead, self.number)
+        self._merge(now_ms, suspicion.row.with_status(MemberStatus.DEAD), self.number)
 
     def _suspicion_timeout_ms(self, confirmations: int) -> float:
         return suspicion_timeout_ms(self.period_ms, len(self.rows), confirmations, self.awareness)
@@ -319,7 +290,7 @@
             return
         sequence = self._ping(Probe(message.subject, sender, message.sequence))
         timeout_ms = NACK_TIMEOUT_FRACTION * ACK_TIMEOUT_FRACTION * self.period_ms
-        self._set_timer(now_ms + timeout_ms, _Timer.NACK, sequence)
+        self._timers.set(now_ms + timeout_ms, Timer.NACK, sequence)
 
     def _on_nack(self, message: MembershipMessage) -> None:
         probe = self._probes.get(message.sequence)
@@ -347,7 +318,7 @@
         self._suspicions.pop(row.number, None)
         if row.status is MemberStatus.SUSPECT:
             self._suspicions[row.number] = Suspicion(row, now_ms, {sender})
-            self._set_timer(now_ms + self._suspicion_timeout_ms(0), _Timer.SUSPICION, row.number)
+            self._timers.set(now_ms + self._suspicion_timeout_ms(0), Timer.SUSPICION, row.number)
         if known is None or (known.process_incarnation, known.status) != (row.process_incarnation, row.status):
             self.changes.append(MemberChange(row, known))
 
@@ -360,7 +331,7 @@
         if suspicion.confirmations <= MAX_CONFIRMATIONS:
             self._dissemination.spread(row.number)
             expires_ms = suspicion.started_ms + self._suspicion_timeout_ms(suspicion.confirmations)
-            self._set_timer(max(now_ms, expires_ms), _Timer.SUSPICION, row.number)
+            self._timers.set(max(now_ms, expires_ms), Timer.SUSPICION, row.number)
 
     def _merge_local(self, row: MemberRow) -> None:
         """Refute what others report of the local member, by a greater SWIM incarnation."""
--- /dev/null
+++ b/anisefront/cluster/membership_timers.py
@@ -0,0 +1,44 @@
+"""Timers of the membership protocol, in the order in which they are due."""
+
+from __future__ import annotations
+
+import heapq
+import math
+from collections.abc import Iterator
+from enum import Enum, auto
+
+
+class Timer(Enum):
+    """What a timer is for."""
+
+    JOIN = auto()
+    PERIOD = auto()
+    ACK_TIMEOUT = auto()  # argument: sequence number of the probe
+    NACK = auto()  # the same
+    PROBE_END = auto()  # the same
+    SUSPICION = auto()  # argument: number of the suspect member
+
+
+class MembershipTimers:
+    """Pending timers; those of one time are due in the order in which they were set."""
+
+    def __init__(self) -> None:
+        """Initialize without any timer."""
+        self._pending: list[tuple[float, int, Timer, int]] = []
+        self._serial = 0
+
+    def set(self, at_ms: float, timer: Timer, argument: int = -1) -> None:
+        """Set a timer."""
+        self._serial += 1
+        heapq.heappush(self._pending, (at_ms, self._serial, timer, argument))
+
+    def expired(self, now_ms: float) -> Iterator[tuple[Timer, int]]:
+        """Remove and yield the timers that are due with their arguments, also those that come due meanwhile."""
+        while self._pending and self._pending[0][0] <= now_ms:
+            _, _, timer, argument = heapq.heappop(self._pending)
+            yield timer, argument
+
+    @property
+    def next_ms(self) -> float:
+        """Time of the next timer; infinite without one."""
+        return self._pending[0][0] if self._pending else math.inf
--- a/anisefront/cluster/primary.py
+++ b/anisefront/cluster/primary.py
@@ -15,19 +15,13 @@
 from __future__ import annotations
 
 from collections import Counter
-from dataclasses import dataclass, field, replace
+from dataclasses import replace
 
 from anisefront.cluster.backup_selection import BackupSelector, Replica, placement_hash, slot_of
 from anisefront.cluster.epoch_log import RETRY_MS, EpochLog
 from anisefront.cluster.epoch_sender import EpochSender
-from anisefront.cluster.replication_actions import (
-    Action,
-    DeliverRejection,
-    LoseOwnership,
-    ReplicationUnavailable,
-    StartAttempt,
-    YieldToDuplicate,
-)
+from anisefront.cluster.local_requests import LocalRequest, LocalRequests
+from anisefront.cluster.replication_actions import Action
 from anisefront.cluster.replication_messages import (
     NO_IDENTITY,
     Accepted,
@@ -48,32 +42,6 @@
 BACKUP_TIMEOUT_MS = 150.0  # without an acknowledgement for so long another backup is chosen
 
 
-@dataclass(slots=True, eq=False)
-class _LocalRequest:
-    """A request of ours that was replicated.
-
-    Attributes:
-        attempts: Endpoints of the attempts that are not proved never to have executed, by number of the attempt.
-        awaiting_ack: Attempts that start when the backup has acknowledged them.
-        rejection_pending: Whether its rejection is delivered when the backup has acknowledged it.
-        lost: Whether another instance owns it: no further attempt starts here.
-    """
-
-    accepted: Accepted
-    slot: int
-    deadline_ms: float
-    epoch: int = 0
-    attempts: dict[int, str] = field(default_factory=dict)
-    awaiting_ack: set[int] = field(default_factory=set)
-    rejection_pending: bool = False
-    lost: bool = False
-
-    @property
-    def has_identity(self) -> bool:
-        """Whether a client's retry of it can be recognized."""
-        return self.accepted.identity != NO_IDENTITY
-
-
 class Primary:
     """The requests that one process incarnation of an instance replicates to others."""
 
@@ -81,10 +49,9 @@
         """Initialize without any request; `local` is this instance, `lease_ms` the lease at its backups."""
         self.local = local
         self.counts: Counter[str] = Counter()
-        self._requests: dict[int, _LocalRequest] = {}
         self._selector = BackupSelector(local)
         self._sender = EpochSender(lease_ms)
-        self._actions: list[Action] = []
+        self._requests = LocalRequests(self._sender, self.counts)
 
     def __len__(self) -> int:
         """Return the number of replicated requests."""
@@ -92,9 +59,7 @@
 
     def take_actions(self) -> list[Action]:
         """Return the actions to carry out, and keep none."""
-        actions = [*self._sender.take_messages(), *self._actions]
-        self._actions = []
-        return actions
+        return [*self._sender.take_messages(), *self._requests.take_actions()]
 
     # ---- requests --------------------------------------------------------------------------------
 
@@ -106,7 +71,7 @@
         if log is None:
             return False
         deadline_ms = now_ms + accepted.remaining_ms
-        self._requests[accepted.request] = _LocalRequest(accepted, slot, deadline_ms, log.epoch)
+        self._requests.add(LocalRequest(accepted, slot, deadline_ms, log.epoch))
         self._sender.add_request(now_ms, log, accepted)
         return True
 
@@ -160,7 +125,7 @@
 
     def complete(self, now_ms: float, request: int) -> None:
         """Record that a request has its final response; the backup is notified with the next entries."""
-        local = self._requests.pop(request, None)
+        local = self._requests.remove(request)
         if local is None:
             return
         log = self._sender.logs.get(local.epoch)
@@ -173,7 +138,7 @@
             self._append(local, Completed(request), immediately=has_waiting_retry)
         self._sender.close_if_finished(log)
 
-    def _append(self, local: _LocalRequest, entry: LogEntry, immediately: bool = True) -> None:
+    def _append(self, local: LocalRequest, entry: LogEntry, immediately: bool = True) -> None:
         log = self._sender.logs.get(local.epoch)
         if log is not None and not log.releasing:
             self._sender.append(log, entry, immediately)
@@ -258,13 +223,13 @@
         local = self._requests[request]
         self._sender.logs[local.epoch].requests.discard(request)
         if local.rejection_pending:  # no backup knows of it any more
-            self._deliver_rejection(request)
+            self._requests.deliver_rejection(request)
             return
         log = self._choose_log(now_ms, local.slot, local.has_identity)
         if log is None:
             local.epoch = 0
             self.counts["unprotected_since"] += 1
-            self._start_awaiting(local)
+            self._requests.start_awaiting(local)
             return
         local.epoch = log.epoch
         remaining_ms = max(0, int(local.deadline_ms - now_ms))
@@ -272,15 +237,6 @@
         for attempt, endpoint in sorted(local.attempts.items()):
             self._sender.append(log, AttemptStarted(request, attempt, endpoint, attempt in local.awaiting_ack))
 
-    def _start_awaiting(self, local: _LocalRequest) -> None:
-        request = local.accepted.request
-        self._actions += [StartAttempt(request, attempt) for attempt in sorted(local.awaiting_ack)]
-        local.awaiting_ack.clear()
-
-    def _deliver_rejection(self, request: int) -> None:
-        del self._requests[request]
-        self._actions.append(DeliverRejection(request))
-
     # ---- messages --------------------------------------------------------------------------------
 
     def receive(self, now_ms: float, sender: int, sender_incarnation: int, message: Message) -> None:
@@ -300,11 +256,11 @@
             case AppendAck():
                 self._on_ack(now_ms, log, message.last_sequence)
             case EpochFenced():
-                self._lose_epoch(log)
+                self._requests.lose_epoch(log)
             case InProgressElsewhere() if message.request in log.requests:
-                self._on_duplicate(log, message.request)
+                self._requests.on_duplicate(log, message.request)
             case BackupFull() if message.request in log.requests:
-                self._on_backup_full(now_ms, log, message.request)
+                self._requests.on_backup_full(now_ms, log, message.request)
 
     def _on_decision(self, now_ms: float, sender: int, sender_incarnation: int, message: EpochDecision) -> None:
         log = self._sender.logs.get(message.epoch)
@@ -316,7 +272,7 @@
         if not log.releasing:
             return
         if message.claimed:
-            self._lose_epoch(log)
+            self._requests.lose_epoch(log)
             return
         for request in sorted(log.requests):
             self._move(now_ms, request)
@@ -326,71 +282,13 @@
         progressed = False
         for entry in log.acknowledge(last_sequence):
             progressed = True
-            self._on_entry_acknowledged(log, entry)
+            self._requests.on_entry_acknowledged(log, entry)
         if progressed or not log.entries:
             log.heartbeat_unacknowledged = False
             log.restart_retries(now_ms)
             self._selector.mark_responsive(log.backup.number)
         self._sender.close_if_finished(log)
 
-    def _on_entry_acknowledged(self, log: EpochLog, entry: LogEntry) -> None:
-        local = self._requests.get(entry.request)
-        if local is None or local.epoch != log.epoch:
-            return
-        if isinstance(entry, AttemptStarted) and entry.attempt in local.awaiting_ack:
-            local.awaiting_ack.discard(entry.attempt)
-            self._actions.append(StartAttempt(entry.request, entry.attempt))
-        elif isinstance(entry, Completed) and local.rejection_pending:
-            log.requests.discard(entry.request)
-            self._deliver_rejection(entry.request)
-
-    def _on_duplicate(self, log: EpochLog, request: int) -> None:
-        """Yield to another request of this identity; the entries behind this one continue without it."""
-        local = self._withdraw(log, request)
-        local.lost = True
-        self.counts["names_elsewhere"] += 1
-        # Attempts that await their acknowledgement have not started. The response of one that has may still come.
-        if local.attempts.keys() - local.awaiting_ack:
-            self._actions.append(LoseOwnership(request))
-        else:
-            self._actions.append(YieldToDuplicate(request, log.backup.number))
-        local.awaiting_ack.clear()
-
-    def _on_backup_full(self, now_ms: float, log: EpochLog, request: int) -> None:
-        """Continue without a backup: it does not know of the request, so nobody takes it over."""
-        local = self._withdraw(log, request)
-        log.waiting_since_ms = now_ms  # the backup responds
-        self.counts["unprotected_full"] += 1
-        if local.rejection_pending:
-            self._deliver_rejection(request)
-            return
-        self._actions.append(ReplicationUnavailable(request))
-        self._start_awaiting(local)
-
-    def _withdraw(self, log: EpochLog, request: int) -> _LocalRequest:
-        local = self._requests[request]
-        local.epoch = 0
-        log.requests.discard(request)
-        log.withdraw(request)
-        self._sender.mark_unsent(log)
-        return local
-
-    def _lose_epoch(self, log: EpochLog) -> None:
-        """Give up an epoch that its backup has claimed; idempotent requests continue here all the same."""
-        for request in sorted(log.requests):
-            local = self._requests[request]
-            local.epoch = 0
-            local.lost = local.accepted.requires_ack
-            if local.lost:
-                local.awaiting_ack.clear()
-                self._actions.append(LoseOwnership(request))
-        self.counts["epochs_lost"] += 1
-        log.requests.clear()
-        log.entries.clear()
-        log.deferred.clear()
-        self._sender.retire(log)
-        self._sender.close(log)
-
     # ---- timers ----------------------------------------------------------------------------------
 
     def flush(self, now_ms: float) -> None:
--- a/anisefront/daemon/membership_service.py
+++ b/anisefront/daemon/membership_service.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from anisefront.cluster.member_state import MemberStatus
-from anisefront.cluster.membership import MemberChange, Membership
+from anisefront.cluster.member_state import MemberChange, MemberStatus
+from anisefront.cluster.membership import Membership
 
 STALL_FRACTION = 0.25  # of a period: a timer that is so late means a process stall
 MAX_DEFERRALS = 3  # event loop iterations until the sockets have been read
--- a/anisefront/daemon/replication.py
+++ b/anisefront/daemon/replication.py
@@ -13,8 +13,8 @@
 from anisefront.cluster.backup import Backup
 from anisefront.cluster.backup_selection import Replica
 from anisefront.cluster.backup_state import ReplicatedRequest
-from anisefront.cluster.member_state import MemberStatus
-from anisefront.cluster.membership import MemberChange, Membership
+from anisefront.cluster.member_state import MemberChange, MemberStatus
+from anisefront.cluster.membership import Membership
 from anisefront.cluster.primary import Primary
 from anisefront.cluster.replication_codec import MAX_RECORD_BYTES, decode, encode
 from anisefront.cluster.replication_messages import NO_IDENTITY, Accepted, Outcome, OutcomeQuery, OutcomeReply
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -147,7 +147,7 @@
                 self.house.clock(),
                 [(rows[0].number, rows[0].process_incarnation, _ROWS + encode_rows(rows[at : at + MAX_ROWS]))],
             )
-        known._told.clear()
+        known._dissemination.clear()
         known.changes.clear()
 
     def clients(self) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,8 +7,16 @@
 from membership_net import PERIOD, Net
 
 from anisefront.cluster import membership
-from anisefront.cluster.member_state import ROW_FORMAT, MemberRow, MemberStatus, decode_rows, encode_rows, supersedes
-from anisefront.cluster.membership import MemberChange, Membership
+from anisefront.cluster.member_state import (
+    ROW_FORMAT,
+    MemberChange,
+    MemberRow,
+    MemberStatus,
+    decode_rows,
+    encode_rows,
+    supersedes,
+)
+from anisefront.cluster.membership import Membership
 from anisefront.cluster.membership_messages import MARK
 
 
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -1051,7 +1051,7 @@
             CALL | {"headers": {"x-api-key": "stall-7", "x-idempotency-key": f"key-{number}"}}, lambda answer: None
         )
     made.proxied.ask_again("x", lambda answer: None)
-    made.keepers.on_member_changes([membership.MemberChange(_row(1, life, 0, 0), None)])
+    made.keepers.on_member_changes([member_state.MemberChange(_row(1, life, 0, 0), None)])
     reactor.advance(0.2)
     return made.state()
 
