--- a/tests/test_kill_points.py
+++ b/tests/test_kill_points.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(("path", "final"), [("/pay", "failed"), ("/order", "served"), ("/look", "served")])
-@pytest.mark.parametrize("line", [("core.ledger", "Ledger", "outcome"), ("carriers.own", "Own", "served")])
+@pytest.mark.parametrize("line", [("gateway.ledger", "Ledger", "outcome"), ("upstream.own", "Own", "served")])
 def test_killed_after_the_worker_ran_and_before_its_client_has_the_answer(hands, line, path, final):
     """As the answer is read, and after it was read and told the module: in both the client has nothing."""
     dying(hands, *line)
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize(("path", "final"), [("/pay", "failed"), ("/order", "served")])
 def test_killed_after_the_keepers_word_and_before_the_attempt_leaves(hands, path, final):
     """The keeper knows of an attempt that never left: an unsafe one is failed, the side to err on."""
-    dying(hands, "core.ledger", "Ledger", "go")
+    dying(hands, "gateway.ledger", "Ledger", "go")
     first = hands.call(0, path, "a")
     assert first.final() == "gone"
     hands.fleet.up.pop(0).process.wait()
