--- a/anisefront/daemon/authenticated_datagrams.py
+++ b/anisefront/daemon/authenticated_datagrams.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Mapping
 
-from anisefront.cluster.datagrams import Seal
+from anisefront.cluster.datagrams import DatagramAuthenticator
 from anisefront.config.types import Address
 from anisefront.daemon.peer_port import PeerAddress, ReceivedMessage
 
@@ -17,7 +17,7 @@
     undeliverable_key = "no_address"
     sent_key = None
 
-    def __init__(self, seal: Seal, peers: Mapping[int, Address]) -> None:
+    def __init__(self, seal: DatagramAuthenticator, peers: Mapping[int, Address]) -> None:
         """Use this authentication; `peers` holds the addresses by number."""
         self._seal = seal
         self._peers = peers
--- a/anisefront/daemon/endpoint_file.py
+++ b/anisefront/daemon/endpoint_file.py
@@ -8,7 +8,7 @@
 
 from twisted.internet import task
 
-from anisefront.cluster import roster
+from anisefront.cluster import endpoint_file
 from anisefront.policy.events import EndpointList
 
 if TYPE_CHECKING:
@@ -54,9 +54,9 @@
             if version == self._version:
                 return
             with open(self._path, "rb") as file:
-                text = file.read(roster.MOST_BYTES + 1)
-            endpoints = roster.parse(text)
-        except (OSError, roster.RosterFault) as problem:
+                text = file.read(endpoint_file.MAX_FILE_BYTES + 1)
+            endpoints = endpoint_file.parse(text)
+        except (OSError, endpoint_file.EndpointFileError) as problem:
             self._reject(str(problem))
             return
         self._version = version
--- a/anisefront/daemon/gateway_instance.py
+++ b/anisefront/daemon/gateway_instance.py
@@ -13,8 +13,8 @@
 import structlog
 from twisted.internet import defer, task
 
-from anisefront.cluster import keeping, membership
-from anisefront.cluster.datagrams import Seal
+from anisefront.cluster import membership_messages, replication_codec
+from anisefront.cluster.datagrams import DatagramAuthenticator
 from anisefront.config.types import Config
 from anisefront.daemon.authenticated_datagrams import AuthenticatedDatagrams
 from anisefront.daemon.clock import Clock
@@ -22,12 +22,12 @@
 from anisefront.daemon.drain import Drain
 from anisefront.daemon.endpoint_file import EndpointFile
 from anisefront.daemon.event_loop_monitor import EventLoopMonitor
-from anisefront.daemon.keepers import Keepers
 from anisefront.daemon.listeners import listen_tcp, stop_listening
-from anisefront.daemon.members import Members
+from anisefront.daemon.membership_service import MembershipService
 from anisefront.daemon.memory_purposes import memory_report
 from anisefront.daemon.peer_port import MAX_DATAGRAM_BYTES, PeerPort
 from anisefront.daemon.recorder import Recorder
+from anisefront.daemon.replication import ReplicationService
 from anisefront.daemon.report_document import to_document
 from anisefront.daemon.request_table import create_request_table
 from anisefront.daemon.settings_source import SettingsSource
@@ -50,8 +50,8 @@
 FINAL_READS = 3  # event loop iterations at the end of the drain that read what clients have sent
 FINAL_READ_INTERVAL_S = 0.01
 FINAL_WRITE_S = 0.05  # for the last answers
-MEMBERSHIP_MARK = bytes((membership.MARK,))
-REPLICATION_MARK = bytes((keeping.MARK,))
+MEMBERSHIP_MARK = bytes((membership_messages.MARK,))
+REPLICATION_MARK = bytes((replication_codec.MARK,))
 SERVICES = ("envoy.service.auth.v3.Authorization", "envoy.service.accesslog.v3.AccessLogService")
 
 
@@ -113,14 +113,14 @@
     def _connect_peers(self, config: Config, seed: int) -> None:
         """Create the peer port, and the membership if it is enabled."""
         self.peer_port: PeerPort | None = None
-        self.members: Members | None = None
+        self.members: MembershipService | None = None
         if config.peers_listen is None:
             return
         number = config.settings.number
-        self.seal = Seal(config.secret, number, self.process_incarnation)
+        self.seal = DatagramAuthenticator(config.secret, number, self.process_incarnation)
         self.peer_port = PeerPort(AuthenticatedDatagrams(self.seal, config.peers), self._on_peer_message)
         if config.members_ms:
-            self.members = Members(
+            self.members = MembershipService(
                 self.reactor,
                 self.clock,
                 self.peer_port.send,
@@ -135,7 +135,7 @@
     def _create_upstreams(self, config: Config) -> None:
         """Create both ways of carrying attempts out: delegated to the proxy, and over our own connections."""
         if self.members is not None:
-            self.members.tell_gone = self.request_table.set_unreachable_peers
+            self.members.on_unavailable = self.request_table.set_unreachable_peers
         self.proxied = DelegatedRequests(self.request_table, self.reactor, self.incarnation, _delegation_limits(config))
         self.pool = ConnectionPool(self.reactor)
         self.own = DirectRequests(self.request_table, self.pool, self.incarnation, config.settings.load_report_fields)
@@ -155,10 +155,10 @@
 
     def _replicate_requests(self, config: Config) -> None:
         """Replicate requests to peers if that is enabled; it needs the membership."""
-        self.keepers: Keepers | None = None
+        self.keepers: ReplicationService | None = None
         if self.members is None or not config.lease_ms:
             return
-        self.keepers = Keepers(
+        self.keepers = ReplicationService(
             self.reactor,
             self.clock,
             self.peer_port.send,
@@ -168,7 +168,7 @@
             self.members.membership,
         )
         self.keepers.attach(self.request_table, self.own, self.proxied)
-        self.members.listener = self.keepers.members
+        self.members.on_changes = self.keepers.on_member_changes
 
     def _record_events(self, config: Config) -> None:
         """Record events and actions if that is enabled."""
@@ -228,7 +228,7 @@
         if config.settings != before.settings:
             self.request_table.change_settings(config.settings)
         if self.keepers is not None:
-            self.keepers.change(config)
+            self.keepers.update_config(config)
         self.reactor.callLater(0, self.collector.settle)
 
     # ---- service -------------------------------------------------------------------------------
@@ -272,10 +272,10 @@
         mark = data[:1]
         if mark == MEMBERSHIP_MARK:
             if self.members is not None:
-                self.members.hear(sender, self.seal.peers[sender].incarnation, data)
+                self.members.receive(sender, self.seal.peers[sender].process_incarnation, data)
         elif mark == REPLICATION_MARK:
             if self.keepers is not None:
-                self.keepers.hear(sender, self.seal.peers[sender].incarnation, data)
+                self.keepers.receive(sender, self.seal.peers[sender].process_incarnation, data)
         else:
             self.request_table.receive_peer_message(sender, data)
 
@@ -329,7 +329,7 @@
         """End the drain: all requests are answered or handed over, and peers are notified."""
         self.log.info("drained", left_open=self.request_table.open_requests)
         if self.keepers is not None:
-            self.keepers.leave()
+            self.keepers.stop()
         else:  # no peer continues open requests
             self.request_table.fail_open_requests()
         if self.members is not None:
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -23,7 +23,7 @@
     from anisefront.config.reading import Outcome
     from anisefront.daemon.collector import Collector
     from anisefront.daemon.settings_source import SettingsSource
-    from anisefront.gateway.ledger import Ledger
+    from anisefront.gateway.request_table import RequestTable
 
 SETTLE_S = 0.002  # between the work of the start and listening, so that the event loop waits once
 FAULT_WRITE_S = 0.2  # for the answers after a fault of the controller
@@ -48,7 +48,7 @@
 class Instance(Protocol):
     """What the process needs of a gateway instance."""
 
-    ledger: Ledger
+    request_table: RequestTable
     collector: Collector
 
     def start(self) -> dict[str, Any]:
--- a/tests/test_instance_wiring.py
+++ b/tests/test_instance_wiring.py
@@ -6,7 +6,7 @@
 import pytest
 from twisted.internet.task import Clock
 
-from anisefront.cluster.datagrams import Seal
+from anisefront.cluster.datagrams import DatagramAuthenticator
 from anisefront.config.types import Address
 from anisefront.daemon.authenticated_datagrams import AuthenticatedDatagrams
 from anisefront.daemon.drain import POLL_INTERVAL_S, Drain
@@ -22,7 +22,7 @@
 
 def authenticated(number):
     peers = {other: Address(*ADDRESSES[other]) for other in range(2) if other != number}
-    return AuthenticatedDatagrams(Seal(SECRET, number, 1), peers)
+    return AuthenticatedDatagrams(DatagramAuthenticator(SECRET, number, 1), peers)
 
 
 def bare(number):
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -20,7 +20,7 @@
 from anisefront.daemon.gateway_instance import GatewayInstance
 from anisefront.daemon.reload_scheduler import Phase, ReloadScheduler
 from anisefront.daemon.settings_source import SettingsSource
-from anisefront.cluster.keeping import Word
+from anisefront.cluster import replication_messages
 from anisefront.policy.events import Arrival
 
 # ---- every order, on files in memory ------------------------------------------------------------------
@@ -457,7 +457,7 @@
     assert keepers.try_protect(entry)
     made.path.write_text(made.path.read_text().replace("repeat unsafe", "repeat safe"))
     assert made.change()["version"] == 2
-    name = next(iter(keepers._numbers))
-    keepers._turned[name] = {1}
+    name = next(iter(keepers.duplicates._request_numbers))
+    keepers.duplicates._waiting_instances[name] = {1}
     keepers.request_completed(1)
-    assert keepers._words[name] is Word.MAY_HAVE_RUN
+    assert keepers.duplicates._outcomes[name] is replication_messages.Outcome.MAY_HAVE_EXECUTED
