--- a/anisefront/cluster/backup_selection.py
+++ b/anisefront/cluster/backup_selection.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 SLOTS = 64
-SLOW_BACKUP_MS = 5000.0  # a backup that timed out is not chosen for so long while there are others
+UNRESPONSIVE_MS = 5000.0  # a backup that timed out is not chosen for so long while there are others
 
 
 class Replica(NamedTuple):
@@ -38,7 +38,7 @@
         """Initialize without any other member than `local`, which is never chosen."""
         self._local = local
         self._members: dict[int, Replica] = {}
-        self._slow_until_ms: dict[int, float] = {}
+        self._unresponsive_until_ms: dict[int, float] = {}
         self._rankings: dict[tuple[int, str, int], list[Replica]] = {}  # cached until the members change
 
     def update_members(self, members: dict[int, Replica]) -> None:
@@ -50,13 +50,13 @@
         """Return whether another member than this one is live."""
         return any(member != number for member in self._members)
 
-    def mark_slow(self, now_ms: float, number: int) -> None:
+    def mark_unresponsive(self, now_ms: float, number: int) -> None:
         """Avoid a member that did not acknowledge in time."""
-        self._slow_until_ms[number] = now_ms + SLOW_BACKUP_MS
+        self._unresponsive_until_ms[number] = now_ms + UNRESPONSIVE_MS
 
     def mark_responsive(self, number: int) -> None:
         """Stop avoiding a member that acknowledges again."""
-        self._slow_until_ms.pop(number, None)
+        self._unresponsive_until_ms.pop(number, None)
 
     def candidates(self, now_ms: float, slot: int, has_identity: bool) -> list[Replica]:
         """Return the possible backups of a slot, the preferred one first.
@@ -65,9 +65,9 @@
         considered only where there is no identity.
         """
         ranking = self.ranking(slot, "" if has_identity else self._local.zone, self._local.number)
-        if not self._slow_until_ms:
+        if not self._unresponsive_until_ms:
             return ranking
-        responsive = [member for member in ranking if self._slow_until_ms.get(member.number, 0.0) <= now_ms]
+        responsive = [member for member in ranking if self._unresponsive_until_ms.get(member.number, 0.0) <= now_ms]
         return responsive or ranking
 
     def witness_for(self, backup: Replica) -> Replica | None:
@@ -81,10 +81,10 @@
         if cached is not None:
             return cached
 
-        def rank(member: Replica) -> tuple[bool, bytes]:
+        def _order(member: Replica) -> tuple[bool, bytes]:
             in_avoided_zone = bool(avoided_zone) and member.zone == avoided_zone
             return in_avoided_zone, placement_hash(slot, member.number)
 
-        ranking = sorted((member for member in self._members.values() if member.number != excluded), key=rank)
+        ranking = sorted((member for member in self._members.values() if member.number != excluded), key=_order)
         self._rankings[slot, avoided_zone, excluded] = ranking
         return ranking
--- a/anisefront/cluster/primary.py
+++ b/anisefront/cluster/primary.py
@@ -320,7 +320,7 @@
         """Resend unacknowledged entries, or choose another backup after the timeout."""
         has_alternative = self._selector.has_alternative_to(log.backup.number)
         if has_alternative and now_ms - log.waiting_since_ms >= BACKUP_TIMEOUT_MS:
-            self._selector.mark_slow(now_ms, log.backup.number)
+            self._selector.mark_unresponsive(now_ms, log.backup.number)
             self._release(now_ms, log)
             return
         if not has_alternative:
