--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -266,7 +266,10 @@
 
 def test_two_signals_to_end_in_one_turn_are_one(house):  # noqa: F811
     worker = house(Worker(work_s=0.5))
-    prelude = "from anisefront.resp_gateway import front\nbefore(front.Client, '_ask', signal.SIGTERM, signal.SIGTERM)"
+    prelude = (
+        "from anisefront.resp_gateway.client_connection import ClientConnection\n"
+        "before(ClientConnection, '_handle_request', signal.SIGTERM, signal.SIGTERM)"
+    )
     rows = [row("s1", worker.address)]
     made = type("Made", (Staged,), {"prelude": prelude})
     node = house(made(house.folder, house(Discovery(*rows)).address, *rows))
