--- a/anisefront/policy/endpoint_selection.py
+++ b/anisefront/policy/endpoint_selection.py
@@ -20,7 +20,8 @@
 MIN_CHOICES = 2.0  # endpoints that are compared (power of d choices)
 CHOICES_PER_ATTEMPT = 4.0  # additional ones, for each attempt a second and endpoint that is started here
 REPORT_TIME_CONSTANT_MS = 300.0  # in which a reported load turns into the mean of all reports
-MIN_REPORT_EXPONENT = -50.0  # for endpoints without a report, whose report time is minus infinity
+MIN_EXPONENT = -50.0  # of the decay of a report, for endpoints whose last one came at minus infinity
+MIN_FRESHNESS = math.exp(MIN_EXPONENT)
 FAILURE_PENALTY = 200.0  # of the squared failure fraction: one failure decays soon, a row of them does not
 NON_IDEMPOTENT_PENALTY = 2 * FAILURE_PENALTY  # a failure of such a request cannot be retried
 MIN_WEIGHT = 0.01
@@ -116,7 +117,8 @@
         best_cost = math.inf
         for state in candidates:
             # An old report is no sign of an idle endpoint, so what was reported turns into the mean.
-            freshness = math.exp(max(MIN_REPORT_EXPONENT, (state.reported_ms - now_ms) / REPORT_TIME_CONSTANT_MS))
+            exponent = (state.reported_ms - now_ms) / REPORT_TIME_CONSTANT_MS
+            freshness = math.exp(exponent) if exponent > MIN_EXPONENT else MIN_FRESHNESS
             others_load = mean_others_load + (state.others_load - mean_others_load) * freshness
             health = state.health
             latency_ratio = 1.0 if health.latency_ratio == 1 else health.latency_ratio_at(now_ms)
