--- a/anisefront/daemon/logs.py
+++ b/anisefront/daemon/logs.py
@@ -3,12 +3,15 @@
 from __future__ import annotations
 
 import sys
+from typing import Any
 
 import structlog
 
+MAX_TRACE_CHARACTERS = 2000
+
 
 def set_up(level: str = "info") -> None:
-    """Log from `level` up, one JSON object a line."""
+    """Log entries of this level and above, one JSON object a line."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -23,17 +26,20 @@
 
 
 def follow_twisted() -> None:
-    """Exceptions that reach the event loop go to the same log: none may pass unseen."""
+    """Log exceptions that reach the event loop, which would otherwise go unnoticed."""
     from twisted.logger import globalLogPublisher
 
-    def observe(event: dict) -> None:
-        failure = event.get("log_failure")
-        if failure is not None:
-            structlog.get_logger().error(
-                "unhandled",
-                where=event.get("log_format", ""),
-                fault=failure.getErrorMessage(),
-                trace=failure.getTraceback()[-2000:],
-            )
-
-    globalLogPublisher.addObserver(observe)
+    globalLogPublisher.addObserver(_log_failure)
+
+
+def _log_failure(event: dict[str, Any]) -> None:
+    """Log the exception of a Twisted log event, if it has one."""
+    failure = event.get("log_failure")
+    if failure is None:
+        return
+    structlog.get_logger().error(
+        "unhandled",
+        where=event.get("log_format", ""),
+        fault=failure.getErrorMessage(),
+        trace=failure.getTraceback()[-MAX_TRACE_CHARACTERS:],
+    )
--- /dev/null
+++ b/anisefront/daemon/request_table.py
@@ -0,0 +1,52 @@
+"""Creation of the request table of a gateway instance with its controller and callbacks."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from anisefront.daemon.peer_port import PeerPort
+from anisefront.gateway.request_table import RequestTable
+from anisefront.policy.controller import Controller
+from anisefront.policy.settings import Settings
+
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+    from twisted.internet.interfaces import IReactorTime
+
+
+def create_request_table(
+    reactor: IReactorTime,
+    clock: Callable[[], float],
+    log: FilteringBoundLogger,
+    settings: Settings,
+    seed: int,
+    peer_port: PeerPort | None,
+    max_open: int,
+    on_fault: Callable[[Exception], None] | None,
+) -> RequestTable:
+    """Create the request table.
+
+    Args:
+        reactor: The event loop.
+        clock: Returns Unix milliseconds that never decrease.
+        log: Where exceptions of single actions are logged.
+        settings: The controller's settings.
+        seed: Of the controller's random draws.
+        peer_port: Sends messages to peers; without one they are dropped.
+        max_open: Requests that may be open at a time.
+        on_fault: Called if the controller itself raises.
+    """
+    return RequestTable(
+        Controller(settings, seed),
+        clock,
+        reactor,
+        peer_port.send if peer_port is not None else _drop_message,
+        max_open_requests=max_open,
+        on_controller_error=on_fault,
+        on_action_error=lambda problem: log.error("action_raised", exc_info=problem),
+    )
+
+
+def _drop_message(receiver: int, data: bytes) -> None:
+    """Drop a message: this gateway instance has no peers."""
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -80,7 +80,7 @@
         "gatekeeper",
         "settings, list of workers, members, requests in hand",
         "its clients' and workers' aside: those of the other roles",
-        "`daemon/gatekeeper.py`, `gateway/ledger.py`",
+        "`daemon/gateway_instance.py`, `gateway/request_table.py`",
     ),
     Role(
         "home of quotas",
@@ -100,14 +100,14 @@
         "who tells the list",
         "all workers, as one file",
         "the whole file after each change, to each gatekeeper",
-        "reading: `cluster/roster.py`, ten looks a second; on the platform `resp_gateway/watch.py`; "
+        "reading: `cluster/roster.py`, ten looks a second; on the platform `resp_gateway/discovery_watch.py`; "
         "bringing it to all: " + MISSING,
     ),
     Role(
         "who tells settings",
         "all settings, as files",
         "each change to each gatekeeper, and its word that it is in force",
-        "reading what changed: `config/reading.py`, `gateway/versions.py`, `daemon/reloader.py` at SIGHUP; "
+        "reading what changed: `config/reading.py`, `gateway/versions.py`, `daemon/reload_scheduler.py` at SIGHUP; "
         "bringing it to all, and knowing who has which version: " + MISSING,
     ),
     Role(
@@ -120,13 +120,13 @@
         "worker",
         "its connections",
         "requests, and the load that its answers tell",
-        "`upstream/pool.py`; which workers a gatekeeper knows: all of its pool; subsets: " + MISSING,
+        "`upstream/connection_pool.py`; which workers a gatekeeper knows: all of its pool; subsets: " + MISSING,
     ),
     Role(
         "client side",
         "a connection to a gatekeeper, its requests in hand",
         "its requests; a repeat where it is told to come again",
-        "`fronts/`, `upstream/returning.py`; which gatekeeper a client goes to is its proxy's matter",
+        "`fronts/`, `upstream/deduplication.py`; which gatekeeper a client goes to is its proxy's matter",
     ),
 )
 
@@ -311,7 +311,7 @@
     ),
     (
         "the parts of all files are gone through",
-        "`config/reading.py`, `gateway/tables.py`",
+        "`config/reading.py`, `gateway/route_table.py`",
         "files, each change of settings",
         "some ms in slices; what they hold is not looked at",
     ),
@@ -335,13 +335,13 @@
     ),
     (
         "idle connections are swept",
-        "`upstream/pool.py`, `_sweep`",
+        "`upstream/connection_pool.py`, `_sweep`",
         "workers with open connections, each sweep",
         "one timer for all costs less than one each",
     ),
     (
         "the longest idle connection is looked for",
-        "`upstream/pool.py`, `make_room`",
+        "`upstream/connection_pool.py`, `ensure_capacity`",
         "workers with open connections, each new one at the cap",
         "only where a cap is set",
     ),
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,7 +9,7 @@
 from test_core import Desk
 from test_path import Running, told
 
-from anisefront.daemon import reload
+from anisefront.daemon import immutable_settings
 from anisefront.policy.events import AttemptResult
 from anisefront.policy.settings import Idempotency, Plan, RequestClass
 
@@ -39,7 +39,7 @@
 )
 def test_what_may_change(old, new, said):
     before, after = found(GOOD).config, found(GOOD.replace(old, new, 1)).config
-    faults = reload.fixed(before, after)
+    faults = immutable_settings.rejected_changes(before, after)
     assert len(faults) == len(said) and all(word in fault for word, fault in zip(said, faults, strict=True)), faults
 
 
@@ -93,9 +93,9 @@
     for number in range(5):
         desk.ask(f"r{number}", kind="unsafe")
     assert len(desk.told) == 5
-    old = desk.ledger.controller.settings
+    old = desk.request_table.controller.settings
     kinds = tuple(RequestClass(kind.name, 500, 2000, 1.0, Idempotency.IDEMPOTENT) for kind in old.classes)
-    desk.ledger.change(
+    desk.request_table.change_settings(
         type(old)(
             **{name: getattr(old, name) for name in old.__slots__}
             | {"classes": kinds, "plans": (Plan("wide", 10, 50),)}
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -31,24 +31,30 @@
 from test_rules import settings
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from anisefront.upstream import own, proxied, returning
+from anisefront.upstream.deduplication import request_key
+from anisefront.gateway.request_terms import RequestTerms
+from anisefront.upstream.delegated_checks import CheckResponse, Verdict
+from anisefront.upstream.direct_requests import DirectRequest, DirectRequests, FinalResponse
 from anisefront.config.reading import Outcome as Reading
 from anisefront.config.types import Recording
-from anisefront.gateway.routing import Unmapped, first_gateway
-from anisefront.gateway.standing import Lag
-from anisefront.gateway.versions import at_once, next_steps
+from anisefront.gateway.routing import first_gateway
+from anisefront.gateway.errors import UnroutableRequestError
+from anisefront.gateway.event_loop_lag import LagHistogram
+from anisefront.gateway.steps import run_to_end
+from anisefront.gateway.versions import build_next_version
 from anisefront.daemon import keepers
-from anisefront.daemon.gatekeeper import Gatekeeper
+from anisefront.daemon.gateway_instance import GatewayInstance
 from anisefront.daemon.recorder import Recorder
 from anisefront.cluster import datagrams, keeping, members, membership
 from anisefront.cluster.keeper import Kept
 from anisefront.frontends import accesslog, authorization, health, jsonrpc
 from anisefront.frontends.grpcserver import GrpcFactory
-from anisefront.resp_gateway import resp, terms
-from anisefront.resp_gateway.carrier import FAILED, outcome, refusal
-from anisefront.resp_gateway.config import node_config
-from anisefront.resp_gateway.discovery import Book, WatchReader, watch_request
-from anisefront.resp_gateway.gatekeeper import NodeGatekeeper
+from anisefront.resp_gateway import command_mapping, resp_codec
+from anisefront.resp_gateway.resp_requests import FAILED_REPLY, classify_reply, encode_rejection
+from anisefront.resp_gateway.instance_config import parse_config
+from anisefront.resp_gateway.endpoint_changes import EndpointDirectory
+from anisefront.resp_gateway.watch_codec import WatchReader, encode_watch_request
+from anisefront.resp_gateway.instance import RespGatewayInstance
 from anisefront.policy import peer_codec
 from anisefront.protocols import grpc, http1, orca, trace
 from anisefront.protocols import jsonrpc as jsonrpc_wire
@@ -274,7 +280,7 @@
     return {name: Sample(lambda message=message: keeping.pack(message), read) for name, message in every.items()}
 
 
-def _gatekeeper(reactor: MemoryReactorClock | None = None, settings_more: str = "") -> Gatekeeper:
+def _gatekeeper(reactor: MemoryReactorClock | None = None, settings_more: str = "") -> GatewayInstance:
     more = (
         "members period 100ms\nkeepers lease 600ms\nseed 7\n"
         "class order aim 4s deadline 8s worth 2 repeat keyed window 20s\n" + settings_more
@@ -293,7 +299,9 @@
     reactor = reactor or MemoryReactorClock()
     read = Reading(config, (), (), "digest", (config.routes,))
     with mock.patch("secrets.token_hex", return_value=LIFE), mock.patch("secrets.randbits", return_value=7):
-        return Gatekeeper(at_once(next_steps(None, read)), reactor, lambda: 1e6 + reactor.seconds() * 1000)
+        return GatewayInstance(
+            run_to_end(build_next_version(None, read)), reactor, lambda: 1e6 + reactor.seconds() * 1000
+        )
 
 
 CALL = {
@@ -304,7 +312,7 @@
 }
 
 
-def _taken(ask: Callable[[Gatekeeper], Any]) -> Any:
+def _taken(ask: Callable[[GatewayInstance], Any]) -> Any:
     """What a peer would be told of a request that comes in."""
     made, out = _gatekeeper(), []
     made.keepers.origin.take = lambda now, taken: bool(out.append(taken)) or True
@@ -312,19 +320,23 @@
     return out[0]
 
 
-def _ask_own(made: Gatekeeper) -> None:
+def _ask_own(made: GatewayInstance) -> None:
     made.desk.ask(CALL, lambda answer: None)
 
 
-def _ask_proxied(made: Gatekeeper) -> None:
-    made.proxied.ask(
-        "request-1", lambda answer: None, "stall-7", "order", "wide", 1_004_000.0, 2.5, 1, 1, False, "h", "key-1"
+def _ask_proxied(made: GatewayInstance) -> None:
+    made.proxied.first_check(
+        "request-1",
+        lambda answer: None,
+        RequestTerms("stall-7", "order", "wide", 1_004_000.0, 2.5, 1, 1, False),
+        "h",
+        "key-1",
     )
 
 
 def _answer_read(data: bytes) -> Any:
     answer = keepers.read(data)
-    rest = [answer.worker, answer.attempts, answer.refused, answer.retry_after_ms, answer.reason]
+    rest = [answer.endpoint, answer.attempts, answer.is_rejected, answer.retry_after_ms, answer.reason]
     return [plain(answer.message), *rest]
 
 
@@ -335,13 +347,18 @@
     made.keepers._take_over(1, 101, kept)
     inherited = made.keepers._inherited.get(b"the name")
     if inherited is not None:
-        return [list(inherited.token), inherited.identity, list(inherited.terms), plain(inherited.sent)]
-    (entry,) = made.ledger.entries.values()
+        return [
+            list(inherited.origin),
+            inherited.identity,
+            list(dataclasses.astuple(inherited.terms))[:-1],
+            plain(inherited.uncertain_attempts),
+        ]
+    (entry,) = made.request_table.requests.values()
     a, past = entry.arrival, entry.arrival.prior_attempts
     return [
         [a.customer, a.class_name, a.plan_name, a.deadline_at_ms, a.units, a.first_gateway, a.spread],
         [past.attempts, past.uncertain, past.endpoint, past.started_ms, past.quota_debited],
-        [entry.work.kind, entry.work.identity, entry.work.data],
+        [entry.replica.kind, entry.replica.identity, entry.replica.data],
         b"the name" in made.keepers.returning,
     ]
 
@@ -367,18 +384,18 @@
             lambda data: plain(keeping.unpack(data)),
         )
     answers = {
-        "served": own.Answer(
-            message=http1.Message("", "", 201, {"a": "b"}, b"\0body", True), worker=WORKER, attempts=2
+        "served": FinalResponse(
+            message=http1.Message("", "", 201, {"a": "b"}, b"\0body", True), endpoint=WORKER, attempts=2
         ),
-        "refused": own.Answer(refused=True, retry_after_ms=250.0, reason="quota"),
-        "failed": own.Answer(reason="failed"),
+        "refused": FinalResponse(is_rejected=True, retry_after_ms=250.0, reason="quota"),
+        "failed": FinalResponse(reason="failed"),
     }
     out |= {
         f"answer, {name}": Sample(lambda answer=answer: keepers.written(answer), _answer_read)
         for name, answer in answers.items()
     }
-    job = own.Job("POST", "/order", {"x": "y"}, b"body")
-    out["name"] = Sample(lambda: returning.name_of("stall-7", "key-1", SECRET), bytes.hex)
+    job = DirectRequest("POST", "/order", {"x": "y"}, b"body")
+    out["name"] = Sample(lambda: request_key("stall-7", "key-1", SECRET), bytes.hex)
     out["mark of what is asked"] = Sample(lambda: keepers.mark_of(job), bytes.hex)
     out["first gateways"] = Sample(
         lambda: json.dumps([first_gateway(f"customer-{n}", SECRET, 1000) for n in range(8)]).encode(), json.loads
@@ -469,20 +486,24 @@
 
 
 def _commands(data: bytes) -> Any:
-    reader = resp.CommandReader()
-    return [plain(reader.feed(data)), reader.fault is None]
+    reader = resp_codec.CommandReader()
+    return [plain(reader.feed(data)), reader.error is None]
 
 
 def _wanted(data: bytes) -> Any:
-    (command,) = resp.CommandReader().feed(data)
-    wanted = terms.Reader(settings()).read(command)
+    (command,) = resp_codec.CommandReader().feed(data)
+    wanted = command_mapping.CommandMapper(settings()).to_request(command)
     return plain(wanted)
 
 
 def _answer(data: bytes) -> Any:
-    reader = resp.AnswerReader()
+    reader = resp_codec.WorkerReplyReader()
     answer = reader.feed(data)
-    return [plain(answer), plain(outcome(answer)), plain(terms.report_row(answer.report, ("util", "inflight")))]
+    return [
+        plain(answer),
+        plain(classify_reply(answer)),
+        plain(command_mapping.load_report_values(answer.load_report, ("util", "inflight"))),
+    ]
 
 
 def resp_samples() -> dict[str, Sample]:
@@ -515,7 +536,10 @@
     out = {f"to a client, {name}": Sample(lambda make=make: make()[1], bytes.hex) for name, make in client.items()}
     worker = {"asked": _f(ASK, action=go, worker=SERVED), "done": _f(DO, action=go, worker=SERVED)}
     out |= {f"to a worker, {name}": Sample(lambda make=make: make()[0], _wanted) for name, make in worker.items()}
-    out["commands"] = Sample(lambda: resp.command(ASK) + resp.command(DO) + resp.command([b"PING"]), _commands)
+    out["commands"] = Sample(
+        lambda: resp_codec.encode_command(ASK) + resp_codec.encode_command(DO) + resp_codec.encode_command([b"PING"]),
+        _commands,
+    )
     answers = {
         "served": SERVED,
         "busy": b"-BUSY util=0.5,inflight=3\r\n",
@@ -524,8 +548,10 @@
         "figures": b"*3\r\n$1\r\nx\r\n:5\r\n+util=1,inflight=2\r\n",
     }
     out |= {f"from a worker, {name}": Sample(lambda data=data: data, _answer) for name, data in answers.items()}
-    out["refusal"] = Sample(lambda: refusal(0.0) + refusal(0.2) + refusal(250.0) + FAILED, bytes.hex)
-    out["error of two lines"] = Sample(lambda: resp.error(b"ERR a\r\nb"), bytes.hex)
+    out["refusal"] = Sample(
+        lambda: encode_rejection(0.0) + encode_rejection(0.2) + encode_rejection(250.0) + FAILED_REPLY, bytes.hex
+    )
+    out["error of two lines"] = Sample(lambda: resp_codec.encode_error(b"ERR a\r\nb"), bytes.hex)
     return out
 
 
@@ -535,16 +561,25 @@
 
 def _told(data: bytes) -> Any:
     """What is known of the workers after the answer to a watch."""
-    reader, book, out = WatchReader(), Book(), []
+    reader, book, out = WatchReader(), EndpointDirectory(), []
     for told in reader.feed(data):
-        fleet, moved = book.apply(told)
-        out.append([book.index, plain(fleet), moved, {name: list(each.address) for name, each in book.entries.items()}])
+        applied = book.apply(told)
+        out.append(
+            [
+                book.version,
+                plain(applied.endpoints),
+                applied.replaced,
+                {name: list(each.address) for name, each in book.entries.items()},
+            ]
+        )
     return out
 
 
 def discovery_samples() -> dict[str, Sample]:
     """The request that opens a watch, and answers to it."""
-    request = Sample(lambda: watch_request(41, "127.0.0.1:8500"), lambda data: plain(http1.Reader(True).feed(data)[0]))
+    request = Sample(
+        lambda: encode_watch_request(41, "127.0.0.1:8500"), lambda data: plain(http1.Reader(True).feed(data)[0])
+    )
     lines = [
         json.dumps(each).encode() + b"\n"
         for each in (
@@ -561,12 +596,12 @@
 # ---- JSON-RPC, gRPC, HTTP ------------------------------------------------------------------------
 
 OWN_ANSWERS = {
-    "served": own.Answer(
+    "served": FinalResponse(
         http1.Message("", "", 200, {"content-type": "text/plain"}, "gr\u00fc\u00df".encode(), True), WORKER, 2
     ),
-    "served bytes": own.Answer(http1.Message("", "", 500, {}, b"\xff\0", True), WORKER, 1),
+    "served bytes": FinalResponse(http1.Message("", "", 500, {}, b"\xff\0", True), WORKER, 1),
     **{
-        f"refused for {reason}": own.Answer(refused=True, retry_after_ms=1234.5, reason=reason)
+        f"refused for {reason}": FinalResponse(is_rejected=True, retry_after_ms=1234.5, reason=reason)
         for reason in (
             *(each.value for each in RejectionReason),
             "draining",
@@ -575,8 +610,8 @@
             "another-request-under-this-name",
         )
     },
-    "failed": own.Answer(reason="failed"),
-    "ended elsewhere": own.Answer(reason="ended-elsewhere"),
+    "failed": FinalResponse(reason="failed"),
+    "ended elsewhere": FinalResponse(reason="ended-elsewhere"),
 }
 CALL_LINE = {"jsonrpc": "2.0", "id": 1, "method": "call", "params": CALL}
 
@@ -591,16 +626,16 @@
 class _Own:
     """Answers each request with the same."""
 
-    def __init__(self, answer: own.Answer) -> None:
+    def __init__(self, answer: FinalResponse) -> None:
         self._answer = answer
 
-    def ask(self, job: Any, done: Callable[[Any], None], *more: Any) -> None:
+    def accept(self, job: Any, done: Callable[[Any], None], *more: Any) -> None:
         done(self._answer)
 
 
 def _map(method: str, host: str, target: str, headers: dict) -> Any:
     if target != "/order":
-        raise Unmapped(404, "no-route")
+        raise UnroutableRequestError(404, "no-route")
     return SimpleNamespace(
         target=target,
         customer="stall-7",
@@ -620,12 +655,12 @@
     """The status and the word for a request that no settings map."""
     try:
         _gatekeeper().router().map(method, "shop", path, headers)
-    except Unmapped as problem:
+    except UnroutableRequestError as problem:
         return f"{problem.status} {problem}".encode()
     raise AssertionError("it is mapped")
 
 
-def _rpc(line: bytes, answer: own.Answer = OWN_ANSWERS["served"], draining: bool = False, most: int = 512) -> bytes:
+def _rpc(line: bytes, answer: FinalResponse = OWN_ANSWERS["served"], draining: bool = False, most: int = 512) -> bytes:
     """What a client gets for a line."""
     reactor = MemoryReactorClock()
     desk = jsonrpc.Desk(_router, _Own(answer), lambda: 1e6, lambda customer: (0, 1), lambda: {"state": "serving"})
@@ -693,7 +728,7 @@
         self.message = message
 
 
-def _check(answer: proxied.Answer | None, path: str = "/order", draining: bool = False) -> bytes:
+def _check(answer: CheckResponse | None, path: str = "/order", draining: bool = False) -> bytes:
     """The answer to an authorization check."""
 
     def ask(request_id: str, reply: Callable[[Any], None], *more: Any) -> None:
@@ -702,7 +737,7 @@
     request = external_auth_pb2.CheckRequest()
     http = request.attributes.request.http
     http.method, http.path, http.host = "POST", path, "shop"
-    gate = authorization.Gate(_router, SimpleNamespace(ask=ask), lambda: 1e6, lambda customer: (0, 1))
+    gate = authorization.Gate(_router, SimpleNamespace(first_check=ask), lambda: 1e6, lambda customer: (0, 1))
     gate.closing = draining
     call = _Call()
     gate.method()(call).message(request.SerializeToString())
@@ -715,8 +750,8 @@
 
 def authorization_samples() -> dict[str, Sample]:
     """Allowed with the endpoint, refused for every reason, failed, unmapped."""
-    verdict, answer = proxied.Verdict, proxied.Answer
-    go = answer(verdict.GO, WORKER, 412.7, f"{LIFE}.17.0")
+    verdict, answer = Verdict, CheckResponse
+    go = answer(verdict.START_ATTEMPT, WORKER, 412.7, f"{LIFE}.17.0")
     reasons = (*(each.value for each in RejectionReason), "in-progress", "held-requests")
     made = {
         "allowed": lambda: _check(go),
@@ -729,7 +764,7 @@
         },
         **{
             f"refused for {reason}": lambda reason=reason: _check(
-                answer(verdict.REFUSED, retry_after_ms=1234.5, reason=reason)
+                answer(verdict.REJECTED, retry_after_ms=1234.5, reason=reason)
             )
             for reason in reasons
         },
@@ -756,11 +791,11 @@
     def __init__(self) -> None:
         self.seen: list[Any] = []
 
-    def log(self, token: str, result: AttemptResult, *more: Any) -> bool:
+    def attempt_logged(self, token: str, result: AttemptResult, *more: Any) -> bool:
         self.seen.append([token, result.value, *plain(more)])
         return True
 
-    def log_unsent(self, *which: str) -> bool:
+    def denial_logged(self, *which: str) -> bool:
         self.seen.append(list(which))
         return True
 
@@ -893,18 +928,18 @@
 
 def http_samples() -> dict[str, Sample]:
     """Requests and responses that are written, and load reports that are read."""
-    carrier = own.Own(SimpleNamespace(), SimpleNamespace(), LIFE, REPORTED)
-    job = own.Job("POST", "/order?a=b", {"x-idempotency-key": "key-1"}, b"two\nlines")
+    carrier = DirectRequests(SimpleNamespace(), SimpleNamespace(), LIFE, REPORTED)
+    job = DirectRequest("POST", "/order?a=b", {"x-idempotency-key": "key-1"}, b"two\nlines")
 
-    def attempt(job: own.Job) -> bytes:
-        return carrier.written(SimpleNamespace(job=job), "17.0", WORKER, 400.0)[0]
+    def attempt(job: DirectRequest) -> bytes:
+        return carrier.encode_request(SimpleNamespace(request=job), "17.0", WORKER, 400.0)[0]
 
     def read(requests: bool) -> Callable[[bytes], Any]:
         return lambda data: [plain(each) for each in http1.Reader(requests).feed(data)]
 
     made = {
         "attempt": lambda: attempt(job),
-        "attempt of HEAD": lambda: attempt(own.Job("HEAD", "/", {}, b"")),
+        "attempt of HEAD": lambda: attempt(DirectRequest("HEAD", "/", {}, b"")),
         "request with an empty body": lambda: http1.request("PUT", "/", {"host": "x"}),
         "request without a body": lambda: http1.request("GET", "/", {"host": "x", "content-length": "9"}),
     }
@@ -957,7 +992,7 @@
         path = str(pathlib.Path(folder) / "trace")
         recorder = Recorder(Recording(path, 1 << 20, 2, b"key"), 3, LIFE, 1e6)
         for number, thing in enumerate(RECORDED):
-            recorder.see(1e6 + number * 1.125, thing)
+            recorder.record_event(1e6 + number * 1.125, thing)
             if number == 5:
                 recorder.flush()
         recorder.flush()
@@ -994,7 +1029,7 @@
     life, peer = int(NOW_MS), datagrams.Seal(SECRET, 1, int(NOW_MS))
     made.peer_port.transport = SimpleNamespace(write=lambda data, address: None)
     made.members.start()
-    made.ledger.roster(EndpointList((Endpoint(WORKER, "a", 0, EndpointStatus.READY),)))
+    made.request_table.update_endpoints(EndpointList((Endpoint(WORKER, "a", 0, EndpointStatus.READY),)))
     for data in (membership_traffic()[1], keeping.pack(keeping.Ack(1, 1)), b"K", b"M", peer_codec.encode(1, 1, [], [])):
         with mock.patch("time.time", return_value=NOW_MS / 1000):
             made.peer_port.datagramReceived(peer.write(0, data, NOW_MS), ("127.0.0.1", 7002))
@@ -1005,7 +1040,7 @@
         made.desk.ask(
             CALL | {"headers": {"x-api-key": "stall-7", "x-idempotency-key": f"key-{number}"}}, lambda answer: None
         )
-    made.proxied.ask_again("x", lambda answer: None)
+    made.proxied.next_check("x", lambda answer: None)
     made.keepers.members([membership.Change(_row(1, life, 0, 0), None)])
     reactor.advance(0.2)
     return made.state()
@@ -1016,15 +1051,17 @@
     reactor = MemoryReactorClock()
     known = change(41, row("s1", "127.0.0.1:7001"), snapshot=True)
     own_settings = WIRE_SETTINGS | {"balancers": 1, "myNumber": 0}
-    made = NodeGatekeeper(
-        node_config(found(settings=own_settings, known=known, peers=[], peer_listen=None), {}),
+    made = RespGatewayInstance(
+        parse_config(found(settings=own_settings, known=known, peers=[], peer_listen=None), {}),
         reactor,
         lambda: 1e6 + reactor.seconds() * 1000,
     )
     made.prepare()
     client = House.worker_transport(made.front)
     terms_ = b"c=look,t=rated,d=480"
-    client.protocol.dataReceived(resp.command([*ASK[:3], terms_]) + resp.command([b"GET", b"x"]))
+    client.protocol.dataReceived(
+        resp_codec.encode_command([*ASK[:3], terms_]) + resp_codec.encode_command([b"GET", b"x"])
+    )
     reactor.advance(0.01)
     worker = House.worker_transport(reactor.tcpClients[-1][2])
     worker.protocol.dataReceived(SERVED.replace(b",x", b"").replace(b"$22", b"$20"))
@@ -1034,9 +1071,9 @@
 
 
 def _lag() -> dict[str, Any]:
-    lag = Lag()
+    lag = LagHistogram()
     for late in (0.1, 3.0, 30.0, 300.0, 3000.0, 30_000.0, 300_000.0):
-        lag.take(late, None)
+        lag.record(late, None)
     return lag.report()
 
 
