--- a/anisefront/cluster/backup.py
+++ b/anisefront/cluster/backup.py
@@ -1,6 +1,6 @@
 """Backup of request replication: stores what primaries have in flight, and takes it over when they fail.
 
-    open --primary dead, left or lease expired--> claiming --EpochDecision, claimed--> claimed: its requests are ours
+    open --primary dead, left or lease expired--> claiming --EpochDecision, claimed--> claimed: its requests are owned here
                                                      `--EpochDecision, released--> dropped: the primary has released us
 
 The witness is asked even where the primary is certainly gone, for it may have released the epoch before. An epoch
--- a/anisefront/cluster/backup_selection.py
+++ b/anisefront/cluster/backup_selection.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 SLOTS = 64
-UNRESPONSIVE_MS = 5000.0  # a backup that timed out is not chosen for so long while there are others
+UNRESPONSIVE_MS = 5000.0  # after its timeout, during which a backup is not selected while there are others
 
 
 class Replica(NamedTuple):
@@ -35,7 +35,7 @@
     """Orders the live members for each slot, and remembers which of them time out."""
 
     def __init__(self, local: Replica) -> None:
-        """Initialize without any other member than `local`, which is never chosen."""
+        """Initialize without any other member than `local`, which is never selected."""
         self._local = local
         self._members: dict[int, Replica] = {}
         self._unresponsive_until_ms: dict[int, float] = {}
--- a/anisefront/cluster/backup_state.py
+++ b/anisefront/cluster/backup_state.py
@@ -64,8 +64,8 @@
     Attributes:
         last_sequence: Number of the last entry applied.
         declined: Requests for which there was no capacity, until they complete.
-        lease_renewed_ms: When the primary was last heard from.
-        lease_check_scheduled: Whether a check of the lease is due.
+        lease_renewed_ms: When the last message of the primary arrived.
+        lease_check_scheduled: Whether a check of the lease is scheduled.
         claim_started_ms: When the witness was first asked.
         claim_sent_ms: When the witness was last asked.
     """
--- a/anisefront/cluster/dissemination.py
+++ b/anisefront/cluster/dissemination.py
@@ -34,7 +34,7 @@
         self._transmissions.clear()
 
     def piggyback(self, rows: dict[int, MemberRow], first: list[MemberRow]) -> list[MemberRow]:
-        """Return the rows that a message carries: those given, and as many to be spread as there is room for."""
+        """Return the rows that a message carries: those given, and as many to be spread as fit."""
         carried = list(first)
         already_carried = {row.number for row in first}
         max_transmissions = retransmit_limit(len(rows))
--- a/anisefront/cluster/epoch_sender.py
+++ b/anisefront/cluster/epoch_sender.py
@@ -117,7 +117,7 @@
 
     def _send_entries(self, now_ms: float, log: EpochLog, first_sequence: int) -> None:
         if not log.awaits_ack:
-            # Measured from the last message instead, a lost entry would never be retried while others follow it.
+            # Counted from the last message instead, a lost entry would never be retried while others follow it.
             log.restart_retries(now_ms)
             self.schedule(log, log.retry_ms)
         for batch_sequence, batch in log.batches(first_sequence):
@@ -170,7 +170,7 @@
                 self.append(log, entry)
 
     def send_due_heartbeat(self, now_ms: float, log: EpochLog) -> None:
-        """Renew the lease at a backup that has heard nothing for long; it would claim the epoch otherwise."""
+        """Renew the lease at a backup that has received nothing for long; it would claim the epoch otherwise."""
         if not log.heartbeat_scheduled or log.releasing or now_ms < log.heartbeat_ms:
             return
         log.heartbeat_scheduled = False
--- a/anisefront/cluster/local_requests.py
+++ b/anisefront/cluster/local_requests.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, eq=False)
 class LocalRequest:
-    """A request of ours that was replicated.
+    """A local request that was replicated.
 
     Attributes:
         attempts: Endpoints of the attempts that are not proved never to have executed, by number of the attempt.
@@ -116,7 +116,7 @@
         local.awaiting_ack.clear()
 
     def on_backup_full(self, now_ms: float, log: EpochLog, request: int) -> None:
-        """Continue without a backup: it does not know of the request, so nobody takes it over."""
+        """Continue without a backup: it does not know of the request, so no instance takes it over."""
         local = self._withdraw(log, request)
         log.waiting_since_ms = now_ms  # the backup responds
         self._counts["unprotected_full"] += 1
--- a/anisefront/cluster/membership.py
+++ b/anisefront/cluster/membership.py
@@ -35,8 +35,8 @@
 NACK_TIMEOUT_FRACTION = 0.8  # of that timeout, after which an indirect ping is answered by a nack
 JOIN_RETRY_MS = 250.0
 JOIN_SEEDS = 3  # members asked for all rows while none has answered
-SYNC_PERIODS = 30  # all rows are requested from one member so often
-DEAD_PROBE_PERIODS = 5  # a dead or unknown member is pinged so often
+SYNC_PERIODS = 30  # between requests for all rows of one member
+DEAD_PROBE_PERIODS = 5  # between pings of a dead or unknown member
 
 
 class Membership:
@@ -164,7 +164,7 @@
             self._ping_dead_or_unknown()
         number = self._probe_order.next(self._others_alive, self._is_alive)
         if number is None:
-            self._change_awareness(-1)  # an instance that knows nobody must not probe ever less often
+            self._change_awareness(-1)  # an instance that knows no other must not probe ever less often
             return
         sequence = self._ping(Probe(number))
         self._timers.set(now_ms + ACK_TIMEOUT_FRACTION * period_ms, Timer.ACK_TIMEOUT, sequence)
--- a/anisefront/cluster/primary.py
+++ b/anisefront/cluster/primary.py
@@ -39,7 +39,7 @@
 )
 
 MAX_RETRY_MS = 480.0  # without another instance to choose, retries back off up to this interval
-BACKUP_TIMEOUT_MS = 150.0  # without an acknowledgement for so long another backup is chosen
+BACKUP_TIMEOUT_MS = 150.0  # without an acknowledgement, after which another backup is selected
 
 
 class Primary:
@@ -82,7 +82,7 @@
         """
         local = self._requests.get(request)
         if local is None:
-            return True  # not replicated, so nobody takes it over
+            return True  # not replicated, so no instance takes it over
         if local.lost:
             return False
         local.attempts[attempt] = endpoint
@@ -152,7 +152,7 @@
         return log.backup.number if log is not None else None
 
     def yields_to(self, request: int, other: int) -> bool:
-        """Return whether a request of ours yields to one of its identity at another instance.
+        """Return whether a local request yields to one of its identity at another instance.
 
         Of two instances that are each other's backups, both would reject the other's request, or neither would. So
         the one that comes first in the order of backups continues.
--- a/anisefront/cluster/replication_actions.py
+++ b/anisefront/cluster/replication_actions.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationUnavailable:
-    """No instance replicates this request of ours any more."""
+    """No instance replicates this local request any more."""
 
     request: int
 
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LoseOwnership:
-    """Another instance owns this request of ours now."""
+    """Another instance owns this local request now."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class YieldToDuplicate:
-    """A request of ours that never left must wait for another of its identity, known to `backup`."""
+    """A local request that never left must wait for another of its identity, known to `backup`."""
 
     request: int
     backup: int
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRequest:
-    """A request is replicated here no longer, and not ours: completed, released by its primary, or expired."""
+    """A request is replicated here no longer, and not owned here: completed, released by its primary, or expired."""
 
     replica: ReplicatedRequest
 
 
 @dataclass(frozen=True, slots=True)
 class TakeOver:
-    """A request of a failed primary is ours from now on."""
+    """This instance owns a request of a failed primary from now on."""
 
     primary: int
     primary_incarnation: int
--- a/anisefront/cluster/replication_messages.py
+++ b/anisefront/cluster/replication_messages.py
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseEpoch:
-    """Tells the witness that the epoch's backup must not claim it; sent by the primary."""
+    """Notifies the witness that the epoch's backup must not claim it; sent by the primary."""
 
     epoch: int
     witness_incarnation: int
--- a/anisefront/cluster/suspicion.py
+++ b/anisefront/cluster/suspicion.py
@@ -1,6 +1,6 @@
 """Suspicions of members and the time they have to refute them.
 
-Lifeguard's (Dadgar, Phillips, Currey 2018) dynamic suspicion timeout: it is long while nobody else suspects the
+Lifeguard's (Dadgar, Phillips, Currey 2018) dynamic suspicion timeout: it is long while no other suspects the
 member, shrinks with each confirmation, and is stretched while we are slow ourselves.
 """
 
@@ -13,7 +13,7 @@
 
 MAX_CONFIRMATIONS = 3  # suspicions by others that shorten the timeout
 SUSPICION_PERIODS = 4.0  # minimum timeout, in probe periods times the logarithm of the cluster's size
-MAX_SUSPICION_MULTIPLIER = 6.0  # of the minimum, while nobody else suspects the member
+MAX_SUSPICION_MULTIPLIER = 6.0  # of the minimum, while no other member suspects it
 MAX_AWARENESS = 8
 
 
@@ -42,7 +42,7 @@
     """
     slowness_multiplier = 1 + awareness / MAX_AWARENESS
     minimum_ms = SUSPICION_PERIODS * max(1.0, math.log10(max(2, members))) * period_ms
-    if members <= 2:  # nobody else could confirm it
+    if members <= 2:  # no other member could confirm it
         return minimum_ms * slowness_multiplier
     maximum_ms = MAX_SUSPICION_MULTIPLIER * minimum_ms
     confirmed_fraction = min(1.0, math.log(confirmations + 1) / math.log(MAX_CONFIRMATIONS + 1))
--- a/anisefront/daemon/gateway_instance.py
+++ b/anisefront/daemon/gateway_instance.py
@@ -87,15 +87,7 @@
         self.request_table = create_request_table(
             reactor, self.clock, self.log, settings, seed, self.peer_port, config.most_open, on_fault
         )
-        self.updates = SettingsUpdates(
-            reactor,
-            self.clock,
-            self.log,
-            version,
-            source,
-            lambda: self.request_table.batches.waiting > 0,
-            self._apply_settings,
-        )
+        self._create_settings_updates(version, source)
         self._create_upstreams(config)
         self._create_frontends(config)
         self._replicate_requests(config)
@@ -110,6 +102,17 @@
 
     # ---- wiring --------------------------------------------------------------------------------
 
+    def _create_settings_updates(self, version: Version, source: SettingsSource | None) -> None:
+        self.updates = SettingsUpdates(
+            self.reactor,
+            self.clock,
+            self.log,
+            version,
+            source,
+            lambda: self.request_table.batches.waiting > 0,
+            self._apply_settings,
+        )
+
     def _connect_peers(self, config: Config, seed: int) -> None:
         """Create the peer port, and the membership if it is enabled."""
         self.peer_port: PeerPort | None = None
--- a/anisefront/daemon/replication.py
+++ b/anisefront/daemon/replication.py
@@ -181,9 +181,9 @@
         done: Callable[[FinalResponse], None],
         go_on: Callable[[], None],
     ) -> bool:
-        """Return whether a client's request is in progress, here or at a primary of ours, and waits for its response.
+        """Return whether a client's request is in progress here or at a primary that this instance backs up.
 
-        Otherwise it is a new request.
+        If so it waits for the response; otherwise it is a new request.
         """
         digest = self._identity(customer, identity)
         if self.returning.try_join(digest, content_digest(job), done):
--- a/anisefront/daemon/request_records.py
+++ b/anisefront/daemon/request_records.py
@@ -106,7 +106,7 @@
 
 
 def content_digest(job: DirectRequest) -> bytes:
-    """Return a digest of what a call asks for, by which different calls of one identity are told apart."""
+    """Return a digest of what a call asks for, by which different calls of one identity are distinguished."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (job.method.encode(), job.target.encode(), job.body):
         digest.update(len(part).to_bytes(4, "big") + part)
--- a/anisefront/daemon/request_takeover.py
+++ b/anisefront/daemon/request_takeover.py
@@ -100,7 +100,7 @@
             return
         local_request = self._duplicates.request_number(replica.identity)
         if local_request is not None:
-            # Ours has yielded to that of the failed primary, and is still here: only one of them may continue.
+            # The local request has yielded to that of the failed primary and is still here: only one may continue.
             self._counts["taken_in_hand"] += 1
             if replica.attempts and not self._has_idempotency_key(replica):
                 self._request_table.transfer_to_backup(local_request)
--- a/anisefront/policy/controller.py
+++ b/anisefront/policy/controller.py
@@ -86,22 +86,8 @@
         self._left_service: list[EndpointState] = []  # in this batch
         self._now_ms = -1.0
         self._stalled = False
-        self._event_handlers: dict[type, Callable[[Any], None]] = {
-            Arrival: self._on_arrival,
-            AttemptEnded: self._on_attempt_ended,
-            ClientDisconnected: self._on_client_disconnected,
-            EndpointList: self._on_endpoint_list,
-            PeerMessage: self._on_peer_message,
-            PeersUnreachable: self._on_peers_unreachable,
-            ResponseStarted: self._on_response_started,
-            Settings: self._on_settings,
-        }
-        self._request_timer_handlers: dict[TimerKind, Callable[[Request], None]] = {
-            TimerKind.OWNER_REPLY_OVERDUE: self._on_owner_reply_overdue,
-            TimerKind.HEDGE_DELAY: self._on_hedge_delay,
-            TimerKind.DISPATCH_DEADLINE: self._on_dispatch_deadline,
-            TimerKind.RESPONSE_DEADLINE: self._end_without_response,
-        }
+        self._event_handlers = self._make_event_handlers()
+        self._request_timer_handlers = self._make_request_timer_handlers()
 
     def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
         """Take in a batch of events and return what to do.
@@ -129,6 +115,26 @@
 
     # ---- wiring ----------------------------------------------------------------------------------
 
+    def _make_event_handlers(self) -> dict[type, Callable[[Any], None]]:
+        return {
+            Arrival: self._on_arrival,
+            AttemptEnded: self._on_attempt_ended,
+            ClientDisconnected: self._on_client_disconnected,
+            EndpointList: self._on_endpoint_list,
+            PeerMessage: self._on_peer_message,
+            PeersUnreachable: self._on_peers_unreachable,
+            ResponseStarted: self._on_response_started,
+            Settings: self._on_settings,
+        }
+
+    def _make_request_timer_handlers(self) -> dict[TimerKind, Callable[[Request], None]]:
+        return {
+            TimerKind.OWNER_REPLY_OVERDUE: self._on_owner_reply_overdue,
+            TimerKind.HEDGE_DELAY: self._on_hedge_delay,
+            TimerKind.DISPATCH_DEADLINE: self._on_dispatch_deadline,
+            TimerKind.RESPONSE_DEADLINE: self._end_without_response,
+        }
+
     def _connect_endpoints(self, settings: Settings, rng: random.Random) -> None:
         self.slow_start = SlowStart(settings, rng)
         self.endpoints = EndpointRegistry(self.slow_start)
