--- a/anisefront/policy/controller.py
+++ b/anisefront/policy/controller.py
@@ -68,18 +68,7 @@
         self.concurrency_limit = ConcurrencyLimit(settings.gateways)
         self.admission = Admission(settings, self.concurrency_limit)
         self._set_classes_and_plans(settings)
-        self._connect_endpoints(settings, rng)
-        self.retries = RetryPolicy(settings, self.endpoints, self.concurrency_limit, self.response_times)
-        self.attempts = AttemptTracker(
-            settings,
-            self.admission,
-            self.concurrency_limit,
-            self.load_reports,
-            self.outlier_detection,
-            self.response_times,
-            self.retries,
-            self.endpoint_selection,
-        )
+        self._connect_attempts(settings, rng)
         self._connect_quotas(settings, rng)
         self._actions: list[Action] = []
         self._arrivals = 0
@@ -129,7 +118,7 @@
 
     # ---- wiring ----------------------------------------------------------------------------------
 
-    def _connect_endpoints(self, settings: Settings, rng: random.Random) -> None:
+    def _connect_attempts(self, settings: Settings, rng: random.Random) -> None:
         self.slow_start = SlowStart(settings, rng)
         self.endpoints = EndpointRegistry(self.slow_start)
         self.load_reports = LoadReports(settings.load_report_fields)
@@ -137,6 +126,17 @@
         self.endpoint_selection = EndpointSelection(
             settings.zone, rng, self.endpoints, self.load_reports, self.slow_start
         )
+        self.retries = RetryPolicy(settings, self.endpoints, self.concurrency_limit, self.response_times)
+        self.attempts = AttemptTracker(
+            settings,
+            self.admission,
+            self.concurrency_limit,
+            self.load_reports,
+            self.outlier_detection,
+            self.response_times,
+            self.retries,
+            self.endpoint_selection,
+        )
 
     def _connect_quotas(self, settings: Settings, rng: random.Random) -> None:
         boot = rng.randrange(MAX_BOOT)
