--- a/anisefront/policy/controller.py
+++ b/anisefront/policy/controller.py
@@ -68,26 +68,29 @@
         self.concurrency_limit = ConcurrencyLimit(settings.gateways)
         self.admission = Admission(settings, self.concurrency_limit)
         self._set_classes_and_plans(settings)
-        self._connect_endpoints(settings, rng)
-        self.retries = RetryPolicy(settings, self.endpoints, self.concurrency_limit, self.response_times)
-        self.attempts = AttemptTracker(
-            settings,
-            self.admission,
-            self.concurrency_limit,
-            self.load_reports,
-            self.outlier_detection,
-            self.response_times,
-            self.retries,
-            self.endpoint_selection,
-        )
+        self._connect_attempts(settings, rng)
         self._connect_quotas(settings, rng)
         self._actions: list[Action] = []
         self._arrivals = 0
         self._left_service: list[EndpointState] = []  # in this batch
         self._now_ms = -1.0
         self._stalled = False
-        self._event_handlers = self._make_event_handlers()
-        self._request_timer_handlers = self._make_request_timer_handlers()
+        self._event_handlers: dict[type, Callable[[Any], None]] = {
+            Arrival: self._on_arrival,
+            AttemptEnded: self._on_attempt_ended,
+            ClientDisconnected: self._on_client_disconnected,
+            EndpointList: self._on_endpoint_list,
+            PeerMessage: self._on_peer_message,
+            PeersUnreachable: self._on_peers_unreachable,
+            ResponseStarted: self._on_response_started,
+            Settings: self._on_settings,
+        }
+        self._request_timer_handlers: dict[TimerKind, Callable[[Request], None]] = {
+            TimerKind.OWNER_REPLY_OVERDUE: self._on_owner_reply_overdue,
+            TimerKind.HEDGE_DELAY: self._on_hedge_delay,
+            TimerKind.DISPATCH_DEADLINE: self._on_dispatch_deadline,
+            TimerKind.RESPONSE_DEADLINE: self._end_without_response,
+        }
 
     def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
         """Take in a batch of events and return what to do.
@@ -115,27 +118,7 @@
 
     # ---- wiring ----------------------------------------------------------------------------------
 
-    def _make_event_handlers(self) -> dict[type, Callable[[Any], None]]:
-        return {
-            Arrival: self._on_arrival,
-            AttemptEnded: self._on_attempt_ended,
-            ClientDisconnected: self._on_client_disconnected,
-            EndpointList: self._on_endpoint_list,
-            PeerMessage: self._on_peer_message,
-            PeersUnreachable: self._on_peers_unreachable,
-            ResponseStarted: self._on_response_started,
-            Settings: self._on_settings,
-        }
-
-    def _make_request_timer_handlers(self) -> dict[TimerKind, Callable[[Request], None]]:
-        return {
-            TimerKind.OWNER_REPLY_OVERDUE: self._on_owner_reply_overdue,
-            TimerKind.HEDGE_DELAY: self._on_hedge_delay,
-            TimerKind.DISPATCH_DEADLINE: self._on_dispatch_deadline,
-            TimerKind.RESPONSE_DEADLINE: self._end_without_response,
-        }
-
-    def _connect_endpoints(self, settings: Settings, rng: random.Random) -> None:
+    def _connect_attempts(self, settings: Settings, rng: random.Random) -> None:
         self.slow_start = SlowStart(settings, rng)
         self.endpoints = EndpointRegistry(self.slow_start)
         self.load_reports = LoadReports(settings.load_report_fields)
@@ -143,6 +126,17 @@
         self.endpoint_selection = EndpointSelection(
             settings.zone, rng, self.endpoints, self.load_reports, self.slow_start
         )
+        self.retries = RetryPolicy(settings, self.endpoints, self.concurrency_limit, self.response_times)
+        self.attempts = AttemptTracker(
+            settings,
+            self.admission,
+            self.concurrency_limit,
+            self.load_reports,
+            self.outlier_detection,
+            self.response_times,
+            self.retries,
+            self.endpoint_selection,
+        )
 
     def _connect_quotas(self, settings: Settings, rng: random.Random) -> None:
         boot = rng.randrange(MAX_BOOT)
