--- a/anisefront/cluster/backup.py
+++ b/anisefront/cluster/backup.py
@@ -108,7 +108,7 @@
         epoch = epochs.by_number.get(message.epoch)
         if epoch is None:
             if message.epoch <= epochs.closed_up_to:
-                return  # the same hazard
+                return  # a delayed message: its requests would run again
             key = EpochKey(primary, primary_incarnation, message.epoch)
             epoch = BackupEpoch(key, message.witness, message.witness_incarnation)
             epochs.by_number[message.epoch] = epoch
--- a/anisefront/cluster/backup_state.py
+++ b/anisefront/cluster/backup_state.py
@@ -33,7 +33,7 @@
 
     Attributes:
         request: Its number at its primary.
-        requires_ack: Whether it is not idempotent.
+        requires_ack: Whether it is keyed or non-idempotent.
         deadline_ms: When it is of no use any more.
         identity: Digest by which a client's retry is recognized.
         record: The request as its host encodes it.
--- a/anisefront/cluster/epoch_log.py
+++ b/anisefront/cluster/epoch_log.py
@@ -37,7 +37,7 @@
         last_sent_ms: When something was last sent.
         waiting_since_ms: Since when an acknowledgement that makes progress is awaited.
         retry_ms: When to send again without one.
-        releasing: Whether the witness has been asked to release the epoch.
+        releasing: Whether the primary gives up the backup; without a witness nothing ends this state.
         heartbeat_scheduled: Whether `heartbeat_ms` is set.
         heartbeat_unacknowledged: Whether a heartbeat awaits its acknowledgement.
     """
--- a/anisefront/cluster/member_state.py
+++ b/anisefront/cluster/member_state.py
@@ -25,7 +25,7 @@
     ALIVE = 0
     SUSPECT = 1  # did not acknowledge a ping; it may refute
     DEAD = 2  # did not refute in time; a pause or a network partition looks the same as a crash
-    LEFT = 3  # announced by itself, or its process has been replaced: it does nothing more
+    LEFT = 3  # announced by itself: it does nothing more
 
 
 @dataclass(frozen=True, slots=True)
--- a/anisefront/cluster/primary.py
+++ b/anisefront/cluster/primary.py
@@ -1,6 +1,6 @@
 """Primary of request replication: which backup knows of a request, and when an attempt may start. Free of I/O.
 
-A request is replicated to one backup. An attempt of a request that is not idempotent starts only when the backup has
+A request is replicated to one backup. An attempt of a keyed or non-idempotent request starts only when the backup has
 acknowledged it. So a backup that takes over knows of each attempt that may have executed, whatever clocks and pauses
 did (primary-backup replication with a witness; compare Liskov et al., Harp, 1991).
 
@@ -105,7 +105,7 @@
             self._append(local, AttemptDiscarded(request, attempt), immediately=False)
 
     def reject(self, now_ms: float, request: int) -> bool:
-        """Return whether the rejection of a request that never executed may be delivered at once.
+        """Return whether the rejection of a request may be delivered at once.
 
         Otherwise a `DeliverRejection` follows when it may, or a `LoseOwnership`.
         """
--- a/anisefront/cluster/replication_actions.py
+++ b/anisefront/cluster/replication_actions.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationUnavailable:
-    """No instance replicates this local request any more."""
+    """A backup had no capacity for this local request: no instance replicates it."""
 
     request: int
 
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LoseOwnership:
-    """Another instance owns this local request now."""
+    """No further attempt of this local request may start here: another instance owns it or its identity."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class YieldToDuplicate:
-    """A local request that never left must wait for another of its identity, known to `backup`."""
+    """A local request of which no attempt has started must wait for another of its identity, known to `backup`."""
 
     request: int
     backup: int
--- a/anisefront/cluster/replication_messages.py
+++ b/anisefront/cluster/replication_messages.py
@@ -26,7 +26,7 @@
 
     Attributes:
         request: Its number at the primary.
-        requires_ack: Whether it is not idempotent, so that each attempt waits for the backup's acknowledgement.
+        requires_ack: Whether it is keyed or non-idempotent, so that attempts wait for an acknowledgement.
         remaining_ms: Time until its deadline.
         identity: Digest by which a client's retry is recognized; `NO_IDENTITY` where there is none.
         record: The request as its host encodes it.
@@ -43,7 +43,8 @@
 class AttemptStarted:
     """An attempt is about to start at an endpoint.
 
-    `awaits_ack` is false for an attempt that started earlier, while another instance was the backup.
+    `awaits_ack` is false for an attempt that started earlier, while another instance was the backup; it is set for
+    attempts of idempotent requests too, although these start without an acknowledgement.
     """
 
     request: int
@@ -128,7 +129,7 @@
 class Outcome(IntEnum):
     """Outcome of a request that blocked another of its identity."""
 
-    NEVER_EXECUTED = 0  # and will not be: the other may run
+    NEVER_EXECUTED = 0  # or endpoints drop a repeated execution: the other may run
     MAY_HAVE_EXECUTED = 1
     RESPONDED = 2  # the response is included
 
--- a/anisefront/daemon/replication.py
+++ b/anisefront/daemon/replication.py
@@ -157,7 +157,7 @@
         entry = self._request_table.requests.get(request)
         if local is None or local.identity in self.returning:
             return
-        # By the settings in force now, a class that was not idempotent could be one whose requests never executed.
+        # The class may have been changed since: the idempotency at acceptance decides.
         may_have_executed = local.idempotency is Idempotency.NON_IDEMPOTENT and entry.attempts
         outcome = Outcome.MAY_HAVE_EXECUTED if may_have_executed else Outcome.NEVER_EXECUTED
         self.duplicates.notify(local.identity, outcome)
--- a/anisefront/daemon/request_takeover.py
+++ b/anisefront/daemon/request_takeover.py
@@ -1,6 +1,6 @@
 """Requests of failed primaries that continue here: the policy decides what is to be done, as for any other request.
 
-A request of our own connection pool is called again; one that a proxy executes waits for the proxy to come back.
+A request over the local connection pool is sent again; one that a proxy executes waits for the proxy to come back.
 """
 
 from __future__ import annotations
@@ -65,7 +65,7 @@
     def uncertain_outcome(self, replica: ReplicatedRequest) -> Outcome:
         """Return the outcome of a request that may have executed.
 
-        With an idempotency key it may be sent again: the endpoints of a cell drop it if it has executed.
+        With an idempotency key it may be sent again: endpoints of its deduplication scope drop a repeated execution.
         """
         return Outcome.NEVER_EXECUTED if self._has_idempotency_key(replica) else Outcome.MAY_HAVE_EXECUTED
 
--- a/anisefront/gateway/event_batches.py
+++ b/anisefront/gateway/event_batches.py
@@ -25,8 +25,8 @@
 class EventQueues:
     """Events that no iteration has taken yet.
 
-    Logs free slots that checks wait for, and a batch of logs must not delay the checks behind it. Hence ends of
-    attempts and requests have queues of their own.
+    A proxy's access logs free slots that its authorization checks wait for, and a batch of logs must not delay these.
+    Hence ends of attempts and requests have queues of their own.
     """
 
     def __init__(self, counts: Counter[str]) -> None:
--- a/anisefront/gateway/interfaces.py
+++ b/anisefront/gateway/interfaces.py
@@ -27,7 +27,7 @@
         """Stop waiting for an attempt. Its end must still be reported."""
 
     def reject(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
-        """Send the final response: the request was not executed and may be retried."""
+        """Send the final response: it is safe for the client to retry the request."""
 
     def fail(self, request: int) -> None:
         """Send the final response: the request may have been executed."""
--- a/anisefront/gateway/request_table.py
+++ b/anisefront/gateway/request_table.py
@@ -297,7 +297,7 @@
     # ---- ends of requests ----------------------------------------------------------------------
 
     def reject(self, request: PendingRequest, action: Reject) -> None:
-        """Send the final response of a request: not executed, and may be retried."""
+        """Send the final response of a request: it is safe for the client to retry it."""
         self._end(request)
         self.counts["refused"] += 1
         self.counts[f"refused_{action.reason.value}"] += 1
--- a/anisefront/policy/actions.py
+++ b/anisefront/policy/actions.py
@@ -10,10 +10,10 @@
 class RejectionReason(Enum):
     """Why a request was rejected."""
 
-    QUOTA = "quota"  # its customer's quota or ceiling is used up
-    CAPACITY = "capacity"  # no attempt could be started in time
-    ATTEMPTS = "attempts"  # its attempts failed, and no retry could end in time
-    INVALID = "unfit"  # its deadline had passed when it arrived, or its class or plan is not known
+    QUOTA = "quota"  # not granted in time: quota or ceiling are used up, or the quota owner did not reply
+    CAPACITY = "capacity"  # no attempt could be started in time, or too many customers are known
+    ATTEMPTS = "attempts"  # attempts failed or got no response, and no retry could end in time or within the budget
+    INVALID = "unfit"  # deadline passed, class or plan unknown, id in use, or a tag that is another customer's
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: nothing was executed, so a client may retry after `retry_after_ms`."""
+    """Final answer: a client's retry is safe, since nothing was executed or a second execution does no harm.
+
+    `retry_after_ms` is advice to the client; 0: none.
+    """
 
     id: int
     retry_after_ms: float = 0.0
--- a/anisefront/policy/admission.py
+++ b/anisefront/policy/admission.py
@@ -3,7 +3,8 @@
 Below the concurrency limit every admitted request is dispatched at once. At the limit each class has its share, and
 what the shares leave is dispatched by priority weight.
 
-Departures from the paper: its shares bind at all times, and its priorities are an order of the classes.
+Departures from the paper that `fuzzy_controller` cites: its shares bind at all times, and its priorities are an order
+of the classes.
 """
 
 from __future__ import annotations
--- a/anisefront/policy/concurrency_limit.py
+++ b/anisefront/policy/concurrency_limit.py
@@ -3,7 +3,7 @@
 Little's law sets the limit: completion rate times the time that an attempt may spend at an endpoint. Overload
 responses from the endpoints reduce it multiplicatively; it recovers once other responses outnumber them.
 
-Departure from the paper, which assumes a given pool of server processes.
+Departure from the paper that `fuzzy_controller` cites, which assumes a given pool of server processes.
 """
 
 from __future__ import annotations
--- a/anisefront/policy/events.py
+++ b/anisefront/policy/events.py
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersUnreachable:
-    """All gateway instances that are known to be dead; nothing is known of those that are not listed."""
+    """All gateway instances known to be dead or to have left; nothing is known of those that are not listed."""
 
     gateways: frozenset[int]
 
--- a/anisefront/policy/fuzzy_controller.py
+++ b/anisefront/policy/fuzzy_controller.py
@@ -1,7 +1,8 @@
 """Mamdani PI controller that sets the share of one request class in the attempts in flight.
 
-The paper's absolute delay guarantee: inputs are the error of the queueing delay and its change, the output is the
-change of the share. Table 6 of the paper is the rule base, Table 7 has the scaling factors.
+The absolute delay guarantee of "Incorporate intelligence into the differentiated services strategies of a Web server"
+(Loudini, Rezig, Yahia Salhi), which other modules call the paper: inputs are the error of the queueing delay and its
+change, the output is the change of the share. Table 6 of the paper is the rule base, Table 7 has the scaling factors.
 
 Departure from the paper: a share is not reduced while its class's delay is below the target.
 """
--- a/anisefront/policy/peer_codec.py
+++ b/anisefront/policy/peer_codec.py
@@ -1,7 +1,7 @@
 """Codec of the messages that gateway instances send each other: quota messages and endpoint observations.
 
-A message is at most `MAX_BYTES` long, little-endian, and has no state: a lost or repeated one does no harm. Layout:
-header, quota messages as many as it says, endpoint observations to the end.
+A message is at most `MAX_BYTES` long, little-endian, and has no state. A lost one costs units of a quota at most; it is
+sent again where a reply is awaited. Layout: header, as many quota messages as it says, endpoint observations.
 """
 
 from __future__ import annotations
--- a/anisefront/policy/quota_borrower.py
+++ b/anisefront/policy/quota_borrower.py
@@ -27,8 +27,8 @@
 OVERDUE_FRACTION = 0.15  # or of the latency objective: two messages and an overdraft have to fit into the queueing time
 MIN_OVERDUE_MS = 30.0
 UNREACHABLE_RETRY_MS = 250.0  # after which an owner that did not reply is sent the request again
-MAX_INBOX_FRACTION = 0.5  # of an owner's inbox that one customer may fill,
-MAX_REQUESTS_MULTIPLE = 2.0  # or messages a second, in multiples of its quota
+MAX_INBOX_FRACTION = 0.5  # of an owner's inbox that one customer may fill
+MAX_REQUESTS_MULTIPLE = 2.0  # of its quota: messages a second that it may send in any case
 MAX_UNANSWERED = 2  # messages, after which the owner counts as unresponsive
 
 
@@ -175,7 +175,7 @@
         return request.arrival.units <= request.claim.account.local_bucket and self._debit(now_ms, request)
 
     def request_units(self, now_ms: float, request: Request) -> None:
-        """Request the units from the owner.
+        """Request the units from the owner; one that is not sent waits for its dispatch deadline.
 
         A customer that requests many times its quota would fill the owner's inbox, and messages of all customers
         would be lost there. So only as many of its requests are sent as the owner can receive.
--- a/anisefront/policy/quota_request_queue.py
+++ b/anisefront/policy/quota_request_queue.py
@@ -59,7 +59,7 @@
         """Remove a request, if it is queued."""
         request = self._by_key.pop(key, None)
         if request is not None:
-            request.expires_ms = 0.0
+            request.expires_ms = 0.0  # marks it for lazy eviction
 
     def evict_expired(self, now_ms: float) -> None:
         """Remove expired requests, as far as all that came before them have expired."""
--- a/anisefront/policy/response_times.py
+++ b/anisefront/policy/response_times.py
@@ -12,7 +12,7 @@
 MAX_SIZE = 16  # units, above which sizes are not distinguished
 MIN_LOAD = 0.25  # of an attempt, in average attempts
 MAX_LOAD = 8.0
-RESPONSE_FRACTION = 0.45  # of the latency objective that is left for the response at most
+RESPONSE_FRACTION = 0.45  # of the latency objective that is left for the response at most; least part for queueing
 RESERVED_MULTIPLE = 2.5  # of the expected response time that is left for it, since many responses take longer
 UNRESPONSIVE_MULTIPLE = 3.0  # of the expected response time, after which an attempt counts as unresponsive
 
--- a/anisefront/policy/retries.py
+++ b/anisefront/policy/retries.py
@@ -78,7 +78,7 @@
         """Return what idempotency allows, after attempts that may have been executed.
 
         A keyed request may go to the endpoints that drop its repeated execution, as long as they remember the first
-        one. One that is not idempotent may go nowhere.
+        one. A non-idempotent one may go nowhere.
         """
         request_class = request.request_class
         first = request.first_uncertain
--- a/anisefront/policy/settings.py
+++ b/anisefront/policy/settings.py
@@ -73,7 +73,7 @@
     max_in_flight: int = 0  # requests; 0: no quota on requests in flight
     priority_multiplier: float = 1.0
     over_quota_multiplier: float = 0.0  # of the priority weight, for requests beyond the quota
-    over_quota_cost: float = 0.0
+    over_quota_cost: float = 0.0  # in multiples of the priority weight
     ceiling_per_s: float = 0.0  # units; 0: no ceiling
     ceiling_burst: float = 0.0
     ceiling_slack: float = 0.0
@@ -108,7 +108,7 @@
     overload_multiple: float
     overload_window_ms: float
     max_attempts: int
-    tick_ms: float = 1.0  # resolution of the timers
+    tick_ms: float = 1.0  # resolution of the timers, as configured
     max_units: float = 1.0
     cancellation_enabled: bool = True
     peer_messages_enabled: bool = False
--- a/anisefront/policy/timers.py
+++ b/anisefront/policy/timers.py
@@ -13,7 +13,7 @@
 
 from anisefront.policy.actions import Action, SetTimer
 
-TIMER_NAME = "agenda"  # opaque to the gateway instance, and part of the bytes on the bench adapter's wire
+TIMER_NAME = "agenda"  # opaque to the gateway instance, and written by `bench_adapter`
 CLOCK_RESOLUTION_MS = 0.001  # a timer may fire this much early
 NO_SUBJECT = -1
 
--- a/anisefront/resp_gateway/resp_requests.py
+++ b/anisefront/resp_gateway/resp_requests.py
@@ -196,7 +196,7 @@
         statistics["late_took"] += int(attempts_ms > objective_ms)
 
     def reject(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
-        """Reply that the request was not executed and can be retried."""
+        """Reply that the request is rejected, and that a retry is safe."""
         entry = self.close_request(request)
         if entry is not None:
             rejected = entry.request
--- a/anisefront/upstream/direct_requests.py
+++ b/anisefront/upstream/direct_requests.py
@@ -165,7 +165,7 @@
         request.on_response(FinalResponse(response, endpoint, request.attempts))
 
     def reject(self, number: int, retry_after_ms: float, reason: RejectionReason) -> None:
-        """Send a rejection: the request was not executed and may be retried."""
+        """Send a rejection: it is safe for the client to retry the request."""
         self._respond(number, FinalResponse(is_rejected=True, retry_after_ms=retry_after_ms, reason=reason.value))
 
     def fail(self, number: int) -> None:
--- a/anisefront/upstream/inherited_requests.py
+++ b/anisefront/upstream/inherited_requests.py
@@ -25,7 +25,7 @@
         identity: The name by which its client knows it.
         terms: Its terms.
         prior_attempts: Its attempts, as the backup knows them.
-        uncertain_attempts: Attempts that may have been executed: endpoint and start, by number.
+        uncertain_attempts: Attempts that may have been executed: endpoint and lower bound of the start, by number.
         reply: Responds to a check that came before the log of the attempt it refers to.
         is_awaited: Whether neither proxy nor client has returned and its deadline has not passed.
     """
