--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -127,7 +127,7 @@
         "client side",
         "a connection to a gatekeeper, its requests in hand",
         "its requests; a repeat where it is told to come again",
-        "`fronts/`, `upstream/deduplication.py`; which gatekeeper a client goes to is its proxy's matter",
+        "`frontends/`, `upstream/deduplication.py`; which gatekeeper a client goes to is its proxy's matter",
     ),
 )
 
