--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -1,8 +1,11 @@
 """Limits that the project has set itself."""
 
+import ast
 import pathlib
 import re
 
+import pytest
+
 ROOT = pathlib.Path(__file__).parent.parent
 
 
@@ -67,3 +70,26 @@
     for path in files:
         for name in re.findall(r"^\s*(?:from|import) (\w+)", path.read_text(), re.M):
             assert name in sys.stdlib_module_names or name == "anisefront", f"{path}: {name}"
+
+
+def imported_modules(path, package):
+    """Modules of the package that a file imports when it is loaded; imports in functions or for types are left out."""
+    tree = ast.parse(path.read_text())
+    for node in tree.body:
+        if isinstance(node, ast.ImportFrom) and node.module and node.module.partition(".")[0] == package:
+            yield node.module
+            yield from (f"{node.module}.{alias.name}" for alias in node.names)
+        elif isinstance(node, ast.Import):
+            yield from (alias.name for alias in node.names)
+
+
+@pytest.mark.parametrize("package", ["anisefront", "benchmarks"])
+def test_modules_do_not_import_each_other_in_a_cycle(package):
+    files = {".".join(path.relative_to(ROOT).with_suffix("").parts): path for path in (ROOT / package).rglob("*.py")}
+    imports = {
+        name: {each for each in imported_modules(path, package) if each in files} for name, path in files.items()
+    }
+    while free := [name for name, needed in imports.items() if not needed & imports.keys()]:
+        for name in free:
+            del imports[name]
+    assert sorted(imports) == []
