--- a/anisefront/daemon/gateway_instance.py
+++ b/anisefront/daemon/gateway_instance.py
@@ -33,10 +33,11 @@
 from anisefront.daemon.settings_source import SettingsSource
 from anisefront.daemon.settings_updates import SettingsUpdates
 from anisefront.daemon.state_report import STATE_KEYS, report_of
-from anisefront.frontends import accesslog, authorization
-from anisefront.frontends.grpcserver import GrpcFactory, ServerLimits
-from anisefront.frontends.health import Health, Serving
-from anisefront.frontends.jsonrpc import Desk, JsonRpcFactory
+from anisefront.frontends import access_log, authorization
+from anisefront.frontends.grpc_server import GrpcFactory, ServerLimits
+from anisefront.frontends.health import HealthService, ServingStatus
+from anisefront.frontends.jsonrpc_dispatcher import CallDispatcher
+from anisefront.frontends.jsonrpc_frontend import JsonRpcFactory
 from anisefront.gateway.routing import Router, first_gateway
 from anisefront.gateway.versions import Version
 from anisefront.upstream.connection_pool import ConnectionPool
@@ -91,7 +92,7 @@
         self._create_upstreams(config)
         self._create_frontends(config)
         self._replicate_requests(config)
-        self.request_table.batches.before_iteration.append(self.grpc.gather)
+        self.request_table.batches.before_iteration.append(self.grpc.collect)
         self.request_table.batches.after_iteration.append(self.grpc.flush)
         self._record_events(config)
         self._create_monitoring()
@@ -145,16 +146,16 @@
 
     def _create_frontends(self, config: Config) -> None:
         """Create the gRPC services and the JSON-RPC service."""
-        self.gate = authorization.Gate(self.router, self.proxied, self.clock, self.gateways_of)
-        self.desk = Desk(self.router, self.own, self.clock, self.gateways_of, self.state)
-        self.health = Health(SERVICES)
+        self.authorization = authorization.AuthorizationService(self.router, self.proxied, self.clock, self.gateways_of)
+        self.dispatcher = CallDispatcher(self.router, self.own, self.clock, self.gateways_of, self.state)
+        self.health = HealthService(SERVICES)
         methods = {
-            authorization.PATH: self.gate.method(),
-            accesslog.PATH: accesslog.method(self.proxied, config.settings.load_report_fields),
+            authorization.PATH: self.authorization.method(),
+            access_log.PATH: access_log.method(self.proxied, config.settings.load_report_fields),
             **self.health.methods(),
         }
         self.grpc = GrpcFactory(self.reactor, methods, ServerLimits(config.most_connections))
-        self.jsonrpc = JsonRpcFactory(self.reactor, self.desk, config.most_connections)
+        self.jsonrpc = JsonRpcFactory(self.reactor, self.dispatcher, config.most_connections)
 
     def _replicate_requests(self, config: Config) -> None:
         """Replicate requests to peers if that is enabled; it needs the membership."""
@@ -301,9 +302,9 @@
         self._drain_until_ms = self.clock()
 
     def _begin_drain(self) -> None:
-        self.gate.closing = True
-        self.desk.closing = True
-        self.health.set_all(Serving.NOT_SERVING)
+        self.authorization.draining = True
+        self.dispatcher.draining = True
+        self.health.set_all(ServingStatus.NOT_SERVING)
         self.updates.stop()
         self._drain_until_ms = self.clock() + self.config.drain_ms
         self.log.info("draining", open=self.request_table.open_requests)
@@ -339,5 +340,5 @@
             self.members.leave()
         if self.recorder is not None:
             self.recorder.flush()
-        self.grpc.leave()
+        self.grpc.drain()
         self.reactor.callLater(FINAL_WRITE_S, self._drain.complete)
--- a/anisefront/daemon/memory_purposes.py
+++ b/anisefront/daemon/memory_purposes.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from anisefront.daemon.memory import MemoryReport, Purpose
-from anisefront.frontends.grpcserver import GrpcFactory
-from anisefront.frontends.jsonrpc import JsonRpcFactory
+from anisefront.frontends.grpc_server import GrpcFactory
+from anisefront.frontends.jsonrpc_frontend import JsonRpcFactory
 from anisefront.gateway.request_table import RequestTable
 from anisefront.policy.controller import Controller
 from anisefront.policy.customer_account import CustomerAccount
--- a/anisefront/daemon/state_report.py
+++ b/anisefront/daemon/state_report.py
@@ -91,7 +91,7 @@
         number=instance.config.settings.number,
         gateways=instance.config.settings.gateways,
         incarnation=instance.incarnation,
-        phase="draining" if instance.gate.closing else "serving",
+        phase="draining" if instance.authorization.draining else "serving",
         up_ms=round(instance.clock() - instance.started_ms),
         requests=report_of_request_table(table),
         event_loop=instance.event_loop_monitor.lag.report(),
--- a/anisefront/frontends/__init__.py
+++ b/anisefront/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""The protocols that clients, proxies and balancers speak to a gatekeeper. No decision about a request."""
+"""Server side of the protocols of clients, proxies and load balancers; makes no decision about a request."""
--- a/anisefront/frontends/authorization.py
+++ b/anisefront/frontends/authorization.py
@@ -1,153 +1,210 @@
-"""`envoy.service.auth.v3.Authorization/Check`: a front proxy asks whether, and where to, a request may go.
+"""`envoy.service.auth.v3.Authorization/Check`: whether a front proxy may forward a request, and to which endpoint.
 
-GO       OK, with x-envoy-original-dst-host, x-envoy-upstream-rq-timeout-ms and x-anisefront-attempt;
-         and with :path where the request's was not in normal form: it goes on as what it was judged
-REFUSED  429 (quota) or 503, Retry-After, x-anisefront-final: refused - safe to try again
-FAILED   502, x-anisefront-final: failed - no promise
-unmapped 401, 403, 404 or 400 - never let through
+forwarded  OK, with x-envoy-original-dst-host, x-envoy-upstream-rq-timeout-ms and x-anisefront-attempt; and with
+           :path if the request's path was not in normal form: it is forwarded as it was routed
+rejected   429 (quota), 409 (in progress) or 503, Retry-After, x-anisefront-final: refused - can be retried safely
+failed     502, x-anisefront-final: failed - it may have been executed
+unroutable 401, 403, 404 or 400 - never forwarded
 """
 
 from __future__ import annotations
 
 import json
 import math
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 
 from envoy.config.core.v3 import base_pb2
-from envoy.service.auth.v3 import external_auth_pb2
+from envoy.service.auth.v3 import attribute_context_pb2, external_auth_pb2
 from google.protobuf.message import DecodeError
 
-from anisefront.upstream.delegated_checks import CheckResponse, Verdict
-from anisefront.gateway.request_terms import RequestTerms
-from anisefront.upstream.delegated_requests import DelegatedRequests
-from anisefront.gateway.errors import AmbiguousPathError
+from anisefront.frontends.grpc_call import Call, Method
+from anisefront.gateway.errors import AmbiguousPathError, UnroutableRequestError
 from anisefront.gateway.paths import normalize_target
+from anisefront.gateway.request_terms import RequestTerms
 from anisefront.gateway.routing import Router
-from anisefront.gateway.errors import UnroutableRequestError
-from anisefront.frontends.grpcserver import Call, Method
 from anisefront.protocols import grpc
+from anisefront.upstream.delegated_checks import CheckResponse, Verdict
+from anisefront.upstream.delegated_requests import DelegatedRequests
 
 PATH = b"/envoy.service.auth.v3.Authorization/Check"
-ATTEMPT, FINAL, REASON = "x-anisefront-attempt", "x-anisefront-final", "x-anisefront-reason"
+ATTEMPT_HEADER = "x-anisefront-attempt"
+FINAL_HEADER = "x-anisefront-final"
+REASON_HEADER = "x-anisefront-reason"
+DRAINING_RETRY_AFTER_MS = 1000.0
 _OVERWRITE = base_pb2.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
 _RPC_CODES = {400: 3, 401: 16, 403: 7, 404: 5, 409: 6, 429: 8, 502: 14, 503: 14}  # google.rpc.Code
+_RPC_PERMISSION_DENIED = 7
+_REJECTION_STATUS = {"quota": 429, "in-progress": 409}  # by reason
+_OVERLOADED_STATUS = 503  # of all other reasons
 
 
-class Gate:
-    """What a check needs besides its message."""
+class AuthorizationService:
+    """What all checks share."""
 
     def __init__(
-        self, router: Callable[[], Router], proxied: DelegatedRequests, now_ms: object, gateways_of: object
+        self,
+        router: Callable[[], Router],
+        delegated: DelegatedRequests,
+        now_ms: Callable[[], float],
+        gateways_of: Callable[[str], tuple[int, int]],
     ) -> None:
-        self.router, self.proxied, self.now_ms, self.gateways_of = router, proxied, now_ms, gateways_of
-        self.closing = False  # while draining: what is new is refused, what was begun goes on
+        """Create the service.
+
+        Args:
+            router: Returns the current routes.
+            delegated: The requests whose attempts proxies carry out.
+            now_ms: The clock of deadlines.
+            gateways_of: Returns the first gateway instance of a customer's set, and their number.
+        """
+        self.router = router
+        self.delegated = delegated
+        self.now_ms = now_ms
+        self.gateways_of = gateways_of
+        self.draining = False  # new requests are rejected; accepted ones continue
 
     def method(self) -> Method:
-        """The method's entry for a `GrpcFactory`."""
+        """Return the method's entry for a `GrpcFactory`."""
         return lambda call: _Check(self, call)
 
 
 class _Check:
-    __slots__ = ("_asked", "_call", "_gate", "_number", "_target")
+    """One check: the first of a request, or that of a retry."""
 
-    def __init__(self, gate: Gate, call: Call) -> None:
-        self._gate, self._call, self._number, self._asked = gate, call, None, False
-        self._target = ""  # the path to go on with, where it is another than the one that came
+    __slots__ = ("_call", "_message_received", "_number", "_rewritten_path", "_service")
 
-    def message(self, data: bytes) -> None:
-        if self._asked:
+    def __init__(self, service: AuthorizationService, call: Call) -> None:
+        self._service = service
+        self._call = call
+        self._number: int | None = None
+        self._message_received = False
+        self._rewritten_path = ""  # the path to forward; empty if it is the one that was received
+
+    def message_received(self, data: bytes) -> None:
+        """Start the check of the request that the message describes."""
+        if self._message_received:
             raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "one message a check")
-        self._asked = True
+        self._message_received = True
         try:
             http = external_auth_pb2.CheckRequest.FromString(data).attributes.request.http
-        except DecodeError as problem:
-            raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "no CheckRequest") from problem
-        gate, headers = self._gate, dict(http.headers)
-        token = headers.get(ATTEMPT, "")
+        except DecodeError as error:
+            raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "no CheckRequest") from error
+        headers = dict(http.headers)
+        token = headers.get(ATTEMPT_HEADER, "")
         if token:
-            self._target = self._other_path(http.path)
-            self._number = gate.proxied.next_check(token, self._reply)
-            return
+            self._rewritten_path = _normalized_path(http.path)
+            self._number = self._service.delegated.next_check(token, self._respond)
+        else:
+            self._check_new_request(http, headers)
+
+    def half_closed(self) -> None:
+        """Reject a call that ended without a message."""
+        if not self._message_received:
+            raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "a check without a message")
+
+    def cancelled(self) -> None:
+        """Cancel the check if it has no response yet."""
+        if self._number is not None:
+            self._service.delegated.check_cancelled(self._number)
+
+    def _check_new_request(
+        self, http: attribute_context_pb2.AttributeContext.HttpRequest, headers: Mapping[str, str]
+    ) -> None:
+        service = self._service
         try:
             if not http.method:
                 raise UnroutableRequestError(400, "no-http-request")
-            mapped = gate.router().map(http.method, http.host, http.path, headers)
-        except UnroutableRequestError as problem:
-            self._call.finish(denied(problem.status, str(problem), {}))
+            mapped = service.router().map(http.method, http.host, http.path, headers)
+        except UnroutableRequestError as error:
+            self._call.finish(encode_denied(error.status, str(error), {}))
             return
-        self._target = "" if mapped.target == http.path else mapped.target
-        if gate.closing:
-            self._reply(CheckResponse(Verdict.REJECTED, retry_after_ms=1000.0, reason="draining"))
+        self._rewritten_path = "" if mapped.target == http.path else mapped.target
+        if service.draining:
+            self._respond(CheckResponse(Verdict.REJECTED, retry_after_ms=DRAINING_RETRY_AFTER_MS, reason="draining"))
             return
-        first, spread = gate.gateways_of(mapped.customer)
-        self._number = gate.proxied.first_check(
-            headers.get("x-request-id", "") or http.id,
-            self._reply,
-            RequestTerms(
-                mapped.customer,
-                mapped.class_name,
-                mapped.plan,
-                gate.now_ms() + mapped.deadline_ms,
-                mapped.units,
-                first,
-                spread,
-                mapped.is_retry,
-            ),
-            self._call.peer,
-            headers.get("x-idempotency-key", ""),
+        first_gateway, spread = service.gateways_of(mapped.customer)
+        terms = RequestTerms(
+            mapped.customer,
+            mapped.class_name,
+            mapped.plan,
+            service.now_ms() + mapped.deadline_ms,
+            mapped.units,
+            first_gateway,
+            spread,
+            mapped.is_retry,
         )
+        request_id = headers.get("x-request-id", "") or http.id
+        idempotency_key = headers.get("x-idempotency-key", "")
+        self._number = service.delegated.first_check(request_id, self._respond, terms, self._call.peer, idempotency_key)
 
-    @staticmethod
-    def _other_path(path: str) -> str:
-        """The normal form of a path that was judged before, "" where it is in it."""
-        try:
-            target = normalize_target(path)
-        except AmbiguousPathError as problem:
-            raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, f"another path than before: {problem}") from problem
-        return "" if target == path else target
-
-    def half_closed(self) -> None:
-        if not self._asked:
-            raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "a check without a message")
-
-    def gone(self) -> None:
-        if self._number is not None:
-            self._gate.proxied.check_cancelled(self._number)
-
-    def _reply(self, answer: CheckResponse) -> None:
+    def _respond(self, response: CheckResponse) -> None:
         self._number = None
-        if answer.verdict is Verdict.START_ATTEMPT:
-            self._call.finish(allowed(answer, self._target))
-        elif answer.verdict is Verdict.REJECTED:
-            status = 429 if answer.reason == "quota" else 409 if answer.reason == "in-progress" else 503
-            retry = {"retry-after": str(max(1, math.ceil(answer.retry_after_ms / 1000)))}
-            self._call.finish(denied(status, answer.reason, retry | {FINAL: "refused"}))
+        if response.verdict is Verdict.START_ATTEMPT:
+            self._call.finish(encode_allowed(response, self._rewritten_path))
+        elif response.verdict is Verdict.REJECTED:
+            status = _REJECTION_STATUS.get(response.reason, _OVERLOADED_STATUS)
+            retry_after_s = max(1, math.ceil(response.retry_after_ms / 1000))
+            headers = {"retry-after": str(retry_after_s), FINAL_HEADER: "refused"}
+            self._call.finish(encode_denied(status, response.reason, headers))
         else:
-            self._call.finish(denied(502, answer.reason, {FINAL: "failed"}))
-
-
-def allowed(answer: CheckResponse, target: str = "") -> bytes:
-    """The message that lets one attempt go; `target`: with another path than the request's."""
-    response = external_auth_pb2.CheckResponse()
-    response.status.code = 0
-    for name, value in (
-        ("x-envoy-original-dst-host", answer.endpoint),
-        ("x-envoy-upstream-rq-timeout-ms", str(max(1, int(answer.timeout_ms)))),
-        (ATTEMPT, answer.attempt),
-        *(((":path", target),) if target else ()),
-    ):
-        option = response.ok_response.headers.add(append_action=_OVERWRITE)
-        option.header.key, option.header.value = name, value
-    return response.SerializeToString()
-
-
-def denied(status: int, reason: str, headers: dict[str, str]) -> bytes:
-    """The message that answers the client in our place."""
-    response = external_auth_pb2.CheckResponse()
-    response.status.code, response.status.message = _RPC_CODES.get(status, 7), reason
-    response.denied_response.status.code = status
-    for name, value in {"content-type": "application/json", REASON: reason, **headers}.items():
-        option = response.denied_response.headers.add(append_action=_OVERWRITE)
-        option.header.key, option.header.value = name, value
-    response.denied_response.body = json.dumps({"reason": reason}) + "\n"
-    return response.SerializeToString()
+            self._call.finish(encode_denied(502, response.reason, {FINAL_HEADER: "failed"}))
+
+
+def _normalized_path(path: str) -> str:
+    """Return the normal form of a path that was routed before, empty if the path is in normal form."""
+    try:
+        target = normalize_target(path)
+    except AmbiguousPathError as error:
+        raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, f"another path than before: {error}") from error
+    return "" if target == path else target
+
+
+def encode_allowed(response: CheckResponse, rewritten_path: str = "") -> bytes:
+    """Encode the response that lets the proxy start one attempt.
+
+    Args:
+        response: The endpoint, the timeout and the token of the attempt.
+        rewritten_path: The path to forward, empty for the request's own.
+
+    Returns:
+        The serialized `CheckResponse`.
+    """
+    message = external_auth_pb2.CheckResponse()
+    message.status.code = 0
+    headers = {
+        "x-envoy-original-dst-host": response.endpoint,
+        "x-envoy-upstream-rq-timeout-ms": str(max(1, int(response.timeout_ms))),
+        ATTEMPT_HEADER: response.attempt,
+    }
+    if rewritten_path:
+        headers[":path"] = rewritten_path
+    _add_headers(message.ok_response.headers, headers)
+    return message.SerializeToString()
+
+
+def encode_denied(status: int, reason: str, headers: Mapping[str, str]) -> bytes:
+    """Encode the response that has the proxy answer the client itself.
+
+    Args:
+        status: The HTTP status for the client.
+        reason: The reason, for a header and the body.
+        headers: Further headers for the client.
+
+    Returns:
+        The serialized `CheckResponse`.
+    """
+    message = external_auth_pb2.CheckResponse()
+    message.status.code = _RPC_CODES.get(status, _RPC_PERMISSION_DENIED)
+    message.status.message = reason
+    message.denied_response.status.code = status
+    all_headers = {"content-type": "application/json", REASON_HEADER: reason, **headers}
+    _add_headers(message.denied_response.headers, all_headers)
+    message.denied_response.body = json.dumps({"reason": reason}) + "\n"
+    return message.SerializeToString()
+
+
+def _add_headers(options: object, headers: Mapping[str, str]) -> None:
+    """Append headers to a repeated field of `HeaderValueOption`."""
+    for name, value in headers.items():
+        option = options.add(append_action=_OVERWRITE)
+        option.header.key = name
+        option.header.value = value
--- /dev/null
+++ b/anisefront/frontends/grpc_server.py
@@ -0,0 +1,195 @@
+"""gRPC server on Twisted: passes the streams of a connection to calls, and calls to their services.
+
+It knows no service and no message; `protocols/` parses and encodes the bytes of the connection.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import Any
+
+from twisted.internet import protocol
+from twisted.python.failure import Failure
+
+from anisefront.frontends.backpressure import Backpressure
+from anisefront.frontends.grpc_call import Call, Method
+from anisefront.protocols import grpc, http2
+
+GOAWAY_READ_TIMEOUT_S = 1.0  # for a client to read why its connection ends
+MAX_REPORTED_PATH = 100  # characters
+
+
+@dataclass(slots=True)
+class ServerLimits:
+    """Caps of one listener."""
+
+    max_connections: int = 512
+    max_message_bytes: int = 256 << 10
+    preface_timeout_s: float = 5.0  # a connection without a request by then is closed
+    write_timeout_s: float = 20.0  # a client that reads nothing for this time is aborted
+    http2: http2.Limits = field(default_factory=http2.Limits)
+
+
+class GrpcConnection(Backpressure):
+    """One connection of a client."""
+
+    def __init__(self, factory: GrpcFactory) -> None:
+        """Create the protocol of a new connection."""
+        self.factory = factory
+        self.http2 = http2.Connection(factory.limits.http2)
+        self.calls: dict[int, Call] = {}
+        self._flush_scheduled = False
+        self._request_received = False
+
+    @property
+    def reactor(self) -> Any:
+        """Return the event loop."""
+        return self.factory.reactor
+
+    def connectionMade(self) -> None:
+        """Send SETTINGS, or GOAWAY if there are too many connections."""
+        factory = self.factory
+        self.transport.setTcpNoDelay(True)
+        self.transport.setTcpKeepAlive(True)
+        self.watch_reader(factory.reactor, factory.limits.write_timeout_s, self._write_timed_out)
+        self._preface_timer = factory.reactor.callLater(factory.limits.preface_timeout_s, self._preface_timed_out)
+        # A rejected connection stays open until its client has read GOAWAY. It must not count as a connection, or
+        # many rejected clients would exclude others for which there is capacity again.
+        if len(factory.connections) < factory.limits.max_connections:
+            factory.connections.add(self)
+        else:
+            factory.counts["connections_refused"] += 1
+            self._dispatch(self.http2.end(http2.Code.ENHANCE_YOUR_CALM, "too many connections"))
+        self.flush()
+
+    def dataReceived(self, data: bytes) -> None:
+        """Process bytes and write the immediate responses together."""
+        self._flush_scheduled = True  # it is written below
+        self._dispatch(self.http2.receive(data, self.factory.reactor.seconds() * 1000))
+        self.flush()
+
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
+        """Cancel the open calls."""
+        self.factory.connections.discard(self)
+        self.forget_reader()
+        if self._preface_timer.active():
+            self._preface_timer.cancel()
+        for call in list(self.calls.values()):
+            call.stream_closed()
+
+    def flush_soon(self) -> None:
+        """Write what is to be sent at the end of this event loop iteration, once for all its responses."""
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
+            self.factory.flush_soon(self)
+
+    def flush(self) -> None:
+        """Write what is to be sent."""
+        self._flush_scheduled = False
+        data = self.http2.data_to_send()
+        if data:
+            self.transport.write(data)
+
+    def drain(self) -> None:
+        """Accept no new calls; the open ones are finished."""
+        self.http2.leave()
+        self.flush()
+
+    def _dispatch(self, events: list[http2.Event]) -> None:
+        for event in events:
+            if isinstance(event, http2.RequestReceived):
+                self._request_received = True
+                self._start_call(event)
+            elif isinstance(event, http2.DataReceived):
+                call = self.calls.get(event.stream)
+                if call is not None:
+                    call.data_received(event.data, event.ended)
+            elif isinstance(event, http2.StreamReset):
+                call = self.calls.get(event.stream)
+                if call is not None:
+                    call.stream_closed()
+            elif isinstance(event, http2.Broken):
+                self._close(event.code)
+
+    def _close(self, code: http2.Code) -> None:
+        self.factory.counts[f"connections_broken_{code.name.lower()}"] += 1
+        self.flush()
+        self.transport.loseConnection()
+        # A client that does not read its GOAWAY would keep the connection open forever.
+        self.factory.reactor.callLater(GOAWAY_READ_TIMEOUT_S, self.transport.abortConnection)
+
+    def _start_call(self, event: http2.RequestReceived) -> None:
+        headers = dict(event.headers)
+        if headers[b":method"] != b"POST" or not headers.get(b"content-type", b"").startswith(b"application/grpc"):
+            block = http2.literal_block((":status", "415"), ("content-type", "text/plain"))
+            self.http2.send_headers(event.stream, block, True)
+            return
+        method = self.factory.methods.get(headers[b":path"])
+        call = Call(self, event.stream, headers, grpc.Unpacker(self.factory.limits.max_message_bytes))
+        self.calls[event.stream] = call
+        if method is None:
+            path = headers[b":path"].decode("latin-1")[:MAX_REPORTED_PATH]
+            call.fail(grpc.Status.UNIMPLEMENTED, f"no method {path}")
+            return
+        call.service = method(call)
+        try:
+            call.set_timeout(grpc.timeout_ms(headers.get(b"grpc-timeout", b"")))
+        except grpc.CallFault as error:
+            call.fail(error.status, str(error))
+            return
+        if event.ended:
+            call.data_received(b"", True)
+
+    def _preface_timed_out(self) -> None:
+        if not self._request_received:
+            self.factory.counts["connections_silent"] += 1
+            self.transport.abortConnection()
+
+    def _write_timed_out(self) -> None:
+        self.factory.counts["connections_stuck"] += 1
+        self.transport.abortConnection()
+
+
+class GrpcFactory(protocol.ServerFactory):
+    """A listener: its methods by path, its limits, its connections."""
+
+    noisy = False
+
+    def __init__(self, reactor: Any, methods: Mapping[bytes, Method], limits: ServerLimits | None = None) -> None:
+        """Create the factory of a listener."""
+        self.reactor = reactor
+        self.methods = dict(methods)
+        self.limits = limits or ServerLimits()
+        self.connections: set[GrpcConnection] = set()
+        self.counts: Counter[str] = Counter()
+        self._unwritten: list[GrpcConnection] = []
+        self._collecting = False
+
+    def buildProtocol(self, address: object) -> GrpcConnection:
+        """Create the protocol of a new connection."""
+        return GrpcConnection(self)
+
+    def flush_soon(self, connection: GrpcConnection) -> None:
+        """Write a connection's responses at the end of the batch, or in the next iteration if there is no batch."""
+        if not self._unwritten and not self._collecting:
+            self.reactor.callLater(0, self.flush)
+        self._unwritten.append(connection)
+
+    def collect(self) -> None:
+        """Begin a batch: its responses are written together when it calls `flush`."""
+        self._collecting = True
+
+    def flush(self) -> None:
+        """Write the responses of every connection."""
+        self._collecting = False
+        unwritten = self._unwritten
+        self._unwritten = []
+        for connection in unwritten:
+            connection.flush()
+
+    def drain(self) -> None:
+        """Send GOAWAY on every connection."""
+        for connection in list(self.connections):
+            connection.drain()
--- a/anisefront/frontends/health.py
+++ b/anisefront/frontends/health.py
@@ -4,11 +4,20 @@
 
 from enum import IntEnum
 
-from anisefront.frontends.grpcserver import Call, Method
+from anisefront.frontends.grpc_call import Call, Method
 from anisefront.protocols import grpc
 
+MAX_WATCHERS = 256
+_SERVICE_FIELD = 1  # of HealthCheckRequest
+_STATUS_TAG = 0x08  # field 1, varint, of HealthCheckResponse
+# Wire types of the protobuf encoding.
+_VARINT = 0
+_FIXED64 = 1
+_LENGTH_DELIMITED = 2
+_FIXED32 = 5
 
-class Serving(IntEnum):
+
+class ServingStatus(IntEnum):
     """HealthCheckResponse.ServingStatus."""
 
     UNKNOWN = 0
@@ -17,114 +26,149 @@
     SERVICE_UNKNOWN = 3
 
 
-class Health:
-    """The state of each service and who watches it. "" is the whole server."""
+class HealthService:
+    """The status of each service, and the calls that watch it. An empty name is the whole server."""
 
-    def __init__(self, services: tuple[str, ...], most_watchers: int = 256) -> None:
-        self._state = dict.fromkeys(("", *services), Serving.SERVING)
-        self._watchers: set[_Watch] = set()
-        self.most_watchers = most_watchers
+    def __init__(self, services: tuple[str, ...], max_watchers: int = MAX_WATCHERS) -> None:
+        """Create the service; all services are `SERVING`."""
+        self.watchers: set[_Watch] = set()
+        self.max_watchers = max_watchers
+        self._statuses = dict.fromkeys(("", *services), ServingStatus.SERVING)
 
     def methods(self) -> dict[bytes, Method]:
-        """Entries for a `GrpcFactory`."""
+        """Return entries for a `GrpcFactory`."""
         return {
             b"/grpc.health.v1.Health/Check": lambda call: _Check(self, call),
             b"/grpc.health.v1.Health/Watch": lambda call: _Watch(self, call),
         }
 
-    def state(self, service: str) -> Serving | None:
-        """A service's state, None for one that is not here."""
-        return self._state.get(service)
+    def status(self, service: str) -> ServingStatus | None:
+        """Return a service's status, None for an unknown service."""
+        return self._statuses.get(service)
 
-    def set_all(self, state: Serving) -> None:
-        """Set every service and tell those that watch."""
-        self._state = dict.fromkeys(self._state, state)
-        for watcher in list(self._watchers):
-            watcher.tell()
+    def set_all(self, status: ServingStatus) -> None:
+        """Set the status of every service and notify the watchers."""
+        self._statuses = dict.fromkeys(self._statuses, status)
+        for watcher in list(self.watchers):
+            watcher.notify()
 
 
-def _service(data: bytes) -> str:
-    """The field `service` (1, string) of a HealthCheckRequest; other fields are skipped."""
-    at, name = 0, ""
+def _decode_service(data: bytes) -> str:
+    """Return the field `service` of a HealthCheckRequest; other fields are skipped."""
     try:
-        while at < len(data):
-            tag, at = _varint(data, at)
-            if tag & 7 == 0:
-                _, at = _varint(data, at)
-            elif tag & 7 == 2:
-                size, at = _varint(data, at)
-                if at + size > len(data):
-                    raise IndexError
-                if tag >> 3 == 1:
-                    name = data[at : at + size].decode()
-                at += size
-            elif tag & 7 in (1, 5):
-                at += 8 if tag & 7 == 1 else 4
-            else:
+        return _find_service(data)
+    except (IndexError, UnicodeDecodeError) as error:
+        raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "no HealthCheckRequest") from error
+
+
+def _find_service(data: bytes) -> str:
+    """Return the last value of the field `service`.
+
+    Raises:
+        IndexError: The message is truncated, or has an unknown wire type.
+        UnicodeDecodeError: The value is not UTF-8.
+    """
+    offset = 0
+    name = ""
+    while offset < len(data):
+        tag, offset = _decode_varint(data, offset)
+        wire_type = tag & 7
+        if wire_type == _VARINT:
+            _, offset = _decode_varint(data, offset)
+        elif wire_type == _LENGTH_DELIMITED:
+            size, offset = _decode_varint(data, offset)
+            end = offset + size
+            if end > len(data):
                 raise IndexError
-    except (IndexError, UnicodeDecodeError) as problem:
-        raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "no HealthCheckRequest") from problem
+            if tag >> 3 == _SERVICE_FIELD:
+                name = data[offset:end].decode()
+            offset = end
+        elif wire_type == _FIXED64:
+            offset += 8
+        elif wire_type == _FIXED32:
+            offset += 4
+        else:
+            raise IndexError
     return name
 
 
-def _varint(data: bytes, at: int) -> tuple[int, int]:
-    value = shift = 0
+def _decode_varint(data: bytes, offset: int) -> tuple[int, int]:
+    """Return the value at `offset` and the offset behind it."""
+    value = 0
+    shift = 0
     while True:
-        byte = data[at]
+        byte = data[offset]
         value |= (byte & 0x7F) << shift
-        at, shift = at + 1, shift + 7
+        offset += 1
+        shift += 7
         if byte < 0x80:
-            return value, at
-        if shift > 63:
+            return value, offset
+        if shift > 63:  # a varint has at most ten bytes
             raise IndexError
 
 
-def _message(state: Serving) -> bytes:
-    return bytes((0x08, state)) if state else b""
+def _encode_status(status: ServingStatus) -> bytes:
+    """Encode a HealthCheckResponse; proto3 omits a field whose value is zero."""
+    if status is ServingStatus.UNKNOWN:
+        return b""
+    return bytes((_STATUS_TAG, status))
 
 
 class _Check:
+    """One call of Check."""
+
     __slots__ = ("_call", "_health")
 
-    def __init__(self, health: Health, call: Call) -> None:
-        self._health, self._call = health, call
+    def __init__(self, health: HealthService, call: Call) -> None:
+        self._health = health
+        self._call = call
 
-    def message(self, data: bytes) -> None:
-        state = self._health.state(_service(data))
-        if state is None:
+    def message_received(self, data: bytes) -> None:
+        """Respond with the current status."""
+        status = self._health.status(_decode_service(data))
+        if status is None:
             raise grpc.CallFault(grpc.Status.NOT_FOUND, "no such service")
-        self._call.finish(_message(state))
+        self._call.finish(_encode_status(status))
 
     def half_closed(self) -> None:
+        """Reject a call that ended without a message."""
         raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "a check without a message")
 
-    def gone(self) -> None:
-        """Nothing is held for it."""
+    def cancelled(self) -> None:
+        """Do nothing: the call has no state."""
 
 
 class _Watch:
-    def __init__(self, health: Health, call: Call) -> None:
-        self._health, self._call, self._name, self._told = health, call, None, None
+    """One call of Watch."""
+
+    def __init__(self, health: HealthService, call: Call) -> None:
+        self._health = health
+        self._call = call
+        self._service: str | None = None
+        self._sent_status: ServingStatus | None = None
 
-    def message(self, data: bytes) -> None:
-        if self._name is not None:
+    def message_received(self, data: bytes) -> None:
+        """Send the current status and start to watch it."""
+        if self._service is not None:
             raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "one message a watch")
-        if len(self._health._watchers) >= self._health.most_watchers:
+        if len(self._health.watchers) >= self._health.max_watchers:
             raise grpc.CallFault(grpc.Status.RESOURCE_EXHAUSTED, "too many watch")
-        self._name = _service(data)
-        self._health._watchers.add(self)
-        self.tell()
-
-    def tell(self) -> None:
-        """Send the state where it has changed."""
-        state = self._health.state(self._name)
-        state = Serving.SERVICE_UNKNOWN if state is None else state
-        if state is not self._told:
-            self._told = state
-            self._call.reply(_message(state))
+        self._service = _decode_service(data)
+        self._health.watchers.add(self)
+        self.notify()
+
+    def notify(self) -> None:
+        """Send the status if it has changed."""
+        status = self._health.status(self._service)
+        if status is None:
+            status = ServingStatus.SERVICE_UNKNOWN
+        if status is not self._sent_status:
+            self._sent_status = status
+            self._call.reply(_encode_status(status))
 
     def half_closed(self) -> None:
-        """A watch goes on until its client ends it."""
+        """Do nothing: a watch continues until its client cancels it."""
 
-    def gone(self) -> None:
-        self._health._watchers.discard(self)
+    def cancelled(self) -> None:
+        """Stop to watch."""
+        self._health.watchers.discard(self)
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -145,7 +145,7 @@
     """The log stream's message is large; what comes behind it waits in the socket and not with us."""
     from twisted.internet.testing import StringTransport
 
-    from anisefront.frontends.grpcserver import GrpcFactory
+    from anisefront.frontends.grpc_server import GrpcFactory
 
     calls = []
 
@@ -153,13 +153,13 @@
         def __init__(self, call):
             calls.append(call)
 
-        def message(self, data):
-            calls[-1].later(lambda: None)
+        def message_received(self, data):
+            calls[-1].continue_in_next_iteration(lambda: None)
 
         def half_closed(self):
             pass
 
-        def gone(self):
+        def cancelled(self):
             pass
 
     import h2.config
--- a/tests/test_node_loopback.py
+++ b/tests/test_node_loopback.py
@@ -355,6 +355,6 @@
         "twisted.web",
         "anisefront.config.checker",
         "anisefront.testbed",
-        "anisefront.frontends.grpcserver",
+        "anisefront.frontends.grpc_server",
     ):
         assert name not in loaded, name
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,7 +16,7 @@
 from anisefront.cluster.datagrams import DatagramAuthenticator
 from anisefront.cluster.replication_codec import MARK
 from anisefront.cluster.membership import Membership
-from anisefront.frontends.jsonrpc import UNMAPPED
+from anisefront.frontends.jsonrpc_responses import UNROUTABLE
 from anisefront.policy.peer_codec import encode
 from anisefront.config.reading import Reading
 from anisefront.gateway.steps import run_to_end
@@ -199,7 +199,7 @@
             assert 0 < more("out", "quotas") <= 3 * own + 8 * came
         # A change of settings: the same in force at all.
         call = {"method": "GET", "path": "/s0000/changed-1", "headers": {"x-api-key": "k-00001"}}
-        assert {rpc(each["jsonrpc"], "call", call)["error"]["code"] for each in fleet.where.values()} == {UNMAPPED}
+        assert {rpc(each["jsonrpc"], "call", call)["error"]["code"] for each in fleet.where.values()} == {UNROUTABLE}
         _, path = fleet.change_settings()
         assert path == "/s0000/changed-1"
         digest = {each["digest"] for each in fleet.known()}
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -17,7 +17,8 @@
 from anisefront.gateway.routing import Router
 from anisefront.gateway.errors import UnroutableRequestError
 from anisefront.gateway.routes import Key, Route
-from anisefront.frontends.jsonrpc import BadParams, job_from
+from anisefront.frontends.errors import InvalidParamsError
+from anisefront.frontends.jsonrpc_params import parse_params
 from anisefront.policy import quota_borrower
 from anisefront.policy.actions import Reject, RejectionReason, SendToPeer, StartAttempt
 from anisefront.policy.events import Arrival, AttemptResult, PeerMessage
@@ -318,9 +319,9 @@
 
 
 def test_two_headers_that_differ_in_case_only_are_refused():
-    with pytest.raises(BadParams, match="'x-api-key' is there twice"):
-        job_from({"path": "/", "headers": {"X-Api-Key": "mine", "x-api-key": "yours"}})
-    assert job_from({"path": "/", "headers": {"X-Api-Key": "mine"}})[0].headers == {"x-api-key": "mine"}
+    with pytest.raises(InvalidParamsError, match="'x-api-key' is there twice"):
+        parse_params({"path": "/", "headers": {"X-Api-Key": "mine", "x-api-key": "yours"}})
+    assert parse_params({"path": "/", "headers": {"X-Api-Key": "mine"}})[0].headers == {"x-api-key": "mine"}
 
 
 def test_homes_are_spread_over_the_whole_fleet():
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -47,8 +47,8 @@
 from anisefront.daemon.recorder import Recorder
 from anisefront.cluster import datagrams, member_state, membership, replication_codec, replication_messages
 from anisefront.cluster.backup_state import ReplicatedRequest
-from anisefront.frontends import accesslog, authorization, health, jsonrpc
-from anisefront.frontends.grpcserver import GrpcFactory
+from anisefront.frontends import access_log, authorization, health, jsonrpc_dispatcher, jsonrpc_frontend
+from anisefront.frontends.grpc_server import GrpcFactory
 from anisefront.resp_gateway import command_mapping, resp_codec
 from anisefront.resp_gateway.resp_requests import FAILED_REPLY, classify_reply, encode_rejection
 from anisefront.resp_gateway.instance_config import parse_config
@@ -350,7 +350,7 @@
 
 
 def _ask_own(made: GatewayInstance) -> None:
-    made.desk.ask(CALL, lambda answer: None)
+    made.dispatcher.submit(CALL, lambda answer: None)
 
 
 def _ask_proxied(made: GatewayInstance) -> None:
@@ -702,9 +702,11 @@
 def _rpc(line: bytes, answer: FinalResponse = OWN_ANSWERS["served"], draining: bool = False, most: int = 512) -> bytes:
     """What a client gets for a line."""
     reactor = MemoryReactorClock()
-    desk = jsonrpc.Desk(_router, _Own(answer), lambda: 1e6, lambda customer: (0, 1), lambda: {"state": "serving"})
-    desk.closing = draining
-    connection = jsonrpc.JsonRpcFactory(reactor, desk, most).buildProtocol(None)
+    desk = jsonrpc_dispatcher.CallDispatcher(
+        _router, _Own(answer), lambda: 1e6, lambda customer: (0, 1), lambda: {"state": "serving"}
+    )
+    desk.draining = draining
+    connection = jsonrpc_frontend.JsonRpcFactory(reactor, desk, most).buildProtocol(None)
     transport = _Transport()
     transport.unregisterProducer = transport.loseWriteConnection = lambda: None
     connection.makeConnection(transport)
@@ -776,10 +778,12 @@
     request = external_auth_pb2.CheckRequest()
     http = request.attributes.request.http
     http.method, http.path, http.host = "POST", path, "shop"
-    gate = authorization.Gate(_router, SimpleNamespace(first_check=ask), lambda: 1e6, lambda customer: (0, 1))
-    gate.closing = draining
+    gate = authorization.AuthorizationService(
+        _router, SimpleNamespace(first_check=ask), lambda: 1e6, lambda customer: (0, 1)
+    )
+    gate.draining = draining
     call = _Call()
-    gate.method()(call).message(request.SerializeToString())
+    gate.method()(call).message_received(request.SerializeToString())
     return call.message
 
 
@@ -796,7 +800,7 @@
         "allowed": lambda: _check(go),
         "unmapped": lambda: _check(None, "/x"),
         "draining": lambda: _check(None, draining=True),
-        "allowed with another path": lambda: authorization.allowed(go, "/normal"),
+        "allowed with another path": lambda: authorization.encode_allowed(go, "/normal"),
         **{
             f"failed: {reason}": lambda reason=reason: _check(answer(verdict.FAILED, reason=reason))
             for reason in ("failed", "unknown-attempt")
@@ -808,7 +812,7 @@
             for reason in reasons
         },
         **{
-            f"denied with {status}": lambda status=status: authorization.denied(status, "why", {})
+            f"denied with {status}": lambda status=status: authorization.encode_denied(status, "why", {})
             for status in (400, 401, 403, 404, 409, 429, 502, 503)
         },
     }
@@ -862,7 +866,7 @@
 
 def _log_read(data: bytes) -> Any:
     seen = _Logged()
-    accesslog.method(seen, REPORTED)(_Call()).message(data)
+    access_log.method(seen, REPORTED)(_Call()).message_received(data)
     return seen.seen
 
 
@@ -885,7 +889,7 @@
 
 def _grpc(path: str, message: bytes | None, *, change: Any = None, **headers: str) -> bytes:
     """All bytes of the server's side of a connection with one call."""
-    reactor, state = MemoryReactorClock(), health.Health(("one",))
+    reactor, state = MemoryReactorClock(), health.HealthService(("one",))
     connection = GrpcFactory(reactor, state.methods()).buildProtocol(None)
     transport = _Transport()
     connection.makeConnection(transport)
@@ -939,9 +943,9 @@
         "no such method": ("/a.B/C", b""),
     }
     out = {name: Sample(lambda each=each: _grpc(*each), _frames) for name, each in made.items()}
-    out["health watched"] = Sample(lambda: _grpc(watch, b"", change=health.Serving.NOT_SERVING), _frames)
+    out["health watched"] = Sample(lambda: _grpc(watch, b"", change=health.ServingStatus.NOT_SERVING), _frames)
     out["health of a service not known, watched"] = Sample(
-        lambda: _grpc(watch, b"\x0a\x01x", change=health.Serving.NOT_SERVING), _frames
+        lambda: _grpc(watch, b"\x0a\x01x", change=health.ServingStatus.NOT_SERVING), _frames
     )
     out["bad time-out"] = Sample(lambda: _grpc(check, b"", grpc_timeout="x"), _frames)
     out["message"] = Sample(lambda: grpc.pack(b"message"), lambda data: plain(grpc.Unpacker(100).feed(data)))
@@ -1082,7 +1086,7 @@
     reactor.advance(0.01)
     assert made.seal.peers[1].process_incarnation == life
     for number in range(3):
-        made.desk.ask(
+        made.dispatcher.submit(
             CALL | {"headers": {"x-api-key": "stall-7", "x-idempotency-key": f"key-{number}"}}, lambda answer: None
         )
     made.proxied.next_check("x", lambda answer: None)
