--- a/anisefront/frontends/grpc_call.py
+++ b/anisefront/frontends/grpc_call.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from anisefront.protocols import grpc, http2
+from anisefront.protocols import grpc
+from anisefront.protocols.http2_connection import Http2Connection
 
 
 class Service(Protocol):
@@ -25,7 +26,7 @@
     """What a call uses of its connection."""
 
     transport: Any
-    http2: http2.Connection
+    http2: Http2Connection
     calls: dict[int, Call]
 
     @property
--- a/anisefront/frontends/grpc_server.py
+++ b/anisefront/frontends/grpc_server.py
@@ -15,7 +15,18 @@
 
 from anisefront.frontends.backpressure import Backpressure
 from anisefront.frontends.grpc_call import Call, Method
-from anisefront.protocols import grpc, http2
+from anisefront.protocols import grpc
+from anisefront.protocols.http2_connection import Http2Connection
+from anisefront.protocols.http2_events import (
+    ConnectionTerminated,
+    DataReceived,
+    Event,
+    RequestReceived,
+    StreamReset,
+)
+from anisefront.protocols.http2_frames import ErrorCode
+from anisefront.protocols.http2_headers import literal_block
+from anisefront.protocols.http2_limits import Http2Limits
 
 GOAWAY_READ_TIMEOUT_S = 1.0  # for a client to read why its connection ends
 MAX_REPORTED_PATH = 100  # characters
@@ -29,7 +40,7 @@
     max_message_bytes: int = 256 << 10
     preface_timeout_s: float = 5.0  # a connection without a request by then is closed
     write_timeout_s: float = 20.0  # a client that reads nothing for this time is aborted
-    http2: http2.Limits = field(default_factory=http2.Limits)
+    http2: Http2Limits = field(default_factory=Http2Limits)
 
 
 class GrpcConnection(Backpressure):
@@ -38,7 +49,7 @@
     def __init__(self, factory: GrpcFactory) -> None:
         """Create the protocol of a new connection."""
         self.factory = factory
-        self.http2 = http2.Connection(factory.limits.http2)
+        self.http2 = Http2Connection(factory.limits.http2)
         self.calls: dict[int, Call] = {}
         self._flush_scheduled = False
         self._request_received = False
@@ -61,7 +72,7 @@
             factory.connections.add(self)
         else:
             factory.counts["connections_refused"] += 1
-            self._dispatch(self.http2.end(http2.Code.ENHANCE_YOUR_CALM, "too many connections"))
+            self._dispatch(self.http2.end(ErrorCode.ENHANCE_YOUR_CALM, "too many connections"))
         self.flush()
 
     def dataReceived(self, data: bytes) -> None:
@@ -94,41 +105,41 @@
 
     def drain(self) -> None:
         """Accept no new calls; the open ones are finished."""
-        self.http2.leave()
+        self.http2.drain()
         self.flush()
 
-    def _dispatch(self, events: list[http2.Event]) -> None:
+    def _dispatch(self, events: list[Event]) -> None:
         for event in events:
-            if isinstance(event, http2.RequestReceived):
+            if isinstance(event, RequestReceived):
                 self._request_received = True
                 self._start_call(event)
-            elif isinstance(event, http2.DataReceived):
-                call = self.calls.get(event.stream)
+            elif isinstance(event, DataReceived):
+                call = self.calls.get(event.stream_id)
                 if call is not None:
-                    call.data_received(event.data, event.ended)
-            elif isinstance(event, http2.StreamReset):
-                call = self.calls.get(event.stream)
+                    call.data_received(event.data, event.end_stream)
+            elif isinstance(event, StreamReset):
+                call = self.calls.get(event.stream_id)
                 if call is not None:
                     call.stream_closed()
-            elif isinstance(event, http2.Broken):
+            elif isinstance(event, ConnectionTerminated):
                 self._close(event.code)
 
-    def _close(self, code: http2.Code) -> None:
+    def _close(self, code: ErrorCode) -> None:
         self.factory.counts[f"connections_broken_{code.name.lower()}"] += 1
         self.flush()
         self.transport.loseConnection()
         # A client that does not read its GOAWAY would keep the connection open forever.
         self.factory.reactor.callLater(GOAWAY_READ_TIMEOUT_S, self.transport.abortConnection)
 
-    def _start_call(self, event: http2.RequestReceived) -> None:
+    def _start_call(self, event: RequestReceived) -> None:
         headers = dict(event.headers)
         if headers[b":method"] != b"POST" or not headers.get(b"content-type", b"").startswith(b"application/grpc"):
-            block = http2.literal_block((":status", "415"), ("content-type", "text/plain"))
-            self.http2.send_headers(event.stream, block, True)
+            block = literal_block((":status", "415"), ("content-type", "text/plain"))
+            self.http2.send_headers(event.stream_id, block, True)
             return
         method = self.factory.methods.get(headers[b":path"])
-        call = Call(self, event.stream, headers, grpc.Unpacker(self.factory.limits.max_message_bytes))
-        self.calls[event.stream] = call
+        call = Call(self, event.stream_id, headers, grpc.Unpacker(self.factory.limits.max_message_bytes))
+        self.calls[event.stream_id] = call
         if method is None:
             path = headers[b":path"].decode("latin-1")[:MAX_REPORTED_PATH]
             call.fail(grpc.Status.UNIMPLEMENTED, f"no method {path}")
@@ -139,7 +150,7 @@
         except grpc.CallFault as error:
             call.fail(error.status, str(error))
             return
-        if event.ended:
+        if event.end_stream:
             call.data_received(b"", True)
 
     def _preface_timed_out(self) -> None:
--- a/anisefront/protocols/grpc.py
+++ b/anisefront/protocols/grpc.py
@@ -8,7 +8,7 @@
 import struct
 from enum import IntEnum
 
-from anisefront.protocols.http2 import literal_block
+from anisefront.protocols.http2_headers import literal_block
 
 _PREFIX = struct.Struct(">BL")
 _UNITS_MS = {"H": 3_600_000.0, "M": 60_000.0, "S": 1000.0, "m": 1.0, "u": 1e-3, "n": 1e-6}
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -9,8 +9,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from anisefront.protocols import grpc, http2
-from anisefront.protocols.http2 import Broken, Code, Connection, DataReceived, Limits, RequestReceived, StreamReset
+from anisefront.protocols import grpc, http2_frames, http2_headers
+from anisefront.protocols.http2_connection import Http2Connection
+from anisefront.protocols.http2_events import ConnectionTerminated, DataReceived, RequestReceived, StreamReset
+from anisefront.protocols.http2_frames import ErrorCode, FrameType
+from anisefront.protocols.http2_limits import Http2Limits
 
 HEADERS = [
     (":method", "POST"),
@@ -26,14 +29,14 @@
     return struct.pack(">I", len(payload))[1:] + bytes((kind, flags)) + struct.pack(">I", stream) + payload
 
 
-HELLO = http2.PREFACE + frame(http2.SETTINGS, 0, 0)
+HELLO = http2_frames.PREFACE + frame(FrameType.SETTINGS, 0, 0)
 
 
 class Pair:
     """Our server and an `h2` client with nothing but bytes between them."""
 
-    def __init__(self, limits=Limits()):  # noqa: B008
-        self.server = Connection(limits)
+    def __init__(self, limits=Http2Limits()):  # noqa: B008
+        self.server = Http2Connection(limits)
         self.client = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
         self.client.initiate_connection()
         self.turn()
@@ -58,22 +61,22 @@
 
 
 def started():
-    server = Connection()
+    server = Http2Connection()
     server.receive(HELLO)
     server.data_to_send()
     return server
 
 
-def raw_headers(server, stream=1, ended=True, flags=http2.END_HEADERS):
-    block = http2.literal_block(*HEADERS)
-    return server.receive(frame(http2.HEADERS, flags | http2.END_STREAM * ended, stream, block))
+def raw_headers(server, stream=1, ended=True, flags=http2_frames.END_HEADERS):
+    block = http2_headers.literal_block(*HEADERS)
+    return server.receive(frame(FrameType.HEADERS, flags | http2_frames.END_STREAM * ended, stream, block))
 
 
 def broken(server, data):
     last = server.receive(data)[-1]
-    assert isinstance(last, Broken), last
+    assert isinstance(last, ConnectionTerminated), last
     assert server.closed and server.receive(HELLO) == []
-    assert server.data_to_send()[-200:].find(bytes((http2.GOAWAY,))) >= 0
+    assert server.data_to_send()[-200:].find(bytes((FrameType.GOAWAY,))) >= 0
     return last.code
 
 
@@ -139,14 +142,14 @@
 
 def test_padding_priority_and_continuation_are_read():
     server = started()
-    block = http2.literal_block(*HEADERS)
+    block = http2_headers.literal_block(*HEADERS)
     padded = bytes((3,)) + struct.pack(">IB", 0, 16) + block[:10] + b"\0\0\0"
-    flags = http2.PADDED | http2.HAS_PRIORITY
+    flags = http2_frames.PADDED | http2_frames.PRIORITY_FLAG
     events = server.receive(
-        frame(http2.HEADERS, flags, 1, padded)
-        + frame(http2.CONTINUATION, 0, 1, block[10:30])
-        + frame(http2.CONTINUATION, http2.END_HEADERS, 1, block[30:])
-        + frame(http2.DATA, http2.PADDED | http2.END_STREAM, 1, b"\x02ab\0\0")
+        frame(FrameType.HEADERS, flags, 1, padded)
+        + frame(FrameType.CONTINUATION, 0, 1, block[10:30])
+        + frame(FrameType.CONTINUATION, http2_frames.END_HEADERS, 1, block[30:])
+        + frame(FrameType.DATA, http2_frames.PADDED | http2_frames.END_STREAM, 1, b"\x02ab\0\0")
     )
     assert isinstance(events[0], RequestReceived) and events[1] == DataReceived(1, b"ab", True)
 
@@ -154,100 +157,106 @@
 def test_bytes_one_by_one_are_the_same():
     data = (
         HELLO
-        + frame(http2.HEADERS, http2.END_HEADERS, 1, http2.literal_block(*HEADERS))
-        + frame(http2.DATA, http2.END_STREAM, 1, b"abc")
+        + frame(FrameType.HEADERS, http2_frames.END_HEADERS, 1, http2_headers.literal_block(*HEADERS))
+        + frame(FrameType.DATA, http2_frames.END_STREAM, 1, b"abc")
     )
-    server, events = Connection(), []
+    server, events = Http2Connection(), []
     for at in range(len(data)):
         events += server.receive(data[at : at + 1])
-    assert events == Connection().receive(data) and len(events) == 2
+    assert events == Http2Connection().receive(data) and len(events) == 2
 
 
 @pytest.mark.parametrize(
     ("data", "code"),
     [
-        (b"\x16\x03\x01 what TLS begins with" + b"\r\n\r\n", Code.PROTOCOL_ERROR),
-        (http2.PREFACE + frame(http2.PING, 0, 0, b"12345678"), Code.PROTOCOL_ERROR),
-        (HELLO + frame(http2.DATA, 0, 1, b"x"), Code.PROTOCOL_ERROR),
-        (HELLO + frame(http2.HEADERS, http2.END_HEADERS, 2, b""), Code.PROTOCOL_ERROR),
-        (HELLO + frame(http2.CONTINUATION, 0, 1, b""), Code.PROTOCOL_ERROR),
-        (HELLO + frame(http2.HEADERS, 0, 1, b"") + frame(http2.PING, 0, 0, b"12345678"), Code.PROTOCOL_ERROR),
-        (HELLO + frame(http2.HEADERS, http2.END_HEADERS, 1, b"\xff\xff\xff\xff\xff\xff\xff"), Code.COMPRESSION_ERROR),
-        (HELLO + frame(http2.PING, 0, 0, b"123"), Code.FRAME_SIZE_ERROR),
-        (HELLO + frame(http2.PING, 0, 3, b"12345678"), Code.PROTOCOL_ERROR),
-        (HELLO + frame(http2.SETTINGS, 0, 0, b"12345"), Code.FRAME_SIZE_ERROR),
-        (HELLO + frame(http2.SETTINGS, 0, 0, struct.pack(">HL", 4, 2**31)), Code.FLOW_CONTROL_ERROR),
-        (HELLO + frame(http2.SETTINGS, 0, 0, struct.pack(">HL", 5, 100)), Code.PROTOCOL_ERROR),
-        (HELLO + frame(http2.PUSH_PROMISE, 0, 1, b"1234"), Code.PROTOCOL_ERROR),
-        (HELLO + frame(http2.RST_STREAM, 0, 9, b"1234"), Code.PROTOCOL_ERROR),
-        (HELLO + frame(http2.WINDOW_UPDATE, 0, 0, struct.pack(">L", 2**31 - 1)), Code.FLOW_CONTROL_ERROR),
-        (HELLO + frame(http2.WINDOW_UPDATE, 0, 0, struct.pack(">L", 0)), Code.PROTOCOL_ERROR),
-        (HELLO + frame(http2.DATA, 0, 1, b"x" * 20000), Code.FRAME_SIZE_ERROR),
+        (b"\x16\x03\x01 what TLS begins with" + b"\r\n\r\n", ErrorCode.PROTOCOL_ERROR),
+        (http2_frames.PREFACE + frame(FrameType.PING, 0, 0, b"12345678"), ErrorCode.PROTOCOL_ERROR),
+        (HELLO + frame(FrameType.DATA, 0, 1, b"x"), ErrorCode.PROTOCOL_ERROR),
+        (HELLO + frame(FrameType.HEADERS, http2_frames.END_HEADERS, 2, b""), ErrorCode.PROTOCOL_ERROR),
+        (HELLO + frame(FrameType.CONTINUATION, 0, 1, b""), ErrorCode.PROTOCOL_ERROR),
+        (
+            HELLO + frame(FrameType.HEADERS, 0, 1, b"") + frame(FrameType.PING, 0, 0, b"12345678"),
+            ErrorCode.PROTOCOL_ERROR,
+        ),
+        (
+            HELLO + frame(FrameType.HEADERS, http2_frames.END_HEADERS, 1, b"\xff\xff\xff\xff\xff\xff\xff"),
+            ErrorCode.COMPRESSION_ERROR,
+        ),
+        (HELLO + frame(FrameType.PING, 0, 0, b"123"), ErrorCode.FRAME_SIZE_ERROR),
+        (HELLO + frame(FrameType.PING, 0, 3, b"12345678"), ErrorCode.PROTOCOL_ERROR),
+        (HELLO + frame(FrameType.SETTINGS, 0, 0, b"12345"), ErrorCode.FRAME_SIZE_ERROR),
+        (HELLO + frame(FrameType.SETTINGS, 0, 0, struct.pack(">HL", 4, 2**31)), ErrorCode.FLOW_CONTROL_ERROR),
+        (HELLO + frame(FrameType.SETTINGS, 0, 0, struct.pack(">HL", 5, 100)), ErrorCode.PROTOCOL_ERROR),
+        (HELLO + frame(FrameType.PUSH_PROMISE, 0, 1, b"1234"), ErrorCode.PROTOCOL_ERROR),
+        (HELLO + frame(FrameType.RST_STREAM, 0, 9, b"1234"), ErrorCode.PROTOCOL_ERROR),
+        (HELLO + frame(FrameType.WINDOW_UPDATE, 0, 0, struct.pack(">L", 2**31 - 1)), ErrorCode.FLOW_CONTROL_ERROR),
+        (HELLO + frame(FrameType.WINDOW_UPDATE, 0, 0, struct.pack(">L", 0)), ErrorCode.PROTOCOL_ERROR),
+        (HELLO + frame(FrameType.DATA, 0, 1, b"x" * 20000), ErrorCode.FRAME_SIZE_ERROR),
     ],
 )
 def test_breaches_end_the_connection_with_the_code_of_the_rfc(data, code):
-    assert broken(Connection(), data) is code
+    assert broken(Http2Connection(), data) is code
 
 
 @pytest.mark.parametrize(
     "flood",
     [
-        frame(http2.PING, 0, 0, b"12345678"),
-        frame(http2.SETTINGS, 0, 0),
-        frame(http2.PRIORITY, 0, 7, b"\0\0\0\0\1"),
-        frame(http2.DATA, 0, 1, b""),
+        frame(FrameType.PING, 0, 0, b"12345678"),
+        frame(FrameType.SETTINGS, 0, 0),
+        frame(FrameType.PRIORITY, 0, 7, b"\0\0\0\0\1"),
+        frame(FrameType.DATA, 0, 1, b""),
     ],
 )
 def test_floods_cost_their_sender_the_connection(flood):
     server = started()
     raw_headers(server, ended=False)
-    assert broken(server, flood * 3000) is Code.ENHANCE_YOUR_CALM
+    assert broken(server, flood * 3000) is ErrorCode.ENHANCE_YOUR_CALM
 
 
 def test_resets_by_the_thousand_cost_their_sender_the_connection():
-    server, block = started(), http2.literal_block(*HEADERS)
+    server, block = started(), http2_headers.literal_block(*HEADERS)
     data = b"".join(
-        frame(http2.HEADERS, 5, n, block) + frame(http2.RST_STREAM, 0, n, struct.pack(">L", 8))
+        frame(FrameType.HEADERS, 5, n, block) + frame(FrameType.RST_STREAM, 0, n, struct.pack(">L", 8))
         for n in range(1, 6001, 2)
     )
-    assert broken(server, data) is Code.ENHANCE_YOUR_CALM
+    assert broken(server, data) is ErrorCode.ENHANCE_YOUR_CALM
 
 
 def test_endless_continuation_costs_its_sender_the_connection():
-    data = frame(http2.HEADERS, 0, 1, b"") + frame(http2.CONTINUATION, 0, 1, b"") * 20
-    assert broken(started(), data) is Code.ENHANCE_YOUR_CALM
-    large = frame(http2.HEADERS, 0, 1, b"\0" * 16000) + frame(http2.CONTINUATION, 0, 1, b"\0" * 16000)
-    assert broken(started(), large) is Code.ENHANCE_YOUR_CALM
+    data = frame(FrameType.HEADERS, 0, 1, b"") + frame(FrameType.CONTINUATION, 0, 1, b"") * 20
+    assert broken(started(), data) is ErrorCode.ENHANCE_YOUR_CALM
+    large = frame(FrameType.HEADERS, 0, 1, b"\0" * 16000) + frame(FrameType.CONTINUATION, 0, 1, b"\0" * 16000)
+    assert broken(started(), large) is ErrorCode.ENHANCE_YOUR_CALM
 
 
 def test_calm_comes_back_with_time_and_with_work():
     server = started()
     for second in range(40):
-        server.receive(frame(http2.PING, 0, 0, b"12345678") * 90, second * 1000.0)
+        server.receive(frame(FrameType.PING, 0, 0, b"12345678") * 90, second * 1000.0)
     assert not server.closed
-    assert server.data_to_send().count(frame(http2.PING, http2.ACK, 0, b"12345678")) == 3600
+    assert server.data_to_send().count(frame(FrameType.PING, http2_frames.ACK, 0, b"12345678")) == 3600
 
 
 def test_streams_beyond_the_limit_are_refused_and_the_rest_goes_on():
-    server = Connection(Limits(streams=2))
+    server = Http2Connection(Http2Limits(max_streams=2))
     server.receive(HELLO)
     for number in (1, 3, 5):
         raw_headers(server, number, ended=False)
     out = server.data_to_send()
-    assert frame(http2.RST_STREAM, 0, 5, struct.pack(">L", Code.REFUSED_STREAM)) in out
+    assert frame(FrameType.RST_STREAM, 0, 5, struct.pack(">L", ErrorCode.REFUSED_STREAM)) in out
     assert set(server.streams) == {1, 3} and not server.closed
 
 
 def test_headers_that_are_not_http_reset_their_stream_only():
     server = started()
     for number, extra in enumerate([("Upper", "x"), ("connection", "close"), (":late", "x"), ("x", "a\r\nb")]):
-        block = http2.literal_block(*HEADERS, extra)
-        assert server.receive(frame(http2.HEADERS, 5, 2 * number + 1, block)) == []
+        block = http2_headers.literal_block(*HEADERS, extra)
+        assert server.receive(frame(FrameType.HEADERS, 5, 2 * number + 1, block)) == []
     assert not server.closed and isinstance(raw_headers(server, 99)[0], RequestReceived)
 
 
 def test_a_peer_that_reads_nothing_loses_its_stream():
-    pair = Pair(Limits(queued=100_000))
+    pair = Pair(Http2Limits(max_queued_bytes=100_000))
     pair.ask()
     pair.server.send_headers(1, grpc.ANSWER_HEADERS)
     pair.server.send_data(1, b"x" * 300_000)
@@ -257,14 +266,14 @@
 def test_reset_by_the_peer_is_told_and_late_frames_for_it_are_let_by():
     server = started()
     raw_headers(server, ended=False)
-    assert server.receive(frame(http2.RST_STREAM, 0, 1, struct.pack(">L", 8))) == [StreamReset(1, 8)]
-    assert server.receive(frame(http2.DATA, 0, 1, b"x") + frame(http2.WINDOW_UPDATE, 0, 1, b"\0\0\0\1")) == []
+    assert server.receive(frame(FrameType.RST_STREAM, 0, 1, struct.pack(">L", 8))) == [StreamReset(1, 8)]
+    assert server.receive(frame(FrameType.DATA, 0, 1, b"x") + frame(FrameType.WINDOW_UPDATE, 0, 1, b"\0\0\0\1")) == []
     assert not server.closed
 
 
 @given(st.binary(max_size=400))
 def test_garbage_never_raises(data):
-    Connection().receive(data)
+    Http2Connection().receive(data)
     server = started()
     server.receive(data)
     server.data_to_send()
@@ -292,7 +301,7 @@
 def test_upgrade_from_http1_by_an_independent_client():
     client = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
     settings = client.initiate_upgrade_connection()
-    server = Connection()
+    server = Http2Connection()
     request = (
         b"POST /a.B/C HTTP/1.1\r\nHost: x\r\nConnection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\n"
         b"HTTP2-Settings: " + settings + b"\r\nContent-Type: application/grpc\r\nContent-Length: 5\r\n\r\nhello"
@@ -300,7 +309,7 @@
     events = server.receive(request[:50])
     assert events == []
     events = server.receive(request[50:] + client.data_to_send())
-    assert events[0].stream == 1 and (b":path", b"/a.B/C") in events[0].headers
+    assert events[0].stream_id == 1 and (b":path", b"/a.B/C") in events[0].headers
     assert events[1] == DataReceived(1, b"hello", True)
     server.send_headers(1, grpc.ANSWER_HEADERS)
     server.send_data(1, grpc.pack(b"yes"), grpc.OK_TRAILERS)
@@ -311,14 +320,14 @@
 
 
 def test_http1_without_upgrade_is_told_so_plainly():
-    server = Connection()
-    assert isinstance(server.receive(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")[0], Broken)
+    server = Http2Connection()
+    assert isinstance(server.receive(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")[0], ConnectionTerminated)
     assert server.data_to_send().startswith(b"HTTP/1.1 426 ")
 
 
 def test_a_proxy_that_gives_up_thousands_of_held_streams_keeps_its_connection():
-    server, block = started(), http2.literal_block(*HEADERS)
+    server, block = started(), http2_headers.literal_block(*HEADERS)
     for number in range(1, 8001, 2):
-        server.receive(frame(http2.HEADERS, 5, number, block), 1000.0)
-    resets = b"".join(frame(http2.RST_STREAM, 0, number, struct.pack(">L", 8)) for number in range(1, 8001, 2))
+        server.receive(frame(FrameType.HEADERS, 5, number, block), 1000.0)
+    resets = b"".join(frame(FrameType.RST_STREAM, 0, number, struct.pack(">L", 8)) for number in range(1, 8001, 2))
     assert len(server.receive(resets, 3000.0)) == 4000 and not server.closed
