--- a/anisefront/daemon/recorder.py
+++ b/anisefront/daemon/recorder.py
@@ -45,8 +45,8 @@
                 if os.path.exists(older):
                     os.replace(older, f"{path}.{number}")
             with open(path, "wb") as file:
-                file.write(trace.HEAD)
-            self._file_bytes = len(trace.HEAD)
+                file.write(trace.FILE_HEADER)
+            self._file_bytes = len(trace.FILE_HEADER)
         except OSError as problem:
             self.fault = f"{path}: {problem.strerror or problem}"
 
@@ -108,7 +108,7 @@
             return
         records = self._buffer
         self._buffer = []
-        data = trace.block(records)
+        data = trace.encode_block(records)
         try:
             with open(self._settings.path, "ab") as file:
                 file.write(data)
--- a/anisefront/frontends/access_log.py
+++ b/anisefront/frontends/access_log.py
@@ -45,7 +45,7 @@
         try:
             entries = als_pb2.StreamAccessLogsMessage.FromString(data).http_logs.log_entry
         except DecodeError as error:
-            raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "no StreamAccessLogsMessage") from error
+            raise grpc.GrpcStatusError(grpc.StatusCode.INVALID_ARGUMENT, "no StreamAccessLogsMessage") from error
         is_idle = not self._unprocessed
         self._unprocessed.extend(entries)
         if is_idle:
@@ -81,7 +81,7 @@
         end = end_from_flags(flags, entry.response.response_code.value, headers)
         load_report: tuple[float, ...] = ()
         if headers:
-            load_report = orca.row(orca.read(headers), self._load_report_fields)
+            load_report = orca.select_fields(orca.decode_report(headers), self._load_report_fields)
         self._delegated.attempt_logged(token, end.result, _upstream_time_ms(common), load_report, end.is_final)
 
     def _process_denial(self, entry: HTTPAccessLogEntry) -> None:
--- a/anisefront/frontends/authorization.py
+++ b/anisefront/frontends/authorization.py
@@ -82,12 +82,12 @@
     def message_received(self, data: bytes) -> None:
         """Start the check of the request that the message describes."""
         if self._message_received:
-            raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "one message a check")
+            raise grpc.GrpcStatusError(grpc.StatusCode.INVALID_ARGUMENT, "one message a check")
         self._message_received = True
         try:
             http = external_auth_pb2.CheckRequest.FromString(data).attributes.request.http
         except DecodeError as error:
-            raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "no CheckRequest") from error
+            raise grpc.GrpcStatusError(grpc.StatusCode.INVALID_ARGUMENT, "no CheckRequest") from error
         headers = dict(http.headers)
         token = headers.get(ATTEMPT_HEADER, "")
         if token:
@@ -99,7 +99,7 @@
     def half_closed(self) -> None:
         """Reject a call that ended without a message."""
         if not self._message_received:
-            raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "a check without a message")
+            raise grpc.GrpcStatusError(grpc.StatusCode.INVALID_ARGUMENT, "a check without a message")
 
     def cancelled(self) -> None:
         """Cancel the check if it has no response yet."""
@@ -154,7 +154,7 @@
     try:
         target = normalize_target(path)
     except AmbiguousPathError as error:
-        raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, f"another path than before: {error}") from error
+        raise grpc.GrpcStatusError(grpc.StatusCode.INVALID_ARGUMENT, f"another path than before: {error}") from error
     return "" if target == path else target
 
 
--- a/anisefront/frontends/grpc_call.py
+++ b/anisefront/frontends/grpc_call.py
@@ -13,7 +13,7 @@
     """One call of one method, as its service sees it."""
 
     def message_received(self, data: bytes) -> None:
-        """Process a complete message from the client; raises `grpc.CallFault` if it can't be used."""
+        """Process a complete message from the client; raises `grpc.GrpcStatusError` if it can't be used."""
 
     def half_closed(self) -> None:
         """Note that the client sends no more."""
@@ -49,10 +49,10 @@
 class Call:
     """One stream. A service answers through it; after its end it accepts and does nothing."""
 
-    __slots__ = ("_connection", "_headers_sent", "_stream_id", "_timer", "_unpacker", "ended", "headers", "service")
+    __slots__ = ("_connection", "_decoder", "_headers_sent", "_stream_id", "_timer", "ended", "headers", "service")
 
     def __init__(
-        self, connection: CallConnection, stream_id: int, headers: Mapping[bytes, bytes], unpacker: grpc.Unpacker
+        self, connection: CallConnection, stream_id: int, headers: Mapping[bytes, bytes], decoder: grpc.MessageDecoder
     ) -> None:
         """Create the call of a new stream; its service is assigned afterwards."""
         self.headers = headers
@@ -60,7 +60,7 @@
         self.service: Service | None = None
         self._connection = connection
         self._stream_id = stream_id
-        self._unpacker = unpacker
+        self._decoder = decoder
         self._headers_sent = False
         self._timer: Any = None
 
@@ -76,7 +76,7 @@
         if self.ended:
             return
         self._send_headers()
-        self._connection.http2.send_data(self._stream_id, grpc.pack(message))
+        self._connection.http2.send_data(self._stream_id, grpc.encode_message(message))
         self._connection.flush_soon()
 
     def finish(self, message: bytes | None = None) -> None:
@@ -84,27 +84,27 @@
         if self.ended:
             return
         self._send_headers()
-        data = b"" if message is None else grpc.pack(message)
+        data = b"" if message is None else grpc.encode_message(message)
         self._connection.http2.send_data(self._stream_id, data, grpc.OK_TRAILERS)
         self._close()
         self._connection.flush_soon()
 
-    def fail(self, status: grpc.Status, reason: str) -> None:
+    def fail(self, status: grpc.StatusCode, reason: str) -> None:
         """End the call with another status than OK."""
         if self.ended:
             return
         connection = self._connection.http2
         if self._headers_sent:
-            connection.send_data(self._stream_id, b"", grpc.trailers(status, reason))
+            connection.send_data(self._stream_id, b"", grpc.encode_trailers(status, reason))
         else:
-            connection.send_headers(self._stream_id, grpc.only_trailers(status, reason), True)
+            connection.send_headers(self._stream_id, grpc.encode_trailers_only(status, reason), True)
         self._close()
         self._connection.flush_soon()
 
     def _send_headers(self) -> None:
         if not self._headers_sent:
             self._headers_sent = True
-            self._connection.http2.send_headers(self._stream_id, grpc.ANSWER_HEADERS)
+            self._connection.http2.send_headers(self._stream_id, grpc.RESPONSE_HEADERS)
 
     def _close(self) -> None:
         self.ended = True
@@ -129,7 +129,7 @@
             self._timer = self._connection.reactor.callLater(timeout_ms / 1000, self._deadline_exceeded)
 
     def _deadline_exceeded(self) -> None:
-        self.fail(grpc.Status.DEADLINE_EXCEEDED, "out of time")
+        self.fail(grpc.StatusCode.DEADLINE_EXCEEDED, "out of time")
         self.service.cancelled()
 
     # ---- events of the stream -------------------------------------------------------------------
@@ -144,19 +144,19 @@
         """Pass the messages in the stream's data on to the service."""
         try:
             self._deliver(data, end_stream)
-        except grpc.CallFault as error:
+        except grpc.GrpcStatusError as error:
             if not self.ended:
                 self.fail(error.status, str(error))
                 self.service.cancelled()
 
     def _deliver(self, data: bytes, end_stream: bool) -> None:
-        messages = self._unpacker.feed(data) if data else []
+        messages = self._decoder.feed(data) if data else []
         for message in messages:
             if self.ended:
                 return
             self.service.message_received(message)
         if not end_stream or self.ended:
             return
-        if self._unpacker.partial:
-            raise grpc.CallFault(grpc.Status.INTERNAL, "the stream ended inside a message")
+        if self._decoder.has_partial_message:
+            raise grpc.GrpcStatusError(grpc.StatusCode.INTERNAL, "the stream ended inside a message")
         self.service.half_closed()
--- a/anisefront/frontends/grpc_server.py
+++ b/anisefront/frontends/grpc_server.py
@@ -138,16 +138,16 @@
             self.http2.send_headers(event.stream_id, block, True)
             return
         method = self.factory.methods.get(headers[b":path"])
-        call = Call(self, event.stream_id, headers, grpc.Unpacker(self.factory.limits.max_message_bytes))
+        call = Call(self, event.stream_id, headers, grpc.MessageDecoder(self.factory.limits.max_message_bytes))
         self.calls[event.stream_id] = call
         if method is None:
             path = headers[b":path"].decode("latin-1")[:MAX_REPORTED_PATH]
-            call.fail(grpc.Status.UNIMPLEMENTED, f"no method {path}")
+            call.fail(grpc.StatusCode.UNIMPLEMENTED, f"no method {path}")
             return
         call.service = method(call)
         try:
-            call.set_timeout(grpc.timeout_ms(headers.get(b"grpc-timeout", b"")))
-        except grpc.CallFault as error:
+            call.set_timeout(grpc.decode_timeout_ms(headers.get(b"grpc-timeout", b"")))
+        except grpc.GrpcStatusError as error:
             call.fail(error.status, str(error))
             return
         if event.end_stream:
--- a/anisefront/frontends/health.py
+++ b/anisefront/frontends/health.py
@@ -58,7 +58,7 @@
     try:
         return _find_service(data)
     except (IndexError, UnicodeDecodeError) as error:
-        raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "no HealthCheckRequest") from error
+        raise grpc.GrpcStatusError(grpc.StatusCode.INVALID_ARGUMENT, "no HealthCheckRequest") from error
 
 
 def _find_service(data: bytes) -> str:
@@ -127,12 +127,12 @@
         """Respond with the current status."""
         status = self._health.status(_decode_service(data))
         if status is None:
-            raise grpc.CallFault(grpc.Status.NOT_FOUND, "no such service")
+            raise grpc.GrpcStatusError(grpc.StatusCode.NOT_FOUND, "no such service")
         self._call.finish(_encode_status(status))
 
     def half_closed(self) -> None:
         """Reject a call that ended without a message."""
-        raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "a check without a message")
+        raise grpc.GrpcStatusError(grpc.StatusCode.INVALID_ARGUMENT, "a check without a message")
 
     def cancelled(self) -> None:
         """Do nothing: the call has no state."""
@@ -150,9 +150,9 @@
     def message_received(self, data: bytes) -> None:
         """Send the current status and start to watch it."""
         if self._service is not None:
-            raise grpc.CallFault(grpc.Status.INVALID_ARGUMENT, "one message a watch")
+            raise grpc.GrpcStatusError(grpc.StatusCode.INVALID_ARGUMENT, "one message a watch")
         if len(self._health.watchers) >= self._health.max_watchers:
-            raise grpc.CallFault(grpc.Status.RESOURCE_EXHAUSTED, "too many watch")
+            raise grpc.GrpcStatusError(grpc.StatusCode.RESOURCE_EXHAUSTED, "too many watch")
         self._service = _decode_service(data)
         self._health.watchers.add(self)
         self.notify()
--- a/anisefront/frontends/jsonrpc_frontend.py
+++ b/anisefront/frontends/jsonrpc_frontend.py
@@ -55,11 +55,11 @@
 
     def add_response(self, response: FinalResponse) -> None:
         """Add the response to the line's."""
-        self._line.add(None if self.call.notification else encode_response(self.call.id, response))
+        self._line.add(None if self.call.is_notification else encode_response(self.call.id, response))
 
     def add_error(self, code: int, message: str) -> None:
         """Add an error to the line's response."""
-        self._line.add(None if self.call.notification else jsonrpc.error(self.call.id, code, message))
+        self._line.add(None if self.call.is_notification else jsonrpc.error_response(self.call.id, code, message))
 
 
 @implementer(interfaces.IHalfCloseableProtocol)
@@ -69,7 +69,7 @@
     def __init__(self, factory: JsonRpcFactory) -> None:
         """Create the protocol of a new connection."""
         self.factory = factory
-        self._lines = jsonrpc.Lines(factory.max_line_bytes)
+        self._lines = jsonrpc.LineSplitter(factory.max_line_bytes)
         self._open_requests: set[int] = set()
         self._outstanding_calls = 0
         self._unprocessed_lines: deque[bytes] = deque()
@@ -96,7 +96,7 @@
             return
         try:
             lines = self._lines.feed(data)
-        except jsonrpc.TooLong as error:
+        except jsonrpc.LineTooLongError as error:
             self.factory.counts["lines_too_long"] += 1
             self._reject(str(error))
             return
@@ -105,7 +105,7 @@
     def readConnectionLost(self) -> None:
         """Answer the open calls, then close: the client sends no more, but still reads."""
         if not self._input_ended:
-            self._enqueue(self._lines.last())
+            self._enqueue(self._lines.finish())
         self._input_ended = True
         self.close_if_complete()
 
@@ -143,24 +143,28 @@
             self._process_batch()
 
     def _process_line(self, data: bytes) -> None:
-        is_batch, calls = jsonrpc.read(data)
+        is_batch, calls = jsonrpc.parse_line(data)
         line = LineResponse(self._write, is_batch, len(calls))
         for call in calls:
             self._process_call(call, line)
 
     # ---- calls ----------------------------------------------------------------------------------
 
-    def _process_call(self, call: jsonrpc.Call | jsonrpc.Invalid, line: LineResponse) -> None:
-        if isinstance(call, jsonrpc.Invalid):
+    def _process_call(self, call: jsonrpc.Call | jsonrpc.InvalidCall, line: LineResponse) -> None:
+        if isinstance(call, jsonrpc.InvalidCall):
             self.factory.counts["calls_invalid"] += 1
-            line.add(jsonrpc.error(call.id, call.code, call.message))
+            line.add(jsonrpc.error_response(call.id, call.code, call.message))
         elif call.method == "call":
             self._submit(_OutstandingCall(self, call, line))
         elif call.method == "state":
-            line.add(None if call.notification else jsonrpc.result(call.id, self.factory.dispatcher.state()))
+            line.add(
+                None if call.is_notification else jsonrpc.result_response(call.id, self.factory.dispatcher.state())
+            )
         else:
             message = f"no method {call.method[:MAX_REPORTED_METHOD]!r}: call, state"
-            line.add(None if call.notification else jsonrpc.error(call.id, jsonrpc.NO_METHOD, message))
+            line.add(
+                None if call.is_notification else jsonrpc.error_response(call.id, jsonrpc.METHOD_NOT_FOUND, message)
+            )
 
     def _submit(self, outstanding: _OutstandingCall) -> None:
         if self._outstanding_calls >= self.factory.max_outstanding_calls:
@@ -189,7 +193,7 @@
 
     def _write(self, response: Response | list[Response]) -> None:
         if self.connected:
-            self.transport.write(jsonrpc.write(response))
+            self.transport.write(jsonrpc.encode_line(response))
 
     # ---- closing --------------------------------------------------------------------------------
 
@@ -204,7 +208,7 @@
         A full close over unread input would reset the connection, and the reset discards an error that the client has
         not read.
         """
-        self._write(jsonrpc.error(None, jsonrpc.INVALID_REQUEST, reason))
+        self._write(jsonrpc.error_response(None, jsonrpc.INVALID_REQUEST, reason))
         self._input_ended = True
         self._cancel_requests()
         self.transport.unregisterProducer()
--- a/anisefront/frontends/jsonrpc_responses.py
+++ b/anisefront/frontends/jsonrpc_responses.py
@@ -27,12 +27,12 @@
             "worker": response.endpoint,
             "attempts": response.attempts,
         }
-        return jsonrpc.result(call_id, result)
+        return jsonrpc.result_response(call_id, result)
     if response.is_rejected:
         data = {"final": "refused", "reason": response.reason, "retry_after_ms": round(response.retry_after_ms)}
-        return jsonrpc.error(call_id, REJECTED, "refused: safe to try again", data)
+        return jsonrpc.error_response(call_id, REJECTED, "refused: safe to try again", data)
     data = {"final": "failed", "reason": response.reason}
-    return jsonrpc.error(call_id, FAILED, "failed: it may have run", data)
+    return jsonrpc.error_response(call_id, FAILED, "failed: it may have run", data)
 
 
 def _encode_body(message: http1.Message) -> dict[str, str]:
--- a/anisefront/protocols/__init__.py
+++ b/anisefront/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""Parsers and writers free of I/O: bytes in, typed events out; events in, bytes out."""
+"""Sans-I/O codecs: they parse bytes to typed events and encode events to bytes, and import nothing of the project."""
--- a/anisefront/protocols/grpc.py
+++ b/anisefront/protocols/grpc.py
@@ -1,6 +1,6 @@
-"""gRPC over HTTP/2 by its published protocol: message framing, time-outs, status. Free of I/O.
+"""gRPC over HTTP/2 as its protocol document specifies it: message framing, timeouts, status. Free of I/O.
 
-It never decompresses: a compressed message is refused, as a server may.
+Messages are never decompressed: a compressed one is rejected, as the protocol allows a server to.
 """
 
 from __future__ import annotations
@@ -8,15 +8,19 @@
 import struct
 from enum import IntEnum
 
+from anisefront.protocols.errors import ProtocolError
 from anisefront.protocols.http2_headers import literal_block
 
-_PREFIX = struct.Struct(">BL")
+MAX_TIMEOUT_DIGITS = 8
+MAX_STATUS_MESSAGE_BYTES = 1024  # before percent-encoding
+MAX_REPORTED_TIMEOUT = 16  # bytes
+_MESSAGE_PREFIX = struct.Struct(">BL")  # compressed flag, length
 _UNITS_MS = {"H": 3_600_000.0, "M": 60_000.0, "S": 1000.0, "m": 1.0, "u": 1e-3, "n": 1e-6}
-ANSWER_HEADERS = literal_block((":status", "200"), ("content-type", "application/grpc"))
+RESPONSE_HEADERS = literal_block((":status", "200"), ("content-type", "application/grpc"))
 
 
-class Status(IntEnum):
-    """The codes used here, of gRPC's published list."""
+class StatusCode(IntEnum):
+    """The status codes used here, of gRPC's list."""
 
     OK = 0
     CANCELLED = 1
@@ -29,79 +33,101 @@
     UNAVAILABLE = 14
 
 
-class CallFault(Exception):
-    """A call that ends with a status other than OK."""
+class GrpcStatusError(ProtocolError):
+    """A call ends with a status other than OK.
 
-    def __init__(self, status: Status, why: str) -> None:
-        super().__init__(why)
+    Attributes:
+        status: The status code.
+    """
+
+    def __init__(self, status: StatusCode, reason: str) -> None:
+        """Create an error whose text is the status message."""
+        super().__init__(reason)
         self.status = status
 
 
-def pack(message: bytes) -> bytes:
-    """One message with its prefix."""
-    return _PREFIX.pack(0, len(message)) + message
+def encode_message(message: bytes) -> bytes:
+    """Encode one message with its prefix."""
+    return _MESSAGE_PREFIX.pack(0, len(message)) + message
 
 
-class Unpacker:
-    """The messages in the DATA of one stream."""
+class MessageDecoder:
+    """Splits the data of one stream into messages."""
 
-    __slots__ = ("_most", "_rest")
+    __slots__ = ("_max_message_bytes", "_partial_message")
 
-    def __init__(self, most: int) -> None:
-        self._most, self._rest = most, b""
+    def __init__(self, max_message_bytes: int) -> None:
+        """Create a decoder at the start of a stream."""
+        self._max_message_bytes = max_message_bytes
+        self._partial_message = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The messages that are now whole; raises `CallFault` where one can't be taken."""
-        data = self._rest + data if self._rest else data
-        at, messages = 0, []
-        while len(data) - at >= _PREFIX.size:
-            packed, size = _PREFIX.unpack_from(data, at)
-            if packed:
-                raise CallFault(Status.UNIMPLEMENTED, "compressed messages are not taken: send identity")
-            if size > self._most:
-                raise CallFault(Status.RESOURCE_EXHAUSTED, f"a message of {size} bytes, at most {self._most}")
-            if len(data) - at - _PREFIX.size < size:
+        """Return the messages that are complete now.
+
+        Raises:
+            GrpcStatusError: A message is compressed or too large.
+        """
+        if self._partial_message:
+            data = self._partial_message + data
+        messages = []
+        offset = 0
+        while len(data) - offset >= _MESSAGE_PREFIX.size:
+            compressed, size = _MESSAGE_PREFIX.unpack_from(data, offset)
+            self._check(compressed, size)
+            start = offset + _MESSAGE_PREFIX.size
+            if len(data) - start < size:
                 break
-            messages.append(data[at + _PREFIX.size : at + _PREFIX.size + size])
-            at += _PREFIX.size + size
-        self._rest = data[at:]
+            messages.append(data[start : start + size])
+            offset = start + size
+        self._partial_message = data[offset:]
         return messages
 
+    def _check(self, compressed: int, size: int) -> None:
+        if compressed:
+            raise GrpcStatusError(StatusCode.UNIMPLEMENTED, "compressed messages are not taken: send identity")
+        # The length is the client's claim: a message is not awaited that would use more memory than is allowed.
+        if size > self._max_message_bytes:
+            reason = f"a message of {size} bytes, at most {self._max_message_bytes}"
+            raise GrpcStatusError(StatusCode.RESOURCE_EXHAUSTED, reason)
+
     @property
-    def partial(self) -> bool:
-        """True while a message has begun and not ended."""
-        return bool(self._rest)
+    def has_partial_message(self) -> bool:
+        """Tell whether a message has begun and is not complete."""
+        return bool(self._partial_message)
+
 
+def decode_timeout_ms(text: bytes) -> float | None:
+    """Return the milliseconds of a `grpc-timeout` header, None if it is empty.
 
-def timeout_ms(text: bytes) -> float | None:
-    """The milliseconds of a `grpc-timeout` header, None for none; raises `CallFault` for what it can't be."""
+    Raises:
+        GrpcStatusError: The header is malformed.
+    """
     if not text:
         return None
-    digits, unit = text[:-1], text[-1:].decode("latin-1")
-    if unit not in _UNITS_MS or not digits.isdigit() or len(digits) > 8:
-        raise CallFault(Status.INVALID_ARGUMENT, f"grpc-timeout {text[:16]!r} can't be read")
+    digits = text[:-1]
+    unit = text[-1:].decode("latin-1")
+    if unit not in _UNITS_MS or not digits.isdigit() or len(digits) > MAX_TIMEOUT_DIGITS:
+        reason = f"grpc-timeout {text[:MAX_REPORTED_TIMEOUT]!r} can't be read"
+        raise GrpcStatusError(StatusCode.INVALID_ARGUMENT, reason)
     return int(digits) * _UNITS_MS[unit]
 
 
-def trailers(status: Status, message: str = "") -> bytes:
-    """The header block that ends a call. The message is percent-encoded as the protocol has it."""
+def encode_trailers(status: StatusCode, message: str = "") -> bytes:
+    """Encode the header block that ends a call, with a percent-encoded status message if there is one."""
     fields = [("grpc-status", str(int(status)))]
     if message:
-        fields.append(
-            (
-                "grpc-message",
-                "".join(
-                    chr(byte) if 0x20 <= byte <= 0x7E and byte != 0x25 else f"%{byte:02X}"
-                    for byte in message.encode()[:1024]
-                ),
-            )
-        )
+        fields.append(("grpc-message", _percent_encode(message.encode()[:MAX_STATUS_MESSAGE_BYTES])))
     return literal_block(*fields)
 
 
-def only_trailers(status: Status, message: str) -> bytes:
-    """An answer that is its trailers, for a call that ends before any message."""
-    return literal_block((":status", "200"), ("content-type", "application/grpc")) + trailers(status, message)
+def _percent_encode(message: bytes) -> str:
+    """Encode all bytes but those of printable ASCII without the percent sign."""
+    return "".join(chr(byte) if 0x20 <= byte <= 0x7E and byte != 0x25 else f"%{byte:02X}" for byte in message)
+
+
+def encode_trailers_only(status: StatusCode, message: str) -> bytes:
+    """Encode a Trailers-Only response, for a call that ends before any message."""
+    return RESPONSE_HEADERS + encode_trailers(status, message)
 
 
-OK_TRAILERS = trailers(Status.OK)
+OK_TRAILERS = encode_trailers(StatusCode.OK)
--- a/anisefront/protocols/orca.py
+++ b/anisefront/protocols/orca.py
@@ -1,4 +1,4 @@
-"""Load reports in the published ORCA response header: TEXT, JSON and BIN forms. Free of I/O."""
+"""Load reports in the ORCA response headers: TEXT, JSON and BIN forms. Free of I/O."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 import math
 from collections.abc import Mapping
 
-HEADER, BINARY_HEADER = "endpoint-load-metrics", "endpoint-load-metrics-bin"
-# What the module calls a value, by the field of xds.data.orca.v3.OrcaLoadReport that carries it.
+HEADER = "endpoint-load-metrics"
+BINARY_HEADER = "endpoint-load-metrics-bin"
+MAX_REPORT_CHARS = 4096  # a longer one is ignored
+# The field of xds.data.orca.v3.OrcaLoadReport that carries a value, by the value's name in the settings.
 FIELDS = {
     "util": "cpu_utilization",
     "qps": "rps_fractional",
@@ -20,56 +22,79 @@
 }
 
 
-def read(headers: Mapping[str, str]) -> dict[str, float]:
-    """The values of a report by their published names; empty where there is none or it can't be read."""
+def decode_report(headers: Mapping[str, str]) -> dict[str, float]:
+    """Return the finite values of a report by field; empty if there is no report or it is malformed."""
     text = headers.get(HEADER, "")
     if BINARY_HEADER in headers:
         text = "BIN " + headers[BINARY_HEADER]
-    if not text or len(text) > 4096:
+    if not text or len(text) > MAX_REPORT_CHARS:
         return {}
-    form, _, body = text.partition(" ")
     try:
-        if form == "TEXT":
-            pairs = (part.split("=", 1) for part in body.split(",") if part.strip())
-            return _finite({name.strip(): float(value) for name, value in pairs})
-        if form == "JSON":
-            return _finite(_flat(json.loads(body)))
-        if form == "BIN":
-            return _finite(_binary(base64.b64decode(body + "=" * (-len(body) % 4), validate=True)))
+        values = _decode(text)
     except (ValueError, TypeError, binascii.Error, RecursionError):
-        pass  # a report is advice: one that can't be read is as if none had come
+        # A report is only advice, so a malformed one must not fail the response that carries it.
+        return {}
+    return {name: value for name, value in values.items() if math.isfinite(value)}
+
+
+def _decode(text: str) -> dict[str, float]:
+    form, _, body = text.partition(" ")
+    if form == "TEXT":
+        return _decode_text(body)
+    if form == "JSON":
+        return _decode_json(body)
+    if form == "BIN":
+        return _decode_binary(body)
     return {}
 
 
-def _flat(value: object) -> dict[str, float]:
-    if not isinstance(value, dict):
+def _decode_text(body: str) -> dict[str, float]:
+    values = {}
+    for entry in body.split(","):
+        if entry.strip():
+            name, value = entry.split("=", 1)
+            values[name.strip()] = float(value)
+    return values
+
+
+def _decode_json(body: str) -> dict[str, float]:
+    document = json.loads(body)
+    if not isinstance(document, dict):
         raise ValueError("no object")
-    out: dict[str, float] = {}
-    for name, part in value.items():
-        if isinstance(part, dict):
-            out |= {f"{name}.{inner}": float(number) for inner, number in part.items()}
+    values: dict[str, float] = {}
+    for name, value in document.items():
+        if isinstance(value, dict):
+            values |= {f"{name}.{key}": float(number) for key, number in value.items()}
         else:
-            out[name] = float(part)
-    return out
+            values[name] = float(value)
+    return values
 
 
-def _binary(data: bytes) -> dict[str, float]:
+def _decode_binary(body: str) -> dict[str, float]:
+    # Imported here, since not every process that decodes reports has protobuf loaded.
     from google.protobuf.message import DecodeError
     from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
+    data = base64.b64decode(body + "=" * (-len(body) % 4), validate=True)
     try:
         report = OrcaLoadReport.FromString(data)
-    except DecodeError as problem:
-        raise ValueError("no OrcaLoadReport") from problem
-    out = {"cpu_utilization": report.cpu_utilization, "rps_fractional": report.rps_fractional, "eps": report.eps}
-    return out | {f"named_metrics.{name}": value for name, value in report.named_metrics.items()}
-
-
-def _finite(values: dict[str, float]) -> dict[str, float]:
-    return {name: value for name, value in values.items() if math.isfinite(value)}
+    except DecodeError as error:
+        raise ValueError("no OrcaLoadReport") from error
+    values = {
+        "cpu_utilization": report.cpu_utilization,
+        "rps_fractional": report.rps_fractional,
+        "eps": report.eps,
+    }
+    values |= {f"named_metrics.{name}": value for name, value in report.named_metrics.items()}
+    return values
 
 
-def row(report: Mapping[str, float], fields: tuple[str, ...]) -> tuple[float, ...]:
-    """The values that the module was told to expect, in its order; empty where one is missing."""
-    values = tuple(report.get(FIELDS.get(name, name)) for name in fields)
-    return () if any(value is None for value in values) else values  # type: ignore[return-value]
+def select_fields(report: Mapping[str, float], names: tuple[str, ...]) -> tuple[float, ...]:
+    """Return the values that the settings name, in their order; empty if one is missing."""
+    values = []
+    for name in names:
+        value = report.get(FIELDS.get(name, name))
+        if value is None:
+            return ()
+        values.append(value)
+    return tuple(values)
--- a/anisefront/protocols/trace.py
+++ b/anisefront/protocols/trace.py
@@ -1,16 +1,17 @@
-"""The form of recorded traffic, free of I/O: blocks of records, each with its length and checksum.
+r"""Stored format of recorded traffic, free of I/O: blocks of records, each with its length and checksum.
 
-    file   = head { block }        head  = "anisefront trace 1\\n"
-    block  = "AT" | length 4 | CRC-32 of the packed bytes 4 | packed bytes (zlib over a JSON list)
+    file   = header { block }      header = "anisefront trace 1\n"
+    block  = "AT" | length 4 | CRC-32 of the compressed bytes 4 | compressed bytes (zlib over a JSON list)
 
-A file that was cut off, by a crash or a full disk, is read up to the last whole block.
+A file that was truncated, by a crash or a full disk, is decoded up to its last complete block.
 
-    ["life", at, gatekeeper, life]                             a gatekeeper began
+    ["life", at, gatekeeper, life]                             a gateway instance started, with its incarnation
     ["arrive", at, id, customer, class, plan, units, left, repeat, copies]
     ["send", at, id, attempt, worker]      ["end", at, id, attempt, result, took]
     ["answer", at, id, how, reason]        ["fleet", at, [[worker, zone, cell, state, started], ...]]
 
-A trace that was made of others has instead of sends and ends, and with the gatekeeper after each arrival's `copies`:
+A trace that was converted from access logs has these in place of "send" and "end", and after each arrival's `copies`
+the number of the gateway instance:
 
     ["tried", at, worker, class, units, result, took, started]     ["totals", at, {how: answers}]
 
@@ -23,45 +24,71 @@
 import json
 import struct
 import zlib
-from typing import Any
+from typing import Any, NamedTuple
 
-HEAD = b"anisefront trace 1\n"
-_BLOCK = struct.Struct(">2sLL")
-MOST_BLOCK = 16 << 20
+FILE_HEADER = b"anisefront trace 1\n"
+MAX_BLOCK_BYTES = 16 << 20  # compressed
+MAX_RECORDS_BYTES = 16 * MAX_BLOCK_BYTES  # of one block, decompressed: against a decompression bomb
+PSEUDONYM_BYTES = 8
+_BLOCK_MARK = b"AT"
+_BLOCK_HEADER = struct.Struct(">2sLL")
 Record = list[Any]
 
 
-def block(records: list[Record]) -> bytes:
-    """One block of these records."""
-    packed = zlib.compress(json.dumps(records, separators=(",", ":")).encode(), 1)
-    return _BLOCK.pack(b"AT", len(packed), zlib.crc32(packed)) + packed
-
-
-def read(data: bytes) -> tuple[list[Record], str]:
-    """The records of a file and, where it does not end well, what stopped the reading."""
-    if not data.startswith(HEAD):
-        return [], "no trace, or of another version"
-    at, records = len(HEAD), []
-    while at < len(data):
-        if len(data) - at < _BLOCK.size:
-            return records, f"cut off at byte {at}"
-        mark, size, check = _BLOCK.unpack_from(data, at)
-        packed = data[at + _BLOCK.size : at + _BLOCK.size + size]
-        if mark != b"AT" or size > MOST_BLOCK:
-            return records, f"no block at byte {at}"
-        if len(packed) < size:
-            return records, f"cut off at byte {at}"
-        if zlib.crc32(packed) != check:
-            return records, f"the block at byte {at} is damaged"
-        unpacker = zlib.decompressobj()
-        text = unpacker.decompress(packed, 16 * MOST_BLOCK)
-        if unpacker.unconsumed_tail:
-            return records, f"the block at byte {at} is too large"
+class DecodedFile(NamedTuple):
+    """The records of a file and, if it does not end after a complete block, what stopped the decoding."""
+
+    records: list[Record]
+    fault: str
+
+
+def encode_block(records: list[Record]) -> bytes:
+    """Encode one block of records."""
+    compressed = zlib.compress(json.dumps(records, separators=(",", ":")).encode(), 1)
+    return _BLOCK_HEADER.pack(_BLOCK_MARK, len(compressed), zlib.crc32(compressed)) + compressed
+
+
+def decode_file(data: bytes) -> DecodedFile:
+    """Decode a file, up to its last complete block."""
+    if not data.startswith(FILE_HEADER):
+        return DecodedFile([], "no trace, or of another version")
+    records: list[Record] = []
+    offset = len(FILE_HEADER)
+    while offset < len(data):
+        fault = _block_fault(data, offset)
+        if fault:
+            return DecodedFile(records, fault)
+        compressed = _compressed_records(data, offset)
+        decompressor = zlib.decompressobj()
+        text = decompressor.decompress(compressed, MAX_RECORDS_BYTES)
+        if decompressor.unconsumed_tail:
+            return DecodedFile(records, f"the block at byte {offset} is too large")
         records += json.loads(text)
-        at += _BLOCK.size + size
-    return records, ""
+        offset += _BLOCK_HEADER.size + len(compressed)
+    return DecodedFile(records, "")
+
+
+def _block_fault(data: bytes, offset: int) -> str:
+    """Return what is wrong with the block at `offset`, empty if it is complete."""
+    if len(data) - offset < _BLOCK_HEADER.size:
+        return f"cut off at byte {offset}"
+    mark, size, checksum = _BLOCK_HEADER.unpack_from(data, offset)
+    if mark != _BLOCK_MARK or size > MAX_BLOCK_BYTES:
+        return f"no block at byte {offset}"
+    compressed = _compressed_records(data, offset)
+    if len(compressed) < size:
+        return f"cut off at byte {offset}"
+    if zlib.crc32(compressed) != checksum:
+        return f"the block at byte {offset} is damaged"
+    return ""
+
+
+def _compressed_records(data: bytes, offset: int) -> bytes:
+    _, size, _ = _BLOCK_HEADER.unpack_from(data, offset)
+    start = offset + _BLOCK_HEADER.size
+    return data[start : start + size]
 
 
 def pseudonym(key: bytes, customer: str) -> str:
-    """A stand-in for a customer's name that only who has the key can make again."""
-    return hmac.digest(key, customer.encode(), "sha256")[:8].hex()
+    """Return a substitute for a customer's name that only the owner of the key can compute."""
+    return hmac.digest(key, customer.encode(), "sha256")[:PSEUDONYM_BYTES].hex()
--- a/anisefront/testbed/model/traces.py
+++ b/anisefront/testbed/model/traces.py
@@ -57,7 +57,7 @@
 
 def load(paths: Iterable[str]) -> Trace:
     """The trace in some files, each one gatekeeper's; their clocks are set by the fleet lists that all saw."""
-    return merge([(path, trace.read(_bytes(path))) for path in paths])
+    return merge([(path, trace.decode_file(_bytes(path))) for path in paths])
 
 
 def _bytes(path: str) -> bytes:
@@ -239,9 +239,9 @@
     rows.sort(key=lambda row: row[:2])
     records += [row[2] for row in rows]
     records.append(["totals", whole.end, dict(whole.answers)])
-    out = [trace.HEAD]
+    out = [trace.FILE_HEADER]
     for at in range(0, len(records), _BLOCK_RECORDS):
-        out.append(trace.block(records[at : at + _BLOCK_RECORDS]))
+        out.append(trace.encode_block(records[at : at + _BLOCK_RECORDS]))
     return b"".join(out)
 
 
--- a/anisefront/upstream/direct_requests.py
+++ b/anisefront/upstream/direct_requests.py
@@ -158,7 +158,7 @@
     def interpret_response(self, response: http1.Message) -> tuple[AttemptResult, tuple[float, ...]]:
         """Return what the status and the headers prove, and the ORCA load report."""
         result = result_of_response(response.status, response.headers)
-        return result, orca.row(orca.read(response.headers), self._load_report_fields)
+        return result, orca.select_fields(orca.decode_report(response.headers), self._load_report_fields)
 
     def deliver_response(self, request: _OpenRequest, response: http1.Message, endpoint: str) -> None:
         """Send the endpoint's response to the client."""
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -183,7 +183,7 @@
             ("te", "trailers"),
         ],
     )
-    client.send_data(1, wire_grpc.pack(b"x"))
+    client.send_data(1, wire_grpc.encode_message(b"x"))
     connection.dataReceived(client.data_to_send())
     assert transport.producerState == "paused"
     connection.pauseProducing()  # its buffer is full as well
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -85,8 +85,8 @@
     ours, _ = pair.ask(body=b"hello")
     assert isinstance(ours[0], RequestReceived) and (b":path", b"/a.B/C") in ours[0].headers
     assert ours[1] == DataReceived(1, b"hello", True)
-    pair.server.send_headers(1, grpc.ANSWER_HEADERS)
-    pair.server.send_data(1, grpc.pack(b"yes"), grpc.OK_TRAILERS)
+    pair.server.send_headers(1, grpc.RESPONSE_HEADERS)
+    pair.server.send_data(1, grpc.encode_message(b"yes"), grpc.OK_TRAILERS)
     _, theirs = pair.turn()
     kinds = [type(event) for event in theirs]
     assert kinds == [
@@ -101,7 +101,7 @@
 def test_flow_control_holds_answers_back_and_lets_them_go():
     pair = Pair()
     pair.ask()
-    pair.server.send_headers(1, grpc.ANSWER_HEADERS)
+    pair.server.send_headers(1, grpc.RESPONSE_HEADERS)
     pair.server.send_data(1, b"x" * 200_000, grpc.OK_TRAILERS)
     got = 0
     for _ in range(20):
@@ -134,7 +134,7 @@
     pair.ask()
     pair.client.update_settings({4: 10})
     pair.turn()
-    pair.server.send_headers(1, grpc.ANSWER_HEADERS)
+    pair.server.send_headers(1, grpc.RESPONSE_HEADERS)
     pair.server.send_data(1, b"z" * 30)
     _, theirs = pair.turn()
     assert sum(len(event.data) for event in theirs if isinstance(event, h2.events.DataReceived)) == 10
@@ -258,7 +258,7 @@
 def test_a_peer_that_reads_nothing_loses_its_stream():
     pair = Pair(Http2Limits(max_queued_bytes=100_000))
     pair.ask()
-    pair.server.send_headers(1, grpc.ANSWER_HEADERS)
+    pair.server.send_headers(1, grpc.RESPONSE_HEADERS)
     pair.server.send_data(1, b"x" * 300_000)
     assert 1 not in pair.server.streams
 
@@ -281,21 +281,21 @@
 
 @given(st.lists(st.binary(max_size=50), max_size=8), st.integers(1, 7))
 def test_messages_come_out_whole_however_they_are_cut(messages, step):
-    data, unpacker, out = b"".join(map(grpc.pack, messages)), grpc.Unpacker(100), []
+    data, unpacker, out = b"".join(map(grpc.encode_message, messages)), grpc.MessageDecoder(100), []
     for at in range(0, len(data), step):
         out += unpacker.feed(data[at : at + step])
-    assert out == messages and not unpacker.partial
+    assert out == messages and not unpacker.has_partial_message
 
 
 @pytest.mark.parametrize(("text", "ms"), [(b"5S", 5000), (b"100m", 100), (b"1H", 3.6e6), (b"7u", 0.007), (b"", None)])
 def test_time_outs(text, ms):
-    assert grpc.timeout_ms(text) == ms
+    assert grpc.decode_timeout_ms(text) == ms
 
 
 @pytest.mark.parametrize("text", [b"5", b"S", b"123456789S", b"-1S", b"1x", b"\xff"])
 def test_time_outs_that_cannot_be_read(text):
-    with pytest.raises(grpc.CallFault):
-        grpc.timeout_ms(text)
+    with pytest.raises(grpc.GrpcStatusError):
+        grpc.decode_timeout_ms(text)
 
 
 def test_upgrade_from_http1_by_an_independent_client():
@@ -311,8 +311,8 @@
     events = server.receive(request[50:] + client.data_to_send())
     assert events[0].stream_id == 1 and (b":path", b"/a.B/C") in events[0].headers
     assert events[1] == DataReceived(1, b"hello", True)
-    server.send_headers(1, grpc.ANSWER_HEADERS)
-    server.send_data(1, grpc.pack(b"yes"), grpc.OK_TRAILERS)
+    server.send_headers(1, grpc.RESPONSE_HEADERS)
+    server.send_data(1, grpc.encode_message(b"yes"), grpc.OK_TRAILERS)
     head, _, rest = server.data_to_send().partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 101 ")
     kinds = [type(event) for event in client.receive_data(rest)]
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -188,7 +188,7 @@
             ("te", "trailers"),
         ],
     )
-    client.send_data(1, wire_grpc.pack(request.SerializeToString()), end_stream=True)
+    client.send_data(1, wire_grpc.encode_message(request.SerializeToString()), end_stream=True)
     body, trailers = b"", None
     with link(gatekeeper.where["grpc"]) as connection:
         connection.sendall(client.data_to_send())
@@ -200,7 +200,7 @@
                     trailers = dict(event.headers)
             connection.sendall(client.data_to_send())
     assert trailers[b"grpc-status"] == b"0"
-    answer = external_auth_pb2.CheckResponse.FromString(wire_grpc.Unpacker(9999).feed(body)[0])
+    answer = external_auth_pb2.CheckResponse.FromString(wire_grpc.MessageDecoder(9999).feed(body)[0])
     assert told(answer)["x-envoy-original-dst-host"].startswith("127.0.0.1:")
 
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -65,16 +65,16 @@
         recorded.record_event(1e12 + number, seen(number))
     recorded.flush()
     data = (tmp_path / "t.trace").read_bytes()
-    whole, fault = trace.read(data)
+    whole, fault = trace.decode_file(data)
     assert len(whole) == 3001 and not fault and "c1" not in str(whole[1:50])
     for at in range(0, len(data), 997):
-        records, fault = trace.read(data[:at])
+        records, fault = trace.decode_file(data[:at])
         assert records == whole[: len(records)] and (fault or at == len(data))
     damaged = bytearray(data)
     damaged[len(data) - 40] ^= 1
-    records, fault = trace.read(bytes(damaged))
+    records, fault = trace.decode_file(bytes(damaged))
     assert len(records) < 3001 and "damaged" in fault
-    assert trace.read(b"something else")[1] == "no trace, or of another version"
+    assert trace.decode_file(b"something else")[1] == "no trace, or of another version"
 
 
 def test_rotation_is_bounded_and_a_full_disk_stops_the_recording_alone(tmp_path):
--- a/tests/test_study.py
+++ b/tests/test_study.py
@@ -366,7 +366,7 @@
 def trace_records(path):
     from anisefront.protocols import trace
 
-    return [record for record in trace.read(path.read_bytes())[0] if record[0] == "arrive"]
+    return [record for record in trace.decode_file(path.read_bytes())[0] if record[0] == "arrive"]
 
 
 def test_access_logs_of_proxies_become_a_trace(tmp_path):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -108,21 +108,21 @@
     ],
 )
 def test_jsonrpc_faults(line, code):
-    many, calls = jsonrpc.read(line)
+    many, calls = jsonrpc.parse_line(line)
     assert not many and [call.code for call in calls] == [code]
 
 
 def test_jsonrpc_batches_and_notifications():
-    many, calls = jsonrpc.read(b'[1,{"jsonrpc":"2.0","method":"a"},{"jsonrpc":"2.0","method":"b","id":null}]')
-    assert many and isinstance(calls[0], jsonrpc.Invalid)
-    assert calls[1].notification and not calls[2].notification
-    assert jsonrpc.read(json.dumps([1] * 300).encode())[1][0].code == -32600
+    many, calls = jsonrpc.parse_line(b'[1,{"jsonrpc":"2.0","method":"a"},{"jsonrpc":"2.0","method":"b","id":null}]')
+    assert many and isinstance(calls[0], jsonrpc.InvalidCall)
+    assert calls[1].is_notification and not calls[2].is_notification
+    assert jsonrpc.parse_line(json.dumps([1] * 300).encode())[1][0].code == -32600
 
 
 def test_lines():
-    lines = jsonrpc.Lines(10)
+    lines = jsonrpc.LineSplitter(10)
     assert lines.feed(b"ab\n\ncd") == [b"ab"] and lines.feed(b"e\n") == [b"cde"]
-    with pytest.raises(jsonrpc.TooLong):
+    with pytest.raises(jsonrpc.LineTooLongError):
         lines.feed(b"x" * 11)
 
 
@@ -135,7 +135,7 @@
         {"endpoint-load-metrics": "BIN " + binary},
         {"endpoint-load-metrics-bin": binary},
     ):
-        assert orca.row(orca.read(headers), ("util", "inflight")) == (0.5, 3.0)
+        assert orca.select_fields(orca.decode_report(headers), ("util", "inflight")) == (0.5, 3.0)
 
 
 @pytest.mark.parametrize(
@@ -154,4 +154,4 @@
     ],
 )
 def test_load_reports_that_cannot_be_read_are_none(text):
-    assert orca.row(orca.read({"endpoint-load-metrics": text}), ("util",)) == ()
+    assert orca.select_fields(orca.decode_report({"endpoint-load-metrics": text}), ("util",)) == ()
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -496,8 +496,8 @@
             lambda data: plain(request_records.decode_record(data, kinds)),
         ),
         "answer: no list": (b"{}", request_records.decode_response),
-        "trace: version": (b"anisefront trace 2\n", lambda data: plain(trace.read(data))),
-        "trace: cut off": (trace.HEAD + b"AT\0", lambda data: plain(trace.read(data))),
+        "trace: version": (b"anisefront trace 2\n", lambda data: plain(trace.decode_file(data))),
+        "trace: cut off": (trace.FILE_HEADER + b"AT\0", lambda data: plain(trace.decode_file(data))),
     }
     return {name: Sample(lambda data=data: data, read) for name, (data, read) in made.items()}
 
@@ -752,7 +752,7 @@
     samples["draining"] = Sample(lambda: _rpc(call, draining=True), json.loads)
     samples["too many connections"] = Sample(lambda: _rpc(b"", most=0), json.loads)
     samples["calls that are read"] = Sample(
-        lambda: b"[%b,%b]" % (call.strip(), line(method=1).strip()), lambda data: plain(jsonrpc_wire.read(data))
+        lambda: b"[%b,%b]" % (call.strip(), line(method=1).strip()), lambda data: plain(jsonrpc_wire.parse_line(data))
     )
     return samples
 
@@ -907,7 +907,7 @@
             *((name.replace("_", "-"), value) for name, value in headers.items()),
         ],
     )
-    client.send_data(1, b"" if message is None else grpc.pack(message), end_stream=change is None)
+    client.send_data(1, b"" if message is None else grpc.encode_message(message), end_stream=change is None)
     connection.dataReceived(client.data_to_send())
     reactor.advance(0)
     if change is not None:
@@ -948,16 +948,18 @@
         lambda: _grpc(watch, b"\x0a\x01x", change=health.ServingStatus.NOT_SERVING), _frames
     )
     out["bad time-out"] = Sample(lambda: _grpc(check, b"", grpc_timeout="x"), _frames)
-    out["message"] = Sample(lambda: grpc.pack(b"message"), lambda data: plain(grpc.Unpacker(100).feed(data)))
+    out["message"] = Sample(
+        lambda: grpc.encode_message(b"message"), lambda data: plain(grpc.MessageDecoder(100).feed(data))
+    )
     out |= {
         f"trailers of status {int(status)}": Sample(
-            lambda status=status: grpc.trailers(status, "50% \u00fc"), bytes.hex
+            lambda status=status: grpc.encode_trailers(status, "50% \u00fc"), bytes.hex
         )
-        for status in grpc.Status
+        for status in grpc.StatusCode
     }
-    out["only trailers"] = Sample(lambda: grpc.only_trailers(grpc.Status.UNAVAILABLE, "why"), bytes.hex)
+    out["only trailers"] = Sample(lambda: grpc.encode_trailers_only(grpc.StatusCode.UNAVAILABLE, "why"), bytes.hex)
     out["time-outs"] = Sample(
-        lambda: b"1H 2M 3S 4m 5u 6n", lambda data: [grpc.timeout_ms(each) for each in data.split()]
+        lambda: b"1H 2M 3S 4m 5u 6n", lambda data: [grpc.decode_timeout_ms(each) for each in data.split()]
     )
     return out
 
@@ -965,7 +967,10 @@
 def _orca(headers: dict[str, str]) -> Sample:
     return Sample(
         lambda: json.dumps(headers).encode(),
-        lambda data: [orca.read(json.loads(data)), plain(orca.row(orca.read(json.loads(data)), REPORTED))],
+        lambda data: [
+            orca.decode_report(json.loads(data)),
+            plain(orca.select_fields(orca.decode_report(json.loads(data)), REPORTED)),
+        ],
     )
 
 
@@ -1058,7 +1063,7 @@
 def trace_samples() -> dict[str, Sample]:
     """A recorded trace, and the stand-in of a customer's name in it."""
     return {
-        "file": Sample(recorded_file, lambda data: plain(trace.read(data)), unpacked),
+        "file": Sample(recorded_file, lambda data: plain(trace.decode_file(data)), unpacked),
         "text of the file": Sample(lambda: unpacked(recorded_file()), bytes.hex),
         "pseudonym": Sample(lambda: trace.pseudonym(b"key", "stall-7").encode(), bytes.decode),
     }
