--- a/anisefront/frontends/authorization.py
+++ b/anisefront/frontends/authorization.py
@@ -12,6 +12,7 @@
 import json
 import math
 from collections.abc import Callable, Mapping
+from typing import Any
 
 from envoy.config.core.v3 import base_pb2
 from envoy.service.auth.v3 import attribute_context_pb2, external_auth_pb2
@@ -202,7 +203,7 @@
     return message.SerializeToString()
 
 
-def _add_headers(options: object, headers: Mapping[str, str]) -> None:
+def _add_headers(options: Any, headers: Mapping[str, str]) -> None:
     """Append headers to a repeated field of `HeaderValueOption`."""
     for name, value in headers.items():
         option = options.add(append_action=_OVERWRITE)
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -218,7 +218,7 @@
 
     def takes(self, path):
         try:
-            return self.made.gate.router().map("GET", "h", path, {"x-api-key": "k-1"}).class_name
+            return self.made.authorization.router().map("GET", "h", path, {"x-api-key": "k-1"}).class_name
         except UnroutableRequestError:
             return None
 
