--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -47,8 +47,8 @@
 from anisefront.daemon.recorder import Recorder
 from anisefront.cluster import datagrams, member_state, membership, replication_codec, replication_messages
 from anisefront.cluster.backup_state import ReplicatedRequest
-from anisefront.frontends import accesslog, authorization, health, jsonrpc
-from anisefront.frontends.grpcserver import GrpcFactory
+from anisefront.frontends import access_log, authorization, health, jsonrpc_dispatcher, jsonrpc_frontend
+from anisefront.frontends.grpc_server import GrpcFactory
 from anisefront.resp_gateway import command_mapping, resp_codec
 from anisefront.resp_gateway.resp_requests import FAILED_REPLY, classify_reply, encode_rejection
 from anisefront.resp_gateway.instance_config import parse_config
@@ -350,7 +350,7 @@
 
 
 def _ask_own(made: GatewayInstance) -> None:
-    made.desk.ask(CALL, lambda answer: None)
+    made.dispatcher.submit(CALL, lambda answer: None)
 
 
 def _ask_proxied(made: GatewayInstance) -> None:
@@ -496,8 +496,8 @@
             lambda data: plain(request_records.decode_record(data, kinds)),
         ),
         "answer: no list": (b"{}", request_records.decode_response),
-        "trace: version": (b"anisefront trace 2\n", lambda data: plain(trace.read(data))),
-        "trace: cut off": (trace.HEAD + b"AT\0", lambda data: plain(trace.read(data))),
+        "trace: version": (b"anisefront trace 2\n", lambda data: plain(trace.decode_file(data))),
+        "trace: cut off": (trace.FILE_HEADER + b"AT\0", lambda data: plain(trace.decode_file(data))),
     }
     return {name: Sample(lambda data=data: data, read) for name, (data, read) in made.items()}
 
@@ -702,9 +702,11 @@
 def _rpc(line: bytes, answer: FinalResponse = OWN_ANSWERS["served"], draining: bool = False, most: int = 512) -> bytes:
     """What a client gets for a line."""
     reactor = MemoryReactorClock()
-    desk = jsonrpc.Desk(_router, _Own(answer), lambda: 1e6, lambda customer: (0, 1), lambda: {"state": "serving"})
-    desk.closing = draining
-    connection = jsonrpc.JsonRpcFactory(reactor, desk, most).buildProtocol(None)
+    desk = jsonrpc_dispatcher.CallDispatcher(
+        _router, _Own(answer), lambda: 1e6, lambda customer: (0, 1), lambda: {"state": "serving"}
+    )
+    desk.draining = draining
+    connection = jsonrpc_frontend.JsonRpcFactory(reactor, desk, most).buildProtocol(None)
     transport = _Transport()
     transport.unregisterProducer = transport.loseWriteConnection = lambda: None
     connection.makeConnection(transport)
@@ -750,7 +752,7 @@
     samples["draining"] = Sample(lambda: _rpc(call, draining=True), json.loads)
     samples["too many connections"] = Sample(lambda: _rpc(b"", most=0), json.loads)
     samples["calls that are read"] = Sample(
-        lambda: b"[%b,%b]" % (call.strip(), line(method=1).strip()), lambda data: plain(jsonrpc_wire.read(data))
+        lambda: b"[%b,%b]" % (call.strip(), line(method=1).strip()), lambda data: plain(jsonrpc_wire.parse_line(data))
     )
     return samples
 
@@ -776,10 +778,12 @@
     request = external_auth_pb2.CheckRequest()
     http = request.attributes.request.http
     http.method, http.path, http.host = "POST", path, "shop"
-    gate = authorization.Gate(_router, SimpleNamespace(first_check=ask), lambda: 1e6, lambda customer: (0, 1))
-    gate.closing = draining
+    gate = authorization.AuthorizationService(
+        _router, SimpleNamespace(first_check=ask), lambda: 1e6, lambda customer: (0, 1)
+    )
+    gate.draining = draining
     call = _Call()
-    gate.method()(call).message(request.SerializeToString())
+    gate.method()(call).message_received(request.SerializeToString())
     return call.message
 
 
@@ -796,7 +800,7 @@
         "allowed": lambda: _check(go),
         "unmapped": lambda: _check(None, "/x"),
         "draining": lambda: _check(None, draining=True),
-        "allowed with another path": lambda: authorization.allowed(go, "/normal"),
+        "allowed with another path": lambda: authorization.encode_allowed(go, "/normal"),
         **{
             f"failed: {reason}": lambda reason=reason: _check(answer(verdict.FAILED, reason=reason))
             for reason in ("failed", "unknown-attempt")
@@ -808,7 +812,7 @@
             for reason in reasons
         },
         **{
-            f"denied with {status}": lambda status=status: authorization.denied(status, "why", {})
+            f"denied with {status}": lambda status=status: authorization.encode_denied(status, "why", {})
             for status in (400, 401, 403, 404, 409, 429, 502, 503)
         },
     }
@@ -862,7 +866,7 @@
 
 def _log_read(data: bytes) -> Any:
     seen = _Logged()
-    accesslog.method(seen, REPORTED)(_Call()).message(data)
+    access_log.method(seen, REPORTED)(_Call()).message_received(data)
     return seen.seen
 
 
@@ -885,7 +889,7 @@
 
 def _grpc(path: str, message: bytes | None, *, change: Any = None, **headers: str) -> bytes:
     """All bytes of the server's side of a connection with one call."""
-    reactor, state = MemoryReactorClock(), health.Health(("one",))
+    reactor, state = MemoryReactorClock(), health.HealthService(("one",))
     connection = GrpcFactory(reactor, state.methods()).buildProtocol(None)
     transport = _Transport()
     connection.makeConnection(transport)
@@ -903,7 +907,7 @@
             *((name.replace("_", "-"), value) for name, value in headers.items()),
         ],
     )
-    client.send_data(1, b"" if message is None else grpc.pack(message), end_stream=change is None)
+    client.send_data(1, b"" if message is None else grpc.encode_message(message), end_stream=change is None)
     connection.dataReceived(client.data_to_send())
     reactor.advance(0)
     if change is not None:
@@ -939,21 +943,23 @@
         "no such method": ("/a.B/C", b""),
     }
     out = {name: Sample(lambda each=each: _grpc(*each), _frames) for name, each in made.items()}
-    out["health watched"] = Sample(lambda: _grpc(watch, b"", change=health.Serving.NOT_SERVING), _frames)
+    out["health watched"] = Sample(lambda: _grpc(watch, b"", change=health.ServingStatus.NOT_SERVING), _frames)
     out["health of a service not known, watched"] = Sample(
-        lambda: _grpc(watch, b"\x0a\x01x", change=health.Serving.NOT_SERVING), _frames
+        lambda: _grpc(watch, b"\x0a\x01x", change=health.ServingStatus.NOT_SERVING), _frames
     )
     out["bad time-out"] = Sample(lambda: _grpc(check, b"", grpc_timeout="x"), _frames)
-    out["message"] = Sample(lambda: grpc.pack(b"message"), lambda data: plain(grpc.Unpacker(100).feed(data)))
+    out["message"] = Sample(
+        lambda: grpc.encode_message(b"message"), lambda data: plain(grpc.MessageDecoder(100).feed(data))
+    )
     out |= {
         f"trailers of status {int(status)}": Sample(
-            lambda status=status: grpc.trailers(status, "50% \u00fc"), bytes.hex
+            lambda status=status: grpc.encode_trailers(status, "50% \u00fc"), bytes.hex
         )
-        for status in grpc.Status
+        for status in grpc.StatusCode
     }
-    out["only trailers"] = Sample(lambda: grpc.only_trailers(grpc.Status.UNAVAILABLE, "why"), bytes.hex)
+    out["only trailers"] = Sample(lambda: grpc.encode_trailers_only(grpc.StatusCode.UNAVAILABLE, "why"), bytes.hex)
     out["time-outs"] = Sample(
-        lambda: b"1H 2M 3S 4m 5u 6n", lambda data: [grpc.timeout_ms(each) for each in data.split()]
+        lambda: b"1H 2M 3S 4m 5u 6n", lambda data: [grpc.decode_timeout_ms(each) for each in data.split()]
     )
     return out
 
@@ -961,7 +967,10 @@
 def _orca(headers: dict[str, str]) -> Sample:
     return Sample(
         lambda: json.dumps(headers).encode(),
-        lambda data: [orca.read(json.loads(data)), plain(orca.row(orca.read(json.loads(data)), REPORTED))],
+        lambda data: [
+            orca.decode_report(json.loads(data)),
+            plain(orca.select_fields(orca.decode_report(json.loads(data)), REPORTED)),
+        ],
     )
 
 
@@ -1054,7 +1063,7 @@
 def trace_samples() -> dict[str, Sample]:
     """A recorded trace, and the stand-in of a customer's name in it."""
     return {
-        "file": Sample(recorded_file, lambda data: plain(trace.read(data)), unpacked),
+        "file": Sample(recorded_file, lambda data: plain(trace.decode_file(data)), unpacked),
         "text of the file": Sample(lambda: unpacked(recorded_file()), bytes.hex),
         "pseudonym": Sample(lambda: trace.pseudonym(b"key", "stall-7").encode(), bytes.decode),
     }
@@ -1082,7 +1091,7 @@
     reactor.advance(0.01)
     assert made.seal.peers[1].process_incarnation == life
     for number in range(3):
-        made.desk.ask(
+        made.dispatcher.submit(
             CALL | {"headers": {"x-api-key": "stall-7", "x-idempotency-key": f"key-{number}"}}, lambda answer: None
         )
     made.proxied.next_check("x", lambda answer: None)
