--- a/tests/test_unreadable_input.py
+++ b/tests/test_unreadable_input.py
@@ -1,18 +1,30 @@
-"""Input from peers and proxies that cannot be read is rejected, and raises nothing."""
+"""Input from peers, proxies, endpoints and clients that cannot be read is rejected, and raises nothing."""
+
+from wire_samples import _rpc
 
 from anisefront.daemon.request_records import decode_response
+from anisefront.protocols import orca
 from anisefront.upstream.delegated_index import DelegatedIndex
 
+HUGE = "1" + "0" * 400
+SURROGATE_ID = b'{"jsonrpc":"2.0","method":"state","id":"\\ud800"}\n'
+SURROGATE_NAME = b'{"jsonrpc":"2.0","method":"call","params":{"\\ud800":1},"id":1}\n'
+
 
 def test_input_that_cannot_be_read_is_rejected_instead_of_raising():
-    """A response whose first element is an object, and an attempt whose number is a digit but no decimal one."""
+    """A response, an attempt's name, a load report, and a JSON-RPC id and parameter that no decoder expects."""
     raised = []
+    find_attempt = DelegatedIndex("life").find_attempt
     for read, data in (
         (decode_response, b'[{},"",0,false,0,""]'),
-        (DelegatedIndex("life").find_attempt, "life.1.²"),
+        (find_attempt, "life.1.²"),
+        (orca.decode_report, {"endpoint-load-metrics": f'JSON {{"eps": {HUGE}}}'}),
+        (_rpc, SURROGATE_ID),
+        (_rpc, SURROGATE_NAME),
     ):
         try:
-            assert read(data) is None
-        except (KeyError, ValueError) as error:
-            raised.append(repr(error))
+            result = read(data)
+            assert result is None or read not in (decode_response, find_attempt)
+        except (KeyError, ValueError, OverflowError) as error:
+            raised.append(f"{data!r:.40}: {error!r:.60}")
     assert raised == []
