--- a/anisefront/cli/config.py
+++ b/anisefront/cli/config.py
@@ -134,10 +134,10 @@
     """Print the digest of FILE and what it includes: `anisefront state` shows the same where they are in force.
 
     A file with errors exits 2: it is taken by nobody."""
-    from anisefront.config.reading import Reading
+    from anisefront.config.incremental_loader import IncrementalLoader
     from anisefront.gateway.steps import run_to_end
 
-    outcome = run_to_end(Reading(file, os.environ).steps())
+    outcome = run_to_end(IncrementalLoader(file, os.environ).steps())
     for text in outcome.errors:
         click.echo(text, err=True)
     if outcome.config is None:
--- a/anisefront/config/across.py
+++ b/anisefront/config/cross_file_checks.py
@@ -11,16 +11,16 @@
 from anisefront.config import meaning
 from anisefront.config.lexer import Problem
 from anisefront.config.model import Uses
-from anisefront.config.record import Part
+from anisefront.config.file_record import Section
 from anisefront.gateway.routes import Key
 from anisefront.gateway.key_table import KeyTable, KeyTableEdit
 
-ENTRIES = 32  # routes or keys that are taken in or out in one step
-Spot = tuple[Part, int]  # a route: its part and its number there
+ENTRIES_PER_STEP = 32  # routes or keys that are taken in or out in one step
+Spot = tuple[Section, int]  # a route: its part and its number there
 Spots = dict[tuple[int, int], Spot]  # several, by the part's id and the number
 
 
-class Across:
+class CrossFileIndex:
     """All that is kept."""
 
     def __init__(self) -> None:
@@ -33,27 +33,27 @@
         self._touched: set[str] = set()  # neighbourhoods that were changed since they were looked through
         self.found: dict[str, tuple[Problem, ...]] = {}  # by neighbourhood, where anything was found
 
-    def take(self, removed: Iterable[Part], added: Iterable[Part]) -> Generator[None, None, None]:
+    def take(self, removed: Iterable[Section], added: Iterable[Section]) -> Generator[None, None, None]:
         """Take parts out and others in, in steps. Danger: a take that is left half done leaves nothing right."""
         count, gone = 0, dict[str, list[Key]]()
         for parts, by in ((removed, -1), (added, 1)):
             for part in parts:
                 for at, route in enumerate(part.routes):
                     count += 1
-                    if count % ENTRIES == 0:
+                    if count % ENTRIES_PER_STEP == 0:
                         yield
                     self.uses.route(route, by)
                     self._spot(meaning.neighbourhood(route.pattern), part, at, by)
         for part in removed:
             for text, key in zip(part.texts, part.keys, strict=True):
                 count += 1
-                if count % (4 * ENTRIES) == 0:
+                if count % (4 * ENTRIES_PER_STEP) == 0:
                     yield
                 gone.setdefault(text, []).append(key)
         for part in added:
             for text, key in zip(part.texts, part.keys, strict=True):
                 count += 1
-                if count % ENTRIES == 0:
+                if count % ENTRIES_PER_STEP == 0:
                     yield
                 if key in (known := gone.get(text, ())):  # one that stays, or goes elsewhere, costs nothing
                     known.remove(key)
@@ -61,12 +61,12 @@
                     self._key(text, key, 1)
         for text, keys in gone.items():
             count += 1
-            if count % ENTRIES == 0:
+            if count % ENTRIES_PER_STEP == 0:
                 yield
             for key in keys:
                 self._key(text, key, -1)
 
-    def _spot(self, name: str, part: Part, at: int, by: int) -> None:
+    def _spot(self, name: str, part: Section, at: int, by: int) -> None:
         self._touched.add(name)
         known = self._spots.get(name)
         if known is None:
@@ -121,7 +121,7 @@
             if known == {(plan := next(iter(known))): 1}:
                 self._plans[key.customer] = plan
 
-    def look(self, ranks: Mapping[Part, int]) -> Generator[None, None, None]:
+    def look(self, ranks: Mapping[Section, int]) -> Generator[None, None, None]:
         """Look through the neighbourhoods that were touched. `ranks` has the order of all parts."""
         while self._touched:
             name = next(iter(self._touched))
@@ -130,7 +130,7 @@
             if isinstance(spots, dict):
                 lines = []
                 for count, (part, at) in enumerate(sorted(spots.values(), key=lambda spot: (ranks[spot[0]], spot[1]))):
-                    if count % ENTRIES == ENTRIES - 1:
+                    if count % ENTRIES_PER_STEP == ENTRIES_PER_STEP - 1:
                         yield
                     lines.append((part.route_word(at), part.routes[at]))
                 for each in meaning.neighbours(lines, set()):
--- a/anisefront/config/record.py
+++ b/anisefront/config/file_record.py
@@ -18,8 +18,8 @@
 from anisefront.config.values import HOST, PATH, Unfit
 from anisefront.gateway.routes import Key, Route
 
-LINES = 4  # of a file that are read in one step; one line may be long, and one directive may go over many
-PLAIN = 12  # plain lines that count as one
+LINES_PER_STEP = 4  # of a file that are read in one step; one line may be long, and one directive may go over many
+PLAIN_LINES_PER_LINE = 12  # plain lines that count as one
 # The lines of which a large installation has thousands, where each word is plain: their meaning is plain as well.
 _WORD, _NAME = r"([!%&'()*+\-./0-9:<=>?@A-Z^_`a-z|~]{1,4096})", r"([A-Za-z][A-Za-z0-9._-]{0,63})"
 _KEY = re.compile(rf"([ \t]*)key[ \t]+{_WORD}[ \t]+customer[ \t]+{_WORD}[ \t]+plan[ \t]+{_NAME}[ \t]*\r?\Z")
@@ -27,11 +27,11 @@
     rf"([ \t]*)route[ \t]+(\*|[A-Z][A-Z-]{{0,31}})[ \t]+{_WORD}[ \t]+class[ \t]+{_NAME}[ \t]+pool[ \t]+"
     rf"{_NAME}(?:[ \t]+host[ \t]+{_WORD})?[ \t]*\r?\Z"
 )
-BEFORE = 256  # keys of before that are gone through in one step
-PIECE = 1 << 15  # bytes that are decoded at once, and those to the end of their line
+KEYS_PER_STEP = 256  # keys of before that are gone through in one step
+DECODE_CHUNK_BYTES = 1 << 15  # bytes that are decoded at once, and those to the end of their line
 
 
-class Part:
+class Section:
     """What stands in a file between two includes, as it counts. Never changed once it is made.
 
     `route_places` and `key_places` hold file, line and column of each, three numbers in a row."""
@@ -85,7 +85,7 @@
         return Word("key", Place(*self.key_places[3 * at : 3 * at + 3]))
 
 
-class Record:
+class FileRecord:
     """One file: its digest, parts and includes in their order, faults of its form, and what it looked up elsewhere."""
 
     __slots__ = ("digest", "items", "looked_up", "names", "problems", "used")
@@ -93,7 +93,7 @@
     def __init__(
         self,
         digest: bytes,
-        items: tuple[Part | Directive, ...],
+        items: tuple[Section | Directive, ...],
         problems: tuple[Problem, ...],
         expansion: Expansion,
         known: Globals,
@@ -113,60 +113,62 @@
         )
 
 
-def record(
-    data: bytes, digest: bytes, file: int, known: Globals, before: Record | None = None
-) -> Generator[None, None, Record]:
+def build_file_record(
+    data: bytes, digest: bytes, file: int, known: Globals, before: FileRecord | None = None
+) -> Generator[None, None, FileRecord]:
     """A file's record, in steps. Keys that are as in the record before are the same objects."""
-    return (yield from _Maker(file, known, before).run(data, digest))
+    return (yield from _RecordBuilder(file, known, before).run(data, digest))
 
 
 class Wanted:
     """Routes and keys of one part, by their numbers in it, of which messages need the places of all words."""
 
-    def __init__(self, part: Part, routes: Iterable[int], keys: Iterable[int]) -> None:
+    def __init__(self, part: Section, routes: Iterable[int], keys: Iterable[int]) -> None:
         self.part, self.routes, self.keys = part.number, dict[int, Entry](), dict[int, Entry]()
         self.of_routes, self.of_keys = frozenset(routes), frozenset(keys)
 
 
-def entries(data: bytes, file: int, known: Globals, wanted: Wanted) -> Generator[None, None, None]:
+def collect_entries(data: bytes, file: int, known: Globals, wanted: Wanted) -> Generator[None, None, None]:
     """Read a file again for what is wanted of it, which is put there."""
-    yield from _Maker(file, known, wanted=wanted).run(data, b"")
+    yield from _RecordBuilder(file, known, wanted=wanted).run(data, b"")
 
 
 def lines_of(data: bytes) -> Iterator[str]:
     """The lines of a file, decoded a piece at a time; raises UnicodeDecodeError."""
     at = 3 if data.startswith(b"\xef\xbb\xbf") else 0
     while True:
-        end = data.find(b"\n", at + PIECE)
+        end = data.find(b"\n", at + DECODE_CHUNK_BYTES)
         yield from data[at : end if end >= 0 else len(data)].decode().split("\n")
         if end < 0:
             return
         at = end + 1
 
 
-class _Maker:
-    def __init__(self, file: int, known: Globals, before: Record | None = None, wanted: Wanted | None = None) -> None:
+class _RecordBuilder:
+    def __init__(
+        self, file: int, known: Globals, before: FileRecord | None = None, wanted: Wanted | None = None
+    ) -> None:
         self._file, self._known, self._wanted = file, known, wanted
         self._keys: dict[str, tuple[str, Key]] = {}
-        self._before = [] if before is None else [each for each in before.items if isinstance(each, Part)]
+        self._before = [] if before is None else [each for each in before.items if isinstance(each, Section)]
 
     def _begin(self) -> None:
-        self._items: list[Part | Directive] = []
+        self._items: list[Section | Directive] = []
         self._expansion = Expansion(self._known)
-        self._part: _OpenPart | None = None
+        self._part: _SectionBuilder | None = None
 
-    def run(self, data: bytes, digest: bytes) -> Generator[None, None, Record]:
+    def run(self, data: bytes, digest: bytes) -> Generator[None, None, FileRecord]:
         """The record."""
         for part in self._before:
             for at, known in enumerate(zip(part.texts, part.keys, strict=True)):
-                if at % BEFORE == 0:
+                if at % KEYS_PER_STEP == 0:
                     yield
                 self._keys[known[0]] = known
         problems = yield from self._clean(data)
         if problems is None:
             problems = yield from self._faulty(data)
         self._end_part()
-        return Record(digest, tuple(self._items), tuple(problems), self._expansion, self._known)
+        return FileRecord(digest, tuple(self._items), tuple(problems), self._expansion, self._known)
 
     def _clean(self, data: bytes) -> Generator[None, None, list[Problem] | None]:
         """The usual way: each directive is forgotten once it is read. None where the file has a fault of form: mending
@@ -176,13 +178,13 @@
         parser, tokens, seen, work = Parser(problems), list[Token](), 0, 0
         try:
             for number, line in enumerate(lines_of(data), 1):
-                if work >= LINES * PLAIN:
+                if work >= LINES_PER_STEP * PLAIN_LINES_PER_LINE:
                     work = 0
                     yield
                 if not tokens and parser.at_rest and self._plain(line, number):
                     work += 1
                     continue
-                work += PLAIN
+                work += PLAIN_LINES_PER_LINE
                 if take_line(line, number, self._file, tokens, problems):
                     parser.feed(tokens)
                     tokens.clear()
@@ -207,7 +209,7 @@
         yield
         parser, tokens = Parser(problems), list[Token]()
         for number, line in enumerate(text.split("\n"), 1):
-            if number % LINES == 0:
+            if number % LINES_PER_STEP == 0:
                 yield
             if take_line(line, number, self._file, tokens, problems):
                 parser.feed(tokens)
@@ -220,7 +222,7 @@
 
     def _take_all(self, directives: Iterable[Directive]) -> Generator[None, None, None]:
         for number, directive in enumerate(directives, 1):
-            if number % LINES == 0:
+            if number % LINES_PER_STEP == 0:
                 yield
             if directive.name.text == "include":
                 self._end_part()
@@ -228,11 +230,11 @@
                 continue
             yield from self._open_part(directive).take(directive, self._expansion)
 
-    def _open_part(self, first: Directive) -> _OpenPart:
+    def _open_part(self, first: Directive) -> _SectionBuilder:
         if self._part is None:
-            number = sum(isinstance(each, Part) for each in self._items)
+            number = sum(isinstance(each, Section) for each in self._items)
             wanted = self._wanted if self._wanted is not None and self._wanted.part == number else None
-            self._part = _OpenPart(self._file, number, wanted, first, self._expansion, self._keys)
+            self._part = _SectionBuilder(self._file, number, wanted, first, self._expansion, self._keys)
         return self._part
 
     def _plain(self, line: str, number: int) -> bool:
@@ -264,7 +266,7 @@
             self._part = None
 
 
-class _OpenPart:
+class _SectionBuilder:
     """A part while its lines are taken in."""
 
     def __init__(
@@ -276,7 +278,7 @@
         expansion: Expansion,
         keys_before: Mapping[str, tuple[str, Key]],
     ) -> None:
-        self._wanted, self._part, self._keys_before = wanted, Part(file, number), keys_before
+        self._wanted, self._part, self._keys_before = wanted, Section(file, number), keys_before
         self._lines_before, self._known_before = expansion.lines, len(expansion.undeclared)
         self._part.first = first if first.name.text == "language" else Directive(first.name)
         self._problems: list[Problem] = []
@@ -300,7 +302,7 @@
             self._languages.append(self._problems.pop())
         else:
             for count, line in enumerate(expansion.put(directive)):
-                if count % LINES == LINES - 1:
+                if count % LINES_PER_STEP == LINES_PER_STEP - 1:
                     yield
                 if line is not None:
                     self._line(line)
@@ -337,7 +339,7 @@
         self._keys.append(key)
         self._part.key_places.extend(word.place)
 
-    def closed(self, expansion: Expansion) -> Part:
+    def closed(self, expansion: Expansion) -> Section:
         """The part; what the expansion had to say of its lines goes with it."""
         part = self._part
         part.globals, part.languages = tuple(self._globals), tuple(self._languages)
--- a/anisefront/config/reading.py
+++ b/anisefront/config/incremental_loader.py
@@ -1,9 +1,10 @@
-"""The file of settings and what it includes, read again and again: a reading costs what changed, in steps.
+"""Incremental load of the settings file and of all files that it includes.
 
-A gatekeeper keeps one Reading for its life. All files are read anew each time, since a time stamp proves nothing; those
-whose bytes are as before are not lexed, parsed, expanded or checked again (record.py), and what lines of several files
-have to do with each other is looked at where a change can touch it (across.py). What comes out is what
-`checker.check(loader.load(path), environment, notes=False)` gives. It puts nothing in force.
+A gateway instance has one IncrementalLoader while it runs. Each load reads all files, since a time stamp does not
+prove that a file is unchanged. Files with the same bytes as before are not lexed, parsed, expanded or checked again
+(`file_record.py`); checks that span several files are repeated only where a change can affect them
+(`cross_file_checks.py`). The result equals `checker.check(loader.load(path), environment, notes=False)`. A load runs
+in short steps between other work and applies nothing.
 """
 
 from __future__ import annotations
@@ -15,24 +16,24 @@
 from typing import Any
 
 from anisefront.config import checker, meaning, messages, model
-from anisefront.config.across import Across
+from anisefront.config.cross_file_checks import CrossFileIndex
 from anisefront.config.lexer import Place, Problem, Severity, Word, fault
 from anisefront.config.loader import MOST_LINES, Disk, Files, Find, Globals, Load, Read, Source, Walk
 from anisefront.config.checker import MOST_PROBLEMS, Names, references
 from anisefront.config.model import Entry, Model
 from anisefront.config.parser import Directive, Document
-from anisefront.config.record import Part, Record, Wanted, entries, lines_of, record
+from anisefront.config.file_record import Section, FileRecord, Wanted, build_file_record, collect_entries, lines_of
 from anisefront.config.types import Config
 from anisefront.gateway.routes import Route
 from anisefront.gateway.route_groups import changed_groups
 
-MOST_TRIES = 3  # of one reading, while files change under it
-PARTS = 64  # that are gone through in one step
-PIECE = 1 << 18  # bytes that are hashed at once
+MAX_ATTEMPTS = 3  # of one reading, while files change under it
+SECTIONS_PER_STEP = 64  # that are gone through in one step
+HASH_CHUNK_BYTES = 1 << 18  # bytes that are hashed at once
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class LoadOutcome:
     """What one reading came to. Notes are left out: they are for a person, by `config check --notes`."""
 
     config: Config | None  # None where an error was found
@@ -54,15 +55,15 @@
 
     path: str
     number: int  # by which places name it, for as long as its path is known
-    record: Record
+    record: FileRecord
     asked_by: Place | None
 
 
-class _Moved(Exception):
+class _FileChangedError(Exception):
     """A file has not the bytes any more that this reading read; its path."""
 
 
-class Reading:
+class IncrementalLoader:
     """`environment` holds what `env` may name. `read` and `find` (a glob) may be others, for texts in no file."""
 
     def __init__(
@@ -74,14 +75,14 @@
     ) -> None:
         self.path, self._environment = path, {} if environment is None else environment
         self._files: Callable[[], Files] = Disk if read is None else lambda: Files(read, find)
-        self._running: Generator[None, None, Outcome] | None = None
+        self._running: Generator[None, None, LoadOutcome] | None = None
         self._last, self._numbers = 0, dict[str, int]()  # of paths, from 1; none is given again
-        self._records: dict[str, Record] = {}  # by path: of the files of the last reading, and of the last good one
-        self._good: dict[str, Record] = {}
+        self._records: dict[str, FileRecord] = {}  # by path: of the files of the last reading, and of the last good one
+        self._good: dict[str, FileRecord] = {}
         self._known: Globals | None = None
-        self._across, self._order, self._half_done = Across(), list[Part](), False
+        self._across, self._order, self._half_done = CrossFileIndex(), list[Section](), False
 
-    def steps(self) -> Generator[None, None, Outcome]:
+    def steps(self) -> Generator[None, None, LoadOutcome]:
         """Read all files anew; the outcome is what the generator returns. A reading before it that was not run to its
         end is given up."""
         if self._running is not None:
@@ -89,11 +90,11 @@
         self._running = self._steps()
         return self._running
 
-    def _steps(self) -> Generator[None, None, Outcome]:
+    def _steps(self) -> Generator[None, None, LoadOutcome]:
         changed = ""
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             files = self._files()
-            turn = _Turn(self, files)
+            turn = _LoadAttempt(self, files)
             try:
                 yield from turn.read()
                 changed = yield from files.changed()
@@ -101,17 +102,17 @@
                     yield from turn.put_in()
                     yield from self._take(turn.order)
                     return (yield from turn.outcome())
-            except _Moved as moved:
+            except _FileChangedError as moved:
                 changed = str(moved)
-        what = f"{changed!r} changed while it was read, {MOST_TRIES} times"
+        what = f"{changed!r} changed while it was read, {MAX_ATTEMPTS} times"
         problem = Problem(Place(0, 1, 1), what, "let writing come to its end, then ask again", code="include")
         text = messages.text(Load([Source(self.path, "", Document([], []))]), problem)
-        return Outcome(None, (problem,), (text,), "")
+        return LoadOutcome(None, (problem,), (text,), "")
 
-    def _take(self, order: list[Part]) -> Generator[None, None, None]:
+    def _take(self, order: list[Section]) -> Generator[None, None, None]:
         """Bring what is kept across files to the parts of this reading."""
         if self._half_done:
-            self._across, self._order = Across(), []
+            self._across, self._order = CrossFileIndex(), []
         self._half_done = True
         removed, added = changed_groups(self._order, order)
         yield
@@ -119,11 +120,11 @@
         self._order, self._half_done = order, False
 
 
-class _Turn:
+class _LoadAttempt:
     """One reading. Bytes of files are not held: for a message, or where definitions have changed, a file is read once
     more, and must have the digest that it had."""
 
-    def __init__(self, reading: Reading, files: Files) -> None:
+    def __init__(self, reading: IncrementalLoader, files: Files) -> None:
         self._reading, self._across, self._disk = reading, reading._across, files
         self.files: list[_File] = []
         self._by_number: dict[int, _File] = {}
@@ -132,7 +133,7 @@
         self._digest = hashlib.sha256()
         self._more = 0  # problems that are known to be, beyond those that are told
         self._lost = False
-        self.order: list[Part] = []
+        self.order: list[Section] = []
         # What was known of definitions and values before is the best guess until all files are read.
         self._gathered = Globals(reading._environment)
         self._guess = reading._known or self._gathered
@@ -151,18 +152,18 @@
 
     def _take(
         self, path: str, real: str, data: bytes, asked: Word | None
-    ) -> Generator[None, None, tuple[Part | Directive, ...]]:
+    ) -> Generator[None, None, tuple[Section | Directive, ...]]:
         numbers, records = self._reading._numbers, self._reading._records
         if path not in numbers:
             self._reading._last += 1
             numbers[path] = self._reading._last
         number = numbers[path]
-        digest = hashlib.sha256(data).digest() if len(data) <= PIECE else (yield from _digest(data))
+        digest = hashlib.sha256(data).digest() if len(data) <= HASH_CHUNK_BYTES else (yield from _digest(data))
         place = None if asked is None else asked.place
         known = records.get(path)
         if known is None or known.digest != digest:
             yield
-            known = yield from record(data, digest, number, self._guess, known)
+            known = yield from build_file_record(data, digest, number, self._guess, known)
             records[path] = known
         file = _File(path, number, known, place)
         at = (0, 0, 0) if place is None else (self._running[place.file] + 1, place.line, place.column)
@@ -172,7 +173,7 @@
         self._by_number[number] = file
         if self._guess is self._gathered:
             for item in known.items:
-                if isinstance(item, Part):
+                if isinstance(item, Section):
                     self._gathered.add(item.globals)
         return known.items
 
@@ -181,30 +182,30 @@
         try:
             data = yield from self._disk.read(file.path)
         except OSError as problem:
-            raise _Moved(file.path) from problem
+            raise _FileChangedError(file.path) from problem
         if (yield from _digest(data)) != file.record.digest:
-            raise _Moved(file.path)
+            raise _FileChangedError(file.path)
         return data
 
     def put_in(self) -> Generator[None, None, None]:
         """Make those records anew that went by other definitions or values than there are."""
         known = Globals(self._reading._environment)
         for number, part in enumerate(self.order):
-            if number % PARTS == PARTS - 1:
+            if number % SECTIONS_PER_STEP == SECTIONS_PER_STEP - 1:
                 yield
             known.add(part.globals)
-        self._known, instead = known, dict[int, Part]()
+        self._known, instead = known, dict[int, Section]()
         yield
         for number, file in enumerate(self.files):
-            if number % PARTS == PARTS - 1:
+            if number % SECTIONS_PER_STEP == SECTIONS_PER_STEP - 1:
                 yield
             if not file.record.holds(known):
                 data = yield from self._data(file)
-                again = yield from record(data, file.record.digest, file.number, known, file.record)
+                again = yield from build_file_record(data, file.record.digest, file.number, known, file.record)
                 instead.update(
                     (id(old), new)
                     for old, new in zip(file.record.items, again.items, strict=True)
-                    if isinstance(old, Part)
+                    if isinstance(old, Section)
                 )
                 file.record = self._reading._records[file.path] = again
         if instead:
@@ -213,7 +214,7 @@
 
     # ---- what is wrong ----------------------------------------------------------------------------------------
 
-    def outcome(self) -> Generator[None, None, Outcome]:
+    def outcome(self) -> Generator[None, None, LoadOutcome]:
         """What the files come to."""
         self._across, config = self._reading._across, None
         parts = tuple(part.routes for part in self.order if part.routes)
@@ -226,7 +227,7 @@
                 config = yield from self._meaning(names, parts)
         self._keep(config is not None)
         problems, texts = yield from self._told()
-        return Outcome(config, problems, texts, self._digest.hexdigest(), () if config is None else parts)
+        return LoadOutcome(config, problems, texts, self._digest.hexdigest(), () if config is None else parts)
 
     def _keep(self, good: bool) -> None:
         """Forget the records of files that are neither in this reading nor in the last good one: a fault in the first
@@ -243,7 +244,7 @@
         names, problems, undeclared, lines = Names(), self._problems, set[str](), 0
         problems += self._known.problems
         for number, part in enumerate(self.order):
-            if number % PARTS == PARTS - 1:
+            if number % SECTIONS_PER_STEP == SECTIONS_PER_STEP - 1:
                 yield
             problems += part.expansion
             for name, problem in part.undeclared:
@@ -257,13 +258,13 @@
             lines += part.lines
         self._lost = checker.faulty(problems)
         for number, part in enumerate(self.order):
-            if number % PARTS == PARTS - 1:
+            if number % SECTIONS_PER_STEP == SECTIONS_PER_STEP - 1:
                 yield
             problems += part.problems
             problems += part.languages[1:] if number == 0 else part.languages
             self._lost = self._lost or part.lost
             for count, named in enumerate(part.named, 1):
-                if count % PARTS == 0:
+                if count % SECTIONS_PER_STEP == 0:
                     yield
                 if (problem := names.add(named)) is not None:
                     problems.append(problem)
@@ -287,7 +288,7 @@
                 (at, part.texts[at], looked.keys[at].places["key"] if at in looked.keys else None) for at in places
             )
             for count, (_, text, word) in enumerate(sorted(found, key=lambda each: each[0])):
-                if count % PARTS == PARTS - 1:
+                if count % SECTIONS_PER_STEP == SECTIONS_PER_STEP - 1:
                     yield
                 if text not in first:
                     first[text] = word
@@ -301,7 +302,7 @@
         """Names that are not there."""
         uses = self._across.uses
         for number, part in enumerate(self.order):
-            if number % PARTS == PARTS - 1:
+            if number % SECTIONS_PER_STEP == SECTIONS_PER_STEP - 1:
                 yield
             for entry in part.entries:
                 self._problems += references(entry, names.of)
@@ -328,12 +329,12 @@
                 break
         self._more += more - told
 
-    def _of(self, part: Part, routes: Sequence[int], keys: Sequence[int]) -> Generator[None, None, Wanted]:
+    def _of(self, part: Section, routes: Sequence[int], keys: Sequence[int]) -> Generator[None, None, Wanted]:
         """The entries of some of a part's routes and keys, with the places of their words: its file is read again."""
         wanted = Wanted(part, routes, keys)
         if routes or keys:
             data = yield from self._data(self._by_number[part.file])
-            yield from entries(data, part.file, self._known, wanted)
+            yield from collect_entries(data, part.file, self._known, wanted)
         return wanted
 
     def _meaning(self, names: Names, parts: tuple[tuple[Route, ...], ...]) -> Generator[None, None, Config | None]:
@@ -409,10 +410,10 @@
 
 def _digest(data: bytes) -> Generator[None, None, bytes]:
     """The digest of a file's bytes, in steps."""
-    whole = hashlib.sha256(data[:PIECE])
-    for at in range(PIECE, len(data), PIECE):
+    whole = hashlib.sha256(data[:HASH_CHUNK_BYTES])
+    for at in range(HASH_CHUNK_BYTES, len(data), HASH_CHUNK_BYTES):
         yield
-        whole.update(data[at : at + PIECE])
+        whole.update(data[at : at + HASH_CHUNK_BYTES])
     return whole.digest()
 
 
@@ -420,7 +421,7 @@
     """Where the values that are wanted stand, in steps."""
     out = []
     for at, value in enumerate(values):
-        if at % (4 * PARTS) == 0:
+        if at % (4 * SECTIONS_PER_STEP) == 0:
             yield
         if wanted(value):
             out.append(at)
@@ -442,7 +443,7 @@
         """Find lines of a file."""
         last = max(lines)
         for number, line in enumerate(_shown_lines(data), 1):
-            if number % PARTS == 0:
+            if number % SECTIONS_PER_STEP == 0:
                 yield
             if number in lines:
                 self._lines[file, number] = line.removesuffix("\r")
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:  # the RESP gateway must not load these
     from twisted.internet.defer import Deferred
 
-    from anisefront.config.reading import Outcome
+    from anisefront.config.incremental_loader import LoadOutcome
     from anisefront.daemon.collector import Collector
     from anisefront.daemon.settings_source import SettingsSource
     from anisefront.gateway.request_table import RequestTable
@@ -63,7 +63,7 @@
 
 def serve(
     source: SettingsSource,
-    read: list[Outcome],
+    read: list[LoadOutcome],
     log_level: str,
     workers: Callable[[Any], EndpointList] | None = None,
 ) -> int:
--- a/anisefront/daemon/settings_source.py
+++ b/anisefront/daemon/settings_source.py
@@ -4,18 +4,20 @@
 
 from collections.abc import Callable, Generator, Mapping
 
-from anisefront.config.reading import Outcome, Reading
+from anisefront.config.incremental_loader import IncrementalLoader, LoadOutcome
 
 
 class SettingsSource:
     """One settings file for the duration of a process; parts that did not change between two reads are cached."""
 
-    def __init__(self, path: str, environment: Mapping[str, str], make: Callable[..., Reading] = Reading) -> None:
+    def __init__(
+        self, path: str, environment: Mapping[str, str], make: Callable[..., IncrementalLoader] = IncrementalLoader
+    ) -> None:
         """Use the file at `path`; `make` creates the reader with its cache."""
         self._make = lambda: make(path, environment)
         self._reading = self._make()
 
-    def steps(self) -> Generator[None, None, Outcome]:
+    def steps(self) -> Generator[None, None, LoadOutcome]:
         """Read all files in small steps and return the outcome, valid or not."""
         try:
             return (yield from self._reading.steps())
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -108,7 +108,8 @@
         "who tells settings",
         "all settings, as files",
         "each change to each gatekeeper, and its word that it is in force",
-        "reading what changed: `config/reading.py`, `gateway/versions.py`, `daemon/reload_scheduler.py` at SIGHUP; "
+        "reading what changed: `config/incremental_loader.py`, `gateway/versions.py`, `daemon/reload_scheduler.py` at "
+        "SIGHUP; "
         "bringing it to all, and knowing who has which version: " + MISSING,
     ),
     Role(
@@ -306,19 +307,19 @@
     ),
     (
         "all files are read and hashed",
-        "`config/reading.py`",
+        "`config/incremental_loader.py`",
         "files, each change of settings",
         "a time stamp proves nothing; in slices between turns, tens of microseconds a file",
     ),
     (
         "the parts of all files are gone through",
-        "`config/reading.py`, `gateway/route_table.py`",
+        "`config/incremental_loader.py`, `gateway/route_table.py`",
         "files, each change of settings",
         "some ms in slices; what they hold is not looked at",
     ),
     (
         "all routes are put into one tuple",
-        "`config/reading.py`",
+        "`config/incremental_loader.py`",
         "routes, each change of settings",
         "a pointer each, under a millisecond",
     ),
--- a/benchmarks/settings.py
+++ b/benchmarks/settings.py
@@ -1,7 +1,7 @@
 """`python -m benchmarks.settings`: what a change of settings costs at 5,800 routes and 22,000 keys, 472 files included.
 
-Before (the whole load, check and router) and after (Reading and next_steps) in one run, in processes of their own so
-that memory is each one's. `measure()` gives the raw numbers.
+Before (the whole load, check and router) and after (IncrementalLoader and next_steps) in one run, in processes of their
+own so that memory is each one's. `measure()` gives the raw numbers.
 """
 
 from __future__ import annotations
@@ -64,8 +64,8 @@
 
 
 def after(layout: Layout, path: Path, changes: int) -> dict[str, object]:
-    """In steps: Reading and next_steps, the collector of cycles set as daemon/collector.py sets it."""
-    from anisefront.config.reading import Reading
+    """In steps: IncrementalLoader and next_steps, the collector of cycles set as daemon/collector.py sets it."""
+    from anisefront.config.incremental_loader import IncrementalLoader
     from anisefront.gateway.versions import build_next_version
     from anisefront.daemon import collector
 
@@ -84,7 +84,7 @@
                 steps_cpu_ms.append((time.process_time() - cpu) * 1000)
                 steps_ms.append((time.perf_counter() - began) * 1000)
 
-    began, wall, reading = time.process_time(), time.perf_counter(), Reading(str(path), {})
+    began, wall, reading = time.process_time(), time.perf_counter(), IncrementalLoader(str(path), {})
     version = run(build_next_version(None, run(reading.steps())))
     out["start_cpu_ms"] = (time.process_time() - began) * 1000
     out["start_ms"], out["held_mb"] = (time.perf_counter() - wall) * 1000, held_mb()
--- a/tests/change_loop.py
+++ b/tests/change_loop.py
@@ -19,7 +19,7 @@
 from processes import Relay
 from test_path import Running, told
 
-from anisefront.config.reading import Reading
+from anisefront.config.incremental_loader import IncrementalLoader
 from anisefront.gateway.steps import run_to_end
 from benchmarks.changes import Layout
 
@@ -210,7 +210,7 @@
         peers = "\n".join(f"peer {number} 127.0.0.1:{port}" for number, port in enumerate(ports))
         environment = [{"NUMBER": str(number), "PORT": str(port)} for number, port in enumerate(ports)]
         self.master = Installation(folder / "master", count, peers, ballast)
-        self.reading = Reading(str(self.master.path), environment[0])
+        self.reading = IncrementalLoader(str(self.master.path), environment[0])
         self.members = [
             Member(self, number, Installation(folder / str(number), count, peers, ballast), environment[number])
             for number in range(count)
--- a/tests/fuzz_config.py
+++ b/tests/fuzz_config.py
@@ -16,7 +16,7 @@
 
 from anisefront.config import checker, formatter, loader  # noqa: E402
 from anisefront.config.parser import parse  # noqa: E402
-from anisefront.config.reading import Reading  # noqa: E402
+from anisefront.config.incremental_loader import IncrementalLoader  # noqa: E402
 from anisefront.gateway.steps import run_to_end  # noqa: E402
 
 FILES = {
@@ -28,9 +28,9 @@
     "meaning.py",
     "model.py",
     "formatter.py",
-    "record.py",
-    "across.py",
-    "reading.py",
+    "file_record.py",
+    "cross_file_checks.py",
+    "incremental_loader.py",
 }
 PIECES = [
     "{",
@@ -89,7 +89,7 @@
         return own[path]
 
     fresh = checker.check(loader.load("f.conf", read, lambda pattern: []), {}, notes=False)
-    outcome = run_to_end(Reading("f.conf", {}, read, lambda pattern: []).steps())
+    outcome = run_to_end(IncrementalLoader("f.conf", {}, read, lambda pattern: []).steps())
     assert outcome.problems == tuple(fresh.problems) and (outcome.config is None) == (fresh.config is None)
     document, problems = parse(text)
     if not problems:
--- a/tests/settings_samples.py
+++ b/tests/settings_samples.py
@@ -19,7 +19,7 @@
 
 from anisefront.cli.main import main as command_line
 from anisefront.config import checker, loader
-from anisefront.config.reading import Reading
+from anisefront.config.incremental_loader import IncrementalLoader
 from anisefront.gateway.steps import run_to_end
 
 ROOT = Path(__file__).parent.parent
@@ -209,7 +209,7 @@
 
 def read_for_a_start(folder: Path) -> list[str]:
     """What a gatekeeper prints that starts with the sample: it reads by another way than the check."""
-    texts = run_to_end(Reading(str(folder / MAIN), {}).steps()).texts
+    texts = run_to_end(IncrementalLoader(str(folder / MAIN), {}).steps()).texts
     return [without_folder(text, folder) for text in texts]
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -146,7 +146,7 @@
     from test_config_corpus import GOOD, found
     from twisted.internet.testing import MemoryReactorClock
 
-    from anisefront.config.reading import Outcome
+    from anisefront.config.incremental_loader import LoadOutcome
     from anisefront.gateway.steps import run_to_end
     from anisefront.gateway.versions import build_next_version
     from anisefront.daemon.gateway_instance import GatewayInstance
@@ -157,7 +157,7 @@
     text = GOOD.replace("/etc/stalls.json", str(path)).replace("0 of 2", "0 of 1").replace("peer 1", "# peer 1")
     config = found(text.replace("listen peers", "listen jsonrpc")).config
     gatekeeper = GatewayInstance(
-        run_to_end(build_next_version(None, Outcome(config, (), (), "", (config.routes,)))),
+        run_to_end(build_next_version(None, LoadOutcome(config, (), (), "", (config.routes,)))),
         reactor,
         lambda: 1e6 + reactor.seconds() * 1000,
     )
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -13,11 +13,20 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from anisefront.config import across, checker, loader, meaning, messages, model, reading, record
+from anisefront.config import (
+    checker,
+    cross_file_checks,
+    file_record,
+    incremental_loader,
+    loader,
+    meaning,
+    messages,
+    model,
+)
 from anisefront.config.checker import Checked
 from anisefront.config.explain import explain
 from anisefront.config.model import Entry, Model
-from anisefront.config.reading import Reading
+from anisefront.config.incremental_loader import IncrementalLoader
 from anisefront.gateway import route_table, route_trie, versions
 from anisefront.gateway.key_table import KeyTable, KeyTableEdit
 from anisefront.gateway.route_trie import RouteNode
@@ -226,7 +235,7 @@
 
     class Where(loader.Load):
         def where(self, place):
-            return record.where(paths, place)
+            return file_record.where(paths, place)
 
     def entry(name, word, arguments, options):
         return Entry(name, word, arguments, options)
@@ -266,7 +275,7 @@
     assert outcome.problems == tuple(fresh.problems)
     told = sorted(fresh.problems, key=lambda problem: -problem.severity)
     assert outcome.texts == tuple(messages.text(load, problem) for problem in told)
-    again = run_to_end(Reading("main.conf", world.environment, world.read, world.find).steps())
+    again = run_to_end(IncrementalLoader("main.conf", world.environment, world.read, world.find).steps())
     assert (outcome.digest, outcome.texts) == (again.digest, again.texts)
     assert (outcome.config is None) == (fresh.config is None)
     if fresh.config is None:
@@ -300,7 +309,7 @@
 
 def play(changes):
     world, versions = World(), []
-    own = Reading("main.conf", world.environment, world.read, world.find)
+    own = IncrementalLoader("main.conf", world.environment, world.read, world.find)
     version = held_against_fresh(world, own, None, versions)
     assert version is not None
     for what, *more in changes:
@@ -321,10 +330,10 @@
 def small_steps(monkeypatch):
     """So that a reading can be given up anywhere."""
     for module, name in (
-        (across, "ENTRIES"),
-        (record, "LINES"),
-        (record, "PLAIN"),
-        (reading, "PARTS"),
+        (cross_file_checks, "ENTRIES_PER_STEP"),
+        (file_record, "LINES_PER_STEP"),
+        (file_record, "PLAIN_LINES_PER_LINE"),
+        (incremental_loader, "SECTIONS_PER_STEP"),
         (route_table, "ROUTES_PER_STEP"),
         (versions, "ENTRIES_PER_STEP"),
         (loader, "FILES"),
@@ -348,7 +357,7 @@
 
 def same_digest(patch):
     patch.setattr(
-        reading,
+        incremental_loader,
         "hashlib",
         SimpleNamespace(
             sha256=lambda data=b"": SimpleNamespace(update=lambda more: None, digest=lambda: b"", hexdigest=lambda: "")
@@ -362,7 +371,7 @@
 
 
 def untouched_by_what_goes(patch):
-    whole = across.Across._spot
+    whole = cross_file_checks.CrossFileIndex._spot
 
     def spot(self, name, part, at, by):
         touched = set(self._touched)
@@ -370,7 +379,7 @@
         if by < 0:
             self._touched = touched
 
-    patch.setattr(across.Across, "_spot", spot)
+    patch.setattr(cross_file_checks.CrossFileIndex, "_spot", spot)
 
 
 def only_up(patch, name):
@@ -383,24 +392,24 @@
         def pop(self, name, default=None):
             return default
 
-    whole = across.Across.__init__
+    whole = cross_file_checks.CrossFileIndex.__init__
 
     def begin(self):
         whole(self)
         self.found = Sticky()
 
-    patch.setattr(across.Across, "__init__", begin)
+    patch.setattr(cross_file_checks.CrossFileIndex, "__init__", begin)
 
 
 def doubled_goes_whole(patch):
-    whole = across.Across._key
+    whole = cross_file_checks.CrossFileIndex._key
 
     def key(self, text, key, by):
         if by < 0:
             self.doubled.pop(text, None)
         whole(self, text, key, by)
 
-    patch.setattr(across.Across, "_key", key)
+    patch.setattr(cross_file_checks.CrossFileIndex, "_key", key)
 
 
 def shards_not_copied(patch):
@@ -425,46 +434,54 @@
 
 
 def numbers_of_one_reading(patch):
-    whole = reading._Turn.__init__
+    whole = incremental_loader._LoadAttempt.__init__
 
     def begin(self, own, files):
         whole(self, own, files)
         own._numbers, own._last = {}, 0
 
-    patch.setattr(reading._Turn, "__init__", begin)
+    patch.setattr(incremental_loader._LoadAttempt, "__init__", begin)
 
 
 GUARDS = {
     "bytes as before": same_digest,
-    "definitions and values": lambda patch: patch.setattr(record.Record, "holds", lambda self, known: True),
-    "definitions": lambda patch: patch.setattr(record.Record, "used", property(lambda self: {}, lambda self, each: 0)),
-    "values": lambda patch: patch.setattr(record.Record, "looked_up", property(lambda self: {}, lambda self, each: 0)),
+    "definitions and values": lambda patch: patch.setattr(file_record.FileRecord, "holds", lambda self, known: True),
+    "definitions": lambda patch: patch.setattr(
+        file_record.FileRecord, "used", property(lambda self: {}, lambda self, each: 0)
+    ),
+    "values": lambda patch: patch.setattr(
+        file_record.FileRecord, "looked_up", property(lambda self: {}, lambda self, each: 0)
+    ),
     "names that are near": lambda patch: patch.setattr(
-        record.Record, "names", property(lambda self: None, lambda self, each: 0)
+        file_record.FileRecord, "names", property(lambda self: None, lambda self, each: 0)
     ),
-    "files that stand elsewhere": lambda patch: patch.setattr(reading, "changed_groups", stays_in_any_order),
+    "files that stand elsewhere": lambda patch: patch.setattr(incremental_loader, "changed_groups", stays_in_any_order),
     "parts that stand elsewhere": lambda patch: patch.setattr(versions, "changed_groups", stays_in_any_order),
     "neighbours of what goes": untouched_by_what_goes,
     "findings that are gone": findings_stay,
     "uses of names by routes": lambda patch: only_up(patch, "route"),
     "uses of names by keys": lambda patch: only_up(patch, "key"),
     "keys that stand twice": doubled_goes_whole,
-    "customers' plans": lambda patch: patch.setattr(across.Across, "_customer", lambda self, key, by: None),
+    "customers' plans": lambda patch: patch.setattr(
+        cross_file_checks.CrossFileIndex, "_customer", lambda self, key, by: None
+    ),
     "nodes are copied": lambda patch: patch.setattr(route_trie, "_owned", lambda node, owner: node or RouteNode(owner)),
     "shards are copied": shards_not_copied,
     "order at one place": lambda patch: patch.setattr(route_table, "insertion", at_the_end),
     "routes that go": lambda patch: patch.setattr(route_table, "removal", lambda part: lambda here, methods: here),
     "keys that differ": lambda patch: patch.setattr(KeyTable, "differing", lambda self, other: iter(())),
     "readings given up": lambda patch: patch.setattr(
-        Reading, "_half_done", property(lambda self: False, lambda self, each: None), raising=False
+        IncrementalLoader, "_half_done", property(lambda self: False, lambda self, each: None), raising=False
     ),
     "files by lasting numbers": numbers_of_one_reading,
-    "trees of faulty files": lambda patch: patch.setattr(record, "Severity", SimpleNamespace(ERROR=None)),
-    "plain routes' paths": lambda patch: patch.setattr(record, "PATH", SimpleNamespace(read=lambda word: None)),
+    "trees of faulty files": lambda patch: patch.setattr(file_record, "Severity", SimpleNamespace(ERROR=None)),
+    "plain routes' paths": lambda patch: patch.setattr(file_record, "PATH", SimpleNamespace(read=lambda word: None)),
     "plain keys' names": lambda patch: patch.setattr(
-        record, "_KEY", re.compile(r"([ \t]*)key[ \t]+(\S+)[ \t]+customer[ \t]+(\S+)[ \t]+plan[ \t]+(\S+)[ \t]*\r?\Z")
+        file_record,
+        "_KEY",
+        re.compile(r"([ \t]*)key[ \t]+(\S+)[ \t]+customer[ \t]+(\S+)[ \t]+plan[ \t]+(\S+)[ \t]*\r?\Z"),
     ),
-    "plain lines within blocks": lambda patch: patch.setattr(record.Parser, "at_rest", True),
+    "plain lines within blocks": lambda patch: patch.setattr(file_record.Parser, "at_rest", True),
 }
 
 
@@ -514,7 +531,7 @@
     world.lines = {"main.conf": [*HEAD, 'include "d/*.conf"']}
     for n in range(files):
         world.lines[f"d/{n:03}.conf"] = lines[n::files]
-    return world, Reading("main.conf", {}, world.read, world.find)
+    return world, IncrementalLoader("main.conf", {}, world.read, world.find)
 
 
 @pytest.mark.parametrize("files", [1, 150])
@@ -545,9 +562,11 @@
 
 def test_only_files_that_changed_are_read_into_records(monkeypatch):
     made = []
-    whole = reading.record
+    whole = incremental_loader.build_file_record
     monkeypatch.setattr(
-        reading, "record", lambda data, digest, file, *more: made.append(file) or whole(data, digest, file, *more)
+        incremental_loader,
+        "build_file_record",
+        lambda data, digest, file, *more: made.append(file) or whole(data, digest, file, *more),
     )
     world, own = large(20)
 
@@ -573,7 +592,7 @@
     (folder / "d").mkdir()
     (folder / "main.conf").write_text("\n".join([*HEAD, 'include "d/*.conf"', ""]))
     (folder / "d/a.conf").write_text("route GET /x class v pool p\n")
-    return Reading(str(folder / "main.conf"))
+    return IncrementalLoader(str(folder / "main.conf"))
 
 
 def test_a_file_that_changes_while_it_is_read_is_read_again_and_then_refused(tmp_path):
@@ -610,7 +629,7 @@
             return world.read(path)
         return (left.pop(0) if len(left) > 1 else left[0]).encode()
 
-    return world, left, Reading("main.conf", {}, read, world.find)
+    return world, left, IncrementalLoader("main.conf", {}, read, world.find)
 
 
 def paths(outcome):
@@ -680,11 +699,11 @@
         (tmp_path / name / "main.conf").write_text("\n".join([*HEAD, 'include "d/*.conf"', ""]))
         (tmp_path / name / "d/a.conf").write_text("route GET /x class v pool p\n")
     (tmp_path / "now").symlink_to(tmp_path / "one")
-    own = Reading(str(tmp_path / "now/main.conf"))
+    own = IncrementalLoader(str(tmp_path / "now/main.conf"))
     first = run_to_end(own.steps())
     (tmp_path / "next").symlink_to(tmp_path / "two")
     os.replace(tmp_path / "next", tmp_path / "now")
-    monkeypatch.setattr(reading, "record", None)
+    monkeypatch.setattr(incremental_loader, "build_file_record", None)
     second = run_to_end(own.steps())
     assert second.config is not None and second.digest == first.digest and second.parts[0] is first.parts[0]
 
@@ -720,17 +739,17 @@
     for size in range(40):
         data = "".join(chance.choice(letters) for _ in range(size)).encode()
         for piece in (0, 1, 3, 7, 1000):
-            monkeypatch.setattr(record, "PIECE", piece)
+            monkeypatch.setattr(file_record, "DECODE_CHUNK_BYTES", piece)
             for whole in (data, b"\xef\xbb\xbf" + data):
-                assert list(record.lines_of(whole)) == loader.decode(whole, 0)[0].split("\n")
+                assert list(file_record.lines_of(whole)) == loader.decode(whole, 0)[0].split("\n")
 
 
 def test_lines_are_capped_over_all_files(monkeypatch):
-    monkeypatch.setattr(reading, "MOST_LINES", 60)
+    monkeypatch.setattr(incremental_loader, "MOST_LINES", 60)
     monkeypatch.setattr(loader, "MOST_LINES", 60)
     world, own = World(), None
     world.lines["d/b.conf"] = [f"route GET /b{n} class v pool p" for n in range(20)]
-    own = Reading("main.conf", {}, world.read, world.find)
+    own = IncrementalLoader("main.conf", {}, world.read, world.find)
     assert run_to_end(own.steps()).config is not None
     world.lines["d/c.conf"] = [f"route GET /c{n} class v pool p" for n in range(30)]
     outcome = run_to_end(own.steps())
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -9,9 +9,9 @@
 from test_config_corpus import GOOD
 from twisted.internet.testing import MemoryReactorClock
 
-from anisefront.config import reading
+from anisefront.config import incremental_loader
 from anisefront.config.loader import Disk
-from anisefront.config.reading import Outcome
+from anisefront.config.incremental_loader import LoadOutcome
 from anisefront.gateway.pending_request import PendingRequest, ReplicaRecord
 from anisefront.gateway.errors import UnroutableRequestError
 from anisefront.gateway.steps import run_to_end
@@ -67,11 +67,11 @@
                 for _ in range(3):
                     yield
                 if not was_whole:  # it went on from half of a reading
-                    return Outcome(-2, (), (), "")
+                    return LoadOutcome(-2, (), (), "")
                 if found == BAD:
                     raise ValueError("nobody foresaw this")
                 self.whole = True
-                return Outcome(found, (), (), "")
+                return LoadOutcome(found, (), (), "")
 
         self.source = SettingsSource("", {}, Read)
         self.reloader = ReloadScheduler(
@@ -194,7 +194,7 @@
 class Staged:
     """A gatekeeper with a file of settings and a folder of services that it includes; one step of settings a turn."""
 
-    def __init__(self, folder, make=reading.Reading, text=TEXT):
+    def __init__(self, folder, make=incremental_loader.IncrementalLoader, text=TEXT):
         self.folder, self.reactor = folder, Loop()
         (folder / "services").mkdir()
         self.path = folder / "gatekeeper.conf"
@@ -394,7 +394,7 @@
 
 
 def test_what_nobody_foresaw_leaves_the_old_version_and_the_next_hang_up_works(tmp_path):
-    class Raising(reading.Reading):
+    class Raising(incremental_loader.IncrementalLoader):
         raises = False
 
         def steps(self):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,7 @@
 from anisefront.cluster.membership import Membership
 from anisefront.frontends.jsonrpc import UNMAPPED
 from anisefront.policy.peer_codec import encode
-from anisefront.config.reading import Reading
+from anisefront.config.incremental_loader import IncrementalLoader
 from anisefront.gateway.steps import run_to_end
 from benchmarks.scale import axes, child, counting, fit, results
 from benchmarks.scale.__main__ import PARTS
@@ -209,7 +209,7 @@
             assert answer["result"]["status"] == 200, answer
             assert fleet.state(number)["settings"]["fault"] == ""
         for number, state in fleet.states().items():  # each has a first file of its own, and so a digest of its own
-            files = run_to_end(Reading(str(folder / f"real-{number}.conf")).steps()).digest
+            files = run_to_end(IncrementalLoader(str(folder / f"real-{number}.conf")).steps()).digest
             assert (state["settings"]["version"], state["settings"]["digest"]) == (2, files)
         # A change of the list, members that restart, a zone that is cut off and healed.
         fleet.change_list(1)
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -35,7 +35,7 @@
 from anisefront.gateway.request_terms import RequestTerms
 from anisefront.upstream.delegated_checks import CheckResponse, Verdict
 from anisefront.upstream.direct_requests import DirectRequest, DirectRequests, FinalResponse
-from anisefront.config.reading import Outcome as Reading
+from anisefront.config.incremental_loader import LoadOutcome
 from anisefront.config.types import Recording
 from anisefront.gateway.routing import first_gateway
 from anisefront.gateway.errors import UnroutableRequestError
@@ -326,7 +326,7 @@
     )
     config = settings_read(text).config
     reactor = reactor or MemoryReactorClock()
-    read = Reading(config, (), (), "digest", (config.routes,))
+    read = LoadOutcome(config, (), (), "digest", (config.routes,))
     with mock.patch("secrets.token_hex", return_value=LIFE), mock.patch("secrets.randbits", return_value=7):
         return GatewayInstance(
             run_to_end(build_next_version(None, read)), reactor, lambda: 1e6 + reactor.seconds() * 1000
