--- a/anisefront/config/checker.py
+++ b/anisefront/config/checker.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from anisefront.config import meaning
+from anisefront.config import route_checks, semantic_checks
 from anisefront.config.lexer import Place, Problem, Severity, Word, fault
 from anisefront.config.loader import Load, substitute
 from anisefront.config.model import (
@@ -92,10 +92,10 @@
     config = build(model, uses, routes, keys, problems)
     if config is None or other:
         return None
-    problems += meaning.examine(model, config, uses)
-    problems += meaning.owners(model.of("key"))
+    problems += semantic_checks.check_semantics(model, config, uses)
+    problems += semantic_checks.check_customer_plans(model.of("key"))
     words = [entry.word for entry in model.of("route")]
-    problems += meaning.routes(list(zip(words, routes, strict=True)), notes)
+    problems += route_checks.check_routes(list(zip(words, routes, strict=True)), notes)
     return None if faulty(problems) else config
 
 
--- a/anisefront/config/cross_file_checks.py
+++ b/anisefront/config/cross_file_checks.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Generator, Iterable, Mapping
 
-from anisefront.config import meaning
+from anisefront.config import route_checks
 from anisefront.config.lexer import Problem
 from anisefront.config.model import Uses
 from anisefront.config.file_record import Section
@@ -43,7 +43,7 @@
                     if count % ENTRIES_PER_STEP == 0:
                         yield
                     self.uses.route(route, by)
-                    self._spot(meaning.neighbourhood(route.pattern), part, at, by)
+                    self._spot(route_checks.overlap_group(route.pattern), part, at, by)
         for part in removed:
             for text, key in zip(part.texts, part.keys, strict=True):
                 count += 1
@@ -133,7 +133,7 @@
                     if count % ENTRIES_PER_STEP == ENTRIES_PER_STEP - 1:
                         yield
                     lines.append((part.route_word(at), part.routes[at]))
-                for each in meaning.neighbours(lines, set()):
+                for each in route_checks.check_overlap_group(lines, set()):
                     if each is None:
                         yield
                     else:
--- a/anisefront/config/incremental_loader.py
+++ b/anisefront/config/incremental_loader.py
@@ -15,7 +15,7 @@
 from itertools import chain
 from typing import Any
 
-from anisefront.config import checker, meaning, messages, model
+from anisefront.config import checker, messages, model, semantic_checks
 from anisefront.config.cross_file_checks import CrossFileIndex
 from anisefront.config.lexer import Place, Problem, Severity, Word, fault
 from anisefront.config.loader import MOST_LINES, Disk, Files, Find, Globals, Load, Read, Source, Walk
@@ -356,7 +356,7 @@
         yield
         if config is None or other:
             return None
-        problems += meaning.examine(rest, config, across.uses)
+        problems += semantic_checks.check_semantics(rest, config, across.uses)
         yield
         if across.split:
             yield from self._split()
@@ -372,7 +372,7 @@
             if len(found) < 2 * MOST_PROBLEMS:
                 looked = yield from self._of(part, (), places[: 2 * MOST_PROBLEMS])
                 found += looked.keys.values()
-        self._problems += meaning.owners(found)
+        self._problems += semantic_checks.check_customer_plans(found)
 
     # ---- what is told -----------------------------------------------------------------------------------------
 
--- /dev/null
+++ b/anisefront/config/route_checks.py
@@ -0,0 +1,234 @@
+"""Checks of routes against each other: routes that never match, overlaps, and paths that are easily confused.
+
+Each finding on precedence names a request that shows it. Free of I/O.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Generator, Iterator
+
+from anisefront.config.lexer import Problem, Severity, Word, fault
+from anisefront.config.route_crossings import crossing_pairs, is_literal, is_parameter
+from anisefront.gateway.patterns import OTHER, OTHER_METHOD, Pattern, common, covers, rank, shape
+from anisefront.gateway.routes import Route
+from anisefront.gateway.routing import RouteIndex
+
+MAX_OVERLAPS = 200  # reported pairs of one group, and notes of each kind; thousands of messages help no reader
+PAIRS_PER_STEP = 50  # comparisons of two routes in one step
+
+RouteLines = list[tuple[Word, Route]]  # the first word of each route's line, and the route, in order
+
+
+def overlap_group(pattern: Pattern) -> str:
+    """Return the key of the routes that can contradict each other or be confused.
+
+    They have the same host and the same shape of path, whatever the case and a final slash.
+    """
+    path = "/".join(":" if is_parameter(segment) else segment for segment in pattern.path.split("/"))
+    return f"{pattern.host} {path.lower().rstrip('/')}"
+
+
+def check_routes(lines: RouteLines, notes: bool = True) -> Iterator[Problem]:
+    """Check all routes: errors and warnings group by group, then notes, which compare each route with all others."""
+    groups: dict[str, RouteLines] = {}
+    for line in lines:
+        groups.setdefault(overlap_group(line[1].pattern), []).append(line)
+    unreachable: set[int] = set()
+    for group in groups.values():
+        for problem in check_overlap_group(group, unreachable):
+            if problem is not None:
+                yield problem
+    if notes:
+        yield from _check_crossings([line for line in lines if id(line) not in unreachable])
+        yield from _check_raw_forms(lines)
+
+
+def check_overlap_group(lines: RouteLines, unreachable: set[int]) -> Iterator[Problem | None]:
+    """Check the routes of one group: those that never match, overlaps, and paths that differ in spelling only.
+
+    Args:
+        lines: The routes of the group.
+        unreachable: Receives the `id` of each line whose route never matches.
+
+    Yields:
+        Each problem; None after a step of work without one.
+    """
+    if len(lines) == 1:
+        return
+    by_shape: dict[tuple, list[int]] = {}
+    for number, (_, route) in enumerate(lines):
+        if number % PAIRS_PER_STEP == PAIRS_PER_STEP - 1:
+            yield None
+        by_shape.setdefault((route.pattern.host, shape(route.pattern.path)), []).append(number)
+    unreachable_numbers: set[int] = set()
+    for numbers in by_shape.values():
+        for number in numbers:
+            covering = yield from _find_covering(lines, numbers, number)
+            if covering is not None:
+                unreachable_numbers.add(number)
+                unreachable.add(id(lines[number]))
+                yield _unreachable_route(lines[number], lines[covering])
+    yield from _check_overlaps(lines, list(by_shape.values()), unreachable_numbers)
+    yield from _check_spelling(lines)
+
+
+def _unreachable_route(line: tuple[Word, Route], covering: tuple[Word, Route]) -> Problem:
+    same_outcome = covering[1].outcome == line[1].outcome
+    difference = "" if same_outcome else ", with another outcome"
+    return fault(
+        line[0],
+        f"this route never matches: line {covering[0].place.line} takes all of it{difference}",
+        "remove it, or put it first",
+        Severity.WARNING if same_outcome else Severity.ERROR,
+        "unreachable",
+    )
+
+
+def _find_covering(lines: RouteLines, numbers: list[int], number: int) -> Generator[None, None, int | None]:
+    """Return the last of the routes that together take all of a route's requests; None where some are left to it."""
+    pattern = lines[number][1].pattern
+    uncovered_methods = set(pattern.methods)
+    last = None
+    for count, other in enumerate(numbers):
+        if count % PAIRS_PER_STEP == PAIRS_PER_STEP - 1:
+            yield
+        if other == number:
+            continue
+        other_pattern = lines[other][1].pattern
+        for method in sorted(uncovered_methods):
+            own_rank = rank(pattern, method, number)
+            other_rank = rank(other_pattern, method if method in other_pattern.methods else "*", other)
+            single_method = Pattern((method,), pattern.path, pattern.host, pattern.when)
+            if other_rank < own_rank and covers(other_pattern, single_method):
+                uncovered_methods.discard(method)
+                last = other
+    return None if uncovered_methods else last
+
+
+def _check_overlaps(lines: RouteLines, groups: list[list[int]], unreachable: set[int]) -> Iterator[Problem | None]:
+    """Report pairs of one shape with requests in common and different outcomes.
+
+    The order of lines decides between them, which is easily overlooked.
+    """
+    reported = 0
+    for numbers in groups:
+        for position, first in enumerate(numbers):
+            for count, second in enumerate(numbers[position + 1 :], 1):
+                if count % PAIRS_PER_STEP == 0:
+                    yield None
+                if reported >= MAX_OVERLAPS or first in unreachable or second in unreachable:
+                    continue
+                problem = _overlap(lines[first], lines[second])
+                if problem is not None:
+                    reported += 1
+                    yield problem
+
+
+def _overlap(first: tuple[Word, Route], second: tuple[Word, Route]) -> Problem | None:
+    first_route = first[1]
+    second_route = second[1]
+    if first_route.outcome == second_route.outcome:
+        return None
+    if len(first_route.pattern.when) != len(second_route.pattern.when):
+        return None
+    shared = common(first_route.pattern, second_route.pattern)
+    if not shared:
+        return None
+    return fault(
+        second[0],
+        f"overlaps line {first[0].place.line} with another outcome: {shared[0]} goes there, by order of lines",
+        "make the conditions exclude each other",
+        Severity.WARNING,
+        "overlap",
+    )
+
+
+def _check_crossings(lines: RouteLines) -> Iterator[Problem]:
+    """Note pairs of different shapes with requests in common and different outcomes: the more specific one wins."""
+    reported = 0
+    for first, second in dict.fromkeys(crossing_pairs(route for _, route in lines)):
+        if reported >= MAX_OVERLAPS:
+            return
+        first_route = lines[first][1]
+        second_route = lines[second][1]
+        if first_route.outcome == second_route.outcome:
+            continue
+        shared = common(first_route.pattern, second_route.pattern)
+        if shared:
+            reported += 1
+            first_rank = rank(first_route.pattern, shared[0].method, first)
+            second_rank = rank(second_route.pattern, shared[0].method, second)
+            winner = first if first_rank <= second_rank else second
+            yield fault(
+                lines[max(first, second)][0],
+                f"overlaps line {lines[min(first, second)][0].place.line} with another outcome: "
+                f"{shared[0]} goes to line {lines[winner][0].place.line}, which is more particular",
+                "",
+                Severity.NOTE,
+                "overlap",
+            )
+
+
+def _check_raw_forms(lines: RouteLines) -> Iterator[Problem]:
+    """Note routes of which a raw form of the path goes by another route with another outcome.
+
+    The raw forms are a final slash, letters of the other case, and a parameter behind a semicolon: many endpoints
+    take them for the same path. All other raw forms are normalized or rejected.
+    """
+    index = RouteIndex(tuple(route for _, route in lines))
+    reported = 0
+    for word, route in lines:
+        path = route.pattern.path
+        if not is_literal(path) or path == "/" or reported >= MAX_OVERLAPS:
+            continue
+        found = _diverging_raw_form(index, lines, route)
+        if found is None:
+            continue
+        reported += 1
+        raw, other = found
+        yield fault(
+            word,
+            f"{raw} goes by line {lines[other][0].place.line} with another outcome, and workers may take it for {path}",
+            "see that they do not, or give it a route of its own",
+            Severity.NOTE,
+            "slips",
+        )
+
+
+def _diverging_raw_form(index: RouteIndex, lines: RouteLines, route: Route) -> tuple[str, int] | None:
+    """Return the first raw form that another route takes with another outcome, and that route's number."""
+    pattern = route.pattern
+    path = pattern.path
+    host = "other-host" + pattern.host[1:] if pattern.host.startswith("*.") else pattern.host
+    headers = {name: OTHER if value == "*" else value for name, value in pattern.when}
+    method = OTHER_METHOD if pattern.methods[0] == "*" else pattern.methods[0]
+    for raw in (path + "/", path.swapcase(), path + ";x"):
+        other = index.find(method, host, raw, headers)
+        if other < 0:
+            continue
+        other_route = lines[other][1]
+        if other_route.outcome != route.outcome and other_route.pattern.path != raw:
+            return raw, other
+    return None
+
+
+def _check_spelling(lines: RouteLines) -> Iterator[Problem | None]:
+    """Report routes that differ in case or in a final slash only: to a request they are two."""
+    first_numbers: dict[tuple, int] = {}
+    for number, (word, route) in enumerate(lines):
+        if number % PAIRS_PER_STEP == PAIRS_PER_STEP - 1:
+            yield None
+        pattern = route.pattern
+        spelling = (pattern.host, pattern.methods, pattern.when, pattern.path.lower().rstrip("/") or "/")
+        first = first_numbers.setdefault(spelling, number)
+        first_word, first_route = lines[first]
+        first_path = first_route.pattern.path
+        if first != number and first_path != pattern.path and first_route.outcome != route.outcome:
+            difference = "a final slash" if first_path.lower() != pattern.path.lower() else "case"
+            yield fault(
+                word,
+                f"differs from line {first_word.place.line} by {difference} alone, with another outcome",
+                "paths are compared letter by letter",
+                Severity.WARNING,
+                "twins",
+            )
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -446,10 +446,10 @@
 @given(ROUTES)
 def test_crossings_are_found(routes):
     """Every pair with requests in common of which neither takes all of the other's paths is named."""
-    from anisefront.config.meaning import _crossing
+    from anisefront.config.route_crossings import crossing_pairs
     from anisefront.gateway.patterns import common_path, path_matches, shape
 
-    pairs = {tuple(sorted(pair)) for pair in _crossing([(None, route) for route in routes])}
+    pairs = {tuple(sorted(pair)) for pair in crossing_pairs(routes)}
     for first in range(len(routes)):
         for second in range(first + 1, len(routes)):
             a, b = routes[first].pattern.path, routes[second].pattern.path
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -19,9 +19,9 @@
     file_record,
     incremental_loader,
     loader,
-    meaning,
     messages,
     model,
+    route_checks,
 )
 from anisefront.config.checker import Checked
 from anisefront.config.explain import explain
@@ -337,7 +337,7 @@
         (route_table, "ROUTES_PER_STEP"),
         (versions, "ENTRIES_PER_STEP"),
         (loader, "FILES"),
-        (meaning, "PAIRS"),
+        (route_checks, "PAIRS_PER_STEP"),
     ):
         monkeypatch.setattr(module, name, 2)
 
