--- a/anisefront/config/cross_file_checks.py
+++ b/anisefront/config/cross_file_checks.py
@@ -1,146 +1,186 @@
-"""What lines of all files have to do with each other, kept from one reading to the next: which keys stand twice, whose
-customers are on two plans, how often a name is used, which routes are neighbours. A part more or less costs itself.
+"""Checks that span files, kept from one load to the next.
 
-It follows from the parts that were taken in alone, whether they are right or not. Free of I/O.
+The index knows duplicate keys, customers on two plans, how often each name is used, and which routes can contradict
+each other. Adding or removing a section costs in proportion to that section alone. The state follows from the
+sections that were added, valid or not. Free of I/O.
 """
 
 from __future__ import annotations
 
-from collections.abc import Generator, Iterable, Mapping
+from collections.abc import Generator, Iterable, Mapping, Sequence
 
 from anisefront.config import route_checks
+from anisefront.config.file_record import Section
 from anisefront.config.lexer import Problem
 from anisefront.config.model import Uses
-from anisefront.config.file_record import Section
-from anisefront.gateway.routes import Key
 from anisefront.gateway.key_table import KeyTable, KeyTableEdit
+from anisefront.gateway.routes import Key
+
+ENTRIES_PER_STEP = 32  # routes or keys that are added or removed in one step
+COMPARED_KEYS_MULTIPLIER = 4  # of ENTRIES_PER_STEP: comparing a key costs a fraction of adding it
 
-ENTRIES_PER_STEP = 32  # routes or keys that are taken in or out in one step
-Spot = tuple[Section, int]  # a route: its part and its number there
-Spots = dict[tuple[int, int], Spot]  # several, by the part's id and the number
+RoutePosition = tuple[Section, int]  # a route: its section, and its number in it
+RoutePositions = dict[tuple[int, int], RoutePosition]  # several, by the section's id and the number
 
 
 class CrossFileIndex:
-    """All that is kept."""
+    """The state of all checks that span files.
+
+    Attributes:
+        uses: How often routes and keys use each name.
+        keys: All keys by their text.
+        duplicate_keys: All keys of each text that occurs more than once.
+        customers_on_two_plans: Customers with keys on more than one plan.
+        problems: What was found of each overlap group of routes with a finding.
+    """
 
     def __init__(self) -> None:
+        """Create an empty index."""
         self.uses = Uses()
         self.keys = KeyTableEdit(KeyTable())
-        self.doubled: dict[str, list[Key]] = {}  # all keys of a text that stands more than once
-        self.split: set[str] = set()  # customers on two plans
-        self._plans: dict[str, str | dict[str, int]] = {}  # of a customer: of its one key, or how many keys are on each
-        self._spots: dict[str, Spot | Spots] = {}  # by neighbourhood
-        self._touched: set[str] = set()  # neighbourhoods that were changed since they were looked through
-        self.found: dict[str, tuple[Problem, ...]] = {}  # by neighbourhood, where anything was found
-
-    def take(self, removed: Iterable[Section], added: Iterable[Section]) -> Generator[None, None, None]:
-        """Take parts out and others in, in steps. Danger: a take that is left half done leaves nothing right."""
-        count, gone = 0, dict[str, list[Key]]()
-        for parts, by in ((removed, -1), (added, 1)):
-            for part in parts:
-                for at, route in enumerate(part.routes):
-                    count += 1
-                    if count % ENTRIES_PER_STEP == 0:
-                        yield
-                    self.uses.route(route, by)
-                    self._spot(route_checks.overlap_group(route.pattern), part, at, by)
-        for part in removed:
-            for text, key in zip(part.texts, part.keys, strict=True):
-                count += 1
-                if count % (4 * ENTRIES_PER_STEP) == 0:
-                    yield
-                gone.setdefault(text, []).append(key)
-        for part in added:
-            for text, key in zip(part.texts, part.keys, strict=True):
-                count += 1
-                if count % ENTRIES_PER_STEP == 0:
-                    yield
-                if key in (known := gone.get(text, ())):  # one that stays, or goes elsewhere, costs nothing
-                    known.remove(key)
-                else:
-                    self._key(text, key, 1)
-        for text, keys in gone.items():
-            count += 1
+        self.duplicate_keys: dict[str, list[Key]] = {}
+        self.customers_on_two_plans: set[str] = set()
+        self.problems: dict[str, tuple[Problem, ...]] = {}
+        self._plans: dict[str, str | dict[str, int]] = {}  # by customer: the plan of its one key, or keys by plan
+        self._routes: dict[str, RoutePosition | RoutePositions] = {}  # by overlap group
+        self._changed_groups: set[str] = set()  # overlap groups that have to be checked
+
+    def update(self, removed: Sequence[Section], added: Sequence[Section]) -> Generator[None, None, None]:
+        """Remove and add sections, in steps.
+
+        An update that is abandoned halfway leaves the index inconsistent: it must be replaced by a new one.
+        """
+        yield from self._update_routes(removed, -1)
+        yield from self._update_routes(added, 1)
+        removed_keys: dict[str, list[Key]] = {}
+        for count, (text, key) in enumerate(_keys_of(removed), 1):
+            if count % (COMPARED_KEYS_MULTIPLIER * ENTRIES_PER_STEP) == 0:
+                yield
+            removed_keys.setdefault(text, []).append(key)
+        for count, (text, key) in enumerate(_keys_of(added), 1):
+            if count % ENTRIES_PER_STEP == 0:
+                yield
+            known = removed_keys.get(text)
+            if known and key in known:  # one that stays, or moves to another section, costs nothing
+                known.remove(key)
+            else:
+                self._update_key(text, key, 1)
+        for count, (text, keys) in enumerate(removed_keys.items(), 1):
             if count % ENTRIES_PER_STEP == 0:
                 yield
             for key in keys:
-                self._key(text, key, -1)
+                self._update_key(text, key, -1)
+
+    def _update_routes(self, sections: Iterable[Section], change: int) -> Generator[None, None, None]:
+        count = 0
+        for section in sections:
+            for number, route in enumerate(section.routes):
+                count += 1
+                if count % ENTRIES_PER_STEP == 0:
+                    yield
+                self.uses.route(route, change)
+                self._update_route(route_checks.overlap_group(route.pattern), section, number, change)
 
-    def _spot(self, name: str, part: Section, at: int, by: int) -> None:
-        self._touched.add(name)
-        known = self._spots.get(name)
+    def _update_route(self, group: str, section: Section, number: int, change: int) -> None:
+        """Add or remove one route; a group of one route, by far the most common, has no dict of its own."""
+        self._changed_groups.add(group)
+        known = self._routes.get(group)
         if known is None:
-            self._spots[name] = (part, at)
+            self._routes[group] = (section, number)
             return
         if isinstance(known, tuple):
-            if by < 0:
-                del self._spots[name]
+            if change < 0:
+                del self._routes[group]
                 return
-            known = self._spots[name] = {(id(known[0]), known[1]): known}
-        if by > 0:
-            known[id(part), at] = (part, at)
+            known = {(id(known[0]), known[1]): known}
+            self._routes[group] = known
+        if change > 0:
+            known[id(section), number] = (section, number)
             return
-        del known[id(part), at]
+        del known[id(section), number]
         if len(known) == 1:
-            (self._spots[name],) = known.values()
+            (self._routes[group],) = known.values()
 
-    def _key(self, text: str, key: Key, by: int) -> None:
-        self.uses.key(key, by)
-        self._customer(key, by)
+    def _update_key(self, text: str, key: Key, change: int) -> None:
+        self.uses.key(key, change)
+        self._update_customer(key, change)
+        if change > 0:
+            self._add_key(text, key)
+        else:
+            self._remove_key(text, key)
+
+    def _add_key(self, text: str, key: Key) -> None:
         known = self.keys.get(text)
-        if by > 0 and known is None:
+        if known is None:
             self.keys.put(text, key)
-        elif by > 0:
-            self.doubled.setdefault(text, [known]).append(key)
-        elif text not in self.doubled:
-            self.keys.put(text, None)
         else:
-            left = self.doubled[text]
-            left.remove(key)
-            self.keys.put(text, left[0])
-            if len(left) == 1:
-                del self.doubled[text]
-
-    def _customer(self, key: Key, by: int) -> None:
-        known = self._plans.get(key.customer)
+            self.duplicate_keys.setdefault(text, [known]).append(key)
+
+    def _remove_key(self, text: str, key: Key) -> None:
+        remaining = self.duplicate_keys.get(text)
+        if remaining is None:
+            self.keys.put(text, None)
+            return
+        remaining.remove(key)
+        self.keys.put(text, remaining[0])
+        if len(remaining) == 1:
+            del self.duplicate_keys[text]
+
+    def _update_customer(self, key: Key, change: int) -> None:
+        """Count a customer's keys by plan; a customer with one key, by far the most common, has no dict of its own."""
+        customer = key.customer
+        known = self._plans.get(customer)
         if known is None:
-            self._plans[key.customer] = key.plan
+            self._plans[customer] = key.plan
             return
         if isinstance(known, str):
-            if by < 0:
-                del self._plans[key.customer]
+            if change < 0:
+                del self._plans[customer]
                 return
-            known = self._plans[key.customer] = {known: 1}
-        known[key.plan] = known.get(key.plan, 0) + by
+            known = {known: 1}
+            self._plans[customer] = known
+        known[key.plan] = known.get(key.plan, 0) + change
         if not known[key.plan]:
             del known[key.plan]
         if len(known) > 1:
-            self.split.add(key.customer)
-        else:
-            self.split.discard(key.customer)
-            if known == {(plan := next(iter(known))): 1}:
-                self._plans[key.customer] = plan
-
-    def look(self, ranks: Mapping[Section, int]) -> Generator[None, None, None]:
-        """Look through the neighbourhoods that were touched. `ranks` has the order of all parts."""
-        while self._touched:
-            name = next(iter(self._touched))
-            spots = self._spots.get(name)
-            found: list[Problem] = []
-            if isinstance(spots, dict):
-                lines = []
-                for count, (part, at) in enumerate(sorted(spots.values(), key=lambda spot: (ranks[spot[0]], spot[1]))):
-                    if count % ENTRIES_PER_STEP == ENTRIES_PER_STEP - 1:
-                        yield
-                    lines.append((part.route_word(at), part.routes[at]))
-                for each in route_checks.check_overlap_group(lines, set()):
-                    if each is None:
-                        yield
-                    else:
-                        found.append(each)
+            self.customers_on_two_plans.add(customer)
+            return
+        self.customers_on_two_plans.discard(customer)
+        plan = next(iter(known))
+        if known[plan] == 1:
+            self._plans[customer] = plan
+
+    def check_changed_groups(self, order: Mapping[Section, int]) -> Generator[None, None, None]:
+        """Check the overlap groups that changed, in steps; `order` has the rank of each section."""
+        while self._changed_groups:
+            group = next(iter(self._changed_groups))
+            found = yield from self._check_group(group, order)
             yield
             if found:
-                self.found[name] = tuple(found)
+                self.problems[group] = tuple(found)
             else:
-                self.found.pop(name, None)
-            self._touched.discard(name)
+                self.problems.pop(group, None)
+            self._changed_groups.discard(group)
+
+    def _check_group(self, group: str, order: Mapping[Section, int]) -> Generator[None, None, list[Problem]]:
+        positions = self._routes.get(group)
+        if not isinstance(positions, dict):
+            return []
+        ordered = sorted(positions.values(), key=lambda position: (order[position[0]], position[1]))
+        lines: route_checks.RouteLines = []
+        for count, (section, number) in enumerate(ordered):
+            if count % ENTRIES_PER_STEP == ENTRIES_PER_STEP - 1:
+                yield
+            lines.append((section.route_word(number), section.routes[number]))
+        found = []
+        for problem in route_checks.check_overlap_group(lines, set()):
+            if problem is None:
+                yield
+            else:
+                found.append(problem)
+        return found
+
+
+def _keys_of(sections: Iterable[Section]) -> Iterable[tuple[str, Key]]:
+    for section in sections:
+        yield from zip(section.texts, section.keys, strict=True)
--- a/anisefront/config/incremental_loader.py
+++ b/anisefront/config/incremental_loader.py
@@ -80,7 +80,7 @@
         self._records: dict[str, FileRecord] = {}  # by path: of the files of the last reading, and of the last good one
         self._good: dict[str, FileRecord] = {}
         self._known: Globals | None = None
-        self._across, self._order, self._half_done = CrossFileIndex(), list[Section](), False
+        self._index, self._order, self._half_done = CrossFileIndex(), list[Section](), False
 
     def steps(self) -> Generator[None, None, LoadOutcome]:
         """Read all files anew; the outcome is what the generator returns. A reading before it that was not run to its
@@ -112,11 +112,11 @@
     def _take(self, order: list[Section]) -> Generator[None, None, None]:
         """Bring what is kept across files to the parts of this reading."""
         if self._half_done:
-            self._across, self._order = CrossFileIndex(), []
+            self._index, self._order = CrossFileIndex(), []
         self._half_done = True
         removed, added = changed_groups(self._order, order)
         yield
-        yield from self._across.take(removed, added)
+        yield from self._index.update(removed, added)
         self._order, self._half_done = order, False
 
 
@@ -125,7 +125,7 @@
     more, and must have the digest that it had."""
 
     def __init__(self, reading: IncrementalLoader, files: Files) -> None:
-        self._reading, self._across, self._disk = reading, reading._across, files
+        self._reading, self._index, self._disk = reading, reading._index, files
         self.files: list[_File] = []
         self._by_number: dict[int, _File] = {}
         self._running: dict[int, int] = {0: 0}  # numbers of files in this reading
@@ -216,7 +216,7 @@
 
     def outcome(self) -> Generator[None, None, LoadOutcome]:
         """What the files come to."""
-        self._across, config = self._reading._across, None
+        self._index, config = self._reading._index, None
         parts = tuple(part.routes for part in self.order if part.routes)
         for file in self.files:
             self._problems += file.record.problems
@@ -271,13 +271,13 @@
         yield from self._doubled()
         yield from self._references(names)
         if not self._lost:
-            stood = {"route": self._across.uses.classes, "key": self._across.keys}
+            stood = {"route": self._index.uses.classes, "key": self._index.keys}
             problems += names.missing({name for name, there in stood.items() if there})
         return names
 
     def _doubled(self) -> Generator[None, None, None]:
         """Keys that stand twice."""
-        texts = {*self._across.doubled, *(word.text for part in self.order for _, word in part.faulty_keys)}
+        texts = {*self._index.duplicate_keys, *(word.text for part in self.order for _, word in part.faulty_keys)}
         first: dict[str, Word | None] = {}  # None for one whose place is not looked up
         told = 0
         for part in self.order if texts else ():
@@ -300,7 +300,7 @@
 
     def _references(self, names: Names) -> Generator[None, None, None]:
         """Names that are not there."""
-        uses = self._across.uses
+        uses = self._index.uses
         for number, part in enumerate(self.order):
             if number % SECTIONS_PER_STEP == SECTIONS_PER_STEP - 1:
                 yield
@@ -339,36 +339,36 @@
 
     def _meaning(self, names: Names, parts: tuple[tuple[Route, ...], ...]) -> Generator[None, None, Config | None]:
         """The settings, where lines are right by themselves; None where they contradict each other."""
-        across, problems, rest = self._across, self._problems, Model()
+        index, problems, rest = self._index, self._problems, Model()
         for part in self.order:
             for entry in part.entries:
                 rest.add(entry)
         yield
-        other = model.second_pool(across.uses)
+        other = model.second_pool(index.uses)
         if other:
             for part in self.order:
                 found = yield from _places(part.routes, lambda route: route.pool == other)
                 if found:
                     looked = yield from self._of(part, found[:1], ())
-                    problems.append(model.pools_fault(looked.routes[found[0]].place("pool"), across.uses))
+                    problems.append(model.pools_fault(looked.routes[found[0]].place("pool"), index.uses))
                     break
-        config = model.build(rest, across.uses, tuple(chain.from_iterable(parts)), across.keys.table(), problems)
+        config = model.build(rest, index.uses, tuple(chain.from_iterable(parts)), index.keys.table(), problems)
         yield
         if config is None or other:
             return None
-        problems += semantic_checks.check_semantics(rest, config, across.uses)
+        problems += semantic_checks.check_semantics(rest, config, index.uses)
         yield
-        if across.split:
+        if index.customers_on_two_plans:
             yield from self._split()
-        yield from across.look({part: number for number, part in enumerate(self.order)})
-        problems += chain.from_iterable(across.found.values())
+        yield from index.check_changed_groups({part: number for number, part in enumerate(self.order)})
+        problems += chain.from_iterable(index.problems.values())
         return None if checker.faulty(problems) else config
 
     def _split(self) -> Generator[None, None, None]:
         """Customers on two plans; beyond twice as many keys as problems are shown, the rest is not counted."""
         found: list[Entry] = []
         for part in self.order:
-            places = yield from _places(part.keys, lambda key: key.customer in self._across.split)
+            places = yield from _places(part.keys, lambda key: key.customer in self._index.customers_on_two_plans)
             if len(found) < 2 * MOST_PROBLEMS:
                 looked = yield from self._of(part, (), places[: 2 * MOST_PROBLEMS])
                 found += looked.keys.values()
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -371,15 +371,15 @@
 
 
 def untouched_by_what_goes(patch):
-    whole = cross_file_checks.CrossFileIndex._spot
+    whole = cross_file_checks.CrossFileIndex._update_route
 
     def spot(self, name, part, at, by):
-        touched = set(self._touched)
+        touched = set(self._changed_groups)
         whole(self, name, part, at, by)
         if by < 0:
-            self._touched = touched
+            self._changed_groups = touched
 
-    patch.setattr(cross_file_checks.CrossFileIndex, "_spot", spot)
+    patch.setattr(cross_file_checks.CrossFileIndex, "_update_route", spot)
 
 
 def only_up(patch, name):
@@ -396,20 +396,20 @@
 
     def begin(self):
         whole(self)
-        self.found = Sticky()
+        self.problems = Sticky()
 
     patch.setattr(cross_file_checks.CrossFileIndex, "__init__", begin)
 
 
 def doubled_goes_whole(patch):
-    whole = cross_file_checks.CrossFileIndex._key
+    whole = cross_file_checks.CrossFileIndex._update_key
 
     def key(self, text, key, by):
         if by < 0:
-            self.doubled.pop(text, None)
+            self.duplicate_keys.pop(text, None)
         whole(self, text, key, by)
 
-    patch.setattr(cross_file_checks.CrossFileIndex, "_key", key)
+    patch.setattr(cross_file_checks.CrossFileIndex, "_update_key", key)
 
 
 def shards_not_copied(patch):
@@ -463,7 +463,7 @@
     "uses of names by keys": lambda patch: only_up(patch, "key"),
     "keys that stand twice": doubled_goes_whole,
     "customers' plans": lambda patch: patch.setattr(
-        cross_file_checks.CrossFileIndex, "_customer", lambda self, key, by: None
+        cross_file_checks.CrossFileIndex, "_update_customer", lambda self, key, by: None
     ),
     "nodes are copied": lambda patch: patch.setattr(route_trie, "_owned", lambda node, owner: node or RouteNode(owner)),
     "shards are copied": shards_not_copied,
