--- /dev/null
+++ b/anisefront/config/incremental_checks.py
@@ -0,0 +1,219 @@
+"""Checks of all files of an incremental load: what `checker.check` finds, without another look at unchanged lines."""
+
+from __future__ import annotations
+
+from collections.abc import Generator
+from itertools import chain
+
+from anisefront.config import checker, model, semantic_checks
+from anisefront.config.checker import MOST_PROBLEMS, Names, references
+from anisefront.config.cross_file_checks import CrossFileIndex
+from anisefront.config.file_record import Section
+from anisefront.config.lexer import Problem, Word, fault
+from anisefront.config.load_attempt import LoadAttempt
+from anisefront.config.load_steps import ends_step, find_positions
+from anisefront.config.loader import MOST_LINES
+from anisefront.config.model import Entry, Model
+from anisefront.config.types import Config
+from anisefront.gateway.routes import Route
+
+MAX_PLAN_CONFLICT_KEYS = 2 * MOST_PROBLEMS  # whose lines are looked up; problems beyond them are not counted
+
+
+class IncrementalChecks:
+    """The checks of one load, in layers: each line, names, references and, where these hold, semantics.
+
+    Attributes:
+        problems: What was found. Places name files by their lasting numbers.
+        uncounted: Problems that are known of, but whose places were not looked up.
+    """
+
+    def __init__(self, attempt: LoadAttempt, index: CrossFileIndex) -> None:
+        """Prepare the checks of an attempt whose sections are in the index."""
+        self.problems: list[Problem] = list(attempt.problems)
+        self.uncounted = 0
+        self._attempt = attempt
+        self._order = attempt.order
+        self._index = index
+        self._names = Names()
+        self._names_incomplete = False  # a line was unreadable: a name that is missing may be defined there
+
+    def run(self, routes: tuple[tuple[Route, ...], ...]) -> Generator[None, None, Config | None]:
+        """Run all checks.
+
+        Args:
+            routes: The routes of each section that has any.
+
+        Returns:
+            The settings; None where an error was found.
+        """
+        for file in self._attempt.files:
+            self.problems += file.record.problems
+        if not checker.version(next((section.first for section in self._order), None), self.problems):
+            return None
+        self.problems += self._attempt.definitions.problems
+        yield from self._check_expansion()
+        yield from self._check_lines()
+        yield from self._check_duplicate_keys()
+        yield from self._check_references()
+        self._check_missing()
+        yield
+        if checker.faulty(self.problems):
+            return None
+        return (yield from self._check_semantics(routes))
+
+    def _check_expansion(self) -> Generator[None, None, None]:
+        undeclared: set[str] = set()
+        lines = 0
+        for number, section in enumerate(self._order):
+            if ends_step(number):
+                yield
+            self.problems += section.expansion
+            for name, problem in section.undeclared:
+                if name not in undeclared:
+                    undeclared.add(name)
+                    self.problems.append(problem)
+            # A section that is over the limit by itself has its own problem.
+            if lines < MOST_LINES <= lines + section.lines and section.lines < MOST_LINES:
+                what = f"definitions come to more than {MOST_LINES} lines"
+                self.problems.append(fault(section.first.name, what, "", code="definition"))
+            lines += section.lines
+        self._names_incomplete = checker.faulty(self.problems)
+
+    def _check_lines(self) -> Generator[None, None, None]:
+        for number, section in enumerate(self._order):
+            if ends_step(number):
+                yield
+            self.problems += section.problems
+            self.problems += section.languages[1:] if number == 0 else section.languages
+            self._names_incomplete = self._names_incomplete or section.lost
+            for count, named in enumerate(section.named):
+                if ends_step(count):
+                    yield
+                problem = self._names.add(named)
+                if problem is not None:
+                    self.problems.append(problem)
+
+    def _check_missing(self) -> None:
+        if self._names_incomplete:
+            return
+        present = {"route": self._index.uses.classes, "key": self._index.keys}
+        self.problems += self._names.missing({directive for directive, there in present.items() if there})
+
+    def _check_duplicate_keys(self) -> Generator[None, None, None]:
+        faulty_texts = (word.text for section in self._order for _, word in section.faulty_keys)
+        texts = {*self._index.duplicate_keys, *faulty_texts}
+        if not texts:
+            return
+        first_words: dict[str, Word | None] = {}  # None for one whose place was not looked up
+        reported = 0
+        for section in self._order:
+            occurrences = yield from self._occurrences(section, texts, reported < MOST_PROBLEMS)
+            for count, (_, text, word) in enumerate(occurrences):
+                if ends_step(count):
+                    yield
+                if text not in first_words:
+                    first_words[text] = word
+                    continue
+                first = first_words[text]
+                if word is None or first is None:
+                    self.uncounted += 1
+                else:
+                    reported += 1
+                    self.problems.append(checker.twice("key", word, first))
+
+    def _occurrences(
+        self, section: Section, texts: set[str], with_words: bool
+    ) -> Generator[None, None, list[tuple[float, str, Word | None]]]:
+        """Return the keys of a section that have one of the texts: position, text and word, in order."""
+        positions = yield from find_positions(section.texts, texts.__contains__)
+        looked_up = positions[:MOST_PROBLEMS] if with_words else ()
+        entries = yield from self._attempt.collect_entries(section, (), looked_up)
+        # A faulty key stands before the valid key of its number.
+        occurrences: list[tuple[float, str, Word | None]] = [
+            (number - 0.5, word.text, word) for number, word in section.faulty_keys
+        ]
+        for position in positions:
+            entry = entries.keys.get(position)
+            word = None if entry is None else entry.places["key"]
+            occurrences.append((position, section.texts[position], word))
+        return sorted(occurrences, key=lambda occurrence: occurrence[0])
+
+    def _check_references(self) -> Generator[None, None, None]:
+        """Report references to names that are not defined."""
+        known = self._names.of
+        for number, section in enumerate(self._order):
+            if ends_step(number):
+                yield
+            for entry in section.entries:
+                self.problems += references(entry, known)
+        uses = self._index.uses
+        plans = {name for name in uses.plans if name not in known["plan"]}
+        classes = {name for name in uses.classes if name not in known["class"]}
+        pools = {name for name in uses.pools if name not in known["pool"]}
+        expected = sum(uses.plans[name] for name in plans)
+        expected += sum(uses.classes[name] for name in classes)
+        expected += sum(uses.pools[name] for name in pools)
+        if expected:
+            reported = yield from self._check_undefined_names(plans, classes, pools)
+            self.uncounted += expected - reported
+
+    def _check_undefined_names(self, plans: set[str], classes: set[str], pools: set[str]) -> Generator[None, None, int]:
+        reported = 0
+        for section in self._order:
+            routes = yield from find_positions(
+                section.routes, lambda route: route.class_name in classes or route.pool in pools
+            )
+            keys = yield from find_positions(section.keys, lambda key: key.plan in plans)
+            entries = yield from self._attempt.collect_entries(section, routes[:MOST_PROBLEMS], keys[:MOST_PROBLEMS])
+            for entry in chain(entries.routes.values(), entries.keys.values()):
+                yield
+                found = list(references(entry, self._names.of))
+                self.problems += found
+                reported += len(found)
+            if reported >= MOST_PROBLEMS:
+                break
+        return reported
+
+    def _check_semantics(self, routes: tuple[tuple[Route, ...], ...]) -> Generator[None, None, Config | None]:
+        """Return the settings; None where lines that are valid by themselves contradict each other."""
+        index = self._index
+        entries = Model()
+        for section in self._order:
+            for entry in section.entries:
+                entries.add(entry)
+        yield
+        second_pool = model.second_pool(index.uses)
+        if second_pool:
+            yield from self._report_second_pool(second_pool)
+        all_routes = tuple(chain.from_iterable(routes))
+        config = model.build(entries, index.uses, all_routes, index.keys.table(), self.problems)
+        yield
+        if config is None or second_pool:
+            return None
+        self.problems += semantic_checks.check_semantics(entries, config, index.uses)
+        yield
+        if index.customers_on_two_plans:
+            yield from self._check_customer_plans()
+        yield from index.check_changed_groups({section: number for number, section in enumerate(self._order)})
+        self.problems += chain.from_iterable(index.problems.values())
+        return None if checker.faulty(self.problems) else config
+
+    def _report_second_pool(self, name: str) -> Generator[None, None, None]:
+        for section in self._order:
+            positions = yield from find_positions(section.routes, lambda route: route.pool == name)
+            if positions:
+                entries = yield from self._attempt.collect_entries(section, positions[:1], ())
+                word = entries.routes[positions[0]].place("pool")
+                self.problems.append(model.pools_fault(word, self._index.uses))
+                return
+
+    def _check_customer_plans(self) -> Generator[None, None, None]:
+        customers = self._index.customers_on_two_plans
+        found: list[Entry] = []
+        for section in self._order:
+            positions = yield from find_positions(section.keys, lambda key: key.customer in customers)
+            if len(found) < MAX_PLAN_CONFLICT_KEYS:
+                entries = yield from self._attempt.collect_entries(section, (), positions[:MAX_PLAN_CONFLICT_KEYS])
+                found += entries.keys.values()
+        self.problems += semantic_checks.check_customer_plans(found)
--- /dev/null
+++ b/anisefront/config/problem_texts.py
@@ -0,0 +1,85 @@
+"""Texts of the problems of an incremental load, which keeps no lines: those that are shown are read once more."""
+
+from __future__ import annotations
+
+from collections.abc import Generator, Iterable, Iterator
+from dataclasses import replace
+
+from anisefront.config import checker, messages
+from anisefront.config.file_record import lines_of
+from anisefront.config.lexer import Place, Problem
+from anisefront.config.load_attempt import LoadAttempt
+from anisefront.config.load_steps import ends_step
+from anisefront.config.loader import Load, Source
+from anisefront.config.parser import Document
+
+UTF16_MARKS = (b"\xff\xfe", b"\xfe\xff")
+UTF8_MARK = b"\xef\xbb\xbf"
+
+
+def render_problems(
+    attempt: LoadAttempt, found: Iterable[Problem], uncounted: int
+) -> Generator[None, None, tuple[tuple[Problem, ...], tuple[str, ...]]]:
+    """Return the problems in the order of their places, and their texts, errors first.
+
+    Raises:
+        FileChangedError: A file with a problem has changed since it was read.
+    """
+    localized = (replace(problem, place=attempt.localize(problem.place)) for problem in found)
+    problems = checker.arranged(localized, False, uncounted)
+    if not problems:
+        return (), ()
+    yield
+    load = _LoadOfShownLines(_sources(attempt))
+    wanted: dict[int, set[int]] = {}
+    for problem in problems:
+        wanted.setdefault(problem.place.file, set()).add(problem.place.line)
+    for number, lines in wanted.items():
+        if number < len(attempt.files):
+            data = yield from attempt.read_again(attempt.files[number])
+            yield from load.look_up(number, lines, data)
+    texts = []
+    for problem in sorted(problems, key=lambda problem: -problem.severity):
+        yield
+        texts.append(messages.text(load, problem))
+    return tuple(problems), tuple(texts)
+
+
+def _sources(attempt: LoadAttempt) -> list[Source]:
+    sources = []
+    for file in attempt.files:
+        included_at = None if file.included_at is None else attempt.localize(file.included_at)
+        sources.append(Source(file.path, "", Document([], []), included_at))
+    return sources or [Source("settings", "", Document([], []))]
+
+
+class _LoadOfShownLines(Load):
+    """A load that knows only those of its lines that are shown."""
+
+    def __init__(self, sources: list[Source]) -> None:
+        super().__init__(sources)
+        self._lines: dict[tuple[int, int], str] = {}
+
+    def line(self, place: Place) -> str:
+        """Return the text of a line."""
+        return self._lines.get(place[:2], "")
+
+    def look_up(self, file: int, lines: set[int], data: bytes) -> Generator[None, None, None]:
+        """Find lines of a file, in steps."""
+        last = max(lines)
+        for number, line in enumerate(_decoded_lines(data), 1):
+            if ends_step(number - 1):
+                yield
+            if number in lines:
+                self._lines[file, number] = line.removesuffix("\r")
+            if number >= last:
+                return
+
+
+def _decoded_lines(data: bytes) -> Iterator[str]:
+    if data.startswith(UTF16_MARKS):
+        return
+    try:
+        yield from lines_of(data)
+    except UnicodeDecodeError:
+        yield from data.removeprefix(UTF8_MARK).decode("utf-8", "replace").split("\n")
--- a/tests/fuzz_config.py
+++ b/tests/fuzz_config.py
@@ -33,6 +33,9 @@
     "file_record.py",
     "cross_file_checks.py",
     "incremental_loader.py",
+    "load_attempt.py",
+    "incremental_checks.py",
+    "problem_texts.py",
 }
 PIECES = [
     "{",
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -17,7 +17,10 @@
     checker,
     cross_file_checks,
     file_record,
+    incremental_checks,
     incremental_loader,
+    load_attempt,
+    load_steps,
     loader,
     messages,
     model,
@@ -231,7 +234,7 @@
 
 def kept(own):
     """What a reading keeps, in the form of a fresh check: to be explained and shown."""
-    out, paths = Model(), {number: path for path, number in own._numbers.items()}
+    out, paths = Model(), {number: path for path, number in own._store.numbers.items()}
 
     class Where(loader.Load):
         def where(self, place):
@@ -333,7 +336,7 @@
         (cross_file_checks, "ENTRIES_PER_STEP"),
         (file_record, "LINES_PER_STEP"),
         (file_record, "PLAIN_LINES_PER_LINE"),
-        (incremental_loader, "SECTIONS_PER_STEP"),
+        (load_steps, "SECTIONS_PER_STEP"),
         (route_table, "ROUTES_PER_STEP"),
         (versions, "ENTRIES_PER_STEP"),
         (loader, "FILES"),
@@ -357,7 +360,7 @@
 
 def same_digest(patch):
     patch.setattr(
-        incremental_loader,
+        load_attempt,
         "hashlib",
         SimpleNamespace(
             sha256=lambda data=b"": SimpleNamespace(update=lambda more: None, digest=lambda: b"", hexdigest=lambda: "")
@@ -434,13 +437,13 @@
 
 
 def numbers_of_one_reading(patch):
-    whole = incremental_loader._LoadAttempt.__init__
+    whole = load_attempt.LoadAttempt.__init__
 
     def begin(self, own, files):
         whole(self, own, files)
-        own._numbers, own._last = {}, 0
+        own.numbers, own.last_number = {}, 0
 
-    patch.setattr(incremental_loader._LoadAttempt, "__init__", begin)
+    patch.setattr(load_attempt.LoadAttempt, "__init__", begin)
 
 
 GUARDS = {
@@ -562,9 +565,9 @@
 
 def test_only_files_that_changed_are_read_into_records(monkeypatch):
     made = []
-    whole = incremental_loader.build_file_record
+    whole = load_attempt.build_file_record
     monkeypatch.setattr(
-        incremental_loader,
+        load_attempt,
         "build_file_record",
         lambda data, digest, file, *more: made.append(file) or whole(data, digest, file, *more),
     )
@@ -585,7 +588,7 @@
     outcome, count = records()
     assert outcome.config is not None and count == 1
     del world.lines["d/007.conf"], world.lines["d/008.conf"]
-    assert records()[1] == 0 and len(own._numbers) == len(own._records) == 19
+    assert records()[1] == 0 and len(own._store.numbers) == len(own._store.records) == 19
 
 
 def on_disk(folder):
@@ -606,7 +609,7 @@
                 next(steps)
             except StopIteration as ended:
                 return ended.value
-            frame = steps.gi_frame.f_locals.get("turn")
+            frame = steps.gi_frame.f_locals.get("attempt")
             if done < most and frame is not None and len(frame.files) == 2:
                 done += 1
                 (tmp_path / "d/a.conf").write_text(f"route GET /x{done} class v pool p\n")
@@ -703,7 +706,7 @@
     first = run_to_end(own.steps())
     (tmp_path / "next").symlink_to(tmp_path / "two")
     os.replace(tmp_path / "next", tmp_path / "now")
-    monkeypatch.setattr(incremental_loader, "build_file_record", None)
+    monkeypatch.setattr(load_attempt, "build_file_record", None)
     second = run_to_end(own.steps())
     assert second.config is not None and second.digest == first.digest and second.parts[0] is first.parts[0]
 
@@ -745,7 +748,7 @@
 
 
 def test_lines_are_capped_over_all_files(monkeypatch):
-    monkeypatch.setattr(incremental_loader, "MOST_LINES", 60)
+    monkeypatch.setattr(incremental_checks, "MOST_LINES", 60)
     monkeypatch.setattr(loader, "MOST_LINES", 60)
     world, own = World(), None
     world.lines["d/b.conf"] = [f"route GET /b{n} class v pool p" for n in range(20)]
