--- a/anisefront/cli/config.py
+++ b/anisefront/cli/config.py
@@ -149,7 +149,7 @@
 @click.argument("file", type=click.Path())
 def show(file: str) -> None:
     """Print FILE as it counts: includes and definitions put in, with the place of each line. Secrets are not shown."""
-    from anisefront.config.loader import substitute
+    from anisefront.config.definitions import substitute
     from anisefront.config.parser import Directive
 
     found = loader.load(file)
--- a/anisefront/config/checker.py
+++ b/anisefront/config/checker.py
@@ -12,7 +12,8 @@
 
 from anisefront.config import route_checks, semantic_checks
 from anisefront.config.lexer import Place, Problem, Severity, Word, fault
-from anisefront.config.loader import Load, substitute
+from anisefront.config.definitions import substitute
+from anisefront.config.loader import Load
 from anisefront.config.model import (
     Entry,
     Model,
--- a/anisefront/config/file_record.py
+++ b/anisefront/config/file_record.py
@@ -12,7 +12,7 @@
 
 from anisefront.config.checker import LineReader, Named
 from anisefront.config.lexer import MOST_LINE, Place, Problem, Severity, Token, Word, decode, take_line
-from anisefront.config.loader import Expansion, Globals
+from anisefront.config.definitions import Expansion, Globals
 from anisefront.config.model import Entry, key, plain_route, route
 from anisefront.config.parser import Directive, Parser
 from anisefront.config.values import HOST, PATH, Unfit
@@ -301,7 +301,7 @@
             self._reader.read(directive)
             self._languages.append(self._problems.pop())
         else:
-            for count, line in enumerate(expansion.put(directive)):
+            for count, line in enumerate(expansion.expand(directive)):
                 if count % LINES_PER_STEP == LINES_PER_STEP - 1:
                     yield
                 if line is not None:
--- a/anisefront/config/incremental_checks.py
+++ b/anisefront/config/incremental_checks.py
@@ -12,7 +12,7 @@
 from anisefront.config.lexer import Problem, Word, fault
 from anisefront.config.load_attempt import LoadAttempt
 from anisefront.config.load_steps import ends_step, find_positions
-from anisefront.config.loader import MOST_LINES
+from anisefront.config.definitions import MAX_EXPANDED_LINES
 from anisefront.config.model import Entry, Model
 from anisefront.config.types import Config
 from anisefront.gateway.routes import Route
@@ -74,8 +74,8 @@
                     undeclared.add(name)
                     self.problems.append(problem)
             # A section that is over the limit by itself has its own problem.
-            if lines < MOST_LINES <= lines + section.lines and section.lines < MOST_LINES:
-                what = f"definitions come to more than {MOST_LINES} lines"
+            if lines < MAX_EXPANDED_LINES <= lines + section.lines and section.lines < MAX_EXPANDED_LINES:
+                what = f"definitions come to more than {MAX_EXPANDED_LINES} lines"
                 self.problems.append(fault(section.first.name, what, "", code="definition"))
             lines += section.lines
         self._names_incomplete = checker.faulty(self.problems)
--- a/anisefront/config/incremental_loader.py
+++ b/anisefront/config/incremental_loader.py
@@ -18,7 +18,8 @@
 from anisefront.config.incremental_checks import IncrementalChecks
 from anisefront.config.lexer import Place, Problem, Severity
 from anisefront.config.load_attempt import FileChangedError, LoadAttempt, RecordStore
-from anisefront.config.loader import Disk, Files, Find, Load, Read, Source
+from anisefront.config.loader import Load, Source
+from anisefront.config.source_files import DiskFiles, Files, Find, Read
 from anisefront.config.parser import Document
 from anisefront.config.problem_texts import render_problems
 from anisefront.config.types import Config
@@ -68,7 +69,7 @@
             find: Finds the files of a glob, with `read`.
         """
         self.path = path
-        self._open_files: Callable[[], Files] = Disk if read is None else lambda: Files(read, find)
+        self._open_files: Callable[[], Files] = DiskFiles if read is None else lambda: Files(read, find)
         self._store = RecordStore({} if environment is None else environment)
         self._running: Generator[None, None, LoadOutcome] | None = None
         self._index = CrossFileIndex()
--- a/anisefront/config/load_attempt.py
+++ b/anisefront/config/load_attempt.py
@@ -9,7 +9,9 @@
 from anisefront.config.file_record import FileRecord, Section, Wanted, build_file_record, collect_entries
 from anisefront.config.lexer import Place, Problem, Word
 from anisefront.config.load_steps import ends_step
-from anisefront.config.loader import Files, Globals, Walk
+from anisefront.config.definitions import Globals
+from anisefront.config.loader import IncludeWalk
+from anisefront.config.source_files import Files
 from anisefront.config.parser import Directive
 
 HASH_CHUNK_BYTES = 1 << 18  # hashed in one step
@@ -113,7 +115,7 @@
 
     def read(self, path: str) -> Generator[None, None, None]:
         """Read the file at `path` and all that it includes, and build the records of those that changed."""
-        walk = Walk(self._disk, self._add_file, self._describe, self.problems)
+        walk = IncludeWalk(self._disk, self._add_file, self._describe, self.problems)
         yield from walk.file(path, None, ())
         self.order = walk.out
 
--- a/tests/fuzz_config.py
+++ b/tests/fuzz_config.py
@@ -25,6 +25,8 @@
     "checker.py",
     "values.py",
     "loader.py",
+    "source_files.py",
+    "definitions.py",
     "semantic_checks.py",
     "route_checks.py",
     "route_crossings.py",
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -16,6 +16,7 @@
 from anisefront.config import (
     checker,
     cross_file_checks,
+    definitions,
     file_record,
     incremental_checks,
     incremental_loader,
@@ -25,6 +26,7 @@
     messages,
     model,
     route_checks,
+    source_files,
 )
 from anisefront.config.checker import Checked
 from anisefront.config.explain import explain
@@ -339,7 +341,7 @@
         (load_steps, "SECTIONS_PER_STEP"),
         (route_table, "ROUTES_PER_STEP"),
         (versions, "ENTRIES_PER_STEP"),
-        (loader, "FILES"),
+        (source_files, "FILES_PER_STEP"),
         (route_checks, "PAIRS_PER_STEP"),
     ):
         monkeypatch.setattr(module, name, 2)
@@ -748,8 +750,8 @@
 
 
 def test_lines_are_capped_over_all_files(monkeypatch):
-    monkeypatch.setattr(incremental_checks, "MOST_LINES", 60)
-    monkeypatch.setattr(loader, "MOST_LINES", 60)
+    monkeypatch.setattr(incremental_checks, "MAX_EXPANDED_LINES", 60)
+    monkeypatch.setattr(definitions, "MAX_EXPANDED_LINES", 60)
     world, own = World(), None
     world.lines["d/b.conf"] = [f"route GET /b{n} class v pool p" for n in range(20)]
     own = IncrementalLoader("main.conf", {}, world.read, world.find)
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -10,7 +10,7 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from anisefront.config import incremental_loader
-from anisefront.config.loader import Disk
+from anisefront.config.source_files import DiskFiles
 from anisefront.config.incremental_loader import LoadOutcome
 from anisefront.gateway.pending_request import PendingRequest, ReplicaRecord
 from anisefront.gateway.errors import UnroutableRequestError
@@ -321,7 +321,7 @@
 
 def writing(monkeypatch, write):
     """Whenever the file of service one has been read, something is written."""
-    inner = Disk.read
+    inner = DiskFiles.read
 
     def read(self, path):
         data = yield from inner(self, path)
@@ -329,7 +329,7 @@
             write()
         return data
 
-    monkeypatch.setattr(Disk, "read", read)
+    monkeypatch.setattr(DiskFiles, "read", read)
 
 
 def test_a_file_that_changes_while_it_is_read_is_read_again(stage, monkeypatch):
@@ -358,14 +358,14 @@
 
 def test_a_file_that_vanishes_between_its_finding_and_its_reading_costs_one_reading_more(stage, monkeypatch):
     stage.service("two")
-    inner = Disk.find
+    inner = DiskFiles.find
 
     def find(self, pattern):
         found = inner(self, pattern)
         (stage.folder / "services/two.conf").unlink(missing_ok=True)
         return found
 
-    monkeypatch.setattr(Disk, "find", find)
+    monkeypatch.setattr(DiskFiles, "find", find)
     stage.service("three")
     assert stage.change()["fault"] == "" and stage.takes("/three") and stage.takes("/two") is None
 
