--- a/anisefront/cli/trace.py
+++ b/anisefront/cli/trace.py
@@ -102,7 +102,7 @@
     """A trace of a proxy's access log: the published HTTPAccessLogEntry message in its JSON form, a line each."""
     from anisefront.config.lexer import Place, Word
     from anisefront.config.values import TIME
-    from anisefront.config.values import Unfit as BadValue
+    from anisefront.config.values import InvalidValueError as BadValue
     from anisefront.testbed.model import imported
 
     try:
--- a/anisefront/config/checker.py
+++ b/anisefront/config/checker.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from anisefront.config import route_checks, semantic_checks
-from anisefront.config.lexer import Place, Problem, Severity, Word, fault
 from anisefront.config.definitions import substitute
+from anisefront.config.lexer import Place, Problem, Severity, Word, fault
 from anisefront.config.loader import Load
 from anisefront.config.model import (
     Entry,
@@ -28,9 +28,9 @@
 from anisefront.config.parser import Directive, List
 from anisefront.config.schema import LANGUAGE, SCHEMA, VERSION, Argument, Option, Spec
 from anisefront.config.types import Config
-from anisefront.config.values import RATE, SIZE, TIME, Unfit, near
+from anisefront.config.values import RATE, SIZE, TIME, InvalidValueError, near
 
-MOST_PROBLEMS = 1000
+MAX_PROBLEMS = 1000
 
 
 @dataclass(slots=True)
@@ -74,9 +74,9 @@
         {problem for problem in problems if notes or problem.severity is not Severity.NOTE},
         key=lambda problem: (problem.place, -problem.severity, problem.what),
     )
-    if len(out) + more > MOST_PROBLEMS:
-        more += len(out) - MOST_PROBLEMS
-        out = out[:MOST_PROBLEMS]
+    if len(out) + more > MAX_PROBLEMS:
+        more += len(out) - MAX_PROBLEMS
+        out = out[:MAX_PROBLEMS]
         out.append(Problem(out[-1].place, f"{more} more problems are not shown", "mend these first"))
     return out
 
@@ -146,6 +146,7 @@
     """What is named by all lines, and what stands twice."""
 
     def __init__(self) -> None:
+        """Create the names of no lines."""
         self.of: dict[str, dict[str, Word]] = {name: {} for name in SCHEMA}
         self._stood: dict[str, Word] = {}
 
@@ -226,6 +227,7 @@
     """Reads lines, each by itself; what is wrong goes to `problems`."""
 
     def __init__(self, problems: list[Problem]) -> None:
+        """Create a reader that reports to `problems`."""
         self._problems = problems
         self.lost = False  # a line is no directive, so that what it was meant to be may be missed
 
@@ -307,7 +309,7 @@
             joined = Word(value.text + rest[1].text, value.place)
             try:
                 wanted.read(joined)
-            except Unfit:
+            except InvalidValueError:
                 return value, rest[1:]
             return joined, rest[2:]
         return value, rest[1:]
@@ -325,7 +327,7 @@
         for word in words:
             try:
                 out.append(wanted.type.read(word))
-            except Unfit as problem:
+            except InvalidValueError as problem:
                 self._problems.append(fault(word, f"{what}: {problem.what}", problem.mend, code="value"))
         return tuple(out) if wanted.many else out[0] if out else None
 
--- a/anisefront/config/diff.py
+++ b/anisefront/config/diff.py
@@ -13,10 +13,10 @@
 from anisefront.config.types import Config
 from anisefront.config.values import write_rate, write_time
 from anisefront.gateway.patterns import Request, common, examples, shape
-from anisefront.gateway.routing import RouteIndex
 from anisefront.gateway.routes import Route
+from anisefront.gateway.routing import RouteIndex
 
-MOST_PAIRS = 2_000_000
+MAX_COMPARED_PAIRS = 2_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,6 +29,7 @@
     witness: Request | None = None
 
     def __str__(self) -> str:
+        """Return the difference as `config diff` shows it."""
         shown = f"  {self.witness}" if self.witness else ""
         return f"{self.what}: {self.before} -> {self.after}{shown}"
 
@@ -172,7 +173,7 @@
     for route in moved:
         yield from examples(route.pattern)
     for number, first in enumerate(moved):
-        if number * len(every) > MOST_PAIRS:
+        if number * len(every) > MAX_COMPARED_PAIRS:
             return
         for second in every.values():
             yield from common(first.pattern, second.pattern)
--- a/anisefront/config/explain.py
+++ b/anisefront/config/explain.py
@@ -6,11 +6,10 @@
 
 from anisefront.config.checker import Checked
 from anisefront.config.values import write_time
-from anisefront.gateway.errors import AmbiguousPathError
+from anisefront.gateway.errors import AmbiguousPathError, UnroutableRequestError
 from anisefront.gateway.paths import normalize_target
 from anisefront.gateway.patterns import Request, host_rank, matches, rank, shape
 from anisefront.gateway.routing import Router
-from anisefront.gateway.errors import UnroutableRequestError
 
 
 def explain(checked: Checked, request: Request) -> list[str]:
--- a/anisefront/config/file_record.py
+++ b/anisefront/config/file_record.py
@@ -1,6 +1,7 @@
-"""What one file of settings came to, kept so that it need not be read again while its bytes are the same: routes and
-keys as the program needs them, with their places, and all other lines as entries. No text, no tokens, no tree. Free of
-I/O; made in steps.
+"""The record of one file of the settings, which replaces reading it again while its bytes are the same.
+
+It has routes and keys as the program needs them, with their places, and all other lines as entries, but no text, tokens
+or tree. Free of I/O; built in steps.
 """
 
 from __future__ import annotations
@@ -11,11 +12,11 @@
 from sys import intern
 
 from anisefront.config.checker import LineReader, Named
-from anisefront.config.lexer import MOST_LINE, Place, Problem, Severity, Token, Word, decode, take_line
 from anisefront.config.definitions import Expansion, Globals
+from anisefront.config.lexer import MAX_LINE_LENGTH, Place, Problem, Severity, Token, Word, decode, take_line
 from anisefront.config.model import Entry, key, plain_route, route
 from anisefront.config.parser import Directive, Parser
-from anisefront.config.values import HOST, PATH, Unfit
+from anisefront.config.values import HOST, PATH, InvalidValueError
 from anisefront.gateway.routes import Key, Route
 
 LINES_PER_STEP = 4  # of a file that are read in one step; one line may be long, and one directive may go over many
@@ -32,9 +33,10 @@
 
 
 class Section:
-    """What stands in a file between two includes, as it counts. Never changed once it is made.
+    """The lines of a file between two includes, after expansion. Never changed once it is built.
 
-    `route_places` and `key_places` hold file, line and column of each, three numbers in a row."""
+    `route_places` and `key_places` hold file, line and column of each, three numbers in a row.
+    """
 
     __slots__ = (
         "entries",
@@ -58,7 +60,9 @@
     )
 
     def __init__(self, file: int, number: int) -> None:
-        self.file, self.number = file, number
+        """Create an empty section: the one of this number in its file."""
+        self.file = file
+        self.number = number
         self.first: Directive | None = None  # the first line; of its values none unless it is `language`
         self.globals: tuple[Directive, ...] = ()  # `env` and `define` lines
         self.languages: tuple[Problem, ...] = ()  # what each `language` line is, unless it is the first of all
@@ -86,7 +90,7 @@
 
 
 class FileRecord:
-    """One file: its digest, parts and includes in their order, faults of its form, and what it looked up elsewhere."""
+    """One file: its digest, sections and includes in order, syntax errors, and what it looked up in other files."""
 
     __slots__ = ("digest", "items", "looked_up", "names", "problems", "used")
 
@@ -98,14 +102,17 @@
         expansion: Expansion,
         known: Globals,
     ) -> None:
-        self.digest, self.items, self.problems = digest, items, problems
+        """Create the record of a file that was expanded by the declarations `known`."""
+        self.digest = digest
+        self.items = items
+        self.problems = problems
         self.used = expansion.used
         self.looked_up = {name: (value, name in known.unset) for name, value in expansion.looked_up.items()}
-        # A definition that is not there is told by the names that are near.
+        # The message on a definition that does not exist suggests similar names, so it depends on all names.
         self.names = tuple(known.definitions) if None in expansion.used.values() else None
 
     def holds(self, known: Globals) -> bool:
-        """Whether the file comes to the same under these definitions and values."""
+        """Return whether these definitions and values expand the file to the same lines."""
         return (
             all(known.definitions.get(name) is definition for name, definition in self.used.items())
             and all((known.values.get(name), name in known.unset) == found for name, found in self.looked_up.items())
@@ -116,25 +123,29 @@
 def build_file_record(
     data: bytes, digest: bytes, file: int, known: Globals, before: FileRecord | None = None
 ) -> Generator[None, None, FileRecord]:
-    """A file's record, in steps. Keys that are as in the record before are the same objects."""
+    """Build a file's record, in steps. Keys that are equal to those of the record before are the same objects."""
     return (yield from _RecordBuilder(file, known, before).run(data, digest))
 
 
 class Wanted:
-    """Routes and keys of one part, by their numbers in it, of which messages need the places of all words."""
+    """Routes and keys of one section, by their numbers in it, of which messages need the places of all words."""
 
     def __init__(self, part: Section, routes: Iterable[int], keys: Iterable[int]) -> None:
-        self.part, self.routes, self.keys = part.number, dict[int, Entry](), dict[int, Entry]()
-        self.of_routes, self.of_keys = frozenset(routes), frozenset(keys)
+        """Create a request for entries of `part`, none of which is found yet."""
+        self.part = part.number
+        self.routes: dict[int, Entry] = {}
+        self.keys: dict[int, Entry] = {}
+        self.of_routes = frozenset(routes)
+        self.of_keys = frozenset(keys)
 
 
 def collect_entries(data: bytes, file: int, known: Globals, wanted: Wanted) -> Generator[None, None, None]:
-    """Read a file again for what is wanted of it, which is put there."""
+    """Read a file again and put the entries that are wanted into `wanted`."""
     yield from _RecordBuilder(file, known, wanted=wanted).run(data, b"")
 
 
 def lines_of(data: bytes) -> Iterator[str]:
-    """The lines of a file, decoded a piece at a time; raises UnicodeDecodeError."""
+    """Yield the lines of a file, decoded in chunks; raises UnicodeDecodeError."""
     at = 3 if data.startswith(b"\xef\xbb\xbf") else 0
     while True:
         end = data.find(b"\n", at + DECODE_CHUNK_BYTES)
@@ -148,7 +159,9 @@
     def __init__(
         self, file: int, known: Globals, before: FileRecord | None = None, wanted: Wanted | None = None
     ) -> None:
-        self._file, self._known, self._wanted = file, known, wanted
+        self._file = file
+        self._known = known
+        self._wanted = wanted
         self._keys: dict[str, tuple[str, Key]] = {}
         self._before = [] if before is None else [each for each in before.items if isinstance(each, Section)]
 
@@ -171,8 +184,11 @@
         return FileRecord(digest, tuple(self._items), tuple(problems), self._expansion, self._known)
 
     def _clean(self, data: bytes) -> Generator[None, None, list[Problem] | None]:
-        """The usual way: each directive is forgotten once it is read. None where the file has a fault of form: mending
-        that looks back and forth, which takes the whole tree."""
+        """Read a file without syntax errors, keeping no directive once it is processed.
+
+        Returns:
+            Its warnings; None where it has a syntax error, since recovery needs the whole tree.
+        """
         self._begin()
         problems: list[Problem] = []
         parser, tokens, seen, work = Parser(problems), list[Token](), 0, 0
@@ -203,7 +219,7 @@
         return problems
 
     def _faulty(self, data: bytes) -> Generator[None, None, list[Problem]]:
-        """The way of a file with a fault of form: all of its tree, and then its lines."""
+        """Read a file with syntax errors: its whole tree first, and then its lines."""
         self._begin()
         text, problems = decode(data, self._file)
         yield
@@ -238,8 +254,8 @@
         return self._part
 
     def _plain(self, line: str, number: int) -> bool:
-        """Take a plain route or key without tokens; false where the line is none, and must be read by the usual way."""
-        if self._wanted is not None or len(line) > MOST_LINE:
+        """Add a plain route or key without lexing it; return False where the line is neither, and has to be lexed."""
+        if self._wanted is not None or len(line) > MAX_LINE_LENGTH:
             return False
         if (found := _KEY.match(line)) is not None:
             indent, text, customer, plan = found.groups()
@@ -252,7 +268,7 @@
                 PATH.read(Word(path, word.place))
                 if host is not None:
                     HOST.read(Word(host, word.place))
-            except Unfit:
+            except InvalidValueError:
                 return False
             self._open_part(Directive(word)).route(word, plain_route((method,), path, host or "*", class_name, pool))
         else:
@@ -278,8 +294,11 @@
         expansion: Expansion,
         keys_before: Mapping[str, tuple[str, Key]],
     ) -> None:
-        self._wanted, self._part, self._keys_before = wanted, Section(file, number), keys_before
-        self._lines_before, self._known_before = expansion.lines, len(expansion.undeclared)
+        self._wanted = wanted
+        self._part = Section(file, number)
+        self._keys_before = keys_before
+        self._lines_before = expansion.lines
+        self._known_before = len(expansion.undeclared)
         self._part.first = first if first.name.text == "language" else Directive(first.name)
         self._problems: list[Problem] = []
         self._reader = LineReader(self._problems)
@@ -293,7 +312,7 @@
         self._faulty_keys: list[tuple[int, Word]] = []
 
     def take(self, directive: Directive, expansion: Expansion) -> Generator[None, None, None]:
-        """Take one line in."""
+        """Add one line."""
         name = directive.name.text
         if name in ("env", "define"):
             self._globals.append(directive)
@@ -327,26 +346,36 @@
             self._named.append(named)
 
     def route(self, word: Word, route: Route) -> None:
-        """Take a route in."""
+        """Add a route."""
         self._routes.append(route)
         self._part.route_places.extend(word.place)
 
     def key(self, word: Word, text: str, key: Key) -> None:
-        """Take a key in. Danger: the table of keys has the objects of before; others like them would be held twice."""
-        if (known := self._keys_before.get(text)) is not None and known[1] == key:
+        """Add a key, as the same object as in the record before.
+
+        The table of keys refers to the objects of that record; equal copies would take memory twice.
+        """
+        known = self._keys_before.get(text)
+        if known is not None and known[1] == key:
             text, key = known
         self._texts.append(text)
         self._keys.append(key)
         self._part.key_places.extend(word.place)
 
     def closed(self, expansion: Expansion) -> Section:
-        """The part; what the expansion had to say of its lines goes with it."""
+        """Return the section, with the problems of its expansion."""
         part = self._part
-        part.globals, part.languages = tuple(self._globals), tuple(self._languages)
-        part.routes, part.texts, part.keys = tuple(self._routes), tuple(self._texts), tuple(self._keys)
-        part.entries, part.named = tuple(self._entries), tuple(self._named)
-        part.faulty_keys, part.problems = tuple(self._faulty_keys), tuple(self._problems)
-        part.expansion, part.lost = tuple(expansion.problems), self._reader.lost
+        part.globals = tuple(self._globals)
+        part.languages = tuple(self._languages)
+        part.routes = tuple(self._routes)
+        part.texts = tuple(self._texts)
+        part.keys = tuple(self._keys)
+        part.entries = tuple(self._entries)
+        part.named = tuple(self._named)
+        part.faulty_keys = tuple(self._faulty_keys)
+        part.problems = tuple(self._problems)
+        part.expansion = tuple(expansion.problems)
+        part.lost = self._reader.lost
         part.undeclared = tuple(list(expansion.undeclared.items())[self._known_before :])
         part.lines = expansion.lines - self._lines_before
         expansion.problems.clear()
@@ -354,5 +383,5 @@
 
 
 def where(paths: Mapping[int, str], place: Place) -> str:
-    """file:line:column."""
+    """Return file:line:column."""
     return f"{paths.get(place.file, '?')}:{place.line}:{place.column}"
--- a/anisefront/config/incremental_checks.py
+++ b/anisefront/config/incremental_checks.py
@@ -6,18 +6,18 @@
 from itertools import chain
 
 from anisefront.config import checker, model, semantic_checks
-from anisefront.config.checker import MOST_PROBLEMS, Names, references
+from anisefront.config.checker import MAX_PROBLEMS, Names, references
 from anisefront.config.cross_file_checks import CrossFileIndex
+from anisefront.config.definitions import MAX_EXPANDED_LINES
 from anisefront.config.file_record import Section
 from anisefront.config.lexer import Problem, Word, fault
 from anisefront.config.load_attempt import LoadAttempt
 from anisefront.config.load_steps import ends_step, find_positions
-from anisefront.config.definitions import MAX_EXPANDED_LINES
 from anisefront.config.model import Entry, Model
 from anisefront.config.types import Config
 from anisefront.gateway.routes import Route
 
-MAX_PLAN_CONFLICT_KEYS = 2 * MOST_PROBLEMS  # whose lines are looked up; problems beyond them are not counted
+MAX_PLAN_CONFLICT_KEYS = 2 * MAX_PROBLEMS  # whose lines are looked up; problems beyond them are not counted
 
 
 class IncrementalChecks:
@@ -108,7 +108,7 @@
         first_words: dict[str, Word | None] = {}  # None for one whose place was not looked up
         reported = 0
         for section in self._order:
-            occurrences = yield from self._occurrences(section, texts, reported < MOST_PROBLEMS)
+            occurrences = yield from self._occurrences(section, texts, reported < MAX_PROBLEMS)
             for count, (_, text, word) in enumerate(occurrences):
                 if ends_step(count):
                     yield
@@ -127,7 +127,7 @@
     ) -> Generator[None, None, list[tuple[float, str, Word | None]]]:
         """Return the keys of a section that have one of the texts: position, text and word, in order."""
         positions = yield from find_positions(section.texts, texts.__contains__)
-        looked_up = positions[:MOST_PROBLEMS] if with_words else ()
+        looked_up = positions[:MAX_PROBLEMS] if with_words else ()
         entries = yield from self._attempt.collect_entries(section, (), looked_up)
         # A faulty key stands before the valid key of its number.
         occurrences: list[tuple[float, str, Word | None]] = [
@@ -165,13 +165,13 @@
                 section.routes, lambda route: route.class_name in classes or route.pool in pools
             )
             keys = yield from find_positions(section.keys, lambda key: key.plan in plans)
-            entries = yield from self._attempt.collect_entries(section, routes[:MOST_PROBLEMS], keys[:MOST_PROBLEMS])
+            entries = yield from self._attempt.collect_entries(section, routes[:MAX_PROBLEMS], keys[:MAX_PROBLEMS])
             for entry in chain(entries.routes.values(), entries.keys.values()):
                 yield
                 found = list(references(entry, self._names.of))
                 self.problems += found
                 reported += len(found)
-            if reported >= MOST_PROBLEMS:
+            if reported >= MAX_PROBLEMS:
                 break
         return reported
 
--- a/anisefront/config/incremental_loader.py
+++ b/anisefront/config/incremental_loader.py
@@ -19,9 +19,9 @@
 from anisefront.config.lexer import Place, Problem, Severity
 from anisefront.config.load_attempt import FileChangedError, LoadAttempt, RecordStore
 from anisefront.config.loader import Load, Source
-from anisefront.config.source_files import DiskFiles, Files, Find, Read
 from anisefront.config.parser import Document
 from anisefront.config.problem_texts import render_problems
+from anisefront.config.source_files import DiskFiles, Files, Find, Read
 from anisefront.config.types import Config
 from anisefront.gateway.route_groups import changed_groups
 from anisefront.gateway.routes import Route
--- a/anisefront/config/lexer.py
+++ b/anisefront/config/lexer.py
@@ -1,9 +1,9 @@
-"""Text to tokens with their places. Free of I/O; it never stops at a fault, and reports each one once.
+r"""Split text into tokens with their places. Free of I/O; it continues after an error, and reports each one once.
 
-word      blanks, quotes, braces, brackets, commas, #, ; and \\ end it; ${name} may stand in it
-string    "..." on one line, with \\" \\\\ \\n \\t
+word      blanks, quotes, braces, brackets, commas, #, ; and \ end it; ${name} may stand in it
+string    "..." on one line, with \" \\ \n \t
 comment   # to the end of the line
-a final \\ joins a line to the next
+a final \ joins a line to the next
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-MOST_LINE = 65_536
+MAX_LINE_LENGTH = 65_536
 _TOKEN = re.compile(
     r"""[ \t]*(?:"""
     r"""(?P<word>(?:[^\s"{}\[\],;#\\$\x00-\x1f\x7f]+|\$\{[A-Za-z_][A-Za-z0-9_.-]*\}|\$)+)"""
@@ -100,11 +100,11 @@
 def take_line(line: str, number: int, file: int, out: list[Token], problems: list[Problem]) -> bool:
     """The tokens of one line are added; false where it is joined to the next, which must then be added to the same."""
     line = line.removesuffix("\r")
-    if len(line) > MOST_LINE:
+    if len(line) > MAX_LINE_LENGTH:
         problems.append(
             Problem(
-                Place(file, number, MOST_LINE + 1),
-                f"a line of {len(line)} characters, at most {MOST_LINE}",
+                Place(file, number, MAX_LINE_LENGTH + 1),
+                f"a line of {len(line)} characters, at most {MAX_LINE_LENGTH}",
                 "break it up",
             )
         )
--- a/anisefront/config/load_attempt.py
+++ b/anisefront/config/load_attempt.py
@@ -6,13 +6,13 @@
 from collections.abc import Generator, Mapping, Sequence
 from dataclasses import dataclass
 
+from anisefront.config.definitions import Globals
 from anisefront.config.file_record import FileRecord, Section, Wanted, build_file_record, collect_entries
 from anisefront.config.lexer import Place, Problem, Word
 from anisefront.config.load_steps import ends_step
-from anisefront.config.definitions import Globals
 from anisefront.config.loader import IncludeWalk
-from anisefront.config.source_files import Files
 from anisefront.config.parser import Directive
+from anisefront.config.source_files import Files
 
 HASH_CHUNK_BYTES = 1 << 18  # hashed in one step
 
--- a/anisefront/config/messages.py
+++ b/anisefront/config/messages.py
@@ -8,7 +8,7 @@
 from anisefront.config.lexer import Problem, Severity
 from anisefront.config.loader import Load
 
-MOST_SHOWN = 160  # characters of a line that are shown
+MAX_SHOWN_LENGTH = 160  # characters of a line that are shown
 
 
 def text(load: Load, problem: Problem) -> str:
@@ -18,9 +18,9 @@
     line = load.line(problem.place)
     if line:
         shown, start = line, 0
-        if len(line) > MOST_SHOWN:
-            start = max(0, problem.place.column - MOST_SHOWN // 2)
-            shown = line[start : start + MOST_SHOWN]
+        if len(line) > MAX_SHOWN_LENGTH:
+            start = max(0, problem.place.column - MAX_SHOWN_LENGTH // 2)
+            shown = line[start : start + MAX_SHOWN_LENGTH]
         at = problem.place.column - 1 - start
         blank = "".join("\t" if letter == "\t" else " " for letter in shown[:at]) + " " * max(0, at - len(shown))
         out.append(f"    {shown}")
--- a/anisefront/config/model.py
+++ b/anisefront/config/model.py
@@ -16,11 +16,17 @@
 from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 _METHODS = {(method,): (method,) for method in ("GET", "POST", "PUT", "PATCH", "DELETE", "HEAD", "OPTIONS", "*")}
-# Danger: where the module hears more than three eighths of it, questions to homes and their answers wait up to 60 ms
-# each for company (`PeerOutbox.flush`). At the planned peak a gatekeeper hears 142 a second, at its double 284; with
-# 200 here
-# that wait was nearly all of what a request waited, and hardly anything came to go along.
+# Once the peer messages received exceed three eighths of this rate, quota requests and their replies wait up to 60 ms
+# each to be batched (`PeerOutbox.flush`). A gateway instance receives 142 messages a second at the planned peak, 284 at
+# twice the peak: with 200 here the wait for a batch dominates the time that a request is queued.
 MESSAGES_PER_S = 1000.0
+MIN_SECRET_BYTES = 16
+MIN_PROBE_PERIOD_MS = 20.0
+MAX_PROBE_PERIOD_MS = 60_000.0
+MIN_LEASE_MS = 100.0
+MAX_LEASE_MS = 60_000.0
+MAX_CLASSES = 16  # by the format of peer messages
+MAX_PLANS = 16
 TICK_MS = 5.0  # the grain of the module's turns here; its guards leave twice this
 
 
@@ -49,6 +55,7 @@
     """All entries by their directive."""
 
     def __init__(self) -> None:
+        """Create a model without entries."""
         self._entries: dict[str, list[Entry]] = {}
 
     def add(self, entry: Entry) -> None:
@@ -73,10 +80,13 @@
 
 
 class Uses:
-    """How many routes and keys use each name, and what units requests count: all that other lines need to know of
-    them. Counts go up and down, so that a line more or less costs itself alone."""
+    """How many routes and keys use each name, and the units that requests count: all that other lines depend on.
+
+    Counts go up and down, so that adding or removing a line costs no look at the others.
+    """
 
     def __init__(self) -> None:
+        """Create counts of nothing."""
         self.classes: Counter[str] = Counter()
         self.pools: Counter[str] = Counter()
         self.plans: Counter[str] = Counter()
@@ -128,54 +138,69 @@
 def build(
     model: Model, uses: Uses, routes: tuple[Route, ...], keys: Mapping[str, Key], problems: list[Problem]
 ) -> Config | None:
-    """The settings of all entries but routes and keys, which are handed in; None where ranges don't fit, with the
-    problems."""
+    """Build the settings of all entries; routes and keys are handed in.
+
+    Returns:
+        The settings; None where values are out of range, which is added to `problems`.
+    """
     before = len(problems)
-    me, pool = model.one("gatekeeper"), _pool(model, uses, problems)
-    number, count = me.arguments["number"], me.options["of"]
+    pool = _pool(model, uses, problems)
+    _check_numbers(model, problems)
+    _check_secret(model, problems)
+    _check_members(model, problems)
+    _check_keepers(model, problems)
+    for entry in model.of("class"):
+        _check_class(entry, problems)
+    _check_counts(model, problems)
+    if any(problem.severity is Severity.ERROR for problem in problems[before:]):
+        return None
+    secret = model.one("secret").arguments.get("text", "")
+    return _config(model, pool, _settings(model, pool, secret), routes, keys)
+
+
+def _check_numbers(model: Model, problems: list[Problem]) -> None:
+    own = model.one("gatekeeper")
+    number = own.arguments["number"]
+    count = own.options["of"]
+    mend = "numbers begin at 0 and end below the count"
     if count < 1 or number >= count:
-        problems.append(
-            fault(
-                me.place("number"),
-                f"gatekeeper {number} of {count}",
-                "numbers begin at 0 and end below the count",
-                code="range",
-            )
-        )
-    listens = model.named("listen")
-    peers = {entry.arguments["number"]: entry for entry in model.of("peer")}
-    for other, entry in peers.items() if count else ():
+        problems.append(fault(own.place("number"), f"gatekeeper {number} of {count}", mend, code="range"))
+    if not count:
+        return
+    for other, entry in _peers(model).items():
         if other >= count:
-            problems.append(
-                fault(
-                    entry.place("number"),
-                    f"peer {other} of {count} gatekeepers",
-                    "numbers begin at 0 and end below the count",
-                    code="range",
-                )
-            )
-    secret = model.one("secret").arguments.get("text", "")
-    if secret and len(secret.encode()) < 16:
-        problems.append(
-            fault(
-                model.one("secret").place("text"),
-                f"a secret of {len(secret.encode())} bytes",
-                "at least 16 are due",
-                code="range",
-            )
-        )
-    if count > 1 and ("peers" not in listens or not secret):
-        missing = "secret" if "peers" in listens else "listen peers"
+            problems.append(fault(entry.place("number"), f"peer {other} of {count} gatekeepers", mend, code="range"))
+
+
+def _peers(model: Model) -> dict[int, Entry]:
+    return {entry.arguments["number"]: entry for entry in model.of("peer")}
+
+
+def _check_secret(model: Model, problems: list[Problem]) -> None:
+    entry = model.one("secret")
+    secret = entry.arguments.get("text", "")
+    size = len(secret.encode())
+    if secret and size < MIN_SECRET_BYTES:
+        problems.append(fault(entry.place("text"), f"a secret of {size} bytes", "at least 16 are due", code="range"))
+    own = model.one("gatekeeper")
+    count = own.options["of"]
+    listens_to_peers = "peers" in model.named("listen")
+    if count > 1 and (not listens_to_peers or not secret):
+        missing = "secret" if listens_to_peers else "listen peers"
         problems.append(
             fault(
-                me.word,
+                own.word,
                 f"a fleet of {count} without a {missing!r} line",
                 "gatekeepers share quotas by authenticated datagrams",
                 code="missing",
             )
         )
+
+
+def _check_members(model: Model, problems: list[Problem]) -> None:
+    has_datagrams = "peers" in model.named("listen") and model.one("secret").arguments.get("text", "")
     for entry in model.of("members"):
-        if "peers" not in listens or not secret:
+        if not has_datagrams:
             problems.append(
                 fault(
                     entry.word,
@@ -184,47 +209,42 @@
                     code="missing",
                 )
             )
-        if not 20.0 <= entry.get("period", 1000.0) <= 60_000.0:
-            problems.append(
-                fault(
-                    entry.place("period"),
-                    "a period of probes that is not within 20ms and 60s",
-                    "1s is usual",
-                    code="range",
-                )
-            )
+        if not MIN_PROBE_PERIOD_MS <= entry.get("period", 1000.0) <= MAX_PROBE_PERIOD_MS:
+            what = "a period of probes that is not within 20ms and 60s"
+            problems.append(fault(entry.place("period"), what, "1s is usual", code="range"))
+
+
+def _check_keepers(model: Model, problems: list[Problem]) -> None:
     for entry in model.of("keepers"):
         if not model.of("members"):
-            problems.append(
-                fault(
-                    entry.word,
-                    "keepers without a 'members' line",
-                    "who may keep is told by who is there",
-                    code="missing",
-                )
-            )
-        if not 100.0 <= entry.get("lease", 1000.0) <= 60_000.0:
-            problems.append(
-                fault(entry.place("lease"), "a lease that is not within 100ms and 60s", "1s is usual", code="range")
-            )
-    for entry in model.of("class"):
-        _check_class(entry, problems)
-    fields = model.one("report").arguments.get("values", ())
-    limits, attempts, path = model.one("limits"), model.one("attempts"), model.one("path")
-    if len(model.of("class")) > 16 or len(model.of("plan")) > 16:
-        problems.append(
-            fault(me.word, "more than 16 classes or plans", "peers' messages have room for 16", code="range")
-        )
+            what = "keepers without a 'members' line"
+            problems.append(fault(entry.word, what, "who may keep is told by who is there", code="missing"))
+        if not MIN_LEASE_MS <= entry.get("lease", 1000.0) <= MAX_LEASE_MS:
+            what = "a lease that is not within 100ms and 60s"
+            problems.append(fault(entry.place("lease"), what, "1s is usual", code="range"))
+
+
+def _check_counts(model: Model, problems: list[Problem]) -> None:
+    if len(model.of("class")) > MAX_CLASSES or len(model.of("plan")) > MAX_PLANS:
+        word = model.one("gatekeeper").word
+        problems.append(fault(word, "more than 16 classes or plans", "peers' messages have room for 16", code="range"))
+    attempts = model.one("attempts")
     if attempts.arguments.get("most", 3) < 1:
         problems.append(fault(attempts.place("most"), "no attempt at all", "at least 1 is due", code="range"))
-    if len(problems) > before and any(each.severity is Severity.ERROR for each in problems[before:]):
-        return None
-    park = path.get("park", 100.0)
-    settings = Settings(
+
+
+def _settings(model: Model, pool: Entry, secret: str) -> Settings:
+    own = model.one("gatekeeper")
+    count = own.options["of"]
+    limits = model.one("limits")
+    attempts = model.one("attempts")
+    park_ms = model.one("path").get("park", 100.0)
+    report_fields = model.one("report").arguments.get("values", ())
+    return Settings(
         gateways=count,
-        number=number,
-        zone=me.get("zone", ""),
-        classes=tuple(_class(entry, park) for entry in model.of("class")),
+        number=own.arguments["number"],
+        zone=own.get("zone", ""),
+        classes=tuple(_class(entry, park_ms) for entry in model.of("class")),
         plans=tuple(_plan(entry, model) for entry in model.of("plan")),
         warm_up_ms=pool.get("warm-up", 10_000.0),
         slow_start_initial_factor=pool.get("cold-from", 0.2),
@@ -237,11 +257,23 @@
         peer_messages_enabled=count > 1,
         max_retry_after_ms=limits.get("retry-after", 5000.0),
         inbox_per_s=model.one("messages").arguments.get("rate", MESSAGES_PER_S) if count > 1 else 0.0,
-        load_report_mode="answers" if fields else "none",
-        load_report_fields=fields,
+        load_report_mode="answers" if report_fields else "none",
+        load_report_fields=report_fields,
         # Of the secret, so that nobody outside can tell which names fall on one tag.
         tag_key=hashlib.blake2b(secret.encode(), digest_size=32, person=b"anisefront tags").digest() if secret else b"",
     )
+
+
+def _config(
+    model: Model, pool: Entry, settings: Settings, routes: tuple[Route, ...], keys: Mapping[str, Key]
+) -> Config:
+    count = settings.gateways
+    number = settings.number
+    peers = _peers(model)
+    listens = model.named("listen")
+    limits = model.one("limits")
+    path = model.one("path")
+    secret = model.one("secret").arguments.get("text", "")
     customers = model.one("customers")
     address = {front: Address(*entry.arguments["address"]) for front, entry in listens.items()}
     embedded = (
@@ -266,7 +298,7 @@
         embedded=embedded,
         log_ms=path.get("log", 1000.0),
         ask_again_ms=path.get("ask-again", 500.0),
-        park_ms=park,
+        park_ms=path.get("park", 100.0),
         drain_ms=model.one("drain").arguments.get("time", 10_000.0),
         stop_ms=model.one("stop").arguments.get("time", 15_000.0),
         most_open=limits.get("open", 50_000),
--- a/anisefront/config/parser.py
+++ b/anisefront/config/parser.py
@@ -13,7 +13,7 @@
 
 from anisefront.config.lexer import Place, Problem, Token, Word, fault, tokens
 
-MOST_DEPTH = 8
+MAX_NESTING_DEPTH = 8
 # The grammar as published; docs/config-grammar.md is held to these lines by a test, and the parser to its cases.
 GRAMMAR = tuple(line.strip() for line in __doc__.splitlines() if " = " in line)
 
@@ -68,6 +68,7 @@
     """Takes tokens as they come, whole logical lines at a time; what is wrong goes to `problems`."""
 
     def __init__(self, problems: list[Problem]) -> None:
+        """Create a parser that reports to `problems`."""
         self._problems = problems
         self._top: list[Directive] = []
         self._open: list[Directive] = []  # blocks that are open, the innermost last
@@ -86,18 +87,24 @@
         return not self._open and self._list is None and not self._skip
 
     def complete(self) -> list[Directive]:
-        """The directives that are complete so far, which are forgotten here. Danger: mending a fault looks back at
-        them; so this is only for as long as there is no problem."""
+        """Return the directives that are complete so far, and release them.
+
+        Recovery from a syntax error looks back at earlier directives: after an error the result would be incomplete.
+        """
         if self._open or self._current is not None:
             return []
-        out, self._top = self._top, []
-        return out
+        complete = self._top
+        self._top = []
+        return complete
 
     def feed(self, stream: list[Token]) -> None:
         """Take tokens."""
         for kind, word in stream:
             if self._skip:
-                self._skip += (kind == "{") - (kind == "}")
+                if kind == "{":
+                    self._skip += 1
+                elif kind == "}":
+                    self._skip -= 1
                 continue
             if kind == "end":
                 self._end()
@@ -105,21 +112,26 @@
                 self._comment(word.text)
             elif self._skip_line:
                 if kind == "{":  # what it opens belongs to a line that could not be read
-                    self._skip, self._skip_line = 1, False
+                    self._skip = 1
+                    self._skip_line = False
             elif self._list is not None and not self._abandoned(kind, word):
                 self._in_list(kind, word)
-            elif kind == "word":
-                self._word(word)
-            elif kind == "[":
-                self._open_list(word)
-            elif kind == "{":
-                self._open_block(word)
-            elif kind == "}":
-                self._close_block(word)
-            elif kind == ";":
-                self._finish()
             else:
-                self._wrong(word, f"{word.text!r} can't stand here", "commas and ] belong into [ ]")
+                self._dispatch(kind, word)
+
+    def _dispatch(self, kind: str, word: Word) -> None:
+        if kind == "word":
+            self._word(word)
+        elif kind == "[":
+            self._open_list(word)
+        elif kind == "{":
+            self._open_block(word)
+        elif kind == "}":
+            self._close_block(word)
+        elif kind == ";":
+            self._finish()
+        else:
+            self._wrong(word, f"{word.text!r} can't stand here", "commas and ] belong into [ ]")
 
     def finish(self) -> Document:
         """The tree, or what is left of it after `complete`."""
@@ -210,9 +222,9 @@
             self._problems.append(fault(word, "a block without a directive", "write its name before {", code="syntax"))
             self._skip = 1
             return
-        if len(self._open) >= MOST_DEPTH:
+        if len(self._open) >= MAX_NESTING_DEPTH:
             self._problems.append(
-                fault(word, f"blocks nested more than {MOST_DEPTH} deep", "flatten them", code="syntax")
+                fault(word, f"blocks nested more than {MAX_NESTING_DEPTH} deep", "flatten them", code="syntax")
             )
             self._skip = 1
             self._current = None
--- a/anisefront/config/values.py
+++ b/anisefront/config/values.py
@@ -18,12 +18,14 @@
 from anisefront.gateway.paths import normalize_target
 
 
-class Unfit(Exception):
+class InvalidValueError(Exception):
     """A word that is no value of the type: what is wrong, and the mend."""
 
     def __init__(self, what: str, mend: str = "") -> None:
+        """Create the error with a message and a suggestion."""
         super().__init__(what)
-        self.what, self.mend = what, mend
+        self.what = what
+        self.mend = mend
 
 
 def near(text: str, choices: Iterable[str]) -> str:
@@ -52,19 +54,19 @@
 }
 PERIODS = {"s": Fraction(1), "min": Fraction(60), "h": Fraction(3600), "d": Fraction(86_400)}
 SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "kB": 10**3, "MB": 10**6, "GB": 10**9}
-MOST_DIGITS = 24
+MAX_DIGITS = 24
 _COUNTED = ("", "requests", "request", "units", "unit", "datagrams", "datagram")
 
 
 def _split(word: Word, what: str) -> tuple[Fraction, str]:
     match = _QUANTITY.match(word.text)
     if not match or not word.text.isascii():
-        raise Unfit(f"{word.text[:60]!r} is no {what}")
+        raise InvalidValueError(f"{word.text[:60]!r} is no {what}")
     if match[1].startswith("-"):
-        raise Unfit(f"{word.text[:60]!r} is below nothing")
-    if len(match[1]) > MOST_DIGITS:
+        raise InvalidValueError(f"{word.text[:60]!r} is below nothing")
+    if len(match[1]) > MAX_DIGITS:
         # Danger: turning thousands of digits into a number takes long, and more still raises.
-        raise Unfit(f"{word.text[:20]!r}... has {len(match[1])} digits, at most {MOST_DIGITS}")
+        raise InvalidValueError(f"{word.text[:20]!r}... has {len(match[1])} digits, at most {MAX_DIGITS}")
     return Fraction(match[1]), match[2].strip()
 
 
@@ -72,7 +74,7 @@
     number, unit = _split(word, "time")
     if unit not in TIMES:
         mend = f"write {word.text}ms or {word.text}s" if not unit else near(unit, TIMES) or f"units: {', '.join(TIMES)}"
-        raise Unfit(
+        raise InvalidValueError(
             f"{word.text[:60]!r} has no unit of time" if not unit else f"{unit[:20]!r} is no unit of time", mend
         )
     return float(number * TIMES[unit])
@@ -84,7 +86,7 @@
     if not slash or counted.strip() not in _COUNTED or period.strip() not in PERIODS:
         bare = word.text if not rest else word.text[: len(word.text) - len(rest)].strip()
         what = "has no unit of rate" if not rest else "is no rate"
-        raise Unfit(f"{word.text[:60]!r} {what}", f"write {bare}/s or {bare}/min")
+        raise InvalidValueError(f"{word.text[:60]!r} {what}", f"write {bare}/s or {bare}/min")
     return float(number / PERIODS[period.strip()])
 
 
@@ -95,33 +97,37 @@
             f"write {word.text}KiB or {word.text}MiB" if not unit else near(unit, SIZES) or f"units: {', '.join(SIZES)}"
         )
         what = f"{unit[:20]!r} is no unit of size" if unit else f"{word.text[:60]!r} has no unit of size"
-        raise Unfit(what, mend)
+        raise InvalidValueError(what, mend)
     return int(number * SIZES[unit])
 
 
 def _share(word: Word) -> float:
     number, unit = _split(word, "share")
     if unit not in ("", "%"):
-        raise Unfit(f"{word.text[:60]!r} is no share", "write 20% or 0.2")
+        raise InvalidValueError(f"{word.text[:60]!r} is no share", "write 20% or 0.2")
     share = number / 100 if unit else number
     if share > 1:
-        raise Unfit(f"{word.text[:60]!r} is more than the whole", f"did you mean {word.text}%?" if not unit else "")
+        raise InvalidValueError(
+            f"{word.text[:60]!r} is more than the whole", f"did you mean {word.text}%?" if not unit else ""
+        )
     return float(share)
 
 
 def _number(word: Word) -> float:
     number, unit = _split(word, "number")
     if unit:
-        raise Unfit(f"{word.text[:60]!r} is no bare number", f"write {word.text[: len(word.text) - len(unit)].strip()}")
+        raise InvalidValueError(
+            f"{word.text[:60]!r} is no bare number", f"write {word.text[: len(word.text) - len(unit)].strip()}"
+        )
     return float(number)
 
 
 def _whole(word: Word) -> int:
     number, unit = _split(word, "whole number")
     if unit or number.denominator != 1:
-        raise Unfit(f"{word.text[:60]!r} is no whole number")
+        raise InvalidValueError(f"{word.text[:60]!r} is no whole number")
     if number > 10**15:
-        raise Unfit(f"{word.text[:60]!r} is too large")
+        raise InvalidValueError(f"{word.text[:60]!r} is too large")
     return int(number)
 
 
@@ -130,15 +136,15 @@
 
 def _name(word: Word) -> str:
     if not _NAME.match(word.text):
-        raise Unfit(f"{word.text[:60]!r} is no name", "a letter, then letters, digits, . _ -, at most 64")
+        raise InvalidValueError(f"{word.text[:60]!r} is no name", "a letter, then letters, digits, . _ -, at most 64")
     return word.text
 
 
 def _text(word: Word) -> str:
     if not word.text:
-        raise Unfit("an empty text")
+        raise InvalidValueError("an empty text")
     if len(word.text) > 4096 or any(ord(letter) < 32 for letter in word.text):
-        raise Unfit("a text that is too long or holds control characters")
+        raise InvalidValueError("a text that is too long or holds control characters")
     return word.text
 
 
@@ -146,7 +152,7 @@
     if not re.fullmatch(r"[a-z0-9!#$%&'*+.^_`|~-]+", word.text):
         lower = word.text.lower()
         fits = re.fullmatch(r"[a-z0-9!#$%&'*+.^_`|~-]+", lower)
-        raise Unfit(f"{word.text[:60]!r} is no header name", f"write {lower}" if fits else "")
+        raise InvalidValueError(f"{word.text[:60]!r} is no header name", f"write {lower}" if fits else "")
     return word.text
 
 
@@ -154,18 +160,18 @@
     host, colon, port = word.text.rpartition(":")
     plain = host.removeprefix("[").removesuffix("]") if host.startswith("[") else host
     if not colon or not plain or not port.isdigit() or len(port) > 5 or int(port) > 65535:
-        raise Unfit(f"{word.text[:60]!r} is no address", "write HOST:PORT, such as 127.0.0.1:9000")
+        raise InvalidValueError(f"{word.text[:60]!r} is no address", "write HOST:PORT, such as 127.0.0.1:9000")
     if ":" in plain:
         try:
             ipaddress.IPv6Address(plain)
         except ValueError:
-            raise Unfit(f"{word.text[:60]!r} is no address", "write [IPv6]:PORT") from None
+            raise InvalidValueError(f"{word.text[:60]!r} is no address", "write [IPv6]:PORT") from None
     return plain, int(port)
 
 
 def _method(word: Word) -> str:
     if word.text != "*" and not re.fullmatch(r"[A-Z][A-Z-]{0,31}", word.text):
-        raise Unfit(
+        raise InvalidValueError(
             f"{word.text[:60]!r} is no method",
             f"write {word.text.upper()}" if word.text.isalpha() else "such as GET, or * for any",
         )
@@ -175,24 +181,26 @@
 def _path(word: Word) -> str:
     text = word.text
     if not text.startswith("/"):
-        raise Unfit(f"{text[:60]!r} is no path", f"write /{text[:60]}")
+        raise InvalidValueError(f"{text[:60]!r} is no path", f"write /{text[:60]}")
     if "*" in text[:-1]:
-        raise Unfit(f"{text[:60]!r}: a * may only end a path", "use :name for one segment")
+        raise InvalidValueError(f"{text[:60]!r}: a * may only end a path", "use :name for one segment")
     if "?" in text or "#" in text:
-        raise Unfit(f"{text[:60]!r}: a query is no part of a path", f"write {text.partition('?')[0][:60]}")
+        raise InvalidValueError(f"{text[:60]!r}: a query is no part of a path", f"write {text.partition('?')[0][:60]}")
     names = [part[1:] for part in text.split("/") if part.startswith(":")]
     example = text[:-1] + "x" if text.endswith("*") else text
     try:
         matched = normalize_target(example)
     except AmbiguousPathError as problem:
-        raise Unfit(f"{text[:60]!r}: {problem}; such requests are refused") from problem
+        raise InvalidValueError(f"{text[:60]!r}: {problem}; such requests are refused") from problem
     if matched != example:
-        raise Unfit(
+        raise InvalidValueError(
             f"{text[:60]!r} never matches: requests are matched in normal form",
             f"write {(matched[:-1] + '*' if text.endswith('*') else matched)[:60]}",
         )
     if any(not re.fullmatch(r"[a-z][a-z0-9_]*", name) for name in names) or len(set(names)) < len(names):
-        raise Unfit(f"{text[:60]!r}: a parameter without a name, or one name twice", "such as /stalls/:stall")
+        raise InvalidValueError(
+            f"{text[:60]!r}: a parameter without a name, or one name twice", "such as /stalls/:stall"
+        )
     return text
 
 
@@ -200,7 +208,7 @@
     text = word.text
     labels = text.removeprefix("*.").split(".")
     if text != "*" and not all(re.fullmatch(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?", label) for label in labels):
-        raise Unfit(
+        raise InvalidValueError(
             f"{text[:60]!r} is no host",
             f"write {text.lower()[:60]}" if text != text.lower() else "a name, *.name for all below it, or *",
         )
@@ -212,7 +220,7 @@
 
     def read(word: Word) -> str:
         if word.text not in choices:
-            raise Unfit(f"{word.text[:60]!r} is none of {', '.join(choices)}", near(word.text, choices))
+            raise InvalidValueError(f"{word.text[:60]!r} is none of {', '.join(choices)}", near(word.text, choices))
         return word.text
 
     return Type(" or ".join(choices), read, choices[0])
--- a/anisefront/testbed/script.py
+++ b/anisefront/testbed/script.py
@@ -7,7 +7,7 @@
 
 from anisefront.config.lexer import Problem, Word, fault
 from anisefront.config.parser import Directive, parse
-from anisefront.config.values import NAME, NUMBER, TEXT, TIME, WHOLE, Type, Unfit, near
+from anisefront.config.values import NAME, NUMBER, TEXT, TIME, WHOLE, InvalidValueError, Type, near
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
 def _value(word: Word, wanted: Type) -> Any:
     try:
         return wanted.read(word)
-    except Unfit as problem:
+    except InvalidValueError as problem:
         raise _Fault(word, problem.what, problem.mend) from problem
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -159,10 +159,10 @@
 @given(st.floats(0, 1e9, allow_subnormal=False))
 def test_numbers_are_written_and_read_without_loss(value):
     from anisefront.config.lexer import Place, Word
-    from anisefront.config.values import MOST_DIGITS, RATE, TIME, write_rate, write_time
+    from anisefront.config.values import MAX_DIGITS, RATE, TIME, write_rate, write_time
 
     for kind, text in ((TIME, write_time(value)), (RATE, write_rate(value))):
-        if "e" not in text and sum(each.isdigit() for each in text) < MOST_DIGITS:
+        if "e" not in text and sum(each.isdigit() for each in text) < MAX_DIGITS:
             assert kind.read(Word(text, Place(0, 1, 1))) == value, text
 
 
