--- a/anisefront/config/explain.py
+++ b/anisefront/config/explain.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from typing import Any
 
 from anisefront.config.checker import Checked
 from anisefront.config.values import write_time
@@ -11,44 +12,66 @@
 from anisefront.gateway.patterns import Request, host_rank, matches, rank, shape
 from anisefront.gateway.routing import Router
 
+MAX_SHOWN_ROUTES = 5  # of those that the route beat
+
 
 def explain(checked: Checked, request: Request) -> list[str]:
-    """Lines of text: the route and what it beat, the key, plan, quota and class, each with its place."""
-    config, model, where = checked.config, checked.model, checked.load.where
-    out = [f"request {request}"]
+    """Return lines of text: the route and those it beat, the key, plan, quota and class, each with its place."""
+    lines = [f"request {request}"]
     try:
         target = normalize_target(request.path)
-    except AmbiguousPathError as problem:
-        return [*out, f"path    unclear, denied with 400: {problem}"]
+    except AmbiguousPathError as error:
+        return [*lines, f"path    unclear, denied with 400: {error}"]
     if target != request.path:
-        out.append(f"path    judged, and sent on, as {target}")
+        lines.append(f"path    judged, and sent on, as {target}")
     request = replace(request, path=target.partition("?")[0])
-    entries = model.of("route")
+    ranked = _ranked_routes(checked, request)
+    if not ranked:
+        return [*lines, "no route matches: denied with 404"]
+    lines += _explain_route(checked, ranked)
+    lines.append(_explain_class(checked, checked.config.routes[ranked[0][1]].class_name))
+    return lines + _explain_customer(checked, request)
+
+
+def _ranked_routes(checked: Checked, request: Request) -> list[tuple[Any, int, str]]:
+    """Return rank, number and matched method of each route that matches, the one that wins first."""
     ranked = []
-    for number, route in enumerate(config.routes):
+    for number, route in enumerate(checked.config.routes):
         if matches(route.pattern, request):
             method = request.method if request.method in route.pattern.methods else "*"
             ranked.append((rank(route.pattern, method, number), number, method))
-    ranked.sort()
-    if not ranked:
-        return [*out, "no route matches: denied with 404"]
+    return sorted(ranked)
+
+
+def _explain_route(checked: Checked, ranked: list[tuple[Any, int, str]]) -> list[str]:
+    where = checked.load.where
+    entries = checked.model.of("route")
+    routes = checked.config.routes
     _, first, method = ranked[0]
-    route = config.routes[first]
-    out.append(
+    route = routes[first]
+    lines = [
         f"route   {where(entries[first].word.place)}: {' '.join(route.pattern.methods)} {route.pattern.path} "
         f"-> class {route.class_name}, pool {route.pool}"
+    ]
+    for _, number, other_method in ranked[1 : 1 + MAX_SHOWN_ROUTES]:
+        reason = _why(route.pattern, method, routes[number].pattern, other_method)
+        lines.append(f"  over  {where(entries[number].word.place)}: {routes[number].pattern.path} - {reason}")
+    return lines
+
+
+def _explain_class(checked: Checked, name: str) -> str:
+    place = checked.load.where(checked.model.named("class")[name].word.place)
+    request_class = next(each for each in checked.config.settings.classes if each.name == name)
+    return (
+        f"class   {place}: aim {write_time(request_class.latency_objective_ms)}, deadline "
+        f"{write_time(request_class.deadline_ms)}, {request_class.idempotency.value}"
     )
-    for _, number, other in ranked[1:6]:
-        out.append(
-            f"  over  {where(entries[number].word.place)}: {config.routes[number].pattern.path} - "
-            f"{_why(config.routes[first].pattern, method, config.routes[number].pattern, other)}"
-        )
-    classes, plans, quotas = model.named("class"), model.named("plan"), model.named("quota")
-    kind = next(each for each in config.settings.classes if each.name == route.class_name)
-    out.append(
-        f"class   {where(classes[kind.name].word.place)}: aim {write_time(kind.latency_objective_ms)}, deadline "
-        f"{write_time(kind.deadline_ms)}, {kind.idempotency.value}"
-    )
+
+
+def _explain_customer(checked: Checked, request: Request) -> list[str]:
+    config = checked.config
+    model = checked.model
+    where = checked.load.where
     router = Router(
         config.routes,
         {each.name: each.deadline_ms for each in config.settings.classes},
@@ -60,23 +83,21 @@
     )
     try:
         mapped = router.map(request.method, request.host, request.path, dict(request.headers))
-    except UnroutableRequestError as problem:
-        return [*out, f"customer: denied with {problem.status}, {problem} (header {config.customer_header})"]
-    key = dict(request.headers)[config.customer_header]
-    listed = model.named("key").get(key)
-    place = where((listed or model.one("customers")).word.place)
-    how = "by its key" if listed else "a key that is not listed"
-    out.append(f"key     {place}: customer {mapped.customer.partition(':')[2]}, {how}")
-    plan = plans[mapped.plan]
-    quota = quotas[plan.options["quota"]]
-    out.append(f"plan    {where(plan.word.place)}: {mapped.plan}")
+    except UnroutableRequestError as error:
+        return [f"customer: denied with {error.status}, {error} (header {config.customer_header})"]
+    listed = model.named("key").get(dict(request.headers)[config.customer_header])
+    key_place = where((listed or model.one("customers")).word.place)
+    key_kind = "by its key" if listed else "a key that is not listed"
+    plan = model.named("plan")[mapped.plan]
+    quota = model.named("quota")[plan.options["quota"]]
     limits = ", ".join(f"{name} {quota.places[name].text}" for name in quota.options)
-    out.append(f"quota   {where(quota.word.place)}: {quota.arguments['name']}: {limits}")
-    out.append(
-        f"counts  {mapped.units:g} units, {write_time(mapped.deadline_ms)} left"
-        + (", a client's repeat" if mapped.is_retry else "")
-    )
-    return out
+    retry = ", a client's repeat" if mapped.is_retry else ""
+    return [
+        f"key     {key_place}: customer {mapped.customer.partition(':')[2]}, {key_kind}",
+        f"plan    {where(plan.word.place)}: {mapped.plan}",
+        f"quota   {where(quota.word.place)}: {quota.arguments['name']}: {limits}",
+        f"counts  {mapped.units:g} units, {write_time(mapped.deadline_ms)} left{retry}",
+    ]
 
 
 def _why(winner: object, method: str, loser: object, other: str) -> str:
--- a/anisefront/config/file_record.py
+++ b/anisefront/config/file_record.py
@@ -22,7 +22,8 @@
 LINES_PER_STEP = 4  # of a file that are read in one step; one line may be long, and one directive may go over many
 PLAIN_LINES_PER_LINE = 12  # plain lines that count as one
 # The lines of which a large installation has thousands, where each word is plain: their meaning is plain as well.
-_WORD, _NAME = r"([!%&'()*+\-./0-9:<=>?@A-Z^_`a-z|~]{1,4096})", r"([A-Za-z][A-Za-z0-9._-]{0,63})"
+_WORD = r"([!%&'()*+\-./0-9:<=>?@A-Z^_`a-z|~]{1,4096})"
+_NAME = r"([A-Za-z][A-Za-z0-9._-]{0,63})"
 _KEY = re.compile(rf"([ \t]*)key[ \t]+{_WORD}[ \t]+customer[ \t]+{_WORD}[ \t]+plan[ \t]+{_NAME}[ \t]*\r?\Z")
 _ROUTE = re.compile(
     rf"([ \t]*)route[ \t]+(\*|[A-Z][A-Z-]{{0,31}})[ \t]+{_WORD}[ \t]+class[ \t]+{_NAME}[ \t]+pool[ \t]+"
@@ -130,9 +131,9 @@
 class Wanted:
     """Routes and keys of one section, by their numbers in it, of which messages need the places of all words."""
 
-    def __init__(self, part: Section, routes: Iterable[int], keys: Iterable[int]) -> None:
-        """Create a request for entries of `part`, none of which is found yet."""
-        self.part = part.number
+    def __init__(self, section: Section, routes: Iterable[int], keys: Iterable[int]) -> None:
+        """Create a request for entries of `section`, none of which is found yet."""
+        self.section = section.number
         self.routes: dict[int, Entry] = {}
         self.keys: dict[int, Entry] = {}
         self.of_routes = frozenset(routes)
@@ -168,19 +169,19 @@
     def _begin(self) -> None:
         self._items: list[Section | Directive] = []
         self._expansion = Expansion(self._known)
-        self._part: _SectionBuilder | None = None
+        self._section: _SectionBuilder | None = None
 
     def run(self, data: bytes, digest: bytes) -> Generator[None, None, FileRecord]:
         """The record."""
-        for part in self._before:
-            for at, known in enumerate(zip(part.texts, part.keys, strict=True)):
+        for section in self._before:
+            for at, known in enumerate(zip(section.texts, section.keys, strict=True)):
                 if at % KEYS_PER_STEP == 0:
                     yield
                 self._keys[known[0]] = known
         problems = yield from self._clean(data)
         if problems is None:
             problems = yield from self._faulty(data)
-        self._end_part()
+        self._end_section()
         return FileRecord(digest, tuple(self._items), tuple(problems), self._expansion, self._known)
 
     def _clean(self, data: bytes) -> Generator[None, None, list[Problem] | None]:
@@ -241,17 +242,17 @@
             if number % LINES_PER_STEP == 0:
                 yield
             if directive.name.text == "include":
-                self._end_part()
+                self._end_section()
                 self._items.append(directive)
                 continue
-            yield from self._open_part(directive).take(directive, self._expansion)
+            yield from self._open_section(directive).take(directive, self._expansion)
 
-    def _open_part(self, first: Directive) -> _SectionBuilder:
-        if self._part is None:
+    def _open_section(self, first: Directive) -> _SectionBuilder:
+        if self._section is None:
             number = sum(isinstance(each, Section) for each in self._items)
-            wanted = self._wanted if self._wanted is not None and self._wanted.part == number else None
-            self._part = _SectionBuilder(self._file, number, wanted, first, self._expansion, self._keys)
-        return self._part
+            wanted = self._wanted if self._wanted is not None and self._wanted.section == number else None
+            self._section = _SectionBuilder(self._file, number, wanted, first, self._expansion, self._keys)
+        return self._section
 
     def _plain(self, line: str, number: int) -> bool:
         """Add a plain route or key without lexing it; return False where the line is neither, and has to be lexed."""
@@ -260,7 +261,7 @@
         if (found := _KEY.match(line)) is not None:
             indent, text, customer, plan = found.groups()
             word = Word("key", Place(self._file, number, len(indent) + 1))
-            self._open_part(Directive(word)).key(word, text, Key(customer, intern(plan)))
+            self._open_section(Directive(word)).key(word, text, Key(customer, intern(plan)))
         elif (found := _ROUTE.match(line)) is not None:
             indent, method, path, class_name, pool, host = found.groups()
             word = Word("route", Place(self._file, number, len(indent) + 1))
@@ -270,20 +271,20 @@
                     HOST.read(Word(host, word.place))
             except InvalidValueError:
                 return False
-            self._open_part(Directive(word)).route(word, plain_route((method,), path, host or "*", class_name, pool))
+            self._open_section(Directive(word)).route(word, plain_route((method,), path, host or "*", class_name, pool))
         else:
             return False
         self._expansion.lines += 1
         return True
 
-    def _end_part(self) -> None:
-        if self._part is not None:
-            self._items.append(self._part.closed(self._expansion))
-            self._part = None
+    def _end_section(self) -> None:
+        if self._section is not None:
+            self._items.append(self._section.closed(self._expansion))
+            self._section = None
 
 
 class _SectionBuilder:
-    """A part while its lines are taken in."""
+    """A section while its lines are taken in."""
 
     def __init__(
         self,
@@ -295,11 +296,11 @@
         keys_before: Mapping[str, tuple[str, Key]],
     ) -> None:
         self._wanted = wanted
-        self._part = Section(file, number)
+        self._section = Section(file, number)
         self._keys_before = keys_before
         self._lines_before = expansion.lines
         self._known_before = len(expansion.undeclared)
-        self._part.first = first if first.name.text == "language" else Directive(first.name)
+        self._section.first = first if first.name.text == "language" else Directive(first.name)
         self._problems: list[Problem] = []
         self._reader = LineReader(self._problems)
         self._globals: list[Directive] = []
@@ -348,7 +349,7 @@
     def route(self, word: Word, route: Route) -> None:
         """Add a route."""
         self._routes.append(route)
-        self._part.route_places.extend(word.place)
+        self._section.route_places.extend(word.place)
 
     def key(self, word: Word, text: str, key: Key) -> None:
         """Add a key, as the same object as in the record before.
@@ -360,26 +361,26 @@
             text, key = known
         self._texts.append(text)
         self._keys.append(key)
-        self._part.key_places.extend(word.place)
+        self._section.key_places.extend(word.place)
 
     def closed(self, expansion: Expansion) -> Section:
         """Return the section, with the problems of its expansion."""
-        part = self._part
-        part.globals = tuple(self._globals)
-        part.languages = tuple(self._languages)
-        part.routes = tuple(self._routes)
-        part.texts = tuple(self._texts)
-        part.keys = tuple(self._keys)
-        part.entries = tuple(self._entries)
-        part.named = tuple(self._named)
-        part.faulty_keys = tuple(self._faulty_keys)
-        part.problems = tuple(self._problems)
-        part.expansion = tuple(expansion.problems)
-        part.lost = self._reader.lost
-        part.undeclared = tuple(list(expansion.undeclared.items())[self._known_before :])
-        part.lines = expansion.lines - self._lines_before
+        section = self._section
+        section.globals = tuple(self._globals)
+        section.languages = tuple(self._languages)
+        section.routes = tuple(self._routes)
+        section.texts = tuple(self._texts)
+        section.keys = tuple(self._keys)
+        section.entries = tuple(self._entries)
+        section.named = tuple(self._named)
+        section.faulty_keys = tuple(self._faulty_keys)
+        section.problems = tuple(self._problems)
+        section.expansion = tuple(expansion.problems)
+        section.lost = self._reader.lost
+        section.undeclared = tuple(list(expansion.undeclared.items())[self._known_before :])
+        section.lines = expansion.lines - self._lines_before
         expansion.problems.clear()
-        return part
+        return section
 
 
 def where(paths: Mapping[int, str], place: Place) -> str:
