--- a/anisefront/config/record.py
+++ b/anisefront/config/file_record.py
@@ -1,6 +1,7 @@
-"""What one file of settings came to, kept so that it need not be read again while its bytes are the same: routes and
-keys as the program needs them, with their places, and all other lines as entries. No text, no tokens, no tree. Free of
-I/O; made in steps.
+"""The record of one file of the settings, which replaces reading it again while its bytes are the same.
+
+It has routes and keys as the program needs them, with their places, and all other lines as entries, but no text, tokens
+or tree. Free of I/O; built in steps.
 """
 
 from __future__ import annotations
@@ -11,30 +12,32 @@
 from sys import intern
 
 from anisefront.config.checker import LineReader, Named
-from anisefront.config.lexer import MOST_LINE, Place, Problem, Severity, Token, Word, decode, take_line
-from anisefront.config.loader import Expansion, Globals
+from anisefront.config.definitions import Expansion, Globals
+from anisefront.config.lexer import MAX_LINE_LENGTH, Place, Problem, Severity, Token, Word, decode, take_line
 from anisefront.config.model import Entry, key, plain_route, route
 from anisefront.config.parser import Directive, Parser
-from anisefront.config.values import HOST, PATH, Unfit
+from anisefront.config.values import HOST, PATH, InvalidValueError
 from anisefront.gateway.routes import Key, Route
 
-LINES = 4  # of a file that are read in one step; one line may be long, and one directive may go over many
-PLAIN = 12  # plain lines that count as one
+LINES_PER_STEP = 4  # of a file that are read in one step; one line may be long, and one directive may go over many
+PLAIN_LINES_PER_LINE = 12  # plain lines that count as one
 # The lines of which a large installation has thousands, where each word is plain: their meaning is plain as well.
-_WORD, _NAME = r"([!%&'()*+\-./0-9:<=>?@A-Z^_`a-z|~]{1,4096})", r"([A-Za-z][A-Za-z0-9._-]{0,63})"
+_WORD = r"([!%&'()*+\-./0-9:<=>?@A-Z^_`a-z|~]{1,4096})"
+_NAME = r"([A-Za-z][A-Za-z0-9._-]{0,63})"
 _KEY = re.compile(rf"([ \t]*)key[ \t]+{_WORD}[ \t]+customer[ \t]+{_WORD}[ \t]+plan[ \t]+{_NAME}[ \t]*\r?\Z")
 _ROUTE = re.compile(
     rf"([ \t]*)route[ \t]+(\*|[A-Z][A-Z-]{{0,31}})[ \t]+{_WORD}[ \t]+class[ \t]+{_NAME}[ \t]+pool[ \t]+"
     rf"{_NAME}(?:[ \t]+host[ \t]+{_WORD})?[ \t]*\r?\Z"
 )
-BEFORE = 256  # keys of before that are gone through in one step
-PIECE = 1 << 15  # bytes that are decoded at once, and those to the end of their line
+KEYS_PER_STEP = 256  # keys of before that are gone through in one step
+DECODE_CHUNK_BYTES = 1 << 15  # bytes that are decoded at once, and those to the end of their line
 
 
-class Part:
-    """What stands in a file between two includes, as it counts. Never changed once it is made.
+class Section:
+    """The lines of a file between two includes, after expansion. Never changed once it is built.
 
-    `route_places` and `key_places` hold file, line and column of each, three numbers in a row."""
+    `route_places` and `key_places` hold file, line and column of each, three numbers in a row.
+    """
 
     __slots__ = (
         "entries",
@@ -58,7 +61,9 @@
     )
 
     def __init__(self, file: int, number: int) -> None:
-        self.file, self.number = file, number
+        """Create an empty section: the one of this number in its file."""
+        self.file = file
+        self.number = number
         self.first: Directive | None = None  # the first line; of its values none unless it is `language`
         self.globals: tuple[Directive, ...] = ()  # `env` and `define` lines
         self.languages: tuple[Problem, ...] = ()  # what each `language` line is, unless it is the first of all
@@ -85,27 +90,30 @@
         return Word("key", Place(*self.key_places[3 * at : 3 * at + 3]))
 
 
-class Record:
-    """One file: its digest, parts and includes in their order, faults of its form, and what it looked up elsewhere."""
+class FileRecord:
+    """One file: its digest, sections and includes in order, syntax errors, and what it looked up in other files."""
 
     __slots__ = ("digest", "items", "looked_up", "names", "problems", "used")
 
     def __init__(
         self,
         digest: bytes,
-        items: tuple[Part | Directive, ...],
+        items: tuple[Section | Directive, ...],
         problems: tuple[Problem, ...],
         expansion: Expansion,
         known: Globals,
     ) -> None:
-        self.digest, self.items, self.problems = digest, items, problems
+        """Create the record of a file that was expanded by the declarations `known`."""
+        self.digest = digest
+        self.items = items
+        self.problems = problems
         self.used = expansion.used
         self.looked_up = {name: (value, name in known.unset) for name, value in expansion.looked_up.items()}
-        # A definition that is not there is told by the names that are near.
+        # The message on a definition that does not exist suggests similar names, so it depends on all names.
         self.names = tuple(known.definitions) if None in expansion.used.values() else None
 
     def holds(self, known: Globals) -> bool:
-        """Whether the file comes to the same under these definitions and values."""
+        """Return whether these definitions and values expand the file to the same lines."""
         return (
             all(known.definitions.get(name) is definition for name, definition in self.used.items())
             and all((known.values.get(name), name in known.unset) == found for name, found in self.looked_up.items())
@@ -113,76 +121,87 @@
         )
 
 
-def record(
-    data: bytes, digest: bytes, file: int, known: Globals, before: Record | None = None
-) -> Generator[None, None, Record]:
-    """A file's record, in steps. Keys that are as in the record before are the same objects."""
-    return (yield from _Maker(file, known, before).run(data, digest))
+def build_file_record(
+    data: bytes, digest: bytes, file: int, known: Globals, before: FileRecord | None = None
+) -> Generator[None, None, FileRecord]:
+    """Build a file's record, in steps. Keys that are equal to those of the record before are the same objects."""
+    return (yield from _RecordBuilder(file, known, before).run(data, digest))
 
 
 class Wanted:
-    """Routes and keys of one part, by their numbers in it, of which messages need the places of all words."""
+    """Routes and keys of one section, by their numbers in it, of which messages need the places of all words."""
 
-    def __init__(self, part: Part, routes: Iterable[int], keys: Iterable[int]) -> None:
-        self.part, self.routes, self.keys = part.number, dict[int, Entry](), dict[int, Entry]()
-        self.of_routes, self.of_keys = frozenset(routes), frozenset(keys)
+    def __init__(self, section: Section, routes: Iterable[int], keys: Iterable[int]) -> None:
+        """Create a request for entries of `section`, none of which is found yet."""
+        self.section = section.number
+        self.routes: dict[int, Entry] = {}
+        self.keys: dict[int, Entry] = {}
+        self.of_routes = frozenset(routes)
+        self.of_keys = frozenset(keys)
 
 
-def entries(data: bytes, file: int, known: Globals, wanted: Wanted) -> Generator[None, None, None]:
-    """Read a file again for what is wanted of it, which is put there."""
-    yield from _Maker(file, known, wanted=wanted).run(data, b"")
+def collect_entries(data: bytes, file: int, known: Globals, wanted: Wanted) -> Generator[None, None, None]:
+    """Read a file again and put the entries that are wanted into `wanted`."""
+    yield from _RecordBuilder(file, known, wanted=wanted).run(data, b"")
 
 
 def lines_of(data: bytes) -> Iterator[str]:
-    """The lines of a file, decoded a piece at a time; raises UnicodeDecodeError."""
+    """Yield the lines of a file, decoded in chunks; raises UnicodeDecodeError."""
     at = 3 if data.startswith(b"\xef\xbb\xbf") else 0
     while True:
-        end = data.find(b"\n", at + PIECE)
+        end = data.find(b"\n", at + DECODE_CHUNK_BYTES)
         yield from data[at : end if end >= 0 else len(data)].decode().split("\n")
         if end < 0:
             return
         at = end + 1
 
 
-class _Maker:
-    def __init__(self, file: int, known: Globals, before: Record | None = None, wanted: Wanted | None = None) -> None:
-        self._file, self._known, self._wanted = file, known, wanted
+class _RecordBuilder:
+    def __init__(
+        self, file: int, known: Globals, before: FileRecord | None = None, wanted: Wanted | None = None
+    ) -> None:
+        self._file = file
+        self._known = known
+        self._wanted = wanted
         self._keys: dict[str, tuple[str, Key]] = {}
-        self._before = [] if before is None else [each for each in before.items if isinstance(each, Part)]
+        self._before = [] if before is None else [each for each in before.items if isinstance(each, Section)]
 
     def _begin(self) -> None:
-        self._items: list[Part | Directive] = []
+        self._items: list[Section | Directive] = []
         self._expansion = Expansion(self._known)
-        self._part: _OpenPart | None = None
+        self._section: _SectionBuilder | None = None
 
-    def run(self, data: bytes, digest: bytes) -> Generator[None, None, Record]:
+    def run(self, data: bytes, digest: bytes) -> Generator[None, None, FileRecord]:
         """The record."""
-        for part in self._before:
-            for at, known in enumerate(zip(part.texts, part.keys, strict=True)):
-                if at % BEFORE == 0:
+        for section in self._before:
+            for at, known in enumerate(zip(section.texts, section.keys, strict=True)):
+                if at % KEYS_PER_STEP == 0:
                     yield
                 self._keys[known[0]] = known
         problems = yield from self._clean(data)
         if problems is None:
             problems = yield from self._faulty(data)
-        self._end_part()
-        return Record(digest, tuple(self._items), tuple(problems), self._expansion, self._known)
+        self._end_section()
+        return FileRecord(digest, tuple(self._items), tuple(problems), self._expansion, self._known)
 
     def _clean(self, data: bytes) -> Generator[None, None, list[Problem] | None]:
-        """The usual way: each directive is forgotten once it is read. None where the file has a fault of form: mending
-        that looks back and forth, which takes the whole tree."""
+        """Read a file without syntax errors, keeping no directive once it is processed.
+
+        Returns:
+            Its warnings; None where it has a syntax error, since recovery needs the whole tree.
+        """
         self._begin()
         problems: list[Problem] = []
         parser, tokens, seen, work = Parser(problems), list[Token](), 0, 0
         try:
             for number, line in enumerate(lines_of(data), 1):
-                if work >= LINES * PLAIN:
+                if work >= LINES_PER_STEP * PLAIN_LINES_PER_LINE:
                     work = 0
                     yield
                 if not tokens and parser.at_rest and self._plain(line, number):
                     work += 1
                     continue
-                work += PLAIN
+                work += PLAIN_LINES_PER_LINE
                 if take_line(line, number, self._file, tokens, problems):
                     parser.feed(tokens)
                     tokens.clear()
@@ -201,13 +220,13 @@
         return problems
 
     def _faulty(self, data: bytes) -> Generator[None, None, list[Problem]]:
-        """The way of a file with a fault of form: all of its tree, and then its lines."""
+        """Read a file with syntax errors: its whole tree first, and then its lines."""
         self._begin()
         text, problems = decode(data, self._file)
         yield
         parser, tokens = Parser(problems), list[Token]()
         for number, line in enumerate(text.split("\n"), 1):
-            if number % LINES == 0:
+            if number % LINES_PER_STEP == 0:
                 yield
             if take_line(line, number, self._file, tokens, problems):
                 parser.feed(tokens)
@@ -220,29 +239,29 @@
 
     def _take_all(self, directives: Iterable[Directive]) -> Generator[None, None, None]:
         for number, directive in enumerate(directives, 1):
-            if number % LINES == 0:
+            if number % LINES_PER_STEP == 0:
                 yield
             if directive.name.text == "include":
-                self._end_part()
+                self._end_section()
                 self._items.append(directive)
                 continue
-            yield from self._open_part(directive).take(directive, self._expansion)
+            yield from self._open_section(directive).take(directive, self._expansion)
 
-    def _open_part(self, first: Directive) -> _OpenPart:
-        if self._part is None:
-            number = sum(isinstance(each, Part) for each in self._items)
-            wanted = self._wanted if self._wanted is not None and self._wanted.part == number else None
-            self._part = _OpenPart(self._file, number, wanted, first, self._expansion, self._keys)
-        return self._part
+    def _open_section(self, first: Directive) -> _SectionBuilder:
+        if self._section is None:
+            number = sum(isinstance(each, Section) for each in self._items)
+            wanted = self._wanted if self._wanted is not None and self._wanted.section == number else None
+            self._section = _SectionBuilder(self._file, number, wanted, first, self._expansion, self._keys)
+        return self._section
 
     def _plain(self, line: str, number: int) -> bool:
-        """Take a plain route or key without tokens; false where the line is none, and must be read by the usual way."""
-        if self._wanted is not None or len(line) > MOST_LINE:
+        """Add a plain route or key without lexing it; return False where the line is neither, and has to be lexed."""
+        if self._wanted is not None or len(line) > MAX_LINE_LENGTH:
             return False
         if (found := _KEY.match(line)) is not None:
             indent, text, customer, plan = found.groups()
             word = Word("key", Place(self._file, number, len(indent) + 1))
-            self._open_part(Directive(word)).key(word, text, Key(customer, intern(plan)))
+            self._open_section(Directive(word)).key(word, text, Key(customer, intern(plan)))
         elif (found := _ROUTE.match(line)) is not None:
             indent, method, path, class_name, pool, host = found.groups()
             word = Word("route", Place(self._file, number, len(indent) + 1))
@@ -250,22 +269,22 @@
                 PATH.read(Word(path, word.place))
                 if host is not None:
                     HOST.read(Word(host, word.place))
-            except Unfit:
+            except InvalidValueError:
                 return False
-            self._open_part(Directive(word)).route(word, plain_route((method,), path, host or "*", class_name, pool))
+            self._open_section(Directive(word)).route(word, plain_route((method,), path, host or "*", class_name, pool))
         else:
             return False
         self._expansion.lines += 1
         return True
 
-    def _end_part(self) -> None:
-        if self._part is not None:
-            self._items.append(self._part.closed(self._expansion))
-            self._part = None
+    def _end_section(self) -> None:
+        if self._section is not None:
+            self._items.append(self._section.closed(self._expansion))
+            self._section = None
 
 
-class _OpenPart:
-    """A part while its lines are taken in."""
+class _SectionBuilder:
+    """A section while its lines are taken in."""
 
     def __init__(
         self,
@@ -276,9 +295,12 @@
         expansion: Expansion,
         keys_before: Mapping[str, tuple[str, Key]],
     ) -> None:
-        self._wanted, self._part, self._keys_before = wanted, Part(file, number), keys_before
-        self._lines_before, self._known_before = expansion.lines, len(expansion.undeclared)
-        self._part.first = first if first.name.text == "language" else Directive(first.name)
+        self._wanted = wanted
+        self._section = Section(file, number)
+        self._keys_before = keys_before
+        self._lines_before = expansion.lines
+        self._known_before = len(expansion.undeclared)
+        self._section.first = first if first.name.text == "language" else Directive(first.name)
         self._problems: list[Problem] = []
         self._reader = LineReader(self._problems)
         self._globals: list[Directive] = []
@@ -291,7 +313,7 @@
         self._faulty_keys: list[tuple[int, Word]] = []
 
     def take(self, directive: Directive, expansion: Expansion) -> Generator[None, None, None]:
-        """Take one line in."""
+        """Add one line."""
         name = directive.name.text
         if name in ("env", "define"):
             self._globals.append(directive)
@@ -299,8 +321,8 @@
             self._reader.read(directive)
             self._languages.append(self._problems.pop())
         else:
-            for count, line in enumerate(expansion.put(directive)):
-                if count % LINES == LINES - 1:
+            for count, line in enumerate(expansion.expand(directive)):
+                if count % LINES_PER_STEP == LINES_PER_STEP - 1:
                     yield
                 if line is not None:
                     self._line(line)
@@ -325,32 +347,42 @@
             self._named.append(named)
 
     def route(self, word: Word, route: Route) -> None:
-        """Take a route in."""
+        """Add a route."""
         self._routes.append(route)
-        self._part.route_places.extend(word.place)
+        self._section.route_places.extend(word.place)
 
     def key(self, word: Word, text: str, key: Key) -> None:
-        """Take a key in. Danger: the table of keys has the objects of before; others like them would be held twice."""
-        if (known := self._keys_before.get(text)) is not None and known[1] == key:
+        """Add a key, as the same object as in the record before.
+
+        The table of keys refers to the objects of that record; equal copies would take memory twice.
+        """
+        known = self._keys_before.get(text)
+        if known is not None and known[1] == key:
             text, key = known
         self._texts.append(text)
         self._keys.append(key)
-        self._part.key_places.extend(word.place)
-
-    def closed(self, expansion: Expansion) -> Part:
-        """The part; what the expansion had to say of its lines goes with it."""
-        part = self._part
-        part.globals, part.languages = tuple(self._globals), tuple(self._languages)
-        part.routes, part.texts, part.keys = tuple(self._routes), tuple(self._texts), tuple(self._keys)
-        part.entries, part.named = tuple(self._entries), tuple(self._named)
-        part.faulty_keys, part.problems = tuple(self._faulty_keys), tuple(self._problems)
-        part.expansion, part.lost = tuple(expansion.problems), self._reader.lost
-        part.undeclared = tuple(list(expansion.undeclared.items())[self._known_before :])
-        part.lines = expansion.lines - self._lines_before
+        self._section.key_places.extend(word.place)
+
+    def closed(self, expansion: Expansion) -> Section:
+        """Return the section, with the problems of its expansion."""
+        section = self._section
+        section.globals = tuple(self._globals)
+        section.languages = tuple(self._languages)
+        section.routes = tuple(self._routes)
+        section.texts = tuple(self._texts)
+        section.keys = tuple(self._keys)
+        section.entries = tuple(self._entries)
+        section.named = tuple(self._named)
+        section.faulty_keys = tuple(self._faulty_keys)
+        section.problems = tuple(self._problems)
+        section.expansion = tuple(expansion.problems)
+        section.lost = self._reader.lost
+        section.undeclared = tuple(list(expansion.undeclared.items())[self._known_before :])
+        section.lines = expansion.lines - self._lines_before
         expansion.problems.clear()
-        return part
+        return section
 
 
 def where(paths: Mapping[int, str], place: Place) -> str:
-    """file:line:column."""
+    """Return file:line:column."""
     return f"{paths.get(place.file, '?')}:{place.line}:{place.column}"
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -9,9 +9,9 @@
 from test_config_corpus import GOOD
 from twisted.internet.testing import MemoryReactorClock
 
-from anisefront.config import reading
-from anisefront.config.loader import Disk
-from anisefront.config.reading import Outcome
+from anisefront.config import incremental_loader
+from anisefront.config.source_files import DiskFiles
+from anisefront.config.incremental_loader import LoadOutcome
 from anisefront.gateway.pending_request import PendingRequest, ReplicaRecord
 from anisefront.gateway.errors import UnroutableRequestError
 from anisefront.gateway.steps import run_to_end
@@ -67,11 +67,11 @@
                 for _ in range(3):
                     yield
                 if not was_whole:  # it went on from half of a reading
-                    return Outcome(-2, (), (), "")
+                    return LoadOutcome(-2, (), (), "")
                 if found == BAD:
                     raise ValueError("nobody foresaw this")
                 self.whole = True
-                return Outcome(found, (), (), "")
+                return LoadOutcome(found, (), (), "")
 
         self.source = SettingsSource("", {}, Read)
         self.reloader = ReloadScheduler(
@@ -194,7 +194,7 @@
 class Staged:
     """A gatekeeper with a file of settings and a folder of services that it includes; one step of settings a turn."""
 
-    def __init__(self, folder, make=reading.Reading, text=TEXT):
+    def __init__(self, folder, make=incremental_loader.IncrementalLoader, text=TEXT):
         self.folder, self.reactor = folder, Loop()
         (folder / "services").mkdir()
         self.path = folder / "gatekeeper.conf"
@@ -321,7 +321,7 @@
 
 def writing(monkeypatch, write):
     """Whenever the file of service one has been read, something is written."""
-    inner = Disk.read
+    inner = DiskFiles.read
 
     def read(self, path):
         data = yield from inner(self, path)
@@ -329,7 +329,7 @@
             write()
         return data
 
-    monkeypatch.setattr(Disk, "read", read)
+    monkeypatch.setattr(DiskFiles, "read", read)
 
 
 def test_a_file_that_changes_while_it_is_read_is_read_again(stage, monkeypatch):
@@ -358,14 +358,14 @@
 
 def test_a_file_that_vanishes_between_its_finding_and_its_reading_costs_one_reading_more(stage, monkeypatch):
     stage.service("two")
-    inner = Disk.find
+    inner = DiskFiles.find
 
     def find(self, pattern):
         found = inner(self, pattern)
         (stage.folder / "services/two.conf").unlink(missing_ok=True)
         return found
 
-    monkeypatch.setattr(Disk, "find", find)
+    monkeypatch.setattr(DiskFiles, "find", find)
     stage.service("three")
     assert stage.change()["fault"] == "" and stage.takes("/three") and stage.takes("/two") is None
 
@@ -394,7 +394,7 @@
 
 
 def test_what_nobody_foresaw_leaves_the_old_version_and_the_next_hang_up_works(tmp_path):
-    class Raising(reading.Reading):
+    class Raising(incremental_loader.IncrementalLoader):
         raises = False
 
         def steps(self):
