--- a/anisefront/policy/quota_owner.py
+++ b/anisefront/policy/quota_owner.py
@@ -20,13 +20,14 @@
 class QuotaOwner:
     """The buckets of the customers that this gateway instance owns."""
 
-    __slots__ = ("buckets", "_max_priority", "_plan_indexes", "_send", "_settings", "_timers")
+    __slots__ = ("buckets", "_granting", "_max_priority", "_plan_indexes", "_send", "_settings", "_timers")
 
     def __init__(
         self, settings: Settings, timers: TimerQueue, send: Callable[[float, int, QuotaMessage], None]
     ) -> None:
         """Start without buckets; `send` takes the time, the receiving gateway instance and a message."""
         self.buckets: dict[int, QuotaBucket] = {}  # by customer tag
+        self._granting: set[int] = set()  # tags whose queue is being granted now
         self._send = send
         self._timers = timers
         self._set_settings(settings)
@@ -80,7 +81,20 @@
             self.grant_queued(now_ms, message.customer_tag)
 
     def grant_queued(self, now_ms: float, tag: int) -> None:
-        """Grant units to the requests that wait, in the order of their priority, of equal priority the newest."""
+        """Grant units to the requests that wait, in the order of their priority, of equal priority the newest.
+
+        A local request that has ended refunds its grant within the call. The running loop continues with those units: a
+        nested one for each of many such requests would exceed the recursion limit.
+        """
+        if tag in self._granting:
+            return
+        self._granting.add(tag)
+        try:
+            self._grant_while_sufficient(now_ms, tag)
+        finally:
+            self._granting.discard(tag)
+
+    def _grant_while_sufficient(self, now_ms: float, tag: int) -> None:
         bucket = self.buckets[tag]
         bucket.refill(now_ms)
         while True:
--- a/tests/test_policy_quotas.py
+++ b/tests/test_policy_quotas.py
@@ -313,3 +313,22 @@
     assert [action.receiver for action in outbox.flush(1.0, 2.0, [])] == [2]
     assert pending(timers) == [TimerKind.OUTBOX_FLUSH]
     assert [action.receiver for action in outbox.flush(MAX_GAP_MS + 1, 2.0, [])] == [1]
+
+
+def test_hundreds_of_grants_that_are_refunded_at_once_do_not_nest():
+    """Local requests that have ended refund their grant within the call that grants it."""
+    side = OwnerSide(Plan("p", 10.0, 1.0))
+    side.receive(0.0, REQUEST, 1)
+    for serial in range(2, 502):
+        side.receive(0.0, REQUEST, serial)
+    granted = []
+
+    def refund(now_ms, gateway, sent):
+        granted.append(sent.serial)
+        refunded = sent._replace(kind=REFUND)
+        side.owner.receive(now_ms, QuotaRequestKey(gateway, 7, sent.serial), refunded)
+
+    side.owner._send = refund
+    side.owner.refill_timer_fired(101.0, TAG)
+    assert granted == list(range(501, 1, -1))
+    assert not side.bucket.queue
