--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -159,10 +159,10 @@
 @given(st.floats(0, 1e9, allow_subnormal=False))
 def test_numbers_are_written_and_read_without_loss(value):
     from anisefront.config.lexer import Place, Word
-    from anisefront.config.values import MOST_DIGITS, RATE, TIME, write_rate, write_time
+    from anisefront.config.values import MAX_DIGITS, RATE, TIME, write_rate, write_time
 
     for kind, text in ((TIME, write_time(value)), (RATE, write_rate(value))):
-        if "e" not in text and sum(each.isdigit() for each in text) < MOST_DIGITS:
+        if "e" not in text and sum(each.isdigit() for each in text) < MAX_DIGITS:
             assert kind.read(Word(text, Place(0, 1, 1))) == value, text
 
 
@@ -446,10 +446,10 @@
 @given(ROUTES)
 def test_crossings_are_found(routes):
     """Every pair with requests in common of which neither takes all of the other's paths is named."""
-    from anisefront.config.meaning import _crossing
+    from anisefront.config.route_crossings import crossing_pairs
     from anisefront.gateway.patterns import common_path, path_matches, shape
 
-    pairs = {tuple(sorted(pair)) for pair in _crossing([(None, route) for route in routes])}
+    pairs = {tuple(sorted(pair)) for pair in crossing_pairs(routes)}
     for first in range(len(routes)):
         for second in range(first + 1, len(routes)):
             a, b = routes[first].pattern.path, routes[second].pattern.path
