--- a/anisefront/daemon/request_takeover.py
+++ b/anisefront/daemon/request_takeover.py
@@ -126,15 +126,7 @@
         self._own.resume(
             job,
             lambda answer: self._on_response(identity, answer),
-            RequestTerms(
-                record.customer,
-                record.class_name,
-                record.plan_name,
-                replica.deadline_ms,
-                record.units,
-                record.first_gateway,
-                record.spread,
-            ),
+            _terms(record, replica),
             record.identity,
             prior_attempts,
         )
@@ -150,15 +142,7 @@
             record.data["life"],
             replica.request,
             record.identity,
-            RequestTerms(
-                record.customer,
-                record.class_name,
-                record.plan_name,
-                replica.deadline_ms,
-                record.units,
-                record.first_gateway,
-                record.spread,
-            ),
+            _terms(record, replica),
             prior_attempts,
             dict(replica.attempts),
         )
@@ -187,3 +171,16 @@
         return PriorAttempts(0, 0, "", 0.0, False)
     endpoint, started_ms = attempts[0][1]
     return PriorAttempts(attempts[-1][0] + 1, len(attempts), endpoint, started_ms, True)
+
+
+def _terms(record: RequestRecord, replica: ReplicatedRequest) -> RequestTerms:
+    """Return the terms under which the failed primary accepted a request."""
+    return RequestTerms(
+        record.customer,
+        record.class_name,
+        record.plan_name,
+        replica.deadline_ms,
+        record.units,
+        record.first_gateway,
+        record.spread,
+    )
