--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -62,8 +62,9 @@
 
     def start(self, number: int) -> None:
         out = open(f"{self.folder}/{number}", "a")
-        self.up[number] = subprocess.Popen([sys.executable, "-m", "benchmarks.members", "member", str(number),
-                                            json.dumps(self.ports)], stdout=out)
+        self.up[number] = subprocess.Popen(
+            [sys.executable, "-m", "benchmarks.members", "member", str(number), json.dumps(self.ports)], stdout=out
+        )
 
     def said(self) -> dict[tuple[int, int], tuple[float, str]]:
         """What each says of each last, and since when."""
@@ -113,13 +114,17 @@
 
 def main() -> None:
     import tempfile
+
     print("| members | all know of a start, s | of a death, s | of a leave, s | taken for out and up |")
     print("| --- | --- | --- | --- | --- |")
     for count in map(int, sys.argv[1:]):
         with tempfile.TemporaryDirectory() as folder:
             found = measure(count, folder)
-        print(f"| {count} | {found['start_s']:.1f} | {found['death_s']:.1f} | {found['leave_s']:.2f} | "
-              f"{found['falsely_out']} |", flush=True)
+        print(
+            f"| {count} | {found['start_s']:.1f} | {found['death_s']:.1f} | {found['leave_s']:.2f} | "
+            f"{found['falsely_out']} |",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/child.py
+++ b/benchmarks/scale/child.py
@@ -1,6 +1,6 @@
 """Processes of a scale run, both ends: a line of JSON each way, waits are bounded, none outlives who began it.
 
-    python -m benchmarks.scale.child PARENT FOLDER COMMAND...     becomes that command there, and ends with its parent
+python -m benchmarks.scale.child PARENT FOLDER COMMAND...     becomes that command there, and ends with its parent
 """
 
 from __future__ import annotations
@@ -51,8 +51,9 @@
     def __init__(self, name: str, command: Sequence[str], errors: TextIO) -> None:
         self.name, self._errors, self._rest = name, errors, b""
         self.began = time.monotonic()
-        self.process = subprocess.Popen([sys.executable, *command], cwd=ROOT, stdin=subprocess.PIPE,
-                                        stdout=subprocess.PIPE, stderr=errors)
+        self.process = subprocess.Popen(
+            [sys.executable, *command], cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=errors
+        )
         self.pid = self.process.pid
 
     @classmethod
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -1,8 +1,8 @@
 """Least squares with errors: what one measure costs by the size of one axis. Free of I/O.
 
-    linear     value = a + b * n
-    quadratic  value = a + b * n + c * n * n
-    inverse    value = a + b / n
+linear     value = a + b * n
+quadratic  value = a + b * n + c * n * n
+inverse    value = a + b / n
 """
 
 from __future__ import annotations
@@ -35,12 +35,19 @@
     spread = float(rest @ rest) / free if free else 0.0
     errors = numpy.sqrt(numpy.maximum(0.0, numpy.diag(spread * numpy.linalg.pinv(matrix.T @ matrix))))
     total = float(numpy.sum((numpy.array(values, float) - numpy.mean(values)) ** 2))
-    scale = [most ** power for power in range(degree + 1)]
+    scale = [most**power for power in range(degree + 1)]
     figures = [float(each) / by for each, by in zip(found, scale, strict=True)]
     doubts = [float(each) / by for each, by in zip(errors, scale, strict=True)]
     more = {"c": figures[2], "err_c": doubts[2]} if degree == 2 else {}
-    return Fit(MODELS[model], figures[0], figures[1], doubts[0], doubts[1],
-               1.0 - float(rest @ rest) / total if total else 1.0, **more)
+    return Fit(
+        MODELS[model],
+        figures[0],
+        figures[1],
+        doubts[0],
+        doubts[1],
+        1.0 - float(rest @ rest) / total if total else 1.0,
+        **more,
+    )
 
 
 def at(found: Fit, size: float) -> float:
--- a/benchmarks/scale/plan.py
+++ b/benchmarks/scale/plan.py
@@ -58,8 +58,17 @@
 # The standing test has 200 gatekeepers, up to 200 workers and one service. What it has no figure for is the plan's
 # part of 200 in 850.
 _PART = 200 / PLAN.gatekeepers
-TODAY = Size(200, 200, 1, round(PLAN.routes * _PART), round(PLAN.tenants * _PART), PLAN.requests_per_s * _PART,
-             PLAN.changes_a_day * _PART, PLAN.restarts_a_day * _PART, PLAN.failures_a_day * _PART)
+TODAY = Size(
+    200,
+    200,
+    1,
+    round(PLAN.routes * _PART),
+    round(PLAN.tenants * _PART),
+    PLAN.requests_per_s * _PART,
+    PLAN.changes_a_day * _PART,
+    PLAN.restarts_a_day * _PART,
+    PLAN.failures_a_day * _PART,
+)
 REGIONS, ZONES, CONTROL_MACHINES = 3, 8, 5
 RACK_MACHINES = 40  # taken: the plan names no size of a rack
 APART_S = 300.0  # taken: "minutes" for which regions lose each other
