--- a/anisefront/bench_adapter.py
+++ b/anisefront/bench_adapter.py
@@ -1,6 +1,7 @@
-"""The simulator's wire: reads batches, hosts one Controller an instance, writes the replies.
+"""Adapter between the simulator's text protocol and the controller.
 
-Nothing here decides anything. What cannot be read ends the process with one plain message.
+It reads batches of messages, passes them as events to one `Controller` per simulated gateway instance, and writes the
+resulting actions. It makes no decisions. An invalid message ends the process with an error message.
 """
 
 from __future__ import annotations
@@ -40,22 +41,26 @@
 )
 from anisefront.policy.settings_document import read_settings
 
-_STATES = {"Running": EndpointStatus.READY, "Stopping": EndpointStatus.DRAINING, "Deleted": EndpointStatus.REMOVED}
-_REPEATED_BIT = 2
+_ENDPOINT_STATUSES = {
+    "Running": EndpointStatus.READY,
+    "Stopping": EndpointStatus.DRAINING,
+    "Deleted": EndpointStatus.REMOVED,
+}
+_RETRY_BIT = 2  # in the field stateBits of REQUEST: the client has sent the request before
 
 
 class WireError(Exception):
-    """A line that cannot be read: names the message and the field."""
+    """An invalid message; the text names the message and the field."""
 
 
 class ControllerError(Exception):
-    """The controller raised an exception; the text is the reply for the simulator."""
+    """The controller raised an exception; the text is the reply to the simulator."""
 
 
-# ---- values -------------------------------------------------------------------------------------
+# ---- field readers -------------------------------------------------------------------------------------
 
 
-def _number(text: str) -> float:
+def _read_number(text: str) -> float:
     if text == "-":
         return 0.0
     value = float(text)
@@ -64,144 +69,162 @@
     return value
 
 
-def _whole(text: str) -> int:
+def _read_integer(text: str) -> int:
     return 0 if text == "-" else int(text)
 
 
-def _natural(text: str) -> int:
+def _read_non_negative_integer(text: str) -> int:
     value = int(text)
     if value < 0:
         raise ValueError(text)
     return value
 
 
-def _name(text: str) -> str:
+def _read_name(text: str) -> str:
     if not text or text == "-":
         raise ValueError(text)
     return text
 
 
-def _text(text: str) -> str:
+def _read_text(text: str) -> str:
     return text
 
 
-def _flag(text: str) -> bool:
+def _read_flag(text: str) -> bool:
     if text not in ("0", "1", "-"):
         raise ValueError(text)
     return text == "1"
 
 
-def _bytes(text: str) -> bytes:
+def _read_bytes(text: str) -> bytes:
     return b"" if text == "-" else bytes.fromhex(text)
 
 
-def _row(text: str) -> tuple[float, ...]:
-    return () if text in ("-", "") else tuple(_number(part) for part in text.split(","))
+def _read_numbers(text: str) -> tuple[float, ...]:
+    return () if text in ("-", "") else tuple(_read_number(part) for part in text.split(","))
 
 
-def _result(text: str) -> AttemptResult:
+def _read_result(text: str) -> AttemptResult:
     return AttemptResult(text)
 
 
-def _mode(text: str) -> str:
+def _read_list_mode(text: str) -> str:
     if text not in ("delta", "full", "cached", "failed"):
         raise ValueError(text)
     return text
 
 
-def _state(text: str) -> EndpointStatus:
-    return _STATES[text]
+def _read_endpoint_status(text: str) -> EndpointStatus:
+    return _ENDPOINT_STATUSES[text]
 
 
 Reader = Callable[[str], Any]
-# The fields of each message, in the order of the wire.
-_FIELDS: dict[str, tuple[tuple[str, Reader], ...]] = {
-    "SYNC": (("clock", _number),),
+# Fields of each message, in the order in which they are sent.
+_MESSAGE_FIELDS: dict[str, tuple[tuple[str, Reader], ...]] = {
+    "SYNC": (("clock", _read_number),),
     "YOUR_TURN": (),
-    "SWITCH_TO": (("gatekeeper", _natural),),
-    "CONFIGURE": (("salt", _whole), ("info", _text)),
+    "SWITCH_TO": (("gatekeeper", _read_non_negative_integer),),
+    "CONFIGURE": (("salt", _read_integer), ("info", _read_text)),
     "KILL": (),
-    "FLEET": (("mode", _mode), ("rev", _whole), ("rows", _whole)),
+    "FLEET": (("mode", _read_list_mode), ("rev", _read_integer), ("rows", _read_integer)),
     "WORKER": (
-        ("worker", _name),
-        ("zone", _text),
-        ("sku", _text),
-        ("pod", _whole),
-        ("health", _state),
-        ("share", _number),
-        ("onlineSinceMs", _number),
+        ("worker", _read_name),
+        ("zone", _read_text),
+        ("sku", _read_text),
+        ("pod", _read_integer),
+        ("health", _read_endpoint_status),
+        ("share", _read_number),
+        ("onlineSinceMs", _read_number),
     ),
     "REQUEST": (
-        ("requestId", _natural),
-        ("setFrom", _number),
-        ("doors", _number),
-        ("sizeUnits", _number),
-        ("dueMs", _number),
-        ("stateBits", _whole),
-        ("member", _name),
-        ("category", _name),
-        ("gradeOfService", _name),
+        ("requestId", _read_non_negative_integer),
+        ("setFrom", _read_number),
+        ("doors", _read_number),
+        ("sizeUnits", _read_number),
+        ("dueMs", _read_number),
+        ("stateBits", _read_integer),
+        ("member", _read_name),
+        ("category", _read_name),
+        ("gradeOfService", _read_name),
+    ),
+    "ACK_FIRST": (
+        ("requestId", _read_non_negative_integer),
+        ("worker", _read_name),
+        ("rttMs", _read_number),
+        ("roundNo", _read_non_negative_integer),
     ),
-    "ACK_FIRST": (("requestId", _natural), ("worker", _name), ("rttMs", _number), ("roundNo", _natural)),
     "VERDICT": (
-        ("requestId", _natural),
-        ("roundNo", _natural),
-        ("actual", _number),
-        ("worker", _name),
-        ("rttMs", _number),
-        ("result", _result),
-        ("final", _flag),
-        ("quotaUse", _whole),
-        ("load", _row),
+        ("requestId", _read_non_negative_integer),
+        ("roundNo", _read_non_negative_integer),
+        ("actual", _read_number),
+        ("worker", _read_name),
+        ("rttMs", _read_number),
+        ("result", _read_result),
+        ("final", _read_flag),
+        ("quotaUse", _read_integer),
+        ("load", _read_numbers),
+    ),
+    "CLIENT_GONE": (("requestId", _read_non_negative_integer),),
+    "FIRED": (("name", _read_name),),
+    "PONG": (("worker", _read_name), ("rttMs", _read_number), ("result", _read_result), ("load", _read_numbers)),
+    "FROM_PEER": (("originPeer", _read_non_negative_integer), ("data", _read_bytes)),
+    "LEDGER_REPLY": (
+        ("nowAt", _read_number),
+        ("result", _read_result),
+        ("rttMs", _read_number),
+        ("counter", _read_name),
     ),
-    "CLIENT_GONE": (("requestId", _natural),),
-    "FIRED": (("name", _name),),
-    "PONG": (("worker", _name), ("rttMs", _number), ("result", _result), ("load", _row)),
-    "FROM_PEER": (("originPeer", _natural), ("data", _bytes)),
-    "LEDGER_REPLY": (("nowAt", _number), ("result", _result), ("rttMs", _number), ("counter", _name)),
 }
-_LAST_IS_TEXT = {"CONFIGURE"}
+_MESSAGES_ENDING_IN_TEXT = {"CONFIGURE"}
 
 
-def _values(name: str, parts: list[str]) -> list[Any]:
-    """Return the values of one message."""
-    fields = _FIELDS[name]
-    if name in _LAST_IS_TEXT and len(parts) > len(fields):
+def _parse_message(name: str, parts: list[str]) -> list[Any]:
+    """Return the field values of one message."""
+    fields = _MESSAGE_FIELDS[name]
+    if name in _MESSAGES_ENDING_IN_TEXT and len(parts) > len(fields):
         parts = [*parts[: len(fields) - 1], "\t".join(parts[len(fields) - 1 :])]
     if len(parts) != len(fields):
-        raise WireError(f"{name}: {len(parts)} fields where {len(fields)} are due")
+        raise WireError(f"{name}: expected {len(fields)} fields, got {len(parts)}")
     values = []
     for (field, read), part in zip(fields, parts, strict=True):
         try:
             values.append(read(part))
-        except (ValueError, KeyError) as problem:
-            raise WireError(f"{name}: field {field}: cannot read {part[:80]!r}") from problem
+        except (ValueError, KeyError) as error:
+            raise WireError(f"{name}: field {field}: invalid value {part[:80]!r}") from error
     return values
 
 
-# ---- batches ------------------------------------------------------------------------------------
+# ---- messages and batches ------------------------------------------------------------------------------------
 
 
-def _object(info: str) -> object:
+def _parse_json(info: str) -> object:
     try:
         return json.loads(info)
-    except ValueError as problem:
-        raise ValueError("info: no JSON") from problem
+    except ValueError as error:
+        raise ValueError("info: invalid JSON") from error
 
 
-def _event(name: str, values: list[Any]) -> Event:
-    """Return the controller's event for one message of an instance."""
+def _event_of(name: str, values: list[Any]) -> Event:
+    """Return the event for one message to an instance."""
     if name == "REQUEST":
-        number, first, spread, units, due, bits, customer, category, plan = values
+        request_id, first_gateway, spread, units, deadline_at_ms, flags, customer, class_name, plan_name = values
         return Arrival(
-            number, customer, category, plan, due, units, int(first), int(spread), bool(bits & _REPEATED_BIT)
+            request_id,
+            customer,
+            class_name,
+            plan_name,
+            deadline_at_ms,
+            units,
+            int(first_gateway),
+            int(spread),
+            bool(flags & _RETRY_BIT),
         )
     if name == "VERDICT":
-        number, attempt, actual, worker, took, result, final, used, load = values
-        return AttemptEnded(number, attempt, worker, took, result, final, actual, used, load)
+        request_id, attempt, actual_units, endpoint, duration_ms, result, final, quota_use, load = values
+        return AttemptEnded(request_id, attempt, endpoint, duration_ms, result, final, actual_units, quota_use, load)
     if name == "ACK_FIRST":
-        number, worker, _took, attempt = values
-        return ResponseStarted(number, attempt, worker)
+        request_id, endpoint, _duration_ms, attempt = values
+        return ResponseStarted(request_id, attempt, endpoint)
     if name == "CLIENT_GONE":
         return ClientDisconnected(values[0])
     if name == "FIRED":
@@ -213,58 +236,58 @@
     return CounterReply(values[3])
 
 
-def _reply(action: Action) -> str:
-    """Return the line of the simulator's wire for one action."""
+def _reply_of(action: Action) -> str:
+    """Return the reply line for one action."""
     match action:
-        case StartAttempt(number, server, allow):
-            return f"HAND_OFF\t{number}\t{server}\t{allow:.3f}"
-        case Reject(number, retry):
-            return f"DENY\t{number}\t{retry:.3f}"
-        case Fail(number):
-            return f"FINISH_ERROR\t{number}"
-        case CancelAttempt(number, attempt):
-            return f"DROP_ATTEMPT\t{number}\t{attempt}"
-        case SetTimer(after, name):
-            return f"SET_ALARM\t{after:.3f}\t{name}"
+        case StartAttempt(request_id, endpoint, timeout_ms):
+            return f"HAND_OFF\t{request_id}\t{endpoint}\t{timeout_ms:.3f}"
+        case Reject(request_id, retry_after_ms):
+            return f"DENY\t{request_id}\t{retry_after_ms:.3f}"
+        case Fail(request_id):
+            return f"FINISH_ERROR\t{request_id}"
+        case CancelAttempt(request_id, attempt):
+            return f"DROP_ATTEMPT\t{request_id}\t{attempt}"
+        case SetTimer(delay_ms, name):
+            return f"SET_ALARM\t{delay_ms:.3f}\t{name}"
         case SendToPeer(receiver, data):
             return f"NOTIFY\t{receiver}\t{data.hex() or '-'}"
-        case ProbeEndpoint(server):
-            return f"INSPECT\t{server}"
+        case ProbeEndpoint(endpoint):
+            return f"INSPECT\t{endpoint}"
         case Subscribe():
             return "TRACK\t1"
 
 
-class Host:
-    """Many instances that share nothing but this process."""
+class SimulatorHost:
+    """Hosts any number of independent gateway instances in this process."""
 
     def __init__(self, source: Iterator[str], sink: TextIO, warnings: TextIO) -> None:
-        """Read lines from `source`, write replies to `sink` and skipped messages to `warnings`."""
+        """Read lines from `source`, write replies to `sink`, and report skipped messages to `warnings`."""
         self._source = source
         self._sink = sink
         self._warnings = warnings
         self._instances: dict[int, Controller] = {}
-        self._reported: set[str] = set()
+        self._reported_names: set[str] = set()
 
     def run(self) -> None:
-        """Serve batches until the input ends."""
+        """Process batches until the input ends."""
         for line in self._source:
             name, *parts = line.rstrip("\n").split("\t")
             if name != "SYNC":
                 if name:
-                    self._skip(name)
+                    self._skip_message(name)
                 continue
-            if not self._batch(_values("SYNC", parts)[0]):
+            if not self._process_batch(_parse_message("SYNC", parts)[0]):
                 return
 
-    def _skip(self, name: str) -> None:
-        if name in _FIELDS:
-            raise WireError(f"{name}: out of place")
-        if name not in self._reported:
-            self._reported.add(name)
-            print(f"simhost: message {name[:80]!r} is not known and is skipped", file=self._warnings)
+    def _skip_message(self, name: str) -> None:
+        if name in _MESSAGE_FIELDS:
+            raise WireError(f"{name}: unexpected at this place of the input")
+        if name not in self._reported_names:
+            self._reported_names.add(name)
+            print(f"simhost: unknown message {name[:80]!r} is skipped", file=self._warnings)
 
-    def _batch(self, now: float) -> bool:
-        """Read one batch to its end and answer it; False when the input ends inside it."""
+    def _process_batch(self, now_ms: float) -> bool:
+        """Read one batch and write its replies; return False if the input ends before the batch does."""
         events: dict[int, list[Event]] = {}
         replies: list[str] = []
         current: int | None = None
@@ -272,81 +295,81 @@
             name, *parts = line.rstrip("\n").split("\t")
             if name == "YOUR_TURN":
                 for number in events:
-                    self._turn(number, now, events[number], replies)
+                    self._process_events(number, now_ms, events[number], replies)
                 self._sink.write("".join(reply + "\n" for reply in replies) + "FINISHED\n")
                 self._sink.flush()
                 return True
-            if name not in _FIELDS or name in ("SYNC", "WORKER"):
-                self._skip(name)
+            if name not in _MESSAGE_FIELDS or name in ("SYNC", "WORKER"):
+                self._skip_message(name)
                 continue
-            values = _values(name, parts)
+            values = _parse_message(name, parts)
             if name == "SWITCH_TO":
                 current = values[0]
             elif current is None:
-                raise WireError(f"{name}: no SWITCH_TO before it")
+                raise WireError(f"{name}: no SWITCH_TO before this message")
             else:
-                self._take(name, values, current, events)
+                self._process_message(name, values, current, events)
         return False
 
-    def _take(self, name: str, values: list[Any], instance: int, events: dict[int, list[Event]]) -> None:
-        """Take in one message for an instance, and queue the event that it makes."""
+    def _process_message(self, name: str, values: list[Any], instance: int, events: dict[int, list[Event]]) -> None:
+        """Process one message to an instance, and queue its event, if any."""
         if name == "KILL":
             self._instances.pop(instance, None)
             events.pop(instance, None)
         elif name == "CONFIGURE":
             events.pop(instance, None)
-            self._start(instance, values[0], values[1])
+            self._start_instance(instance, values[0], values[1])
             events[instance] = []
         elif name == "FLEET":
             events.setdefault(instance, []).append(self._endpoint_list(*values))
         else:
-            events.setdefault(instance, []).append(_event(name, values))
+            events.setdefault(instance, []).append(_event_of(name, values))
 
-    def _endpoint_list(self, mode: str, _rev: int, count: int) -> EndpointList:
+    def _endpoint_list(self, mode: str, _revision: int, count: int) -> EndpointList:
         endpoints = []
         while len(endpoints) < count:
             line = next(self._source, None)
             name, *parts = (line or "").rstrip("\n").split("\t")
             if name != "WORKER":
-                raise WireError(f"FLEET: field rows: {count} told, {len(endpoints)} came")
-            worker, zone, _sku, cell, state, weight, started = _values("WORKER", parts)
-            endpoints.append(Endpoint(worker, zone, cell, state, weight, started))
+                raise WireError(f"FLEET: field rows: expected {count} WORKER messages, got {len(endpoints)}")
+            endpoint_id, zone, _sku, cell, status, weight, started_ms = _parse_message("WORKER", parts)
+            endpoints.append(Endpoint(endpoint_id, zone, cell, status, weight, started_ms))
         return EndpointList(tuple(endpoints), complete=mode in ("full", "cached"), failed=mode == "failed")
 
-    def _start(self, number: int, salt: int, info: str) -> None:
+    def _start_instance(self, number: int, seed: int, info: str) -> None:
         try:
-            self._instances[number] = Controller(read_settings(_object(info)), salt)
-        except ValueError as problem:
-            raise WireError(f"CONFIGURE: field {problem}") from problem
+            self._instances[number] = Controller(read_settings(_parse_json(info)), seed)
+        except ValueError as error:
+            raise WireError(f"CONFIGURE: field {error}") from error
 
-    def _turn(self, number: int, now: float, events: list[Event], replies: list[str]) -> None:
+    def _process_events(self, number: int, now_ms: float, events: list[Event], replies: list[str]) -> None:
         if number not in self._instances:
-            raise WireError(f"SWITCH_TO: field gatekeeper: {number} was not configured")
+            raise WireError(f"SWITCH_TO: field gatekeeper: instance {number} is not configured")
         try:
-            actions = self._instances[number].handle(now, events)
-        except Exception as problem:
+            actions = self._instances[number].handle(now_ms, events)
+        except Exception as error:
             raise ControllerError(
-                f"FROM\t{number}\nBUG\tinstance {number}: {type(problem).__name__}: {' '.join(str(problem).split())}"
-            ) from problem
+                f"FROM\t{number}\nBUG\tinstance {number}: {type(error).__name__}: {' '.join(str(error).split())}"
+            ) from error
         if actions:
             replies.append(f"FROM\t{number}")
-            replies.extend(_reply(action) for action in actions)
+            replies.extend(_reply_of(action) for action in actions)
 
 
 def main() -> int:
-    """Serve standard input and return the exit code."""
+    """Process batches from standard input and return the exit code."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     try:
-        Host(iter(sys.stdin.readline, ""), sys.stdout, sys.stderr).run()
-    except (WireError, UnicodeDecodeError) as problem:
-        print(f"simhost: {problem}", file=sys.stderr)
+        SimulatorHost(iter(sys.stdin.readline, ""), sys.stdout, sys.stderr).run()
+    except (WireError, UnicodeDecodeError) as error:
+        print(f"simhost: {error}", file=sys.stderr)
         return 2
-    except ControllerError as fault:
+    except ControllerError as error:
         import traceback
 
-        traceback.print_exception(fault.__cause__, file=sys.stderr)
-        print(f"{fault}\nFINISHED", flush=True)
+        traceback.print_exception(error.__cause__, file=sys.stderr)
+        print(f"{error}\nFINISHED", flush=True)
         return 1
     return 0
 
