--- a/anisefront/policy/settings.py
+++ b/anisefront/policy/settings.py
@@ -1,6 +1,6 @@
 """Settings of one gateway instance: request classes, plans and limits.
 
-Names and units of the settings document are mapped to these types in `settings_document`. Durations are milliseconds.
+`settings_document` reads them from the settings document, which has other names and units. Durations are milliseconds.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request does."""
+    """Effect of a second execution of a request."""
 
     IDEMPOTENT = "safe"  # may be executed any number of times
-    KEYED = "keyed"  # a group of endpoints drops repeated executions for a while
+    KEYED = "keyed"  # a group of endpoints deduplicates executions within a time window
     NON_IDEMPOTENT = "unsafe"  # must never be executed twice
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints drop repeated executions of a keyed request together."""
+    """Group of endpoints that deduplicate executions of a keyed request together."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,15 +28,15 @@
 
 
 def check_minimum(minimum: float, **values: float) -> None:
-    """Raise `ValueError` naming the first value that is below the minimum."""
+    """Raise `ValueError` for the first value that is not a number of at least the minimum."""
     for name, value in values.items():
         if not value >= minimum:
-            raise ValueError(f"{name}: {value!r} is below {minimum}")
+            raise ValueError(f"{name}: {value!r} is not a number of at least {minimum}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: its latency objective, its priority and how often it may be executed."""
+    """A class of requests: its latency objective, its priority and its idempotency."""
 
     name: str
     latency_objective_ms: float
@@ -60,11 +60,11 @@
             deduplication_window_ms=self.deduplication_window_ms,
         )
         if not isinstance(self.idempotency, Idempotency):
-            raise ValueError(f"idempotency: {self.idempotency!r} is no kind of idempotency")
+            raise ValueError(f"idempotency: expected a member of Idempotency, got {self.idempotency!r}")
 
     @property
     def is_repeatable_anywhere(self) -> bool:
-        """Whether a second execution does no harm, whichever endpoint receives it."""
+        """Whether a second execution is harmless, whichever endpoint receives it."""
         if self.idempotency is Idempotency.KEYED:
             return self.deduplication_scope is DeduplicationScope.ALL
         return self.idempotency is Idempotency.IDEMPOTENT
@@ -72,15 +72,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan: the quota of each of its customers over all gateway instances, and the price of exceeding it."""
+    """A plan: the quota of each of its customers over all gateway instances, and the cost of exceeding it."""
 
     name: str
     rate_per_s: float = 0.0  # units; 0: no quota on the rate
     burst: float = 0.0  # units
     max_in_flight: int = 0  # requests; 0: no quota on requests in flight
     priority_multiplier: float = 1.0
-    over_quota_multiplier: float = 0.0  # of the priority weight, for requests beyond the quota
-    over_quota_cost: float = 0.0  # in multiples of the priority weight
+    over_quota_multiplier: float = 0.0  # of the priority weight of requests beyond the quota
+    over_quota_cost: float = 0.0  # of a request beyond the quota, in multiples of the priority weight
     ceiling_per_s: float = 0.0  # units; 0: no ceiling
     ceiling_burst: float = 0.0
     ceiling_slack: float = 0.0
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a gateway instance is configured with, at its start and, as an event, while it runs."""
+    """Configuration of a gateway instance, given at its start and, as an event, when it changes."""
 
     gateways: int  # instances in the cluster
     number: int  # of this instance, from 0
@@ -111,7 +111,7 @@
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     warm_up_ms: float
-    slow_start_initial_factor: float  # of its capacity that an endpoint bears at its start
+    slow_start_initial_factor: float  # fraction of its full capacity that an endpoint has at its start
     overload_multiple: float
     overload_window_ms: float
     max_attempts: int
@@ -124,21 +124,21 @@
     subscription_required: bool = False
     postpaid: bool = False
     max_retry_after_ms: float = 0.0
-    inbox_per_s: float = 0.0  # messages that an instance can receive; 0: not known
+    inbox_per_s: float = 0.0  # messages a second that an instance can receive; 0: unknown
     poll_within_ms: float = 10_000.0
     load_report_mode: str = "none"
     load_report_fields: tuple[str, ...] = ()
     cross_zone_price: float = 0.0
     peer_message_price: float = 0.0
-    max_customers: int = 200_000  # known at once, as gateway and as quota owner; more are rejected
-    tag_key: bytes = field(default=b"", repr=False)  # the cluster's own, for customers' tags
+    max_customers: int = 200_000  # with an account, and likewise with a bucket at a quota owner; more are rejected
+    tag_key: bytes = field(default=b"", repr=False)  # the cluster's secret key for customer tags
 
     def __post_init__(self) -> None:
         """Check the values."""
         if not self.classes:
-            raise ValueError("classes: there are none")
+            raise ValueError("classes: at least one request class is required")
         if not self.plans:
-            raise ValueError("plans: there are none")
+            raise ValueError("plans: at least one plan is required")
         check_minimum(1, gateways=self.gateways, max_attempts=self.max_attempts)
         check_minimum(
             0,
@@ -151,6 +151,6 @@
             inbox_per_s=self.inbox_per_s,
         )
         if len(self.tag_key) > MAX_TAG_KEY_BYTES:
-            raise ValueError(f"tag_key: {len(self.tag_key)} bytes are more than {MAX_TAG_KEY_BYTES}")
+            raise ValueError(f"tag_key: {len(self.tag_key)} bytes exceed the maximum of {MAX_TAG_KEY_BYTES} bytes")
         if self.number >= self.gateways:
-            raise ValueError(f"number: {self.number} is not below gateways ({self.gateways})")
+            raise ValueError(f"number: {self.number} must be below the number of gateways, {self.gateways}")
--- a/anisefront/policy/settings_document.py
+++ b/anisefront/policy/settings_document.py
@@ -1,6 +1,6 @@
-"""Reader of the settings document: the object in the bench's first message and in a gateway instance's configuration.
+"""Reader of the settings document: the object in the simulator's first message and in an instance's configuration.
 
-Keys and units of the document are mapped to the fields of `settings` in the tables below, and nowhere else.
+The tables below are the only place that maps keys and units of the document to the fields of `settings`.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
-ROOT_PATH = "info"  # in messages of errors
-SUBSCRIBE = "subscribe"  # the mode of discovery in which endpoint lists are sent to subscribers only
+ROOT_PATH = "info"  # path of the document in error messages
+SUBSCRIBE = "subscribe"  # discovery mode in which endpoint lists are sent to subscribers only
 IDEMPOTENCY = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.KEYED,
@@ -21,11 +21,11 @@
 
 
 class _Table:
-    """An object of the document; its readers raise `ValueError` with the path of a missing or malformed key."""
+    """An object of the document. Its methods raise `ValueError` with the path of a missing or malformed key."""
 
     def __init__(self, value: Any, path: str) -> None:
         if not isinstance(value, dict):
-            raise ValueError(f"{path}: an object is due")
+            raise ValueError(f"{path}: expected an object, got {type(value).__name__}")
         self.value = value
         self.path = path
 
@@ -33,11 +33,11 @@
         """Return a finite number."""
         value = self._get(key, (int, float), default)
         if not abs(value) <= sys.float_info.max:
-            raise ValueError(f"{self.path}.{key}: cannot read {value!r}")
+            raise ValueError(f"{self.path}.{key}: {value!r} is not a finite number")
         return float(value)
 
     def integer(self, key: str, default: float | None = None) -> int:
-        """Return a number without its fraction."""
+        """Return a number, truncated to an integer."""
         return int(self.number(key, default))
 
     def text(self, key: str, default: str | None = None) -> str:
@@ -45,7 +45,7 @@
         return self._get(key, (str,), default)
 
     def flag(self, key: str, default: bool | None = None) -> bool:
-        """Return a truth value."""
+        """Return a boolean, which may be given as an integer."""
         return bool(self._get(key, (bool, int), default))
 
     def texts(self, key: str, default: list[str] | None = None) -> tuple[str, ...]:
@@ -53,7 +53,7 @@
         return tuple(str(text) for text in self._get(key, (list,), default))
 
     def table(self, key: str, default: dict[str, Any] | None = None) -> _Table:
-        """Return an object."""
+        """Return a nested object."""
         return _Table(self._get(key, (dict,), default), f"{self.path}.{key}")
 
     def rows(self, key: str) -> list[_Table]:
@@ -66,15 +66,15 @@
         if value is None:
             raise ValueError(f"{self.path}.{key} is missing")
         if not isinstance(value, types) or (isinstance(value, bool) and bool not in types):
-            raise ValueError(f"{self.path}.{key}: cannot read {value!r}")
+            raise ValueError(f"{self.path}.{key}: invalid type of value {value!r}")
         return value
 
 
 class _Key(NamedTuple):
-    """The place of a field of the settings in the document, and how it is read."""
+    """The location of a settings field in the document, and its reader."""
 
     field: str
-    section: str  # key of the object that holds it; empty for the document itself, or the row of a list
+    section: str  # key of the containing object; empty for the document itself or a row of a list
     key: str
     read: Callable[[_Table, str, Any], Any]
     default: Any = None  # None: the key is required
@@ -83,7 +83,7 @@
 def _idempotency(row: _Table, key: str, default: None) -> Idempotency:
     name = row.text(key, default)
     if name not in IDEMPOTENCY:
-        raise ValueError(f"{row.path}.{key}: {name!r} is no kind of repeat")
+        raise ValueError(f"{row.path}.{key}: expected retryable, dedup or fragile, got {name!r}")
     return IDEMPOTENCY[name]
 
 
@@ -92,7 +92,7 @@
     try:
         return DeduplicationScope(name)
     except ValueError:
-        raise ValueError(f"{row.path}.{key}: {name!r} is no group") from None
+        raise ValueError(f"{row.path}.{key}: expected all, zone or cell, got {name!r}") from None
 
 
 def _request_classes(table: _Table, key: str, _: None) -> tuple[RequestClass, ...]:
@@ -108,11 +108,11 @@
 
 
 def _max_retry_after_ms(limits: _Table, key: str, default: float) -> float:
-    """Read the bound of the retry advice, which is 0 unless retry advice is enabled by a key of its own."""
+    """Read the maximum of the retry advice, which is 0 unless the key `retryAfter` enables retry advice."""
     return limits.number(key, default) if limits.flag("retryAfter", False) else 0.0
 
 
-# The keys are read in this order, which decides on the error if several are wrong.
+# Keys are read in this order, so the first malformed one determines the error.
 REQUEST_CLASS_KEYS = (
     _Key("idempotency", "", "repeat", _idempotency),
     _Key("deduplication_scope", "", "keyScope", _scope, "all"),
@@ -167,7 +167,7 @@
 
 
 def read_settings(document: object) -> Settings:
-    """Read the settings of a document; unknown keys are skipped.
+    """Read the settings from a document; unknown keys are ignored.
 
     Args:
         document: The decoded JSON object.
@@ -176,7 +176,7 @@
         The settings.
 
     Raises:
-        ValueError: A key is missing or malformed; the message names it.
+        ValueError: A key is missing or malformed; the message has its path.
     """
     top = _Table(document, ROOT_PATH)
     sections = {
@@ -191,5 +191,5 @@
 
 
 def _fields(sections: dict[str, _Table], keys: tuple[_Key, ...]) -> dict[str, Any]:
-    """Read the fields that these keys hold."""
+    """Read the values of these keys, by settings field."""
     return {each.field: each.read(sections[each.section], each.key, each.default) for each in keys}
