--- a/anisefront/policy/__init__.py
+++ b/anisefront/policy/__init__.py
@@ -1,5 +1,5 @@
 """Decisions on requests: quotas, priorities, choice of endpoints, retries.
 
-`controller.Controller` turns events into actions. The package is deterministic, has no I/O and needs the standard
-library only.
+`controller.Controller` turns events into actions. The package is deterministic, does no I/O and needs only the
+standard library.
 """
--- a/anisefront/policy/actions.py
+++ b/anisefront/policy/actions.py
@@ -10,19 +10,19 @@
 class RejectionReason(Enum):
     """Why a request was rejected."""
 
-    QUOTA = "quota"  # not granted in time: quota or ceiling are used up, or the quota owner did not reply
-    CAPACITY = "capacity"  # no attempt could be started in time, or too many customers are known
-    ATTEMPTS = "attempts"  # attempts failed or got no response, and no retry could end in time or within the budget
-    INVALID = "unfit"  # deadline passed, class or plan unknown, id in use, or a tag that is another customer's
+    QUOTA = "quota"  # no units granted in time: quota or ceiling exhausted, or no reply from the quota owner
+    CAPACITY = "capacity"  # no attempt could be started in time, or the limit of known customers is reached
+    ATTEMPTS = "attempts"  # attempts failed or got no response, and time or retry budget left no room for a retry
+    INVALID = "unfit"  # deadline passed, class or plan unknown, id in use, or tag taken by another customer
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt. Exactly one `AttemptEnded` has to follow, whatever has become of the request meanwhile.
+    """Start an attempt. Exactly one `AttemptEnded` must follow, even if the request has ended in the meantime.
 
-    The attempts of a request are numbered in the order of these actions, from 0 or from its prior attempts. An attempt
-    may take `timeout_ms` and has to start within `start_within_ms`: later, the endpoints no longer drop a repeated
-    execution of what may have been executed before.
+    The attempts of a request are numbered in the order of these actions, from 0 or from the number of its prior
+    attempts. An attempt may take `timeout_ms` and must start within `start_within_ms`: after that the endpoints no
+    longer detect a repeated execution of a request that an earlier attempt may have executed.
     """
 
     id: int
@@ -34,9 +34,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: a client's retry is safe, since nothing was executed or a second execution does no harm.
+    """Final answer after which a client may retry: nothing was executed, or a second execution is harmless.
 
-    `retry_after_ms` is advice to the client; 0: none.
+    `retry_after_ms` is advice to the client; 0 means none.
     """
 
     id: int
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: it is not known whether the request was executed."""
+    """Final answer for a request that may or may not have been executed."""
 
     id: int
 
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Request endpoint list changes from service discovery from now on."""
+    """Subscribe to endpoint lists from service discovery."""
 
 
 Action = StartAttempt | Reject | Fail | CancelAttempt | SetTimer | SendToPeer | ProbeEndpoint | Subscribe
--- a/anisefront/policy/admission.py
+++ b/anisefront/policy/admission.py
@@ -1,10 +1,10 @@
 """Admission: which requests are queued, in which order they are dispatched, and which are shed.
 
-Below the concurrency limit every admitted request is dispatched at once. At the limit each class has its share, and
-what the shares leave is dispatched by priority weight.
+Below the concurrency limit every admitted request is dispatched at once. At the limit each class has a share of it,
+and capacity that the shares leave unused is given to requests by priority weight.
 
-Departures from the paper that `fuzzy_controller` cites: its shares bind at all times, and its priorities are an order
-of the classes.
+Differences from the paper cited in `fuzzy_controller`: there, the shares apply at all times, and priority is a fixed
+order of the classes.
 """
 
 from __future__ import annotations
@@ -22,27 +22,27 @@
 from anisefront.policy.retries import is_rejection_safe
 from anisefront.policy.settings import Plan, RequestClass, Settings
 
-MAX_BLOCKED = 1000  # queued requests that no endpoint may take, after which a release ends
-MAX_OVER_QUOTA_UTILIZATION = 0.5  # of the concurrency limit, above which nothing beyond a quota is dispatched
+MAX_BLOCKED = 1000  # requests without an eligible endpoint that end one round of dispatching
+MAX_OVER_QUOTA_UTILIZATION = 0.5  # fraction of the concurrency limit below which over-quota requests are dispatched
 MIN_RETRY_AFTER_MS = 250.0
 
 
 def admits_over_quota(plan: Plan) -> bool:
-    """Return whether a request beyond its quota is worth more than what exceeding it costs."""
+    """Return whether requests beyond the quota are admitted: no ceiling, and a multiplier above their cost."""
     return plan.over_quota_multiplier > plan.over_quota_cost and not plan.ceiling_per_s
 
 
 def dispatch_deadline_ms(now_ms: float, request: Request, reserved_ms: float) -> float:
-    """Return until when an arriving request may be queued, given the time that is reserved for its response.
+    """Return the time until which a request may be queued so that the reserved time is left for its response.
 
-    A request with little time left is queued for a part of it all the same: it may be dispatched at once.
+    A request with little time left is still queued for a fraction of it, since it may be dispatched at once.
     """
     answer_by_ms = request.answer_by_ms
     return max(answer_by_ms - reserved_ms, now_ms + RESPONSE_FRACTION * (answer_by_ms - now_ms))
 
 
 def final_answer(request: Request, max_retry_after_ms: float) -> Reject | Fail:
-    """Return the answer for a request that gets no response: a rejection only where a client's retry is safe."""
+    """Return the answer for a request without a response: a rejection only if a client's retry is safe."""
     if not is_rejection_safe(request):
         return Fail(request.arrival.id)
     refill_ms = request.arrival.units * 1000 / (request.plan.rate_per_s or math.inf)
@@ -51,7 +51,8 @@
 
 
 def _rejection_reason(request: Request) -> RejectionReason:
-    if request.awaiting_quota and not request.claim.debited_units:  # what a failed instance had debited does not wait
+    # A request taken over from a failed instance that had debited its units is not waiting for its quota.
+    if request.awaiting_quota and not request.claim.debited_units:
         return RejectionReason.QUOTA
     if request.attempts_started:
         return RejectionReason.ATTEMPTS
@@ -75,7 +76,7 @@
         self.change_settings(settings)
 
     def change_settings(self, settings: Settings) -> None:
-        """Use other classes from now on; shares of known ones stay."""
+        """Apply new classes; known ones keep their shares."""
         for request_class in settings.classes:
             self._add_class(request_class, 1 / len(settings.classes))
 
@@ -93,13 +94,13 @@
         self._in_flight[class_name] += 1
 
     def record_attempt_ended(self, class_name: str) -> None:
-        """Discount an attempt."""
+        """Remove an ended attempt from the class's count."""
         self._in_flight[class_name] -= 1
 
     def end_period(self, now_ms: float) -> None:
         """Adjust the shares to the queueing delays of a control period.
 
-        With few dispatched requests the ages of those still queued count as delays too.
+        If few requests were dispatched, the ages of those still queued count as delays too.
         """
         for name, share in self.shares.items():
             delays_ms = self._delays_ms[name]
@@ -112,20 +113,20 @@
             share.end_period(total_ms / count if count else 0.0)
             self._delays_ms[name] = []
 
-    def release(self, now_ms: float, try_dispatch: Callable[[Request], bool]) -> None:
+    def dispatch_queued(self, now_ms: float, try_dispatch: Callable[[Request], bool]) -> None:
         """Dispatch queued requests as far as the concurrency limit allows.
 
-        `try_dispatch` starts a request's first attempt, and returns whether an endpoint may take it.
+        `try_dispatch` starts a request's first attempt, and returns whether an endpoint was available for it.
         """
         if not self.queue or self._limit.headroom() < 1:
             return
         blocked: list[Request] = []
         over_quota_allowed = self._limit.mean_in_flight < MAX_OVER_QUOTA_UTILIZATION * self._limit.limit
         if len(self.queue) > self._limit.headroom():
-            self._release_by_share(now_ms, try_dispatch, blocked)
-        self._release_by_priority(now_ms, self._within_quota_groups.values(), try_dispatch, blocked)
+            self._dispatch_by_share(now_ms, try_dispatch, blocked)
+        self._dispatch_by_priority(now_ms, self._within_quota_groups.values(), try_dispatch, blocked)
         if over_quota_allowed:
-            self._release_by_priority(now_ms, self._over_quota_groups.values(), try_dispatch, blocked)
+            self._dispatch_by_priority(now_ms, self._over_quota_groups.values(), try_dispatch, blocked)
         for request in blocked:
             self.enqueue(request)
 
@@ -138,7 +139,9 @@
         self._within_quota_groups.setdefault(name, QueueGroup(name, True))
         self._over_quota_groups.setdefault(name, QueueGroup(name, False))
 
-    def _release_by_share(self, now_ms: float, try_dispatch: Callable[[Request], bool], blocked: list[Request]) -> None:
+    def _dispatch_by_share(
+        self, now_ms: float, try_dispatch: Callable[[Request], bool], blocked: list[Request]
+    ) -> None:
         """Dispatch each class's requests up to its share of the limit."""
         limit = self._limit.limit
         total = max(1.0, sum(share.share for share in self.shares.values()))
@@ -151,14 +154,14 @@
             self._dispatch(now_ms, request, try_dispatch, blocked)
             headroom[request.request_class.name] -= 1
 
-    def _release_by_priority(
+    def _dispatch_by_priority(
         self,
         now_ms: float,
         groups: Iterable[QueueGroup],
         try_dispatch: Callable[[Request], bool],
         blocked: list[Request],
     ) -> None:
-        """Dispatch the requests of these groups by their priority alone."""
+        """Dispatch the requests of these groups by priority, regardless of the shares."""
         while True:
             request = self.queue.first(groups)
             if request is None or not self._has_capacity(blocked):
--- a/anisefront/policy/attempt_tracker.py
+++ b/anisefront/policy/attempt_tracker.py
@@ -1,4 +1,4 @@
-"""Attempts in flight: starts them at an endpoint, and records their starts and ends wherever these count."""
+"""Attempts in flight: starts them at endpoints and reports each start and end to the components that count them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from anisefront.policy.settings import Settings
 
 MIN_TIMEOUT_MS = 1.0
-UNINFORMATIVE_RESULTS = (AttemptResult.CANCELLED, AttemptResult.DISCARDED)  # they say nothing of the endpoint
+UNINFORMATIVE_RESULTS = (AttemptResult.CANCELLED, AttemptResult.DISCARDED)  # no evidence about the endpoint
 
 
 class AttemptKey(NamedTuple):
@@ -65,7 +65,7 @@
         retries: RetryPolicy,
         selection: EndpointSelection,
     ) -> None:
-        """Start without attempts; what starts and ends is recorded at each of these."""
+        """Start without attempts; these components are told of each start and end."""
         self.in_flight: dict[AttemptKey, Attempt] = {}
         self._admission = admission
         self._limit = limit
@@ -77,7 +77,7 @@
         self.change_settings(settings)
 
     def change_settings(self, settings: Settings) -> None:
-        """Use other settings from now on."""
+        """Apply new settings."""
         self._settings = settings
         self._latency_objectives_ms = {each.name: each.latency_objective_ms for each in settings.classes}
 
@@ -90,7 +90,7 @@
             expected_ms: Expected response time of the attempt.
 
         Returns:
-            The action to start it, None if no endpoint may take it.
+            The action that starts it, None if no endpoint is eligible or the attempts are used up.
         """
         class_name = request.request_class.name
         load = self._response_times.load_of(expected_ms)
@@ -114,7 +114,7 @@
     def end(self, now_ms: float, event: AttemptEnded, stalled: bool) -> Attempt | None:
         """Record the end of an attempt and return it; None if it is not in flight.
 
-        If this process was stalled, the duration includes the stall, so it says nothing of the endpoint.
+        If this process was stalled, the duration includes the stall and is not evidence about the endpoint.
         """
         attempt = self.in_flight.pop((event.id, event.attempt), None)
         if attempt is None:
--- a/anisefront/policy/concurrency_limit.py
+++ b/anisefront/policy/concurrency_limit.py
@@ -1,10 +1,10 @@
 """Limit on the attempts that one gateway instance has in flight.
 
-Little's law sets the limit: completion rate times the time that an attempt may spend at an endpoint. Overload
-responses from the endpoints reduce it multiplicatively; it recovers once other responses outnumber them, or once there
-are none to go by.
+The limit follows Little's law: completion rate times the time that an attempt may spend at an endpoint. Overload
+responses reduce it multiplicatively; it recovers once other responses outnumber them, or once no recent response is
+left.
 
-Departure from the paper that `fuzzy_controller` cites, which assumes a given pool of server processes.
+Difference from the paper cited in `fuzzy_controller`, which assumes a fixed pool of server processes.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from anisefront.policy.control_period import MIN_SAMPLES, PERIOD_MS, RATE_TIME_CONSTANT_MS
 from anisefront.policy.decay import decay_factor
 
-# Attempts in flight for each unit of ready capacity, over all gateway instances.
-INITIAL_PER_ENDPOINT = 12.0  # until there are responses to go by
-MIN_PER_ENDPOINT = 4.0  # or slow responses would close the limit for good
+# Attempts in flight per unit of ready capacity, over all gateway instances.
+INITIAL_PER_ENDPOINT = 12.0  # until there are responses
+MIN_PER_ENDPOINT = 4.0  # otherwise slow responses would reduce the limit to zero for good
 
-ENDPOINT_TIME_FRACTION = 0.25  # of a class's latency objective that an attempt may spend at an endpoint on average
-PEAK_MULTIPLE = 2.0  # of the recent peak in flight, which the limit does not exceed
-OVERLOADED_FRACTION = 0.15  # of ended attempts, above which the limit backs off
-BACKOFF_MULTIPLIER = 0.75  # for each control period
+ENDPOINT_TIME_FRACTION = 0.25  # mean time at an endpoint, as a fraction of the class's latency objective
+PEAK_MULTIPLE = 2.0  # the limit stays within this multiple of the recent peak in flight
+OVERLOADED_FRACTION = 0.15  # fraction of ended attempts rejected as overloaded above which the limit backs off
+BACKOFF_MULTIPLIER = 0.75  # per control period
 MIN_BACKOFF = 0.3
-RECOVERY_MULTIPLIER = 1.05  # for each control period
-MIN_ENDED_ATTEMPTS = 0.1  # decayed count, below which an instance without attempts in flight is idle
+RECOVERY_MULTIPLIER = 1.05  # per control period
+MIN_ENDED_ATTEMPTS = 0.1  # an instance with a lower decayed count and no attempts in flight is idle
 BURST_ALLOWANCE = 1.5  # attempts beyond the limit while the mean in flight is below it
-PEER_GAIN = 0.1  # weight of a peer's message in the peers' mean
+PEER_GAIN = 0.1  # weight of one peer report in the exponentially weighted mean of all
 
 
 class ConcurrencyLimit:
@@ -59,7 +59,7 @@
         self._mean_updated_ms = 0.0
         self._overloaded_attempts = 0.0  # decayed count
         self._peak_in_flight = 0.0
-        self._peers_mean = 0.0  # of the attempts that each peer can sustain
+        self._peers_mean = 0.0  # sustainable attempts per peer, exponentially weighted
         self._succeeded_objectives_ms = 0.0  # latency objectives of the attempts that succeeded in this period
 
     @property
@@ -81,11 +81,11 @@
             self._overloaded_attempts += 1
 
     def record_success(self, latency_objective_ms: float) -> None:
-        """Count a response that an endpoint gave."""
+        """Count a successful response of a class with this latency objective."""
         self._succeeded_objectives_ms += latency_objective_ms
 
     def record_peer_report(self, sustainable_attempts: float) -> None:
-        """Take in how many attempts a peer can sustain."""
+        """Record how many attempts a peer can sustain."""
         self._peers_mean += (sustainable_attempts - self._peers_mean) * PEER_GAIN
 
     def end_period(self, now_ms: float, ready_capacity: float) -> None:
@@ -104,8 +104,8 @@
     def update_limit(self, ready_capacity: float) -> None:
         """Set the limit for this capacity of the ready endpoints.
 
-        All gateway instances together load the endpoints, so each takes an equal part. An instance with few ended
-        attempts knows little of the completion rate; the peers' mean complements its own.
+        All gateway instances share the endpoints, so each uses an equal part of the capacity. An instance with few
+        ended attempts has a poor estimate of the completion rate, which the mean of its peers complements.
         """
         capacity = ready_capacity / self._gateways
         missing = max(0.0, self._peers_mean - self.sustainable_attempts)
@@ -118,7 +118,7 @@
     def headroom(self) -> float:
         """Return how many more attempts may start.
 
-        With one or two requests a second the limit is below 1, while arrivals scatter. A strict limit would queue
+        At one or two requests a second the limit is below 1, but arrivals are random. A strict limit would queue
         requests in an idle cluster, so bursts may exceed it as long as the mean does not.
         """
         allowance = BURST_ALLOWANCE if self.mean_in_flight < self.limit else 0.0
@@ -132,8 +132,8 @@
     def _update_backoff(self) -> None:
         """Back off while the cluster as a whole, not one endpoint, rejects attempts as overloaded.
 
-        Both counts decay alike, so that their ratio says the same for ever after the last attempt. An attempt in
-        flight will tell; an idle instance recovers.
+        Both counts decay at the same rate, so after the last attempt their ratio never changes. An instance with an
+        attempt in flight waits for its result; an idle one recovers.
         """
         is_idle = not self.in_flight and self._ended_attempts < MIN_ENDED_ATTEMPTS
         if not is_idle and self._overloaded_attempts > OVERLOADED_FRACTION * self._ended_attempts:
--- a/anisefront/policy/control_period.py
+++ b/anisefront/policy/control_period.py
@@ -1,8 +1,8 @@
-"""Length of the control period, in which shares, limits and counters are adjusted."""
+"""Constants of the control period, at whose end shares, limits and counters are adjusted."""
 
 from __future__ import annotations
 
-PERIOD_MS = 100.0  # short, since one period moves a share by `OUTPUT_GAIN` at most
-MIN_SAMPLES = 5  # in one period, below which a gateway instance's own measurements are complemented
+PERIOD_MS = 100.0  # short, since a share changes by at most `OUTPUT_GAIN` per period
+MIN_SAMPLES = 5  # with fewer in a period, a gateway instance's own measurements are complemented by others
 EWMA_GAIN = 0.05  # weight of a new sample in exponentially weighted moving averages
-RATE_TIME_CONSTANT_MS = 1000.0  # of the counts of attempts and responses
+RATE_TIME_CONSTANT_MS = 1000.0  # decay of the counts of attempts and responses
--- a/anisefront/policy/controller.py
+++ b/anisefront/policy/controller.py
@@ -1,12 +1,12 @@
 """The controller: all decisions of one gateway instance, as a function of its events.
 
-It dispatches events, drives each request from its arrival to its final answer, and schedules timers. The rules are in
-the other modules of the package:
+It handles events, takes each request from its arrival to its final answer, and schedules timers. The rules are in the
+other modules of the package:
 
-- why a request is admitted, queued or shed: `admission`, `concurrency_limit`, `fuzzy_controller`;
-- why it waits for its quota: `quota_borrower`, `quota_owner`;
-- why an attempt goes to an endpoint: `endpoint_selection`, `slow_start`, `outlier_detection`, `load_reports`;
-- why there is a retry, a hedged request or none: `retries`.
+- admission, queueing and load shedding: `admission`, `concurrency_limit`, `fuzzy_controller`;
+- quotas: `quota_borrower`, `quota_owner`;
+- choice of an endpoint: `endpoint_selection`, `slow_start`, `outlier_detection`, `load_reports`;
+- retries and hedged requests: `retries`.
 """
 
 from __future__ import annotations
@@ -47,10 +47,10 @@
 from anisefront.policy.slow_start import SlowStart
 from anisefront.policy.timers import TimerKind, TimerQueue
 
-MAX_BOOT = 1 << 16  # peers tell processes of one gateway instance apart by a random number below this
-STALL_MS = 4 * PERIOD_MS  # without a batch of events, after which durations include a stall of this process
-ANSWER_MARGIN_TICKS = 2  # timer ticks before the deadline, at which the final answer is given
-RESUBSCRIBE_FRACTION = 0.25  # of the interval within which endpoint lists are expected
+MAX_BOOT = 1 << 16  # exclusive bound of the random number by which peers tell a restarted instance from its predecessor
+STALL_MS = 4 * PERIOD_MS  # after a longer gap between batches this process counts as stalled
+ANSWER_MARGIN_TICKS = 2  # timer ticks between the final answer and the deadline
+RESUBSCRIBE_FRACTION = 0.25  # delay of a new subscription, as a fraction of the interval of endpoint lists
 
 
 class Controller:
@@ -62,7 +62,7 @@
         self.settings = settings
         self.classes: dict[str, RequestClass] = {}
         self.plans: dict[str, Plan] = {}
-        self.requests: dict[int, Request] = {}  # without a final answer, by id
+        self.requests: dict[int, Request] = {}  # those without a final answer, by id
         self.timers = TimerQueue()
         self.response_times = ResponseTimes()
         self.concurrency_limit = ConcurrencyLimit(settings.gateways)
@@ -93,11 +93,11 @@
         }
 
     def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
-        """Take in a batch of events and return what to do.
+        """Process a batch of events and return the resulting actions.
 
         Args:
             now_ms: Clock time, not before that of the last batch.
-            events: What has happened since then, in order.
+            events: The events since then, in order.
 
         Returns:
             The actions, to be carried out in order.
@@ -111,7 +111,7 @@
             self._retry_from_left_endpoints()
         self.timers.expire(self._on_timer)
         if self.endpoints.ready or self.endpoints.warming_up:
-            self.admission.release(now_ms, self._try_start_first_attempt)
+            self.admission.dispatch_queued(now_ms, self._try_start_first_attempt)
         if self.outbox:
             self._flush_outbox()
         return self._actions
@@ -166,10 +166,10 @@
     # ---- events ----------------------------------------------------------------------------------
 
     def _on_settings(self, settings: Settings) -> None:
-        """Use other settings for new requests; those that are here keep their class and plan.
+        """Apply new settings to new requests; open requests keep their class and plan.
 
-        Classes and plans may be added at the end. The gateway instance rejects settings in which one is removed or
-        moved, since peers that still have the old ones would account for another plan.
+        Classes and plans may only be appended. The gateway instance rejects settings in which one is removed or moved:
+        peers identify them by index, so those with the old settings would account to another plan.
         """
         self.settings = settings
         self._set_classes_and_plans(settings)
@@ -194,7 +194,7 @@
         self.concurrency_limit.update_limit(self.endpoints.capacity)
 
     def _on_peer_message(self, event: PeerMessage) -> None:
-        """Take in a peer's message; a malformed one, or one of an unknown sender, is dropped."""
+        """Process a peer's message; a malformed one, or one from an unknown sender, is dropped."""
         report = decode(event.data)
         if report is None or event.sender == self.settings.number or event.sender >= self.settings.gateways:
             return
@@ -238,7 +238,7 @@
         self.requests[arrival.id] = request
         self._set_deadlines(request)
         if arrival.prior_attempts is not None:
-            request.inherit_attempts(self.endpoints.known_or_removed(arrival.prior_attempts.endpoint))
+            request.inherit_attempts(self.endpoints.state_or_placeholder(arrival.prior_attempts.endpoint))
         self._begin_request(request)
 
     def _set_deadlines(self, request: Request) -> None:
@@ -322,7 +322,7 @@
             self._try_retry(request)
 
     def _on_dispatch_deadline(self, request: Request) -> None:
-        """Shed a request whose response would be late, while a client's retry may still help."""
+        """Shed a request that could not respond in time any more, early enough for a client's retry."""
         if request.queued or request.awaiting_quota:
             self._end_without_response(request)
 
@@ -354,7 +354,7 @@
         return True
 
     def _try_start_attempt(self, request: Request) -> bool:
-        """Start an attempt, and return whether an endpoint may take it."""
+        """Start an attempt, and return whether one was started."""
         expected_ms = self.response_times.expected_ms(request.request_class.name, request.size)
         action = self.attempts.start(self._now_ms, request, expected_ms)
         if action is None:
@@ -365,7 +365,7 @@
         return True
 
     def _retry_from_left_endpoints(self) -> None:
-        """Start another attempt for requests whose endpoint has left service, in the order of their arrival."""
+        """Start another attempt for requests whose endpoint has left service, in order of arrival."""
         request_ids = {request_id for endpoint in self._left_service for request_id in endpoint.request_ids}
         affected = [self.requests[request_id] for request_id in request_ids]
         for request in sorted(affected, key=lambda each: each.sequence):
@@ -378,7 +378,7 @@
         self._end(request)
 
     def _end(self, request: Request) -> None:
-        """Release what a request holds, and cancel its attempts in flight."""
+        """Remove a request, refund its unused quota units, and cancel its attempts in flight."""
         request_id = request.arrival.id
         self.requests.pop(request_id, None)
         if request.queued:
--- a/anisefront/policy/customer_account.py
+++ b/anisefront/policy/customer_account.py
@@ -1,4 +1,4 @@
-"""What a gateway instance knows of one customer: its local bucket and its demand."""
+"""State of one customer at a gateway instance: its local token buckets and its demand."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from anisefront.policy.quota_parameters import DEMAND_TIME_CONSTANT_MS, IDLE_MS, OWNER_CEILING_FRACTION
 from anisefront.policy.settings import Plan
 
-LOCAL_BURST_FRACTION = 0.1  # of the burst that all local buckets hold together; the owner may grant as much again
-DEMAND_EXPIRY_MS = 2 * DEMAND_TIME_CONSTANT_MS  # after which the owner's report of the demand is not used any more
+LOCAL_BURST_FRACTION = 0.1  # of the plan's burst, held by all local buckets together on top of the owner's bucket
+DEMAND_EXPIRY_MS = 2 * DEMAND_TIME_CONSTANT_MS  # age at which the owner's report of the total demand is dropped
 
 
 @dataclass(slots=True, eq=False)
@@ -19,19 +19,19 @@
     """One customer at this gateway instance."""
 
     tag: int
-    spread: int  # gateway instances that receive its requests
-    owner: int  # the gateway instance that keeps its quota bucket
+    spread: int  # number of gateway instances that receive its requests
+    owner: int  # number of the gateway instance that owns its quota bucket
     updated_ms: float
     local_bucket: float = 0.0  # units; negative while overdrawn
-    ceiling_bucket: float = 0.0  # units of the ceiling that may be taken here
+    ceiling_bucket: float = 0.0  # units left of this instance's part of the ceiling
     demand: float = 0.0  # decayed count of units requested here
-    total_demand_per_s: float = 0.0  # units requested of all instances, as the owner last reported; 0: not known
+    total_demand_per_s: float = 0.0  # units requested at all instances, as last reported by the owner; 0: unknown
     reported_ms: float = -math.inf
     in_flight: int = 0  # requests admitted and not ended
 
     @property
     def demand_per_s(self) -> float:
-        """Return the rate of units that are requested here."""
+        """Return the rate of units requested at this instance."""
         return rate_per_s(self.demand, DEMAND_TIME_CONSTANT_MS)
 
     def successors(self, gateways: int) -> Iterator[int]:
@@ -42,8 +42,8 @@
     def refill(self, now_ms: float, plan: Plan) -> None:
         """Fill the local buckets for the elapsed time.
 
-        The bucket fills at the quota times this instance's part of the demand. A ceiling is divided for good, and its
-        parts start empty, so a restart does not grant again what was used.
+        The bucket fills at the quota's rate times this instance's fraction of the demand. The ceiling is divided into
+        fixed equal parts. They start empty, so that a restart does not grant used units again.
         """
         elapsed_s = (now_ms - self.updated_ms) / 1000
         self.updated_ms = now_ms
@@ -58,7 +58,7 @@
         self.ceiling_bucket = min(plan.ceiling_burst * ceiling_fraction, ceiling_units)
 
     def _demand_fraction(self) -> float:
-        """Return this instance's part of the customer's demand; an equal one while the demand is not known."""
+        """Return this instance's fraction of the customer's demand; an equal one while the total is unknown."""
         if not self.total_demand_per_s:
             return 1 / self.spread
         return min(1.0, self.demand_per_s / self.total_demand_per_s)
@@ -73,7 +73,7 @@
         self.demand += units
 
     def record_total_demand(self, now_ms: float, demand_per_s: float) -> None:
-        """Take in the customer's demand at all instances, as the owner reports it."""
+        """Record the customer's demand at all instances, as reported by the owner."""
         self.total_demand_per_s = demand_per_s
         self.reported_ms = now_ms
 
@@ -82,7 +82,7 @@
         self.in_flight += 1
 
     def record_ended(self) -> None:
-        """Discount an admitted request that has ended."""
+        """Remove an ended request from the count of admitted ones."""
         self.in_flight -= 1
 
     def is_evictable(self, now_ms: float) -> bool:
--- a/anisefront/policy/endpoint_health.py
+++ b/anisefront/policy/endpoint_health.py
@@ -1,7 +1,7 @@
-"""Latency and failures of one endpoint, as observed.
+"""Observed latency and failures of one endpoint.
 
-Slowness and failures raise the cost of an endpoint (see `endpoint_selection`), so an outlier gets few attempts, and as
-what was observed decays it gets more.
+High latency and failures raise the cost of an endpoint (see `endpoint_selection`), so an outlier gets few attempts. As
+the observations decay, it gets more again.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 
 LATENCY_GAIN = 0.15  # weight of an observation in the mean latency ratio
 MAX_LATENCY_RATIO = 10.0
-LATENCY_TIME_CONSTANT_MS = 15_000.0  # in which the latency ratio returns to 1
-FAILURE_TIME_CONSTANT_MS = 4000.0  # in which failures decay, so that an outlier gets some attempts again
+LATENCY_TIME_CONSTANT_MS = 15_000.0  # decay of the latency ratio towards 1
+FAILURE_TIME_CONSTANT_MS = 4000.0  # decay of failures, after which an outlier gets attempts again
 
 
 @dataclass(slots=True, eq=False)
 class EndpointHealth:
-    """Latency and failures of one endpoint; counts decay and are by request class."""
+    """Latency and failures of one endpoint; the counts decay and are kept per request class."""
 
-    latency_ratio: float = 1.0  # mean of durations over expected ones
+    latency_ratio: float = 1.0  # mean of actual over expected duration
     outcome_counts: dict[str, float] = field(default_factory=dict)
     failure_counts: dict[str, float] = field(default_factory=dict)
     observed_ms: float = 0.0
 
     def latency_ratio_at(self, now_ms: float) -> float:
-        """Return the latency ratio, which returns to 1 without new observations."""
-        # As `decay_factor`, written out since this is called for each candidate of each attempt.
+        """Return the latency ratio, which decays to 1 without new observations."""
+        # `decay_factor` inlined for speed: this is called for each candidate of each attempt.
         return 1 + (self.latency_ratio - 1) * math.exp((self.observed_ms - now_ms) / LATENCY_TIME_CONSTANT_MS)
 
     def failure_fraction(self, now_ms: float, class_name: str) -> float:
-        """Return the fraction of a class's attempts that fail; few of its own are complemented by all classes'."""
+        """Return the fraction of a class's attempts that fail, with the fraction over all classes as a prior."""
         if not self.failure_counts:
             return 0.0
         retained = decay_factor(now_ms - self.observed_ms, FAILURE_TIME_CONSTANT_MS)
@@ -50,9 +50,9 @@
         Args:
             now_ms: Clock time.
             class_name: Class of the request.
-            latency_ratio: Duration over the expected one; infinity for a failure.
-            normalized_ratio: The same at an average load of the endpoint.
-            weight: 1 for a response seen here, less for what is less sure.
+            latency_ratio: Actual over expected duration; infinity for a failure.
+            normalized_ratio: The same, normalized to an average load of the endpoint.
+            weight: 1 for a response to this instance, less for less certain observations.
         """
         retained = decay_factor(now_ms - self.observed_ms, FAILURE_TIME_CONSTANT_MS)
         self.latency_ratio = self.latency_ratio_at(now_ms)
@@ -61,7 +61,7 @@
         self.outcome_counts[class_name] = self.outcome_counts.get(class_name, 0.0) + weight
         if latency_ratio == math.inf:
             self.failure_counts[class_name] = self.failure_counts.get(class_name, 0.0) + weight
-        elif latency_ratio > UNRESPONSIVE_MULTIPLE:  # it was counted as unresponsive before the response came
+        elif latency_ratio > UNRESPONSIVE_MULTIPLE:  # the attempt was counted as unresponsive before its response
             self.failure_counts[class_name] = max(0.0, self.failure_counts.get(class_name, 0.0) - weight)
         if normalized_ratio < math.inf:
             self.latency_ratio += (
--- a/anisefront/policy/endpoint_registry.py
+++ b/anisefront/policy/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints of the endpoint list, by their readiness."""
+"""Registry of the endpoints in the endpoint list, grouped by readiness."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from anisefront.policy.peer_codec import endpoint_tag
 from anisefront.policy.slow_start import SlowStart
 
-CAPACITY_TIME_CONSTANT_MS = 30_000.0  # for which capacity that left is taken to carry the load
+CAPACITY_TIME_CONSTANT_MS = 30_000.0  # decay of `recent_capacity` after endpoints have left service
 UNKNOWN_CELL = -1
 UNKNOWN_ZONE = "?"
 
@@ -30,11 +30,11 @@
         self._slow_start = slow_start
 
     def in_service(self) -> list[EndpointState]:
-        """Return the endpoints that attempts may go to."""
+        """Return the endpoints that may receive attempts."""
         return self.ready + self.warming_up
 
     def update(self, now_ms: float, endpoint_list: EndpointList) -> list[EndpointState]:
-        """Take in an endpoint list and return the endpoints that left service."""
+        """Apply an endpoint list and return the endpoints that left service."""
         previous = self.in_service()
         if endpoint_list.complete:
             listed = {endpoint.id for endpoint in endpoint_list.endpoints}
@@ -43,7 +43,7 @@
                     state.record_removed()
         for endpoint in endpoint_list.endpoints:
             state = self.known.get(endpoint.id)
-            if state is None or state.endpoint.started_ms != endpoint.started_ms:  # a restart clears its state
+            if state is None or state.endpoint.started_ms != endpoint.started_ms:  # a restarted endpoint starts afresh
                 state = EndpointState(endpoint)
                 self.known[endpoint.id] = state
                 self.by_tag[endpoint_tag(endpoint.id)] = state
@@ -52,14 +52,14 @@
         return [state for state in previous if state.endpoint.status is not EndpointStatus.READY]
 
     def end_period(self, now_ms: float) -> None:
-        """Take in that a control period has passed."""
+        """Decay the recent capacity by a control period, and update the endpoints that are warming up."""
         retained = decay_factor(PERIOD_MS, CAPACITY_TIME_CONSTANT_MS)
         self.recent_capacity = max(self.capacity, self.recent_capacity * retained)
         if self.warming_up:
             self._sort_by_readiness(now_ms)
 
-    def known_or_removed(self, endpoint_id: str) -> EndpointState | None:
-        """Return the state of an endpoint, a placeholder in no zone if it was never listed, None for no id."""
+    def state_or_placeholder(self, endpoint_id: str) -> EndpointState | None:
+        """Return an endpoint's state: a placeholder in an unknown zone if it was never listed, None for an empty id."""
         if not endpoint_id:
             return None
         state = self.known.get(endpoint_id)
--- a/anisefront/policy/endpoint_selection.py
+++ b/anisefront/policy/endpoint_selection.py
@@ -1,6 +1,6 @@
-"""Choice of an endpoint for an attempt: the least expected time among a few candidates.
+"""Choice of an endpoint for an attempt: the one with the lowest cost among a few candidates.
 
-The expected time is the load at an endpoint times its latency ratio, raised by its failures and for other zones.
+The cost is the load of an endpoint times its latency ratio, raised by its failures and if it is in another zone.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from anisefront.policy.slow_start import SlowStart
 
 MIN_CHOICES = 2.0  # endpoints that are compared (power of d choices)
-CHOICES_PER_ATTEMPT = 4.0  # additional ones, for each attempt a second and endpoint that is started here
-REPORT_TIME_CONSTANT_MS = 300.0  # in which a reported load turns into the mean of all reports
-MIN_EXPONENT = -50.0  # of the decay of a report, for endpoints whose last one came at minus infinity
+CHOICES_PER_ATTEMPT = 4.0  # additional ones per attempt that this instance starts a second and endpoint
+REPORT_TIME_CONSTANT_MS = 300.0  # decay of a reported load towards the mean of all reports
+MIN_EXPONENT = -50.0  # bounds the decay for endpoints without a report, whose report time is minus infinity
 MIN_FRESHNESS = math.exp(MIN_EXPONENT)
-FAILURE_PENALTY = 200.0  # of the squared failure fraction: one failure decays soon, a row of them does not
-NON_IDEMPOTENT_PENALTY = 2 * FAILURE_PENALTY  # a failure of such a request cannot be retried
+FAILURE_PENALTY = 200.0  # factor of the squared failure fraction: squared, one failure costs little, a series much
+NON_IDEMPOTENT_PENALTY = 2 * FAILURE_PENALTY  # such a request cannot be retried after a failure
 MIN_WEIGHT = 0.01
 MIN_JITTER = 1.0
-JITTER_RANGE = 1.1 - MIN_JITTER  # gateway instances that know the same should not all choose the same endpoint
+JITTER_RANGE = 1.1 - MIN_JITTER  # so that instances with equal information do not all choose the same endpoint
 OTHER_ZONE_COST = 1.15
 
 
@@ -52,7 +52,7 @@
         self._zone = zone
 
     def change_zone(self, zone: str) -> None:
-        """Use another zone from now on."""
+        """Set the zone of this gateway instance."""
         self._zone = zone
 
     def record_attempt_started(self) -> None:
@@ -66,8 +66,8 @@
     def extra_choices(self, ready: int) -> float:
         """Return how many endpoints are compared beyond the minimum, given the number of ready ones.
 
-        An instance that starts few attempts knows little that is recent and not known to all others. Were it to
-        compare many endpoints, all instances would choose the same one.
+        An instance that starts few attempts has little recent information of its own. If it compared many endpoints
+        by shared information, all instances would choose the same one.
         """
         return CHOICES_PER_ATTEMPT * self._recent_attempts / max(1, ready)
 
@@ -76,7 +76,7 @@
     ) -> EndpointState | None:
         """Choose an endpoint for an attempt of this load, None if there is none.
 
-        `eligible` are the only endpoints that the request may go to, None for all.
+        `eligible` lists the only endpoints that the request may be sent to; None allows all.
         """
         registry = self._endpoints
         drawn = self._slow_start.draw(now_ms, request, registry.warming_up, registry.recent_capacity, eligible)
@@ -91,10 +91,10 @@
     def _sample(
         self, now_ms: float, ready: list[EndpointState], attempted: tuple[EndpointState, ...]
     ) -> list[EndpointState]:
-        """Return the endpoints to compare, without attempted ones as long as there are others.
+        """Return the endpoints to compare, excluding already attempted ones if there are others.
 
-        A random sample leaves some endpoints idle beside loaded ones. So those whose responses came last are compared
-        too: each has just freed a place, and its load is known (balancing with memory).
+        A random sample alone leaves some endpoints idle while others are loaded. So the endpoints with the latest
+        responses are compared too: each has just completed an attempt and reported its load (balancing with memory).
         """
         count = math.ceil(MIN_CHOICES + self.extra_choices(len(ready)))
         if attempted:
@@ -106,7 +106,7 @@
     def _cheapest(
         self, now_ms: float, candidates: list[EndpointState], request: Request, load: float
     ) -> EndpointState | None:
-        """Return the candidate of the least expected time; written out in one loop since it is the hottest one."""
+        """Return the candidate with the lowest cost; inlined in one loop, since this is the hot path."""
         class_name = request.request_class.name
         non_idempotent = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         penalty = NON_IDEMPOTENT_PENALTY if non_idempotent else FAILURE_PENALTY
@@ -116,7 +116,7 @@
         best = None
         best_cost = math.inf
         for state in candidates:
-            # An old report is no sign of an idle endpoint, so what was reported turns into the mean.
+            # An old report of a low load does not show that the endpoint is idle, so it decays to the mean load.
             exponent = (state.reported_ms - now_ms) / REPORT_TIME_CONSTANT_MS
             freshness = math.exp(exponent) if exponent > MIN_EXPONENT else MIN_FRESHNESS
             others_load = mean_others_load + (state.others_load - mean_others_load) * freshness
--- a/anisefront/policy/endpoint_state.py
+++ b/anisefront/policy/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What a gateway instance knows of one endpoint."""
+"""State of one endpoint at a gateway instance."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     endpoint: Endpoint
     health: EndpointHealth = field(default_factory=EndpointHealth)
     in_flight: int = 0  # attempts of this gateway instance
-    load: float = 0.0  # of these, in average attempts
-    request_ids: set[int] = field(default_factory=set)  # that have an attempt in flight here
-    others_load: float = 0.0  # attempts of other gateway instances, by the last load report
+    load: float = 0.0  # of these attempts, in average attempts
+    request_ids: set[int] = field(default_factory=set)  # requests with an attempt in flight at this endpoint
+    others_load: float = 0.0  # attempts of other gateway instances, according to the last load report
     reported_ms: float = -math.inf
 
     def update(self, endpoint: Endpoint) -> None:
-        """Take in a new entry of the endpoint list."""
+        """Apply a new entry of the endpoint list."""
         self.endpoint = endpoint
 
     def record_removed(self) -> None:
-        """Note that the endpoint list has no entry for it any more."""
+        """Mark the endpoint as removed, since the endpoint list no longer has an entry for it."""
         self.endpoint = replace(self.endpoint, status=EndpointStatus.REMOVED)
 
     def record_attempt_started(self, request_id: int, load: float) -> None:
@@ -36,15 +36,15 @@
         self.load += load
 
     def record_attempt_ended(self, load: float) -> None:
-        """Discount an attempt; sums of floats drift, so no attempts in flight are no load."""
+        """Remove an ended attempt; without attempts in flight the load is reset, since sums of floats drift."""
         self.in_flight -= 1
         self.load = max(0.0, self.load - load) if self.in_flight else 0.0
 
     def remove_request(self, request_id: int) -> None:
-        """Note that a request has no attempt in flight here any more, or has ended."""
+        """Remove a request that has ended or has no attempt in flight at this endpoint any more."""
         self.request_ids.discard(request_id)
 
     def record_load_report(self, now_ms: float, others_load: float) -> None:
-        """Take in the load of other gateway instances."""
+        """Record the reported load of other gateway instances."""
         self.others_load = others_load
         self.reported_ms = now_ms
--- a/anisefront/policy/events.py
+++ b/anisefront/policy/events.py
@@ -1,4 +1,4 @@
-"""Events that a gateway instance hands to the controller. Times are milliseconds."""
+"""Events that a gateway instance passes to the controller. Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    DISCARDED = "moot"  # never started: its request had ended or its time was up
+    DISCARDED = "moot"  # never started, since its request had ended or its time was up
 
     @property
     def never_executed(self) -> bool:
-        """True where the result proves that the endpoint did not begin the work."""
+        """True if the result proves that the endpoint did not start to execute the request."""
         return self in (AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED, AttemptResult.DISCARDED)
 
 
 class EndpointStatus(Enum):
-    """What service discovery says of an endpoint."""
+    """Status of an endpoint in service discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -44,12 +44,12 @@
     cell: int
     status: EndpointStatus
     weight: float = 1.0
-    started_ms: float = 0.0  # 0: long ago
+    started_ms: float = 0.0  # 0: unknown or long ago; the endpoint counts as warmed up
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """Service discovery's view. `complete` lists replace the one before; `failed` ones carry nothing."""
+    """Result of service discovery: a `complete` list replaces the previous one, a `failed` one has no content."""
 
     endpoints: tuple[Endpoint, ...]
     complete: bool = True
@@ -58,18 +58,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PriorAttempts:
-    """What is known of the attempts of a request that a lost gateway instance had accepted."""
+    """Attempts that a failed gateway instance had started for a request."""
 
-    attempts: int = 0  # that were started
-    uncertain: int = 0  # of these, not proved never to have been executed
-    endpoint: str = ""  # of the first
-    started_ms: float = -math.inf  # of the first, by this instance's clock; -inf: as long ago as can be
-    quota_debited: bool = False  # its units were drawn from the quota
+    attempts: int = 0  # attempts started
+    uncertain: int = 0  # those of them that may have been executed
+    endpoint: str = ""  # of the first attempt
+    started_ms: float = -math.inf  # of the first attempt, by this instance's clock; -inf: unknown
+    quota_debited: bool = False  # whether the request's units were taken from the quota
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A client's request, owed one final answer by `deadline_at_ms`."""
+    """A client's request, which gets one final answer by `deadline_at_ms`."""
 
     id: int
     customer: str
@@ -78,15 +78,15 @@
     deadline_at_ms: float
     units: float = 1.0
     first_gateway: int = 0
-    spread: int = 1  # gateway instances, from the first one, that receive the customer's requests
-    is_retry: bool = False
-    allows_hedging: bool = True  # its transport allows two attempts in flight
-    prior_attempts: PriorAttempts | None = None  # of another instance; attempts are numbered on from there
+    spread: int = 1  # number of gateway instances, from the first one, that receive the customer's requests
+    is_retry: bool = False  # by the client
+    allows_hedging: bool = True  # whether its transport supports two attempts in flight
+    prior_attempts: PriorAttempts | None = None  # of a failed instance; new attempts continue their numbering
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed response has begun; the attempt belongs to the client now."""
+    """A streamed response has started; the request can have no other attempt from now on."""
 
     id: int
     attempt: int
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How one attempt ended; `final` says that its request has ended too."""
+    """The end of one attempt; `final` means that its request has ended too."""
 
     id: int
     attempt: int
@@ -104,13 +104,13 @@
     result: AttemptResult
     final: bool
     actual_units: float = 0.0
-    quota_use: int = 0  # 1 + percent; 0: not reported
+    quota_use: int = 0  # 1 + percentage of the quota in use; 0: not reported
     load: tuple[float, ...] = ()  # values of `Settings.load_report_fields`
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left; it needs no answer any more."""
+    """The client disconnected and needs no answer."""
 
     id: int
 
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersUnreachable:
-    """All gateway instances known to be dead or to have left; nothing is known of those that are not listed."""
+    """All gateway instances known to have failed or left; replaces the previous set."""
 
     gateways: frozenset[int]
 
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterReply:
-    """The response of the shared counter; the controller makes no such calls."""
+    """The response of the simulator's shared counter; the controller makes no such calls."""
 
     name: str
 
--- a/anisefront/policy/fuzzy_controller.py
+++ b/anisefront/policy/fuzzy_controller.py
@@ -1,10 +1,11 @@
-"""Mamdani PI controller that sets the share of one request class in the attempts in flight.
+"""Mamdani fuzzy PI controller that sets the share of one request class in the concurrency limit.
 
-The absolute delay guarantee of "Incorporate intelligence into the differentiated services strategies of a Web server"
-(Loudini, Rezig, Yahia Salhi), which other modules call the paper: inputs are the error of the queueing delay and its
-change, the output is the change of the share. Table 6 of the paper is the rule base, Table 7 has the scaling factors.
+It implements the absolute delay guarantee of "Incorporate intelligence into the differentiated services strategies of
+a Web server" (Loudini, Rezig, Yahia Salhi), called the paper in other modules. The inputs are the error of the
+queueing delay and the change of that error, the output is the change of the share. The rule base is Table 6 of the
+paper, the scaling factors are in its Table 7.
 
-Departure from the paper: a share is not reduced while its class's delay is below the target.
+Difference from the paper: a share is not reduced while its class's delay is below the target.
 """
 
 from __future__ import annotations
@@ -13,19 +14,19 @@
 
 # Scaling factors (paper, Table 7).
 ERROR_GAIN = 0.4  # per second of error
-CHANGE_GAIN = 3.0  # per second of the error's change in a control period
-OUTPUT_GAIN = 0.01  # of share, for an output of 1
+CHANGE_GAIN = 3.0  # per second by which the error changes in a control period
+OUTPUT_GAIN = 0.01  # change of the share for an output of 1
 
-SET_CENTRES = (-1.0, -0.5, 0.0, 0.5, 1.0)  # of the fuzzy sets NB, NM, ZE, PM, PB
+SET_CENTRES = (-1.0, -0.5, 0.0, 0.5, 1.0)  # negative big and medium, zero, positive medium and big
 SET_SPACING = SET_CENTRES[1] - SET_CENTRES[0]
 ZERO_SET = len(SET_CENTRES) // 2
 OUTPUT_STEPS = 20  # samples of the output on each side of zero
-INPUT_DIGITS = 2  # decimal places, so that few results need to be cached
-MIN_SHARE = 0.05  # so that no class starves
+INPUT_DIGITS = 2  # inputs are rounded to these decimal places, which bounds the cache of results
+MIN_SHARE = 0.05  # prevents starvation of a class
 
 
 def membership_degrees(value: float) -> list[float]:
-    """Return the degree to which a value belongs to each fuzzy set; the sets are triangles that overlap by half."""
+    """Return the degree of membership of a value in each fuzzy set: triangles, of which neighbours overlap by half."""
     value = max(-1.0, min(1.0, value))
     return [max(0.0, 1 - abs(value - centre) / SET_SPACING) for centre in SET_CENTRES]
 
@@ -35,7 +36,7 @@
 ]
 
 
-@functools.cache  # the slowest step of an overloaded gateway instance, with few distinct inputs
+@functools.cache  # the most expensive step of an overloaded gateway instance, with few distinct inputs
 def infer_output(error: float, change: float) -> float:
     """Return the output for scaled inputs, all within [-1, 1].
 
@@ -56,18 +57,18 @@
 
 
 class FuzzyController:
-    """Controller of one class's share: a class whose requests are queued for too long gains."""
+    """Controller of one class's share, which grows while the class's queueing delay exceeds its target."""
 
     __slots__ = ("share", "_previous_error_s", "_target_delay_s")
 
     def __init__(self, target_delay_ms: float, share: float) -> None:
-        """Start from a share."""
+        """Start with this target of the queueing delay and this share."""
         self.share = share
         self._target_delay_s = target_delay_ms / 1000
         self._previous_error_s: float | None = None
 
     def set_target_delay_ms(self, target_delay_ms: float) -> None:
-        """Set how long requests may be queued."""
+        """Set the target of the mean queueing delay."""
         self._target_delay_s = target_delay_ms / 1000
 
     def end_period(self, delay_ms: float) -> None:
@@ -76,7 +77,7 @@
         change = 0.0 if self._previous_error_s is None else error - self._previous_error_s
         self._previous_error_s = error
         if error >= 0 and change >= 0:
-            return  # the output is not negative: it would reduce the share
+            return  # the output would not be negative, and so would not raise the share
         scaled_error = round(ERROR_GAIN * error, INPUT_DIGITS)
         scaled_change = round(CHANGE_GAIN * change, INPUT_DIGITS)
         reduction = OUTPUT_GAIN * infer_output(scaled_error, scaled_change)
--- a/anisefront/policy/outlier_detection.py
+++ b/anisefront/policy/outlier_detection.py
@@ -1,6 +1,6 @@
-"""Outlier detection: which outcomes of attempts count against an endpoint, as seen here and by peers.
+"""Outlier detection: outcomes of attempts at each endpoint, observed by this gateway instance and by its peers.
 
-There is no ejection: what is recorded here raises the cost of an endpoint in `endpoint_selection`.
+Endpoints are not ejected: failures and high latency raise their cost in `endpoint_selection`.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from anisefront.policy.load_reports import LoadReports
 from anisefront.policy.peer_codec import MAX_OBSERVATIONS, EndpointObservation, latency_ratio_of, observation_of
 
-UNRESPONSIVE_WEIGHT = 0.6  # of an attempt without a response, in failures
-PEER_WEIGHT = 0.5  # of a peer's observation, before it is reduced by how much is observed here
-OBSERVATION_LIFETIME_MS = 2000.0  # for which an observation is sent to peers
+UNRESPONSIVE_WEIGHT = 0.6  # in failures, of an attempt that has had no response for long
+PEER_WEIGHT = 0.5  # of a peer's observation at an instance that starts no attempts itself
+OBSERVATION_LIFETIME_MS = 2000.0  # age up to which an observation is sent to peers
 
 
 class _TimedObservation(NamedTuple):
@@ -35,15 +35,15 @@
         self._observations: list[_TimedObservation] = []
 
     def change_classes(self, class_names: list[str]) -> None:
-        """Use other classes from now on; peers know a class by its place."""
+        """Set the classes, which observations refer to by index."""
         self._class_names = class_names
 
     def record_attempt(
         self, now_ms: float, state: EndpointState, class_name: str, latency_ratio: float, weight: float = 1.0
     ) -> None:
-        """Record the outcome of an attempt: its duration over the expected one, infinity for a failure.
+        """Record the outcome of an attempt: actual over expected duration, infinity for a failure.
 
-        Overload responses are failures too: an endpoint that rejects at once seems idle and would attract attempts.
+        Overload responses count as failures: an endpoint that rejects at once appears idle and would attract attempts.
         """
         normalized = latency_ratio * self._load_reports.latency_normalization(now_ms, state)
         state.health.record(now_ms, class_name, latency_ratio, normalized, weight)
@@ -64,8 +64,8 @@
     ) -> None:
         """Record what a peer observed.
 
-        It weighs less the more attempts this gateway instance starts itself. Otherwise all instances would leave the
-        same endpoints for the same others at once.
+        Its weight decreases with the number of attempts that this gateway instance starts itself. Otherwise all
+        instances would move from the same endpoints to the same others at once.
         """
         weight = PEER_WEIGHT / (1 + own_attempts_weight)
         for observation in observations:
@@ -75,5 +75,5 @@
                 state.health.record(now_ms, self._class_names[observation.class_index], ratio, ratio, weight)
 
     def recent_observations(self, now_ms: float) -> list[EndpointObservation]:
-        """Return the observations that peers are sent now."""
+        """Return the observations to send to peers."""
         return [each.observation for each in self._observations if now_ms - each.observed_ms <= OBSERVATION_LIFETIME_MS]
--- a/anisefront/policy/peer_codec.py
+++ b/anisefront/policy/peer_codec.py
@@ -1,7 +1,8 @@
 """Codec of the messages that gateway instances send each other: quota messages and endpoint observations.
 
-A message is at most `MAX_BYTES` long, little-endian, and has no state. A lost one costs units of a quota at most; it is
-sent again where a reply is awaited. Layout: header, as many quota messages as it says, endpoint observations.
+A message is self-contained, little-endian and at most `MAX_BYTES` long. Its loss costs at most some units of a quota;
+quota requests are sent again until there is a reply. Layout: header, the number of quota messages that it states,
+endpoint observations.
 """
 
 from __future__ import annotations
@@ -15,17 +16,18 @@
 
 MAX_BYTES = 256
 MAX_OBSERVATIONS = 4
-TAG_BYTES = 10  # among 10^9 customers two have the same tag with a probability of 4 in 10^7
+TAG_BYTES = 10  # the probability of a collision among 10^9 customers is 4 in 10^7
 FORMAT_VERSION = 3
 MAX_UINT16 = 0xFFFF
-SUSTAINABLE_SCALE = 64  # steps of an attempt
-UNITS_SCALE = 16  # steps of a unit, and of a unit a second
-MAX_CLASSES = 16  # an index has four bits
+SUSTAINABLE_SCALE = 64  # encoded as multiples of 1/64 of an attempt
+UNITS_SCALE = 16  # units and units a second are encoded as multiples of 1/16
+MAX_CLASSES = 16  # class and plan indexes have four bits each
 MAX_PLANS = 16
 
-FAILED_GRADE = 15  # of an endpoint observation
-EXPECTED_GRADE = 4  # response time as expected; two grades for each factor of 2
-STEPS_PER_OCTAVE = 2
+# The grade of an endpoint observation encodes the ratio of actual to expected duration on a logarithmic scale.
+FAILED_GRADE = 15
+EXPECTED_GRADE = 4  # for a ratio of 1
+STEPS_PER_OCTAVE = 2  # grades for each factor of 2
 MIN_RATIO = 0.25
 MAX_RATIO = 32.0
 
@@ -36,14 +38,14 @@
 
 
 class QuotaMessageKind(IntEnum):
-    """What a quota message says."""
+    """Kind of a quota message."""
 
-    REQUEST = 1  # to the owner: the units are requested
-    GRANT = 2  # from the owner: they are granted
+    REQUEST = 1  # to the owner: requests units
+    GRANT = 2  # from the owner: the units are granted
     QUEUED = 3  # from the owner: the request is queued
-    DEBIT = 4  # to the owner: they were taken from a local bucket
-    REFUND = 5  # to the owner: they were not used, or the request has ended
-    RETRY = 6  # as REQUEST, for a client's retry
+    DEBIT = 4  # to the owner: the units were taken from a local bucket
+    REFUND = 5  # to the owner: the units were not used, or the request has ended
+    RETRY = 6  # to the owner: requests units for a client's retry
 
 
 _KINDS = frozenset(int(kind) for kind in QuotaMessageKind)
@@ -54,15 +56,15 @@
 
     kind: QuotaMessageKind
     customer_tag: int
-    serial: int  # of the request, at the borrower
+    serial: int  # number of the request at the borrower
     units: float
-    demand_per_s: float  # units that the customer requests: of the borrower; from the owner, of all borrowers
+    demand_per_s: float  # units that the customer requests: at the borrower, or from the owner at all borrowers
     class_index: int
     plan_index: int
 
 
 class EndpointObservation(NamedTuple):
-    """How one attempt at an endpoint went at the sender."""
+    """The outcome of one attempt of the sender at an endpoint."""
 
     endpoint_tag: int
     class_index: int
@@ -72,14 +74,14 @@
 class PeerReport(NamedTuple):
     """The content of one message."""
 
-    boot: int  # random number of the sender's process
-    sustainable_attempts: float  # that the sender can have in flight
+    boot: int  # random number that identifies the sender's process
+    sustainable_attempts: float  # attempts that the sender can have in flight
     quota_messages: tuple[QuotaMessage, ...]
     observations: tuple[EndpointObservation, ...]
 
 
 def observation_of(endpoint: str, class_index: int, latency_ratio: float) -> EndpointObservation:
-    """Return the observation of an attempt: its duration over the expected one, infinity if it failed."""
+    """Return the observation of an attempt with this ratio of actual to expected duration, infinity if it failed."""
     if latency_ratio == math.inf:
         grade = FAILED_GRADE
     else:
@@ -89,16 +91,16 @@
 
 
 def latency_ratio_of(observation: EndpointObservation) -> float:
-    """Return the duration over the expected one that an observation stands for, infinity if the attempt failed."""
+    """Return the ratio of actual to expected duration of an observation, infinity if the attempt failed."""
     if observation.grade == FAILED_GRADE:
         return math.inf
     return 2 ** ((observation.grade - EXPECTED_GRADE) / STEPS_PER_OCTAVE)
 
 
 def customer_tag(customer: str, key: bytes = b"") -> int:
-    """Return a keyed hash of a customer's name, equal at all gateway instances that share the key.
+    """Return a keyed hash of a customer's name, equal at all gateway instances with the same key.
 
-    With an unkeyed checksum anyone could find a name with another customer's tag and draw on that one's quota.
+    With an unkeyed hash anyone could find a name that collides with another customer's tag and use up its quota.
     """
     digest = hashlib.blake2b(customer.encode(errors="surrogatepass"), digest_size=TAG_BYTES, key=key).digest()
     return int.from_bytes(digest, "little")
@@ -115,7 +117,7 @@
     quota_messages: list[QuotaMessage],
     observations: list[EndpointObservation],
 ) -> bytes:
-    """Encode a message; quota messages and observations beyond its size are left out."""
+    """Encode a message; quota messages and observations beyond its maximum size are left out."""
     quota_messages = quota_messages[:MAX_QUOTA_MESSAGES]
     header = _HEADER.pack(
         FORMAT_VERSION, boot & MAX_UINT16, _clip(sustainable_attempts * SUSTAINABLE_SCALE), len(quota_messages)
--- a/anisefront/policy/peer_outbox.py
+++ b/anisefront/policy/peer_outbox.py
@@ -1,7 +1,7 @@
-"""Batching of the messages to peers, by how full the peers' inboxes are.
+"""Batching of the messages to peers, depending on the load of their inboxes.
 
-Messages beyond the rate that an inbox takes are lost. The load of this instance's own inbox stands for that of its
-peers: the fuller it is, the longer messages to one peer are collected before they are sent together.
+Messages beyond the rate that an inbox accepts are lost. The load of the local inbox serves as an estimate of that of
+the peers: the higher it is, the longer messages to one peer are collected before they are sent together.
 """
 
 from __future__ import annotations
@@ -15,43 +15,43 @@
 from anisefront.policy.settings import Settings
 from anisefront.policy.timers import TimerKind, TimerQueue
 
-INBOX_FRACTION = 0.75  # of an inbox that all senders together may fill
+INBOX_FRACTION = 0.75  # target utilization of an inbox by all senders together
 MAX_GAP_MS = 60.0  # between two messages to one peer
-ACTIVE_PEER_MS = 1000.0  # a peer that sent a message within this time sends to the same peers as this instance
+ACTIVE_PEER_MS = 1000.0  # peers that sent a message within this time count as senders to the same inboxes
 
 
 class PeerOutbox:
-    """Messages that wait to be sent to peers."""
+    """Messages to peers that have not been sent yet."""
 
     __slots__ = ("_boot", "_flush_ms", "_pending", "_received", "_received_ms", "_sent_ms", "_settings", "_timers")
 
     def __init__(self, settings: Settings, boot: int, timers: TimerQueue) -> None:
-        """Start without messages; `boot` is this process's random number."""
+        """Start without messages; `boot` is the random number that identifies this process."""
         self._boot = boot
         self._flush_ms = 0.0
         self._pending: dict[int, list[QuotaMessage]] = {}  # by peer
         self._received = 0.0  # decayed count of messages received
-        self._received_ms: dict[int, float] = {}  # when a message of a peer last came, in this order
+        self._received_ms: dict[int, float] = {}  # time of each peer's last message, in order of time
         self._sent_ms: dict[int, float] = {}
         self._settings = settings
         self._timers = timers
 
     def __len__(self) -> int:
-        """Return the number of peers that messages wait for."""
+        """Return the number of peers with pending messages."""
         return len(self._pending)
 
     @property
     def active_peers(self) -> int:
-        """Return how many peers sent messages lately."""
+        """Return how many peers have sent messages recently."""
         return len(self._received_ms)
 
     def change_settings(self, settings: Settings) -> None:
-        """Use other settings from now on."""
+        """Apply new settings."""
         self._settings = settings
 
     def record_received(self, now_ms: float, sender: int) -> None:
-        """Count a message that came from a peer."""
-        self._received_ms.pop(sender, None)  # so that it stands last
+        """Count a message from a peer."""
+        self._received_ms.pop(sender, None)  # so that the sender is inserted at the end
         self._received_ms[sender] = now_ms
         self._received += 1
 
@@ -66,7 +66,7 @@
     def flush(
         self, now_ms: float, sustainable_attempts: float, observations: list[EndpointObservation]
     ) -> list[SendToPeer]:
-        """Return what is sent now, and set a timer for the rest."""
+        """Return the messages to send now, and set a timer for the others."""
         if not self._pending:
             return []
         gap_ms = self._gap_ms(now_ms)
@@ -82,11 +82,11 @@
         return actions
 
     def _gap_ms(self, now_ms: float) -> float:
-        """Return the least time between two messages to one peer: none until the inbox is half full."""
+        """Return the minimum time between two messages to one peer: 0 while the inbox is less than half full."""
         self._evict_inactive_peers(now_ms)
         capacity_per_s = INBOX_FRACTION * self._settings.inbox_per_s or math.inf
-        fullness = min(1.0, max(0.0, 2 * self._received / capacity_per_s - 1))
-        return min(MAX_GAP_MS, fullness * len(self._received_ms) * 1000 / capacity_per_s)
+        overload = min(1.0, max(0.0, 2 * self._received / capacity_per_s - 1))
+        return min(MAX_GAP_MS, overload * len(self._received_ms) * 1000 / capacity_per_s)
 
     def _evict_inactive_peers(self, now_ms: float) -> None:
         while self._received_ms:
--- a/anisefront/policy/quota_borrower.py
+++ b/anisefront/policy/quota_borrower.py
@@ -1,7 +1,7 @@
 """The borrower's side of quotas: takes units from the local buckets, or requests them from the quota owner.
 
-While the owner does not reply, a gateway instance overdraws its local bucket, one request at a time. For an owner that
-is known to be dead another instance grants units in its place (both depart from the design, see `quota_parameters`).
+If the owner does not reply, a gateway instance overdraws its local bucket, one request at a time. If the owner is known
+to have failed, another instance grants units in its place. The design described in `quota_parameters` has neither.
 """
 
 from __future__ import annotations
@@ -23,31 +23,33 @@
 from anisefront.policy.timers import TimerKind, TimerQueue
 
 INITIAL_REPLY_MS = 60.0  # expected time until the owner replies
-OVERDUE_MULTIPLE = 2.5  # of the expected time, after which a reply is overdue
-OVERDUE_FRACTION = 0.15  # or of the latency objective: two messages and an overdraft have to fit into the queueing time
+# A reply is overdue after this multiple of the expected time, but at most after this fraction of the latency objective:
+# two messages without a reply and an overdraft must fit into the queueing time.
+OVERDUE_MULTIPLE = 2.5
+OVERDUE_FRACTION = 0.15
 MIN_OVERDUE_MS = 30.0
-UNREACHABLE_RETRY_MS = 250.0  # after which an owner that did not reply is sent the request again
-MAX_INBOX_FRACTION = 0.5  # of an owner's inbox that one customer may fill
-MAX_REQUESTS_MULTIPLE = 2.0  # of its quota: messages a second that it may send in any case
-MAX_UNANSWERED = 2  # messages, after which the owner counts as unresponsive
+UNREACHABLE_RETRY_MS = 250.0  # interval at which an unresponsive owner is sent the request again
+MAX_INBOX_FRACTION = 0.5  # fraction of an owner's inbox that one customer may fill
+MAX_REQUESTS_MULTIPLE = 2.0  # messages a second that are sent in any case, as a multiple of the customer's quota
+MAX_UNANSWERED = 2  # messages without a reply after which the owner counts as unresponsive
 
 
 class QuotaDecision(Enum):
-    """What the quota owner, or the local bucket in its place, says of a request."""
+    """Decision on a request, by the quota owner or by an overdraft of the local bucket."""
 
     GRANTED = auto()
     QUEUED = auto()
 
 
 class Lender(NamedTuple):
-    """The gateway instance that grants units to a request, and the units that the request takes there."""
+    """The gateway instance that grants units to a request, and the units that it debits."""
 
     gateway: int
     units: float
 
 
 class QuotaBorrower:
-    """The accounts of the customers whose requests arrive here, and their claims on the quotas."""
+    """The accounts of the customers with requests at this instance, and the requests' claims on their quotas."""
 
     __slots__ = (
         "accounts",
@@ -80,17 +82,17 @@
 
         Args:
             settings: The settings of this gateway instance.
-            rng: Generator that decides which requests are sent while the owner's inbox is full.
-            timers: Where overdue replies are scheduled.
-            outbox: Knows how many peers are active.
-            send: Takes the time, the receiving gateway instance and a message.
-            on_decision: Takes a request and what its quota owner says of it.
+            rng: Selects the requests to send if there are more than the owner's inbox can receive.
+            timers: Schedules the time-outs of replies.
+            outbox: Counts the active peers.
+            send: Sends a message; its arguments are the time, the receiving gateway instance and the message.
+            on_decision: Called with a request and the decision on it.
         """
         self.accounts: dict[str, CustomerAccount] = {}  # by customer
-        self.pending: dict[int, Request] = {}  # requests that an owner may still send a reply for, by serial
+        self.pending: dict[int, Request] = {}  # requests that may still get a reply from an owner, by serial
         self.settings = settings
-        self.tag_holders: dict[int, str] = {}  # whose account has a tag
-        self.unreachable: frozenset[int] = frozenset()  # gateway instances that are known to be dead
+        self.tag_holders: dict[int, str] = {}  # customer by tag
+        self.unreachable: frozenset[int] = frozenset()  # gateway instances known to have failed or left
         self._expected_reply_ms = INITIAL_REPLY_MS
         self._on_decision = on_decision
         self._outbox = outbox
@@ -104,20 +106,20 @@
             self._unresponsive |= set(range(settings.gateways)) - {settings.number}
 
     def change_settings(self, settings: Settings) -> None:
-        """Use other settings from now on."""
+        """Apply new settings."""
         self.settings = settings
         self._set_indexes(settings)
 
     def set_unreachable(self, gateways: frozenset[int]) -> None:
-        """Note which gateway instances are known to be dead."""
+        """Set the gateway instances known to have failed or left."""
         self.unreachable = gateways
 
     def record_peer_message(self, sender: int) -> None:
-        """Note that a peer responds."""
+        """Record that a peer is responsive."""
         self._unresponsive.discard(sender)
 
     def evict_idle(self, now_ms: float) -> None:
-        """Check some of the accounts in turn, and evict those that an idle customer no longer needs."""
+        """Evict idle accounts; each call checks some of the accounts in turn."""
         for _ in range(sweep_size(len(self.accounts))):
             customer = next(iter(self.accounts))
             account = self.accounts.pop(customer)
@@ -127,7 +129,7 @@
                 self.accounts[customer] = account  # moved to the end
 
     def open_claim(self, now_ms: float, arrival: Arrival, plan: Plan) -> QuotaClaim | RejectionReason:
-        """Return a new request's claim on its customer's quota, or why it cannot have one."""
+        """Return a new request's claim on its customer's quota, or the reason for its rejection."""
         account = self.account_for(now_ms, arrival, plan)
         if isinstance(account, RejectionReason):
             return account
@@ -135,9 +137,9 @@
         return QuotaClaim(account)
 
     def account_for(self, now_ms: float, arrival: Arrival, plan: Plan) -> CustomerAccount | RejectionReason:
-        """Return the customer's account, refilled, or why it has none.
+        """Return the customer's account, refilled, or the reason why there is none.
 
-        A second customer with the tag of another is rejected: at their owner the two would share one quota.
+        A customer whose tag collides with another's is rejected: at the quota owner the two would share one quota.
         """
         account = self.accounts.get(arrival.customer)
         if account is None:
@@ -151,10 +153,11 @@
         return account
 
     def lender_of(self, request: Request) -> Lender:
-        """Return who grants units to a request: the owner, or the next of the customer's gateway instances.
+        """Return who grants units to a request: the owner, or in its place the customer's next gateway instance.
 
-        In a partitioned network each side may replace the owner. So ceilings and leases stay with the owner, and
-        elsewhere a unit costs the more the fewer instances are left: all sides together grant the quota once more.
+        In a network partition each side may replace the owner. So only the owner grants units of plans with ceilings or
+        leases. Elsewhere the cost of a unit grows as fewer instances are reachable, so that all sides together grant at
+        most the quota once more.
         """
         account = request.claim.account
         plan = request.plan
@@ -163,22 +166,22 @@
             return Lender(account.owner, units)
         gateways = self.settings.gateways
         reachable = (gateway for gateway in account.successors(gateways) if gateway not in self.unreachable)
-        max_units = max(units, RESERVE_FRACTION * plan.burst)  # more would never be granted
+        max_units = max(units, RESERVE_FRACTION * plan.burst)  # a higher cost would never be granted
         cost = min(max_units, units * gateways / (gateways - len(self.unreachable)))
         return Lender(next(reachable, self.settings.number), cost)
 
     def try_debit_locally(self, now_ms: float, request: Request) -> bool:
-        """Take the units from the local bucket if it has them, and return whether it had."""
+        """Take the units from the local bucket if it has enough, and return whether they were taken."""
         plan = request.plan
         if not plan.rate_per_s or plan.max_in_flight:
             return False
         return request.arrival.units <= request.claim.account.local_bucket and self._debit(now_ms, request)
 
     def request_units(self, now_ms: float, request: Request) -> None:
-        """Request the units from the owner; one that is not sent waits for its dispatch deadline.
+        """Request the units from the owner; a request that is not sent waits until its dispatch deadline.
 
         A customer that requests many times its quota would fill the owner's inbox, and messages of all customers
-        would be lost there. So only as many of its requests are sent as the owner can receive.
+        would be lost. So a random sample of its requests is sent, as many as the owner can receive.
         """
         inbox_per_s = self.settings.inbox_per_s
         max_per_s = max(MAX_INBOX_FRACTION * inbox_per_s, MAX_REQUESTS_MULTIPLE * request.plan.rate_per_s)
@@ -194,7 +197,7 @@
         if request.claim.messages_sent < MAX_UNANSWERED and owner not in self._unresponsive:
             self._send_request(now_ms, request)
             return
-        assert isinstance(account, CustomerAccount)  # it has one, since it has a request that waits
+        assert isinstance(account, CustomerAccount)  # a customer with a waiting request has an account
         self._unresponsive.add(owner)
         self._timers.set(TimerKind.OWNER_REPLY_OVERDUE, now_ms + UNREACHABLE_RETRY_MS, request.arrival.id)
         if self._is_owner_overloaded() and request.arrival.units > account.local_bucket:
@@ -203,7 +206,7 @@
             self._on_decision(request, QuotaDecision.GRANTED)
 
     def withdraw(self, request: Request) -> None:
-        """Stop waiting for the owner's grant; one that still comes is refunded."""
+        """Stop waiting for the owner's grant; a later grant is refunded."""
         self.pending.pop(request.claim.serial)
 
     def request_ended(self, now_ms: float, request: Request) -> None:
@@ -216,7 +219,7 @@
             self._send_message(now_ms, QuotaMessageKind.REFUND, request)
 
     def receive(self, now_ms: float, sender: int, message: QuotaMessage) -> None:
-        """Take in an owner's reply."""
+        """Process an owner's reply."""
         request = self.pending.get(message.serial)
         if request is None or not self._is_reply_for(request, sender, message):
             if message.kind is QuotaMessageKind.GRANT:  # its request has ended
@@ -236,7 +239,7 @@
             self._on_decision(request, QuotaDecision.QUEUED)
 
     def _set_indexes(self, settings: Settings) -> None:
-        """Peers know classes and plans by their places in the settings."""
+        """Set the indexes by which peers identify classes and plans."""
         self._class_indexes = {each.name: index for index, each in enumerate(settings.classes)}
         self._plan_indexes = {plan.name: index for index, plan in enumerate(settings.plans)}
 
@@ -254,10 +257,10 @@
         return self.lender_of(request).gateway == sender
 
     def _is_owner_overloaded(self) -> bool:
-        """Return whether an owner that does not reply is rather overloaded than dead.
+        """Return whether an owner that does not reply is likely overloaded rather than failed.
 
-        Then most other peers respond. An overdraft at each of many gateway instances would exceed the burst many
-        times, so it is for outages, in which as many owners are unresponsive as peers are active.
+        In that case most other peers respond. Overdrafts at many gateway instances would add up to many times the
+        burst, so they are allowed only in outages: when at least as many owners are unresponsive as peers are active.
         """
         return len(self._unresponsive) < self._outbox.active_peers
 
@@ -266,7 +269,7 @@
         return account.local_bucket >= 0 and not (plan.max_in_flight and account.in_flight)
 
     def _debit(self, now_ms: float, request: Request) -> bool:
-        """Take the units from the local buckets, where the ceiling's part has them, and notify the owner."""
+        """Take the units from the local buckets and notify the owner, unless the ceiling's part is exhausted."""
         account = request.claim.account
         units = request.arrival.units
         if request.plan.ceiling_per_s and units > account.ceiling_bucket:
--- a/anisefront/policy/quota_bucket.py
+++ b/anisefront/policy/quota_bucket.py
@@ -16,15 +16,15 @@
 from anisefront.policy.quota_request_queue import QuotaRequest, QuotaRequestKey, QuotaRequestQueue
 from anisefront.policy.settings import Plan
 
-DEBIT_MEMORY_MS = 5000.0  # for which debits are remembered, so that repeated messages are recognized
-MIN_DEBIT_MEMORY = 64  # debits, below which none is forgotten
+DEBIT_RETENTION_MS = 5000.0  # for which debits are kept to detect duplicate messages
+MIN_RETAINED_DEBITS = 64  # up to which no debits are evicted
 
 
 class Debit(NamedTuple):
     """Units that a request has taken."""
 
     made_ms: float
-    refundable_units: float  # those that were not put back
+    refundable_units: float  # those not refunded yet
 
 
 @dataclass(slots=True, eq=False)
@@ -37,9 +37,9 @@
     ceiling_level: float = 0.0  # units of the owner's part of the ceiling
     demand: float = 0.0  # decayed count of units requested by all borrowers
     queue: QuotaRequestQueue = field(default_factory=QuotaRequestQueue)
-    leases: dict[QuotaRequestKey, float] = field(default_factory=dict)  # requests in flight, with the lease's expiry
-    debits: dict[QuotaRequestKey, Debit] = field(default_factory=dict)  # in the order in which they were made
-    refill_timer_ms: float = math.inf  # when the timer for the next request fires
+    leases: dict[QuotaRequestKey, float] = field(default_factory=dict)  # expiry, by request in flight
+    debits: dict[QuotaRequestKey, Debit] = field(default_factory=dict)  # in order of time
+    refill_timer_ms: float = math.inf  # expiry of the timer for the next request; infinity: none is set
 
     @property
     def demand_per_s(self) -> float:
@@ -59,7 +59,7 @@
         self.leases = {key: expires_ms for key, expires_ms in self.leases.items() if expires_ms > now_ms}
 
     def change_plan(self, plan: Plan) -> None:
-        """Use another plan; the levels stay, within its bursts, so that a change grants nothing again."""
+        """Apply another plan; levels are only reduced to its bursts, so that a change grants no units again."""
         self.plan = plan
         self.level = min(plan.burst, self.level)
         self.ceiling_level = min(plan.ceiling_burst * OWNER_CEILING_FRACTION, self.ceiling_level)
@@ -69,18 +69,18 @@
         self.demand += units
 
     def set_refill_timer(self, expires_ms: float) -> None:
-        """Note when the timer for the next request fires."""
+        """Record the expiry of the timer for the next request."""
         self.refill_timer_ms = expires_ms
 
     def clear_refill_timer(self) -> None:
-        """Note that the timer has fired."""
+        """Record that the timer has fired."""
         self.refill_timer_ms = math.inf
 
     def wait_s(self, now_ms: float, request: QuotaRequest, max_priority: float) -> float:
-        """Return how long a request has to wait for the units, the ceiling and a lease; 0 if it may be granted.
+        """Return how long a request must wait for units, ceiling and lease; 0 or less if it may be granted now.
 
-        Requests of lesser priority leave a reserve in the bucket. That of a client's retry is the largest, since most
-        of its latency objective has passed.
+        Requests of lower priority leave a reserve in the bucket for others. Clients' retries leave the largest, since
+        most of their latency objective has passed.
         """
         plan = self.plan
         units = request.message.units
@@ -95,9 +95,9 @@
         return wait_s
 
     def debit(self, now_ms: float, key: QuotaRequestKey, units: float, lease_ms: float) -> None:
-        """Take units, and a lease where the plan limits the requests in flight; the level may become negative."""
-        if len(self.debits) > MIN_DEBIT_MEMORY:
-            self._forget_debits(now_ms)
+        """Take units, and a lease if the plan limits the requests in flight; the level may become negative."""
+        if len(self.debits) > MIN_RETAINED_DEBITS:
+            self._evict_debits(now_ms)
         self.debits[key] = Debit(now_ms, units)
         self.level = max(-self.plan.burst, self.level - units)
         if self.plan.max_in_flight:
@@ -108,9 +108,10 @@
         self.ceiling_level -= units
 
     def refund(self, key: QuotaRequestKey, units: float, plan: Plan) -> None:
-        """End a request's lease, or else put back units that it did not use.
+        """End a request's lease, or put back units that it did not use if there is no lease.
 
-        A request may be refunded twice: for its end, and for a grant that comes after it. It gets back what it took.
+        A request may be refunded twice: when it ends, and for a grant that arrives later. Only debited units are put
+        back.
         """
         lease = self.leases.pop(key, None)
         debit = self.debits.get(key)
@@ -121,16 +122,16 @@
         self.level = min(plan.burst, self.level + refunded_units)
 
     def is_evictable(self, now_ms: float) -> bool:
-        """Return whether a new bucket would grant the customer no more than this one; drop expired requests."""
+        """Evict expired requests, and return whether a new bucket would grant the customer no more than this one."""
         idle_s = (now_ms - self.updated_ms) / 1000
         if idle_s * 1000 < IDLE_MS or self.level + self.plan.rate_per_s * idle_s < self.plan.burst:
             return False
         self.queue.evict_expired(now_ms)
         return not self.queue and not any(expires_ms > now_ms for expires_ms in self.leases.values())
 
-    def _forget_debits(self, now_ms: float) -> None:
+    def _evict_debits(self, now_ms: float) -> None:
         while self.debits:
             oldest = next(iter(self.debits))
-            if now_ms - self.debits[oldest].made_ms <= DEBIT_MEMORY_MS:
+            if now_ms - self.debits[oldest].made_ms <= DEBIT_RETENTION_MS:
                 return
             del self.debits[oldest]
--- a/anisefront/policy/quota_owner.py
+++ b/anisefront/policy/quota_owner.py
@@ -1,4 +1,4 @@
-"""The owner's side of quotas: grants units of the customers' buckets to the gateway instances that borrow them."""
+"""The owner's side of quotas: grants units of customers' token buckets to the gateway instances that request them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from anisefront.policy.settings import Settings
 from anisefront.policy.timers import TimerKind, TimerQueue
 
-LEASE_MULTIPLE = 1.5  # of the latency objective, after which the lease of a request without a refund expires
+LEASE_MULTIPLE = 1.5  # duration of a lease that is not refunded, as a multiple of the latency objective
 REQUEST_KINDS = (QuotaMessageKind.REQUEST, QuotaMessageKind.RETRY)
 
 
@@ -27,17 +27,17 @@
     ) -> None:
         """Start without buckets; `send` takes the time, the receiving gateway instance and a message."""
         self.buckets: dict[int, QuotaBucket] = {}  # by customer tag
-        self._granting: set[int] = set()  # tags whose queue is being granted now
+        self._granting: set[int] = set()  # tags of the customers whose queued requests are being granted
         self._send = send
         self._timers = timers
         self._set_settings(settings)
         self._plan_indexes = _plan_indexes(settings)
 
     def change_settings(self, now_ms: float, settings: Settings) -> None:
-        """Use other settings from now on.
+        """Apply new settings.
 
-        The buckets are filled up to this moment by the old plans. Requests that wait are served by the new ones, or
-        they would wait for as long as the old rates said.
+        Buckets are refilled up to now by the old plans. Then queued requests are granted by the new ones; otherwise
+        they would wait for the timers of the old rates.
         """
         self._set_settings(settings)
         for tag, bucket in self.buckets.items():
@@ -48,7 +48,7 @@
         self._plan_indexes = _plan_indexes(settings)
 
     def evict_idle(self, now_ms: float) -> None:
-        """Check some of the buckets in turn, and evict those that an idle customer no longer needs."""
+        """Evict buckets of idle customers; each call checks some of the buckets in turn."""
         for _ in range(sweep_size(len(self.buckets))):
             tag = next(iter(self.buckets))
             bucket = self.buckets.pop(tag)
@@ -63,14 +63,14 @@
             self.grant_queued(now_ms, tag)
 
     def receive(self, now_ms: float, key: QuotaRequestKey, message: QuotaMessage) -> None:
-        """Take in a borrower's message."""
+        """Process a borrower's message."""
         bucket = self._bucket_for(now_ms, message)
         if bucket is None:
-            if message.kind in REQUEST_KINDS:  # without a reply this owner would seem unreachable
+            if message.kind in REQUEST_KINDS:  # without a reply the borrower would take this owner for unreachable
                 reply = message._replace(kind=QuotaMessageKind.QUEUED, demand_per_s=0.0)
                 self._send(now_ms, key.gateway, reply)
             return
-        # A request counts as queued if it had not expired when the queue was last served.
+        # A request counts as queued unless it had expired when the queue was last processed.
         bucket.queue.evict_expired(bucket.updated_ms)
         if message.kind in REQUEST_KINDS:
             self._receive_request(now_ms, bucket, key, message)
@@ -81,10 +81,10 @@
             self.grant_queued(now_ms, message.customer_tag)
 
     def grant_queued(self, now_ms: float, tag: int) -> None:
-        """Grant units to the requests that wait, in the order of their priority, of equal priority the newest.
+        """Grant units to the queued requests by priority, and the newest first among those of equal priority.
 
-        A local request that has ended refunds its grant within the call. The running loop continues with those units: a
-        nested one for each of many such requests would exceed the recursion limit.
+        A local request that has ended refunds its grant within this call. The running loop then grants the refunded
+        units: nested calls for many such requests would exceed the recursion limit.
         """
         if tag in self._granting:
             return
@@ -112,7 +112,7 @@
         self._max_priority = max(each.priority_weight for each in settings.classes) or 1.0
 
     def _bucket_for(self, now_ms: float, message: QuotaMessage) -> QuotaBucket | None:
-        """Return the customer's bucket, None at the limit: evicting one that is overdrawn would refill it."""
+        """Return the customer's bucket, or None at the limit: none is evicted, since that would clear its overdraft."""
         tag = message.customer_tag
         bucket = self.buckets.get(tag)
         if bucket is None and len(self.buckets) < self._settings.max_customers:
@@ -123,7 +123,7 @@
 
     def _receive_request(self, now_ms: float, bucket: QuotaBucket, key: QuotaRequestKey, message: QuotaMessage) -> None:
         if key in bucket.debits:
-            # The grant was lost, or this message is late. It grants no units: refunded, they would cancel the debit.
+            # The grant was lost, or this is a late duplicate. Granting 0 units keeps a refund from undoing the debit.
             self._reply(now_ms, QuotaMessageKind.GRANT, key, message._replace(units=0.0), bucket)
             return
         if key in bucket.queue:
@@ -139,7 +139,7 @@
 
     def _receive_debit(self, now_ms: float, bucket: QuotaBucket, key: QuotaRequestKey, message: QuotaMessage) -> None:
         if key in bucket.debits:
-            return  # a repeated message
+            return  # a duplicate message
         if key in bucket.queue:
             bucket.queue.remove(key)
         else:
@@ -157,7 +157,7 @@
         bucket.debit(now_ms, key, message.units, lease_ms)
 
     def _schedule_refill(self, now_ms: float, tag: int, bucket: QuotaBucket, wait_s: float) -> None:
-        """Set a timer for when the next request can be granted, unless one fires within a control period of that."""
+        """Set a timer for the time of the next grant, unless one already fires within a control period of it."""
         if now_ms < bucket.refill_timer_ms <= now_ms + wait_s * 1000 + PERIOD_MS:
             return
         bucket.set_refill_timer(now_ms + wait_s * 1000 + self._settings.tick_ms)
@@ -175,5 +175,5 @@
 
 
 def _plan_indexes(settings: Settings) -> dict[str, int]:
-    """Return the places of the plans, by which peers know them."""
+    """Return the indexes by which peers identify the plans."""
     return {plan.name: index for index, plan in enumerate(settings.plans)}
--- a/anisefront/policy/quota_parameters.py
+++ b/anisefront/policy/quota_parameters.py
@@ -1,21 +1,22 @@
-"""Parameters that the borrower's and the owner's side of quotas share.
+"""Parameters shared by the borrower's and the owner's side of quotas.
 
-Each customer's token bucket is kept by one gateway instance, the quota owner; the others borrow from it.
+One gateway instance, the quota owner, keeps a customer's token bucket; the other instances request units from it.
 
-Departure from the design, in which each instance has a bucket that fills at its part of the customer's demand and no
-other: with many instances such a part is less than one request.
+The original design has only local buckets, each of which fills in proportion to its instance's fraction of the
+customer's demand. With many instances such a fraction amounts to less than one request, hence the owner's bucket.
 """
 
 from __future__ import annotations
 
 DEMAND_TIME_CONSTANT_MS = 3000.0  # over which a customer's demand is averaged
-OWNER_CEILING_FRACTION = 0.5  # of a ceiling that the owner may grant; the rest is divided over the local buckets
-RESERVE_FRACTION = 0.5  # of the burst that requests of no priority leave; less with more priority
-IDLE_MS = 60_000.0  # without a request, after which a customer may be evicted
-MIN_SWEEP = 16  # customers that are checked for eviction in a control period
-SWEEP_DIVISOR = 300  # plus this part of the known customers
+OWNER_CEILING_FRACTION = 0.5  # fraction of a ceiling that the owner grants; the rest is divided among local buckets
+RESERVE_FRACTION = 0.5  # fraction of the burst that requests of priority 0 leave unused; less with higher priority
+IDLE_MS = 60_000.0  # time without a request after which a customer may be evicted
+# Customers that are checked for eviction in a control period: a minimum, and one in so many of the known ones.
+MIN_SWEEP = 16
+SWEEP_DIVISOR = 300
 
 
 def sweep_size(known: int) -> int:
-    """Return how many of the known customers are checked for eviction now; a sweep of all would stall the loop."""
+    """Return how many customers to check for eviction; checking all at once would stall the event loop."""
     return min(known, MIN_SWEEP + known // SWEEP_DIVISOR)
--- a/anisefront/policy/quota_request_queue.py
+++ b/anisefront/policy/quota_request_queue.py
@@ -1,4 +1,4 @@
-"""Queue of the quota requests that wait at a customer's quota owner."""
+"""Queue of quota requests at a customer's quota owner."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 class QuotaRequestKey(NamedTuple):
     """Identity of a quota request in the cluster."""
 
-    gateway: int  # of the borrower
-    boot: int  # random number of the borrower's process
-    serial: int
+    gateway: int  # number of the borrower
+    boot: int  # random number that identifies the borrower's process
+    serial: int  # number of the request at the borrower
 
 
 @dataclass(slots=True, eq=False)
 class QuotaRequest:
-    """A borrower's request for units that waits at the quota owner."""
+    """A borrower's request for units, queued at the quota owner."""
 
     key: QuotaRequestKey
     message: QuotaMessage
@@ -29,10 +29,10 @@
 
 
 class QuotaRequestQueue:
-    """Quota requests by priority, of equal priority the newest first.
+    """Quota requests by priority, and the newest first among those of equal priority.
 
-    Those of one priority are in the order in which they came, so the newest is granted from one end while expired
-    ones leave at the other.
+    Requests of one priority are kept in order of arrival: the next to grant is at the right end, and expired ones are
+    evicted from the left.
     """
 
     __slots__ = ("_by_key", "_by_priority")
@@ -51,7 +51,7 @@
         return key in self._by_key
 
     def add(self, request: QuotaRequest) -> None:
-        """Queue a request that came after all others."""
+        """Queue a request, which must not be older than those queued."""
         self._by_key[request.key] = request
         self._by_priority.setdefault(request.priority_weight, deque()).append(request)
 
@@ -62,7 +62,7 @@
             request.expires_ms = 0.0  # marks it for lazy eviction
 
     def evict_expired(self, now_ms: float) -> None:
-        """Remove expired requests, as far as all that came before them have expired."""
+        """Remove expired requests, of each priority up to the oldest one that has not expired."""
         expired = [
             priority
             for priority, requests in self._by_priority.items()
@@ -76,7 +76,7 @@
                 del self._by_priority[priority]
 
     def first(self, now_ms: float) -> QuotaRequest | None:
-        """Return the request to serve next, None if all have expired."""
+        """Return the request to grant next, None if all have expired."""
         for priority in sorted(self._by_priority, reverse=True):
             requests = self._by_priority[priority]
             while requests:
--- a/anisefront/policy/quota_router.py
+++ b/anisefront/policy/quota_router.py
@@ -1,4 +1,4 @@
-"""Delivery of quota messages: to a peer's quota owner or borrower, or to those of this gateway instance."""
+"""Delivery of quota messages to quota owners and borrowers, at peers or at this gateway instance."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class OwnerSide(Protocol):
-    """What receives the messages to a quota owner."""
+    """Receiver of the messages to a quota owner."""
 
     def receive(self, now_ms: float, key: QuotaRequestKey, message: QuotaMessage) -> None:
-        """Take in a borrower's message."""
+        """Process a borrower's message."""
 
 
 class BorrowerSide(Protocol):
-    """What receives the replies of a quota owner."""
+    """Receiver of the replies of a quota owner."""
 
     def receive(self, now_ms: float, sender: int, message: QuotaMessage) -> None:
-        """Take in an owner's reply."""
+        """Process an owner's reply."""
 
 
 class QuotaRouter:
-    """Routes quota messages by the gateway instance they are for."""
+    """Routes quota messages to gateway instances."""
 
     __slots__ = ("_boot", "_borrower", "_outbox", "_owner", "_settings")
 
     def __init__(self, settings: Settings, boot: int, outbox: PeerOutbox) -> None:
-        """Send through the outbox; `boot` is this process's random number."""
+        """Send through the outbox; `boot` is the random number that identifies this process."""
         self._boot = boot
         self._borrower: BorrowerSide
         self._outbox = outbox
@@ -40,12 +40,12 @@
         self._settings = settings
 
     def connect(self, borrower: BorrowerSide, owner: OwnerSide) -> None:
-        """Deliver what is for this gateway instance to these."""
+        """Set the receivers of messages to this gateway instance."""
         self._borrower = borrower
         self._owner = owner
 
     def change_settings(self, settings: Settings) -> None:
-        """Use other settings from now on."""
+        """Apply new settings."""
         self._settings = settings
 
     def send(self, now_ms: float, gateway: int, message: QuotaMessage) -> None:
@@ -56,7 +56,7 @@
             self._outbox.add(gateway, message)
 
     def deliver(self, now_ms: float, sender: int, boot: int, message: QuotaMessage) -> None:
-        """Hand a message to the side that it is for; one with an unknown class or plan is dropped."""
+        """Deliver a message to the owner's or the borrower's side; one with an unknown class or plan is dropped."""
         if message.kind in OWNER_REPLIES:
             self._borrower.receive(now_ms, sender, message)
         elif message.plan_index < len(self._settings.plans) and message.class_index < len(self._settings.classes):
--- a/anisefront/policy/request.py
+++ b/anisefront/policy/request.py
@@ -1,4 +1,4 @@
-"""Records of one request, from its arrival to its final answer."""
+"""State of one request, from its arrival to its final answer."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     """State of a request's claim on its customer's quota."""
 
     account: CustomerAccount
-    serial: int = 0  # of its messages with the quota owner; 0: none sent yet
+    serial: int = 0  # identifies the request in messages with the quota owner; 0: none sent yet
     messages_sent: int = 0
     sent_ms: float = 0.0
     owner_replied: bool = False
     debited_units: float = 0.0
 
     def assign_serial(self, serial: int) -> None:
-        """Set the serial of its messages with the quota owner."""
+        """Set the serial that identifies the request in messages with the quota owner."""
         self.serial = serial
 
     def record_sent(self, now_ms: float) -> None:
@@ -31,11 +31,11 @@
         self.sent_ms = now_ms
 
     def record_reply(self) -> None:
-        """Note that the quota owner has received the request."""
+        """Record that the quota owner has replied."""
         self.owner_replied = True
 
     def record_debited(self, units: float) -> None:
-        """Note that units were taken from the quota."""
+        """Record that units were taken from the quota."""
         self.debited_units = units
 
 
@@ -48,24 +48,24 @@
     plan: Plan
     claim: QuotaClaim
     arrived_ms: float
-    objective_at_ms: float  # the end of its latency objective, clock time
+    objective_at_ms: float  # clock time at which its latency objective ends
     priority_weight: float
-    sequence: int = 0  # of its arrival among all requests
-    size: int = 1  # by which response times are distinguished
+    sequence: int = 0  # position in the order of arrival of all requests
+    size: int = 1  # response times are learned per size
     attempts_started: int = 0
     attempts_in_flight: dict[int, EndpointState] = field(default_factory=dict)
     attempted: tuple[EndpointState, ...] = ()
-    uncertain_attempts: int = 0  # in flight or not proved never to have been executed
+    uncertain_attempts: int = 0  # attempts that may have been executed, including those in flight
     first_uncertain: EndpointState | None = None
     first_uncertain_ms: float = 0.0
     within_quota: bool = True
     awaiting_quota: bool = True
-    queued: bool = False  # admitted, without an attempt
+    queued: bool = False  # admitted, but not dispatched
     streaming: bool = False
-    slow_start_draw_after_ms: float = 0.0  # not before may it draw for an endpoint that is warming up
+    slow_start_draw_after_ms: float = 0.0  # earliest time of the next draw for an endpoint that is warming up
 
     def inherit_attempts(self, endpoint: EndpointState | None) -> None:
-        """Take in the attempts that another gateway instance started, the first of them at this endpoint."""
+        """Take over the attempts of a failed gateway instance, of which this endpoint received the first."""
         prior = self.arrival.prior_attempts
         if prior is None:
             return
@@ -80,23 +80,23 @@
                 self.first_uncertain_ms = prior.started_ms
 
     def record_admitted(self) -> None:
-        """Note that the request may be dispatched."""
+        """Record that the request may be dispatched."""
         self.awaiting_quota = False
         self.queued = True
         self.claim.account.record_admitted()
 
     def record_over_quota(self, priority_multiplier: float) -> None:
-        """Note that the request is beyond its quota, which changes its priority."""
+        """Record that the request exceeds its quota, which changes its priority."""
         self.within_quota = False
         self.priority_weight *= priority_multiplier
 
     def record_dispatched(self) -> None:
-        """Note that the first attempt was started."""
+        """Record the start of the first attempt."""
         self.queued = False
         self.slow_start_draw_after_ms = 0.0
 
     def record_attempt_started(self, now_ms: float, endpoint: EndpointState) -> None:
-        """Note that one more attempt was started."""
+        """Record the start of an attempt."""
         self.attempts_in_flight[self.attempts_started] = endpoint
         self.attempted += (endpoint,)
         if not self.uncertain_attempts:
@@ -106,20 +106,20 @@
         self.uncertain_attempts += 1
 
     def record_attempt_ended(self, attempt: int, result: AttemptResult) -> None:
-        """Note that an attempt has ended."""
+        """Record the end of an attempt."""
         self.attempts_in_flight.pop(attempt, None)
         if result.never_executed:
             self.uncertain_attempts -= 1
 
     def record_response_started(self) -> None:
-        """Note that a streamed response has begun: no other attempt may follow."""
+        """Record that a streamed response has started, after which no other attempt may start."""
         self.streaming = True
 
     def record_slow_start_draw(self, next_after_ms: float) -> None:
-        """Note that an endpoint that is warming up was drawn for, and when the next draw may be."""
+        """Record a draw for an endpoint that is warming up, and the earliest time of the next one."""
         self.slow_start_draw_after_ms = next_after_ms
 
     @property
     def answer_by_ms(self) -> float:
-        """Return by when an answer is useful: the deadline or the end of the latency objective."""
+        """Return the time until which a response is useful: the deadline or the end of the latency objective."""
         return min(self.arrival.deadline_at_ms, self.objective_at_ms)
--- a/anisefront/policy/request_queue.py
+++ b/anisefront/policy/request_queue.py
@@ -1,7 +1,7 @@
-"""Queue of the requests that may be dispatched.
+"""Queue of admitted requests that wait to be dispatched.
 
-Removal is lazy: an entry of a removed request stays in its heap until it comes to the top, or until half of the heap
-is such entries. So a heap is at most twice as long as needed, and each change costs a logarithm.
+Removal is lazy: the entry of a removed request stays in its heap until it reaches the top, or until such entries make
+up half of the heap. So a heap is at most about twice as long as needed, and each change takes logarithmic time.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 from anisefront.policy.request import Request
 
-MIN_REMOVED = 64  # entries of removed requests in a heap, below which it is not rebuilt
+MIN_REMOVED = 64  # a heap with no more entries of removed requests is not rebuilt
 
 
 class QueueGroup(NamedTuple):
-    """Requests that are dispatched in turn: of one class, within their quotas or beyond them."""
+    """Requests with a queue of their own: those of one class, within their quotas or beyond them."""
 
     class_name: str
     within_quota: bool
 
 
-# The order of dispatch, then the request. Plain tuples, since one of each is made whenever a request is queued.
+# Entries sort by the order of dispatch. Plain tuples for speed, since both are created for each queued request.
 _Entry: TypeAlias = tuple[float, float, int, Request]  # negative priority, negative arrival time, serial, request
 _Position: TypeAlias = tuple[QueueGroup, int]  # group, serial
 
@@ -30,19 +30,19 @@
 class RequestQueue:
     """Priority queues of requests, one for each group.
 
-    Requests leave by their priority, of equal priority the newest first. With the oldest first, under overload all
-    requests would be dispatched near the end of their latency objectives, and many would be late. Of those that
-    arrived at one time, the one that was queued first leaves first.
+    Requests are dispatched by priority, and the newest first among those of equal priority. With the oldest first, all
+    requests would be dispatched near the end of their latency objectives under overload, and many would be late. Among
+    requests with the same time of arrival, the one that was queued first is dispatched first.
     """
 
     def __init__(self) -> None:
         """Start empty."""
         self._heaps: dict[QueueGroup, list[_Entry]] = {}
         self._positions: dict[int, _Position] = {}  # of queued requests, by request id
-        self._removed: dict[QueueGroup, int] = {}  # entries of removed requests
+        self._removed: dict[QueueGroup, int] = {}  # number of entries of removed requests
         self._serial = 0
         self._counts: dict[str, int] = {}  # by class
-        self._arrival_sums_us: dict[str, int] = {}  # by class; integers, so that sums of floats do not drift
+        self._arrival_sums_us: dict[str, int] = {}  # by class; integers, since sums of floats drift
 
     def __len__(self) -> int:
         """Return the number of queued requests."""
--- a/anisefront/policy/response_times.py
+++ b/anisefront/policy/response_times.py
@@ -7,18 +7,18 @@
 from anisefront.policy.control_period import EWMA_GAIN
 from anisefront.policy.settings import RequestClass
 
-INITIAL_MS = 200.0  # until there are responses, and not above `INITIAL_FRACTION` of the latency objective
+INITIAL_MS = 200.0  # until there are responses, but at most `INITIAL_FRACTION` of the latency objective
 INITIAL_FRACTION = 0.25
-MAX_SIZE = 16  # units, above which sizes are not distinguished
+MAX_SIZE = 16  # units; larger requests count as this size
 MIN_LOAD = 0.25  # of an attempt, in average attempts
 MAX_LOAD = 8.0
-RESPONSE_FRACTION = 0.45  # of the latency objective that is left for the response at most; least part for queueing
-RESERVED_MULTIPLE = 2.5  # of the expected response time that is left for it, since many responses take longer
+RESPONSE_FRACTION = 0.45  # maximum fraction of the latency objective reserved for the response
+RESERVED_MULTIPLE = 2.5  # of the expected response time, since many responses take longer than expected
 UNRESPONSIVE_MULTIPLE = 3.0  # of the expected response time, after which an attempt counts as unresponsive
 
 
 def size_of(units: float) -> int:
-    """Return the size by which response times of requests are distinguished."""
+    """Return the size class in which a request's response time is learned."""
     return min(MAX_SIZE, math.ceil(units))
 
 
@@ -39,7 +39,7 @@
         self._overall_ms = INITIAL_MS  # over all classes and sizes
 
     def add_classes(self, classes: tuple[RequestClass, ...]) -> None:
-        """Expect the initial response time of classes that are new."""
+        """Add new classes, with an initial expected response time."""
         for request_class in classes:
             initial = min(INITIAL_MS, request_class.latency_objective_ms * INITIAL_FRACTION)
             self.by_class.setdefault(request_class.name, initial)
@@ -50,20 +50,20 @@
         return self._by_size[class_name].get(size, self.by_class[class_name])
 
     def reserved_ms(self, request_class: RequestClass, size: int) -> float:
-        """Return the time that is left for a response.
+        """Return the time to reserve for a response.
 
-        It is bounded: were it beyond the latency objective, all requests would be shed, and without responses the
-        expected time would never fall.
+        It is bounded: if it exceeded the latency objective, all requests would be shed, and without responses the
+        expected time would never decrease.
         """
         reserved = RESERVED_MULTIPLE * self.expected_ms(request_class.name, size)
         return min(reserved, RESPONSE_FRACTION * request_class.latency_objective_ms)
 
     def load_of(self, expected_ms: float) -> float:
-        """Return the load of an attempt of this expected response time, in average attempts."""
+        """Return the load of an attempt with this expected response time, in average attempts."""
         return min(MAX_LOAD, max(MIN_LOAD, expected_ms / self._overall_ms))
 
     def record(self, class_name: str, size: int, duration_ms: float) -> float:
-        """Take in the duration of an attempt that succeeded, and return its ratio to the expected one."""
+        """Record the duration of a successful attempt, and return its ratio to the expected one."""
         expected = self.expected_ms(class_name, size)
         self._by_size[class_name][size] = expected + (duration_ms - expected) * EWMA_GAIN
         self.by_class[class_name] += (duration_ms - self.by_class[class_name]) * EWMA_GAIN
--- a/anisefront/policy/retries.py
+++ b/anisefront/policy/retries.py
@@ -1,4 +1,4 @@
-"""Retries, hedged requests, and what a class's idempotency allows."""
+"""Retries, hedged requests, and the constraints that a class's idempotency puts on them."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from anisefront.policy.response_times import UNRESPONSIVE_MULTIPLE, ResponseTimes
 from anisefront.policy.settings import DeduplicationScope, Idempotency, Settings
 
-BUDGET_PER_REQUEST = 0.2  # retries for each first attempt, so that retries do not multiply an overload
+BUDGET_PER_REQUEST = 0.2  # retries per first attempt, so that retries do not amplify an overload
 MAX_BUDGET = 20.0  # retries
 INITIAL_BUDGET = MAX_BUDGET / 2
 MIN_HEDGE_DELAY_MS = 150.0
-MAX_HEDGE_UTILIZATION = 0.7  # of the concurrency limit, above which no hedged request is started
+MAX_HEDGE_UTILIZATION = 0.7  # fraction of the concurrency limit from which no hedged request is started
 
 
 class AttemptConstraint(NamedTuple):
-    """Where and when the next attempt of a request may start."""
+    """Endpoints and time to which the next attempt of a request is restricted."""
 
     eligible: list[EndpointState] | None  # None: all
     start_within_ms: float
 
     @property
     def forbids_all(self) -> bool:
-        """Return whether no attempt may start."""
+        """Return whether no further attempt may start."""
         return self.eligible == []
 
 
@@ -35,12 +35,12 @@
 
 
 def is_rejection_safe(request: Request) -> bool:
-    """Return whether a client may retry the request: a second execution does no harm, or there was no first one."""
+    """Return whether a client may retry the request: it was not executed, or a second execution is harmless."""
     return not request.uncertain_attempts or request.request_class.is_repeatable_anywhere
 
 
 class RetryPolicy:
-    """Decides on attempts after a request's first one."""
+    """Decides whether a request may have another attempt, and where."""
 
     __slots__ = ("_budget", "_endpoints", "_limit", "_response_times", "_settings")
 
@@ -59,7 +59,7 @@
         self._settings = settings
 
     def change_settings(self, settings: Settings) -> None:
-        """Use other settings from now on."""
+        """Apply new settings."""
         self._settings = settings
 
     def record_first_attempt(self) -> None:
@@ -71,10 +71,10 @@
         self._budget -= 1
 
     def constraint(self, now_ms: float, request: Request) -> AttemptConstraint:
-        """Return what idempotency allows, after attempts that may have been executed.
+        """Return the constraint that earlier attempts, which may have been executed, put on the next one.
 
-        A keyed request may go to the endpoints that drop its repeated execution, as long as they remember the first
-        one. A non-idempotent one may go nowhere.
+        A keyed request may only be sent to endpoints that deduplicate it, within their deduplication window. A
+        non-idempotent one may not be sent again.
         """
         request_class = request.request_class
         first = request.first_uncertain
@@ -87,18 +87,18 @@
         return AttemptConstraint(self._deduplicating(first, request_class.deduplication_scope), start_within_ms)
 
     def allows_attempts(self, now_ms: float, request: Request) -> bool:
-        """Return whether idempotency and the number of attempts allow any other attempt."""
+        """Return whether idempotency and the number of attempts allow another attempt."""
         if request.attempts_started >= self._settings.max_attempts:
             return False
         return not self.constraint(now_ms, request).forbids_all
 
     def allows_retry(self, now_ms: float, request: Request) -> bool:
-        """Return whether a retry could end in time and the budget has one."""
+        """Return whether a retry could end in time and is within the budget."""
         expected_end_ms = now_ms + self._response_times.reserved_ms(request.request_class, request.size)
         return expected_end_ms <= request.answer_by_ms and self._budget >= 1
 
     def allows_hedging(self, request: Request) -> bool:
-        """Return whether a hedged request may be started for an attempt that takes long."""
+        """Return whether a hedged request may be started for an unresponsive attempt."""
         if not self._settings.hedging_enabled or not request.arrival.allows_hedging:
             return False
         if self._limit.mean_in_flight >= MAX_HEDGE_UTILIZATION * self._limit.limit:
@@ -106,9 +106,9 @@
         return len(request.attempts_in_flight) == 1
 
     def allows_hedging_on_removal(self, request: Request, removed: list[EndpointState]) -> bool:
-        """Return whether another attempt may be started since the only one's endpoint left service.
+        """Return whether another attempt may be started because the endpoint of the only one has left service.
 
-        Such an endpoint may fail before it has responded.
+        Such an endpoint may stop before it has responded.
         """
         if not self._settings.hedging_enabled or not request.arrival.allows_hedging or request.streaming:
             return False
@@ -118,11 +118,11 @@
 
     @staticmethod
     def hedge_delay_ms(expected_ms: float) -> float:
-        """Return after which time an attempt of this expected response time counts as unresponsive."""
+        """Return the time after which an attempt with this expected response time counts as unresponsive."""
         return max(MIN_HEDGE_DELAY_MS, UNRESPONSIVE_MULTIPLE * expected_ms)
 
     def _deduplicating(self, first: EndpointState, scope: DeduplicationScope) -> list[EndpointState] | None:
-        """Return the endpoints in service that know of an execution at the first one, None for all."""
+        """Return the endpoints in service that share deduplication with the first one, None for all."""
         if scope is DeduplicationScope.ALL:
             return None
         zone = first.endpoint.zone
--- a/anisefront/policy/slow_start.py
+++ b/anisefront/policy/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: how many attempts an endpoint gets while it is warming up.
+"""Slow start: limits the attempts at an endpoint while it is warming up.
 
-All gateway instances together must not exceed the capacity that an endpoint has by then, or it stays overloaded for
-good. None knows what the others start, so each attempt goes there with the probability that is the endpoint's fraction
-of the cluster's capacity.
+All gateway instances together must not exceed the current capacity of the endpoint, or it stays overloaded for good.
+No instance knows the attempts of the others, so each attempt is sent there with a probability equal to the endpoint's
+fraction of the cluster's capacity.
 """
 
 from __future__ import annotations
@@ -15,27 +15,27 @@
 from anisefront.policy.request import Request
 from anisefront.policy.settings import Settings
 
-MAX_FAILURE_FRACTION = 0.5  # of a class's attempts, above which an endpoint that is warming up is passed over
-DRAW_INTERVAL_MS = 1000.0  # in which a request that stays queued draws once
+MAX_FAILURE_FRACTION = 0.5  # from this fraction of a class's attempts an endpoint that is warming up is not selected
+DRAW_INTERVAL_MS = 1000.0  # between two draws of a request that stays queued
 
 
 class SlowStart:
-    """Capacity of endpoints that are warming up, and the draw for one of them."""
+    """Capacity of endpoints that are warming up, and random selection among them."""
 
     __slots__ = ("_initial_factor", "_rng", "_warm_up_ms")
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
-        """Draw from this generator."""
+        """Use this generator for the random selection."""
         self._rng = rng
         self.change_settings(settings)
 
     def change_settings(self, settings: Settings) -> None:
-        """Use other settings from now on."""
+        """Apply new settings."""
         self._initial_factor = settings.slow_start_initial_factor
         self._warm_up_ms = settings.warm_up_ms
 
     def factor(self, now_ms: float, endpoint: Endpoint) -> float:
-        """Return the fraction of its capacity that an endpoint has by now."""
+        """Return the current fraction of an endpoint's full capacity."""
         age_ms = now_ms - endpoint.started_ms
         if not endpoint.started_ms or age_ms >= self._warm_up_ms:
             return 1.0
@@ -49,14 +49,14 @@
         cluster_capacity: float,
         eligible: Container[EndpointState] | None,
     ) -> EndpointState | None:
-        """Return an endpoint that is warming up, or None if the draw is for a ready one.
+        """Select an endpoint that is warming up at random; None means that a ready one is to be chosen.
 
         Args:
             now_ms: Clock time.
-            request: The request that an attempt is to be started for.
-            warming_up: The endpoints to draw for.
-            cluster_capacity: Sum of the factors of all endpoints that carry the load, those that just left included.
-            eligible: The only endpoints that the request may go to; None for all.
+            request: The request for which an attempt is to be started.
+            warming_up: The endpoints to select from.
+            cluster_capacity: Sum of the factors of all endpoints in service, and of those that left recently.
+            eligible: The only endpoints that the request may be sent to; None allows all.
         """
         if not warming_up or now_ms < request.slow_start_draw_after_ms:
             return None
--- a/anisefront/policy/timers.py
+++ b/anisefront/policy/timers.py
@@ -1,7 +1,8 @@
 """Timers of the controller.
 
-The gateway instance cannot cancel a timer, so each has its own `SetTimer` action, all of one name. What a timer is
-for stays here, ordered by time; after each batch of events the controller takes those that have expired.
+The gateway instance cannot cancel timers. So each timer has a `SetTimer` action of its own, all with the same name,
+while its kind and subject are kept here in order of expiry. After each batch of events the controller handles the
+timers that have expired.
 """
 
 from __future__ import annotations
@@ -13,26 +14,26 @@
 
 from anisefront.policy.actions import Action, SetTimer
 
-TIMER_NAME = "agenda"  # opaque to the gateway instance, and written by `bench_adapter`
-CLOCK_RESOLUTION_MS = 0.001  # a timer may fire this much early
+TIMER_NAME = "agenda"  # opaque to the gateway instance; `bench_adapter` writes it to the simulator
+CLOCK_RESOLUTION_MS = 0.001  # a timer may fire early by this much
 NO_SUBJECT = -1
 
 
 class TimerKind(IntEnum):
-    """What is done when a timer expires, and what its subject is."""
+    """What a timer is set for; comments name its subject."""
 
     CONTROL_PERIOD = auto()
     SUBSCRIBE = auto()
     BUCKET_REFILLED = auto()  # customer tag
     OWNER_REPLY_OVERDUE = auto()  # request id
     HEDGE_DELAY = auto()  # request id
-    DISPATCH_DEADLINE = auto()  # request id: later, an attempt could not end within the latency objective
-    RESPONSE_DEADLINE = auto()  # request id: the final answer has to be given
+    DISPATCH_DEADLINE = auto()  # request id; later, an attempt could not end within the latency objective
+    RESPONSE_DEADLINE = auto()  # request id; the final answer is due
     OUTBOX_FLUSH = auto()
 
 
-# Expiry, serial, kind, subject: timers of one time expire in the order in which they were set. A plain tuple, since
-# several are made for each request.
+# Expiry, serial, kind, subject: timers with the same expiry expire in the order in which they were set. A plain tuple
+# for speed, since several are created for each request.
 _Timer: TypeAlias = tuple[float, int, TimerKind, int]
 
 
@@ -49,7 +50,7 @@
         self._serial = 0
 
     def begin_batch(self, now_ms: float, actions: list[Action]) -> None:
-        """Append the actions of timers that are set from now on to this list."""
+        """Set the current time, and the list to which new timers append their actions."""
         self._now_ms = now_ms
         self._actions = actions
 
@@ -60,7 +61,7 @@
         self._actions.append(SetTimer(max(0.0, expires_ms - self._now_ms), TIMER_NAME))
 
     def expire(self, handle: Callable[[TimerKind, int], None]) -> None:
-        """Remove the timers that have expired, and call the handler with the kind and subject of each in turn."""
+        """Remove the expired timers, and call the handler with the kind and subject of each."""
         pending = self.pending
         limit_ms = self._now_ms + CLOCK_RESOLUTION_MS
         while pending and pending[0][0] <= limit_ms:
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -45,8 +45,8 @@
         self.admission.record_attempt_started(request.request_class.name)
         return True
 
-    def release(self):
-        self.admission.release(0.0, self.start)
+    def dispatch(self):
+        self.admission.dispatch_queued(0.0, self.start)
         return self.dispatched
 
 
@@ -55,7 +55,7 @@
     side.queue(1, priority_weight=1.0)
     side.queue(2, priority_weight=5.0, arrived_ms=1.0)
     side.queue(3, priority_weight=5.0, arrived_ms=2.0)
-    assert side.release() == [3, 2, 1]
+    assert side.dispatch() == [3, 2, 1]
     assert not side.admission.queue
 
 
@@ -64,7 +64,7 @@
     for number in range(40):
         side.queue(number, BOOK, priority_weight=9.0)
         side.queue(100 + number, LOOK, priority_weight=1.0)
-    dispatched = side.release()
+    dispatched = side.dispatch()
     assert sum(number >= 100 for number in dispatched) == 6
     assert len(dispatched) == 13
 
@@ -73,7 +73,7 @@
     side = Dispatcher(capacity=1.0)
     for number in range(40):
         side.queue(number, BOOK)
-    assert len(side.release()) == 13
+    assert len(side.dispatch()) == 13
 
 
 def test_a_blocked_request_stays_queued_and_holds_up_no_other():
@@ -81,23 +81,23 @@
     side.blocked = {1}
     side.queue(1, priority_weight=9.0)
     side.queue(2)
-    assert side.release() == [2]
+    assert side.dispatch() == [2]
     assert len(side.admission.queue) == 1
     side.blocked = set()
-    assert side.release() == [2, 1]
+    assert side.dispatch() == [2, 1]
 
 
 def test_requests_beyond_their_quota_are_dispatched_after_the_others_and_only_below_half_the_limit():
     side = Dispatcher(capacity=1.0)
     side.queue(1, priority_weight=9.0, over_quota=True)
     side.queue(2)
-    assert side.release() == [2, 1]
+    assert side.dispatch() == [2, 1]
     busy = Dispatcher(capacity=1.0)
     for _ in range(7):
         busy.limit.record_attempt_started(0.0)
     busy.limit.record_attempt_ended(60_000.0, overloaded=False)
     busy.queue(1, over_quota=True)
-    assert busy.release() == []
+    assert busy.dispatch() == []
 
 
 def test_a_class_whose_requests_wait_longer_than_its_target_gains_share():
