--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -4,7 +4,7 @@
 
 import pytest
 from stage import Stage, reset
-from test_module import FLEET, ask, gateway
+from test_module import ENDPOINT_LIST, new_arrival, new_controller
 from test_node_front import House, other, sent
 from test_node_wire import ASK, SERVED
 from twisted.internet import error
@@ -193,9 +193,9 @@
 @pytest.mark.parametrize("kind", ["look", "book"])
 def test_a_further_attempt_has_to_begin_inside_the_window_that_the_first_has_begun(kind):
     """The window counts from the first that may have run; a connection may come up long after the decision."""
-    c = gateway()
-    c.handle(1000, [FLEET])
-    (first,) = sends(c.handle(1100, [ask(1, kind)]))
+    c = new_controller()
+    c.handle(1000, [ENDPOINT_LIST])
+    (first,) = sends(c.handle(1100, [new_arrival(1, kind)]))
     assert first.start_within_ms == math.inf
     window = c.classes[kind].deduplication_window_ms
     (again,) = sends(c.handle(1300, [AttemptEnded(1, 0, first.endpoint, 200.0, AttemptResult.RESET, False)]))
@@ -207,9 +207,9 @@
 
 
 def test_after_what_never_ran_the_window_begins_anew():
-    c = gateway()
-    c.handle(1000, [FLEET])
-    (first,) = sends(c.handle(1100, [ask(1, "book")]))
+    c = new_controller()
+    c.handle(1000, [ENDPOINT_LIST])
+    (first,) = sends(c.handle(1100, [new_arrival(1, "book")]))
     (again,) = sends(c.handle(1300, [AttemptEnded(1, 0, first.endpoint, 200.0, AttemptResult.CONNECT_FAILED, False)]))
     assert again.start_within_ms == math.inf
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -11,7 +11,7 @@
 import pytest
 from hands import roster_of
 from processes import SETTINGS
-from test_module import FLEET, ask, gateway
+from test_module import ENDPOINT_LIST, new_arrival, new_controller
 from test_path import ROOT, Running, told
 from twisted.internet.task import Clock
 
@@ -25,14 +25,14 @@
 
 
 def test_bytes_of_accounts_are_near_what_the_allocator_counts():
-    c = gateway(gateways=1, peer_messages_enabled=False, inbox_per_s=0)
-    c.handle(1000, [FLEET])
-    c.handle(1001, [ask(1, customer="warm")])
+    c = new_controller(gateways=1, peer_messages_enabled=False, inbox_per_s=0)
+    c.handle(1000, [ENDPOINT_LIST])
+    c.handle(1001, [new_arrival(1, customer="warm")])
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for number in range(4000):
-        c.quota_borrower.account_for(1002.0, ask(number, customer=f"customer-{number}"), c.plans["rated"])
+        c.quota_borrower.account_for(1002.0, new_arrival(number, customer=f"customer-{number}"), c.plans["rated"])
     taken = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     told_ = memory.report([memory.Purpose("accounts", lambda: c.quota_borrower.accounts, lambda: 7)], SHARED)[
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -5,7 +5,7 @@
 
 import pytest
 from test_core import SERVERS, Desk
-from test_module import FLEET, ask, gateway, of
+from test_module import ENDPOINT_LIST, new_arrival, new_controller, actions_of
 from twisted.internet.task import Clock
 
 from anisefront.upstream.direct_requests import FinalResponse
@@ -15,7 +15,7 @@
 from anisefront.policy.actions import Fail, Reject, SendToPeer, StartAttempt
 from anisefront.policy.events import AttemptResult, EndpointList, EndpointStatus, PriorAttempts
 
-FIRST = FLEET.endpoints[0].id
+FIRST = ENDPOINT_LIST.endpoints[0].id
 
 
 class Guard:
@@ -65,17 +65,22 @@
     ],
 )
 def test_a_request_that_another_gateway_had(name, past, kind):
-    actions = gateway().handle(1000.0, [FLEET, replace(ask(1, name), prior_attempts=past)])
-    assert of(kind, actions), actions
-    assert all(send.endpoint != past.endpoint for send in of(StartAttempt, actions))
+    actions = new_controller().handle(1000.0, [ENDPOINT_LIST, replace(new_arrival(1, name), prior_attempts=past)])
+    assert actions_of(kind, actions), actions
+    assert all(send.endpoint != past.endpoint for send in actions_of(StartAttempt, actions))
 
 
 def test_units_that_were_drawn_are_not_drawn_again():
-    asked = of(
+    asked = actions_of(
         SendToPeer,
-        gateway(gateways=3, number=0, peer_messages_enabled=True).handle(
+        new_controller(gateways=3, number=0, peer_messages_enabled=True).handle(
             1000.0,
-            [FLEET, replace(ask(1), prior_attempts=PriorAttempts(1, 1, FIRST, 900.0, True), first_gateway=1, spread=1)],
+            [
+                ENDPOINT_LIST,
+                replace(
+                    new_arrival(1), prior_attempts=PriorAttempts(1, 1, FIRST, 900.0, True), first_gateway=1, spread=1
+                ),
+            ],
         ),
     )
     assert asked == []
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from test_module import FLEET, ask, gateway, item, of
+from test_module import ENDPOINT_LIST, new_arrival, new_controller, new_quota_message, actions_of
 from test_rules import settings
 
 from anisefront.policy.actions import Reject, RejectionReason, SendToPeer, StartAttempt
@@ -115,7 +115,7 @@
     )
     c.handle(1000, [EndpointList(tuple(Endpoint(f"s{n}", "z0", 0, EndpointStatus.READY) for n in range(20)))])
     for first in range(0, count, 1000):
-        for send in of(
+        for send in actions_of(
             StartAttempt,
             c.handle(1000, [Arrival(n, f"c{n % 20}", "look", plan, 1e6) for n in range(first, first + 1000)]),
         ):
@@ -150,7 +150,7 @@
             count, actions = counted_steps(
                 lambda number=number, turn=turn, c=c: c.handle(1001 + turn, [Arrival(number, "w", "look", "wide", 1e6)])
             )
-            (send,) = of(StartAttempt, actions)
+            (send,) = actions_of(StartAttempt, actions)
             c.handle(1001 + turn, [AttemptEnded(send.id, 0, send.endpoint, 1.0, AttemptResult.OK, True)])
             steps.append(count)
         costs.append(sorted(steps)[10])
@@ -168,13 +168,13 @@
 
 
 def test_quiet_customers_are_let_go_and_those_that_owe_are_kept():
-    c = gateway(gateways=1, peer_messages_enabled=False)
+    c = new_controller(gateways=1, peer_messages_enabled=False)
     number, now = 0, 1000.0
-    c.handle(now, [FLEET])
+    c.handle(now, [ENDPOINT_LIST])
     sends = []
     for number in range(2000):
         now += 1
-        sends += of(StartAttempt, c.handle(now, [ask(number, customer=f"n{number}")]))
+        sends += actions_of(StartAttempt, c.handle(now, [new_arrival(number, customer=f"n{number}")]))
     busy = sends.pop()
     c.handle(now, [AttemptEnded(send.id, 0, send.endpoint, 5.0, AttemptResult.OK, True) for send in sends])
     assert len(c.quota_borrower.accounts) == len(c.quota_borrower.tag_holders) == 2000
@@ -192,14 +192,14 @@
 
 
 def test_a_home_keeps_a_store_with_a_lease_out_a_try_waiting_or_a_level_that_is_not_full():
-    c, now = gateway(gateways=300, number=7), 1000.0
-    c.handle(now, [FLEET])
+    c, now = new_controller(gateways=300, number=7), 1000.0
+    c.handle(now, [ENDPOINT_LIST])
     leased, empty, waits, quiet = (customer_tag(name) for name in ("leased", "empty", "waits", "quiet"))
     rows = [
-        item(QuotaMessageKind.REQUEST, "leased", 1, plan_index=2),
-        item(QuotaMessageKind.DEBIT, "empty", 2, units=4),
-        *(item(QuotaMessageKind.REQUEST, "waits", 10 + n) for n in range(9)),
-        item(QuotaMessageKind.REQUEST, "quiet", 3),
+        new_quota_message(QuotaMessageKind.REQUEST, "leased", 1, plan_index=2),
+        new_quota_message(QuotaMessageKind.DEBIT, "empty", 2, units=4),
+        *(new_quota_message(QuotaMessageKind.REQUEST, "waits", 10 + n) for n in range(9)),
+        new_quota_message(QuotaMessageKind.REQUEST, "quiet", 3),
     ]
     c.handle(now, [PeerMessage(1, encode(1, 1.0, rows, []))])
     stores = c.quota_owner.buckets
@@ -216,23 +216,23 @@
 
 
 def test_a_flood_of_names_is_refused_at_the_cap_and_pushes_out_nobody():
-    c = gateway(gateways=1, peer_messages_enabled=False, max_customers=50)
-    c.handle(1000, [FLEET])
-    first = of(StartAttempt, c.handle(1001, [ask(1, customer="owner")]))
-    actions = c.handle(1002, [ask(n, customer=f"flood-{n}") for n in range(2, 400)])
-    refused = of(Reject, actions)
+    c = new_controller(gateways=1, peer_messages_enabled=False, max_customers=50)
+    c.handle(1000, [ENDPOINT_LIST])
+    first = actions_of(StartAttempt, c.handle(1001, [new_arrival(1, customer="owner")]))
+    actions = c.handle(1002, [new_arrival(n, customer=f"flood-{n}") for n in range(2, 400)])
+    refused = actions_of(Reject, actions)
     assert (
         len(c.quota_borrower.accounts) == 50
         and {each.reason for each in refused} == {RejectionReason.CAPACITY}
         and first
     )
     assert len(refused) >= 398 - 49 and "owner" in c.quota_borrower.accounts
-    home = gateway(gateways=300, number=7, max_customers=10)
-    home.handle(1000, [FLEET])
-    rows = [item(QuotaMessageKind.REQUEST, f"n{n}", n + 1) for n in range(13)]
+    home = new_controller(gateways=300, number=7, max_customers=10)
+    home.handle(1000, [ENDPOINT_LIST])
+    rows = [new_quota_message(QuotaMessageKind.REQUEST, f"n{n}", n + 1) for n in range(13)]
     told = [
         each.kind
-        for tell in of(SendToPeer, home.handle(1001, [PeerMessage(1, encode(1, 1.0, rows, []))]))
+        for tell in actions_of(SendToPeer, home.handle(1001, [PeerMessage(1, encode(1, 1.0, rows, []))]))
         for each in decode(tell.data).quota_messages
     ]
     assert told.count(QuotaMessageKind.GRANT) == 10 and told.count(QuotaMessageKind.QUEUED) == 3
@@ -240,8 +240,10 @@
 
 
 def test_a_server_that_leaves_is_looked_up_by_its_own_attempts():
-    c = gateway()
-    sends = of(StartAttempt, c.handle(1000, [FLEET, *(ask(n, customer=f"c{n}") for n in range(40))]))
+    c = new_controller()
+    sends = actions_of(
+        StartAttempt, c.handle(1000, [ENDPOINT_LIST, *(new_arrival(n, customer=f"c{n}") for n in range(40))])
+    )
     for state in c.endpoints.known.values():
         assert {n for n, each in c.requests.items() if state in each.attempts_in_flight.values()} == state.request_ids
     c.handle(1010, [AttemptEnded(send.id, 0, send.endpoint, 5.0, AttemptResult.OK, True) for send in sends])
@@ -253,11 +255,11 @@
     c, now = many_held(5000), 1002.0
     waited = set(c.requests)
     raised = replace(c.settings, plans=(Plan("none", 1e6, 1e6), c.settings.plans[1]))
-    out, sent, biggest = [], {send.id for send in of(StartAttempt, c.handle(now, [raised]))}, 0
+    out, sent, biggest = [], {send.id for send in actions_of(StartAttempt, c.handle(now, [raised]))}, 0
     while len(sent) < len(waited) and now < 20_000:
         now += 5.0
         actions = c.handle(now, [TimerFired("agenda"), *out])
-        sends = of(StartAttempt, actions)
+        sends = actions_of(StartAttempt, actions)
         assert not sent & {send.id for send in sends}
         sent |= {send.id for send in sends}
         biggest = max(biggest, len(sends))
@@ -267,13 +269,13 @@
 
 
 def test_all_due_in_one_millisecond_are_all_answered_in_that_turn():
-    c = gateway(
+    c = new_controller(
         gateways=1, peer_messages_enabled=False, plans=(Plan("rated", 0.001, 1), *settings().plans[1:]), inbox_per_s=0
     )
-    c.handle(1000, [FLEET, *(ask(n, customer=f"c{n % 9}", due=1700.0) for n in range(5000))])
+    c.handle(1000, [ENDPOINT_LIST, *(new_arrival(n, customer=f"c{n % 9}", due=1700.0) for n in range(5000))])
     answered = {}
     for now in range(1001, 1701):
-        for action in of(Reject, c.handle(float(now), [TimerFired("agenda")])):
+        for action in actions_of(Reject, c.handle(float(now), [TimerFired("agenda")])):
             assert action.id not in answered
             answered[action.id] = now
     assert len(answered) + len(c.requests) == 5000 and not [
--- a/tests/test_stand_in.py
+++ b/tests/test_stand_in.py
@@ -6,7 +6,7 @@
 
 import pytest
 from processes import Fleet
-from test_module import FLEET, ask, gateway, home_of, of
+from test_module import ENDPOINT_LIST, new_arrival, new_controller, owner_of, actions_of
 from test_rules import Town, settings
 
 from anisefront.cli.config import checked
@@ -20,19 +20,21 @@
 from anisefront.policy.settings import Plan
 from benchmarks.scale import apart
 
-HOME = home_of("f")
+HOME = owner_of("f")
 NEXT, LAST = (HOME + 1) % 3, (HOME + 2) % 3
 OUTSIDE = 4  # of five gatekeepers one that is not of the set
 
 
 def told(actions):
     """Who was told what, and the items."""
-    return [(tell.receiver, item) for tell in of(SendToPeer, actions) for item in decode(tell.data).quota_messages]
+    return [
+        (tell.receiver, item) for tell in actions_of(SendToPeer, actions) for item in decode(tell.data).quota_messages
+    ]
 
 
 def asked(c, now, number, **more):
     """Whom a new request asks."""
-    seen = told(c.handle(now, [ask(number, due=now + 4000.0, **more)]))
+    seen = told(c.handle(now, [new_arrival(number, due=now + 4000.0, **more)]))
     assert {item.kind for _, item in seen} <= {QuotaMessageKind.REQUEST}
     return [receiver for receiver, _ in seen]
 
@@ -42,24 +44,24 @@
     [((), HOME), ((HOME,), NEXT), ((HOME, NEXT), LAST), ((NEXT, LAST), HOME), ((NEXT,), HOME), ((3,), HOME)],
 )
 def test_next_of_the_set_that_is_not_gone_is_asked(gone, whom):
-    c = gateway(gateways=5, number=OUTSIDE)
-    c.handle(1000, [FLEET, PeersUnreachable(frozenset(gone))])
+    c = new_controller(gateways=5, number=OUTSIDE)
+    c.handle(1000, [ENDPOINT_LIST, PeersUnreachable(frozenset(gone))])
     assert asked(c, 1001, 1) == [whom]
     c.handle(1002, [PeersUnreachable(frozenset())])
     assert asked(c, 1003, 2) == [HOME]
 
 
 def test_who_is_left_alone_lends_to_itself():
-    c = gateway(gateways=5, number=OUTSIDE)
-    c.handle(1000, [FLEET, PeersUnreachable(frozenset(range(4)))])
-    actions = c.handle(1001, [ask(1)])
-    assert not of(SendToPeer, actions) and [send.id for send in of(StartAttempt, actions)] == [1]
+    c = new_controller(gateways=5, number=OUTSIDE)
+    c.handle(1000, [ENDPOINT_LIST, PeersUnreachable(frozenset(range(4)))])
+    actions = c.handle(1001, [new_arrival(1)])
+    assert not actions_of(SendToPeer, actions) and [send.id for send in actions_of(StartAttempt, actions)] == [1]
 
 
 @pytest.mark.parametrize("plan", ["capped", "open"])
 def test_ceilings_and_slots_are_never_lent_by_another(plan):
-    c = gateway(gateways=5, number=OUTSIDE)
-    c.handle(1000, [FLEET, PeersUnreachable(frozenset({HOME}))])
+    c = new_controller(gateways=5, number=OUTSIDE)
+    c.handle(1000, [ENDPOINT_LIST, PeersUnreachable(frozenset({HOME}))])
     assert asked(c, 1001, 1, plan=plan) == [HOME]
 
 
@@ -67,15 +69,15 @@
     drawn = []
     for gone in ({HOME}, {HOME, NEXT, 3}, set()):
         for units in (1, 4):
-            c = gateway(gateways=5, number=OUTSIDE)
-            c.handle(1000, [FLEET, PeersUnreachable(frozenset(gone))])
-            drawn += [item.units for _, item in told(c.handle(1001, [ask(1, units=units)]))]
+            c = new_controller(gateways=5, number=OUTSIDE)
+            c.handle(1000, [ENDPOINT_LIST, PeersUnreachable(frozenset(gone))])
+            drawn += [item.units for _, item in told(c.handle(1001, [new_arrival(1, units=units)]))]
     assert drawn == [1.25, 5.0, 2.5, RESERVE_FRACTION * 12, 1.0, 4.0]
 
 
 def test_a_request_that_waits_for_a_home_goes_on_by_the_next_and_the_late_word_is_handed_back():
-    c = gateway(gateways=5, number=OUTSIDE)
-    first = told(c.handle(1000, [FLEET, ask(1)]))
+    c = new_controller(gateways=5, number=OUTSIDE)
+    first = told(c.handle(1000, [ENDPOINT_LIST, new_arrival(1)]))
     assert [receiver for receiver, _ in first] == [HOME]
     again = []
     for now in range(1004, 1160, 4):
@@ -87,10 +89,10 @@
         return c.handle(1160, [PeerMessage(sender, data), TimerFired("agenda")])
 
     late = word(HOME, first[0][1])
-    assert not of(StartAttempt, late) and [(who, item.kind) for who, item in told(late)] == [
+    assert not actions_of(StartAttempt, late) and [(who, item.kind) for who, item in told(late)] == [
         (HOME, QuotaMessageKind.REFUND)
     ]
-    assert [send.id for send in of(StartAttempt, word(NEXT, again[0][1]))] == [1]
+    assert [send.id for send in actions_of(StartAttempt, word(NEXT, again[0][1]))] == [1]
 
 
 # ---- searched, and each guard taken out is found --------------------------------------------------
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -5,7 +5,7 @@
 
 import pytest
 from test_core import Desk
-from test_module import FLEET, ask, gateway, of
+from test_module import ENDPOINT_LIST, new_arrival, new_controller, actions_of
 from test_path import Running, told
 
 from anisefront.upstream.delegated_checks import Verdict
@@ -87,8 +87,8 @@
 
 
 def test_home_keeps_the_stores_of_names_with_one_checksum_apart():
-    c = gateway(gateways=300, number=7)
-    c.handle(1000, [FLEET])
+    c = new_controller(gateways=300, number=7)
+    c.handle(1000, [ENDPOINT_LIST])
     granted = {}
     for serial, name in enumerate(("plumless", "buckeroo")):
         asks = [
@@ -98,7 +98,7 @@
         actions = c.handle(1001, [PeerMessage(1 + serial, encode(1, 1.0, asks, []))])
         granted[name] = sum(
             told.kind is QuotaMessageKind.GRANT
-            for tell in of(SendToPeer, actions)
+            for tell in actions_of(SendToPeer, actions)
             for told in decode(tell.data).quota_messages
         )
     assert granted["plumless"] == granted["buckeroo"] >= 9
@@ -106,10 +106,10 @@
 
 def test_tags_that_meet_all_the_same_refuse_the_second_customer_and_share_nothing(monkeypatch):
     monkeypatch.setattr(quota_borrower, "customer_tag", lambda customer, key: 6)
-    c = gateway()
-    assert of(StartAttempt, c.handle(1000, [FLEET, ask(1, customer="first")]))
-    actions = c.handle(1001, [ask(2, customer="second"), ask(3, customer="first")])
-    assert [(each.id, each.reason) for each in of(Reject, actions)] == [(2, RejectionReason.INVALID)]
+    c = new_controller()
+    assert actions_of(StartAttempt, c.handle(1000, [ENDPOINT_LIST, new_arrival(1, customer="first")]))
+    actions = c.handle(1001, [new_arrival(2, customer="second"), new_arrival(3, customer="first")])
+    assert [(each.id, each.reason) for each in actions_of(Reject, actions)] == [(2, RejectionReason.INVALID)]
     assert "second" not in c.quota_borrower.accounts and set(c.requests) == {1, 3}
 
 
@@ -130,8 +130,8 @@
 def test_odd_names_have_tags():
     for name in ("", "\udcff", "\x00", "x" * 256):
         assert customer_tag(name) >= 0
-    c = gateway()
-    c.handle(1000, [FLEET, Arrival(1, "\udcff", "look", "rated", 5000.0)])
+    c = new_controller()
+    c.handle(1000, [ENDPOINT_LIST, Arrival(1, "\udcff", "look", "rated", 5000.0)])
     assert c.quota_borrower.accounts
 
 
