--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire adapter, run as the deploy file's `sim` runs it."""
+"""The simulator adapter, run by the command `sim` of the deploy file."""
 
 import json
 import pathlib
@@ -14,34 +14,36 @@
     "myNumber": 0,
     "locality": "a",
     "tickMs": 4.0,
-    "unheard": {"of": 1},
+    "unknown": {"key": 1},
     "classes": [{"name": "look", "aimMs": 500.0, "deadlineMs": 2000.0, "worth": 1.0, "repeat": "retryable"}],
     "packages": [{"name": "basic", "perSecond": 5.0, "storeSize": 10.0}],
     "limits": {"maxAttempts": 3, "cancel": True, "mayTell": True},
     "rules": {"warmUpMs": 9000.0, "coldFrom": 0.2, "fallMultiple": 3.0, "tipAfterMs": 1000.0},
 }
-FLEET = "FLEET\tcached\t1\t1\nWORKER\tw:1\ta\tkind\t0\tRunning\t1\t-\n"
+ENDPOINT_LIST = "FLEET\tcached\t1\t1\nWORKER\tw:1\ta\tkind\t0\tRunning\t1\t-\n"
 
 
-def start(info=INFO):
-    return f"SYNC\t1000\nSWITCH_TO\t0\nCONFIGURE\t7\t{json.dumps(info)}\n{FLEET}YOUR_TURN\n"
+def first_batch(info=INFO):
+    """The batch that configures an instance and gives it an endpoint."""
+    return f"SYNC\t1000\nSWITCH_TO\t0\nCONFIGURE\t7\t{json.dumps(info)}\n{ENDPOINT_LIST}YOUR_TURN\n"
 
 
-def sim(text):
+def run_adapter(text):
+    """Run the adapter with this input and return the completed process."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
     assert command == "exec .venv/bin/python -m anisefront.bench_adapter"
     command = command.replace(".venv/bin/python", sys.executable)
     return subprocess.run(["/bin/sh", "-c", command], input=text, cwd=ROOT, text=True, capture_output=True)
 
 
-def test_a_request_is_sent_on_and_the_end_of_input_exits_0():
-    done = sim(
-        "SYNC\t900\nYOUR_TURN\n" + start() + "SYNC\t1004\nSWITCH_TO\t0\n"
+def test_a_request_is_dispatched_and_the_end_of_input_exits_0():
+    completed = run_adapter(
+        "SYNC\t900\nYOUR_TURN\n" + first_batch() + "SYNC\t1004\nSWITCH_TO\t0\n"
         "REQUEST\t5\t0\t2\t1\t2500\t0\t00ff00ff00ff00ff\tlook\tbasic\nYOUR_TURN\n"
         "SYNC\t1050\nSWITCH_TO\t0\nVERDICT\t5\t0\t0\tw:1\t40\tok\t1\t0\t-\nYOUR_TURN\n"
     )
-    assert done.returncode == 0 and done.stderr == ""
-    replies = done.stdout.split("FINISHED\n")
+    assert completed.returncode == 0 and completed.stderr == ""
+    replies = completed.stdout.split("FINISHED\n")
     assert replies[0] == "" and "HAND_OFF\t5\tw:1\t" in replies[2] and len(replies) == 5
 
 
@@ -59,27 +61,28 @@
         ("WORKER\tw:1\ta\tkind\t0\tRunning\t1\t-", ("WORKER", "place")),
     ],
 )
-def test_what_cannot_be_read_is_named_and_ends_the_process(line, names):
-    done = sim(start() + f"SYNC\t1004\nSWITCH_TO\t0\n{line}\nYOUR_TURN\n")
-    assert done.returncode != 0 and "Traceback" not in done.stderr
-    assert all(name in done.stderr for name in names)
+def test_an_invalid_message_is_named_and_ends_the_process(line, names):
+    completed = run_adapter(first_batch() + f"SYNC\t1004\nSWITCH_TO\t0\n{line}\nYOUR_TURN\n")
+    assert completed.returncode != 0 and "Traceback" not in completed.stderr
+    assert all(name in completed.stderr for name in names)
 
 
 def test_an_unknown_message_is_reported_once_and_skipped():
-    done = sim(start() + "SYNC\t1004\nSWITCH_TO\t0\nPARADE\t1\nPARADE\t2\nYOUR_TURN\n")
-    assert done.returncode == 0 and done.stderr.count("PARADE") == 1
+    completed = run_adapter(first_batch() + "SYNC\t1004\nSWITCH_TO\t0\nPARADE\t1\nPARADE\t2\nYOUR_TURN\n")
+    assert completed.returncode == 0 and completed.stderr.count("PARADE") == 1
 
 
 def changed(path, value):
+    """The settings document with another value at a path, or without the key if the value is None."""
     info = json.loads(json.dumps(INFO))
-    *way, last = path
-    spot = info
-    for step in way:
-        spot = spot[step]
+    *parents, last = path
+    parent = info
+    for key in parents:
+        parent = parent[key]
     if value is None:
-        del spot[last]
+        del parent[last]
     else:
-        spot[last] = value
+        parent[last] = value
     return info
 
 
@@ -95,19 +98,19 @@
         (("rules",), 3, "rules"),
     ],
 )
-def test_settings_that_cannot_be_right_are_named(path, value, name):
-    done = sim(start(changed(path, value)))
-    assert done.returncode != 0 and name in done.stderr and "Traceback" not in done.stderr
+def test_invalid_settings_are_named(path, value, name):
+    completed = run_adapter(first_batch(changed(path, value)))
+    assert completed.returncode != 0 and name in completed.stderr and "Traceback" not in completed.stderr
 
 
-def test_a_fault_of_the_module_is_told_on_the_wire(monkeypatch, capsys):
+def test_an_exception_of_the_controller_is_reported_to_the_simulator(monkeypatch, capsys):
     import io
 
     from anisefront import bench_adapter
     from anisefront.policy.controller import Controller
 
     monkeypatch.setattr(Controller, "handle", lambda self, now, events: 1 / 0)
-    monkeypatch.setattr(sys, "stdin", io.TextIOWrapper(io.BytesIO(start().encode())))
+    monkeypatch.setattr(sys, "stdin", io.TextIOWrapper(io.BytesIO(first_batch().encode())))
     out = io.TextIOWrapper(io.BytesIO())
     monkeypatch.setattr(sys, "stdout", out)
     assert bench_adapter.main() == 1
@@ -116,10 +119,10 @@
 
 
 def test_instances_act_alike_in_one_process_and_in_two():
-    def batch(*numbers):
+    def replies_of(*numbers):
         text = "SYNC\t1000\n"
         for n in numbers:
-            text += f"SWITCH_TO\t{n}\nCONFIGURE\t{n + 7}\t{json.dumps(dict(INFO, myNumber=n))}\n{FLEET}"
+            text += f"SWITCH_TO\t{n}\nCONFIGURE\t{n + 7}\t{json.dumps(dict(INFO, myNumber=n))}\n{ENDPOINT_LIST}"
         text += "YOUR_TURN\n"
         for now in range(1004, 1600, 4):
             text += f"SYNC\t{now}\n"
@@ -127,9 +130,9 @@
                 text += f"SWITCH_TO\t{n}\nFIRED\tagenda\n"
                 text += f"REQUEST\t{now * 2 + n}\t0\t2\t1\t2500\t0\tff{n}\tlook\tbasic\n"
             text += "YOUR_TURN\n"
-        return [reply.split("FROM\t") for reply in sim(text).stdout.split("FINISHED\n")]
+        return [reply.split("FROM\t") for reply in run_adapter(text).stdout.split("FINISHED\n")]
 
-    both, first, second = batch(0, 1), batch(0), batch(1)
+    both, first, second = replies_of(0, 1), replies_of(0), replies_of(1)
     assert sum(len(reply) for reply in both) > 100
     for together, one, two in zip(both, first, second, strict=True):
         assert together[1:] == one[1:] + two[1:]
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -272,7 +272,7 @@
     c = new_controller(
         gateways=1, peer_messages_enabled=False, plans=(Plan("rated", 0.001, 1), *settings().plans[1:]), inbox_per_s=0
     )
-    c.handle(1000, [ENDPOINT_LIST, *(new_arrival(n, customer=f"c{n % 9}", due=1700.0) for n in range(5000))])
+    c.handle(1000, [ENDPOINT_LIST, *(new_arrival(n, customer=f"c{n % 9}", deadline_at_ms=1700.0) for n in range(5000))])
     answered = {}
     for now in range(1001, 1701):
         for action in actions_of(Reject, c.handle(float(now), [TimerFired("agenda")])):
--- a/tests/test_stand_in.py
+++ b/tests/test_stand_in.py
@@ -34,7 +34,7 @@
 
 def asked(c, now, number, **more):
     """Whom a new request asks."""
-    seen = told(c.handle(now, [new_arrival(number, due=now + 4000.0, **more)]))
+    seen = told(c.handle(now, [new_arrival(number, deadline_at_ms=now + 4000.0, **more)]))
     assert {item.kind for _, item in seen} <= {QuotaMessageKind.REQUEST}
     return [receiver for receiver, _ in seen]
 
