--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -19,46 +19,102 @@
     "test_size_limits": "test_policy_modules_are_small",
     "test_a_pulse_tells_whose_time_it_was": "test_event_loop_monitor_names_the_cause_of_each_lateness",
     "test_ordinary_request_is_sent_and_ends": "test_an_ordinary_request_is_dispatched_and_ends",
-    "test_error_is_tried_again_elsewhere_if_safe_and_failed_if_unsafe": "test_an_error_is_retried_elsewhere_if_idempotent_and_fails_otherwise",
+    "test_error_is_tried_again_elsewhere_if_safe_and_failed_if_unsafe": (
+        "test_an_error_is_retried_elsewhere_if_idempotent_and_fails_otherwise"
+    ),
     "test_unsafe_is_tried_again_when_it_never_ran": "test_a_non_idempotent_request_is_retried_if_it_was_never_executed",
-    "test_a_disproved_attempt_does_not_clear_one_that_may_have_run": "test_an_overload_response_does_not_rule_out_that_an_earlier_attempt_was_executed",
+    "test_a_disproved_attempt_does_not_clear_one_that_may_have_run": (
+        "test_an_overload_response_does_not_rule_out_that_an_earlier_attempt_was_executed"
+    ),
     "test_odd_rounds_are_handled": "test_unusual_event_batches_are_handled",
-    "test_held_without_servers_is_refused_before_its_time_is_up": "test_a_request_queued_without_endpoints_is_rejected_before_its_deadline",
-    "test_held_work_is_given_up_before_its_aim_where_a_late_answer_is_worth_something": "test_a_queued_request_is_shed_before_its_latency_objective_even_if_late_responses_have_priority",
+    "test_held_without_servers_is_refused_before_its_time_is_up": (
+        "test_a_request_queued_without_endpoints_is_rejected_before_its_deadline"
+    ),
+    "test_held_work_is_given_up_before_its_aim_where_a_late_answer_is_worth_something": (
+        "test_a_queued_request_is_shed_before_its_latency_objective_even_if_late_responses_have_priority"
+    ),
     "test_peer_bytes_that_cannot_be_read_change_nothing": "test_malformed_peer_messages_change_nothing",
-    "test_messages_survive_a_round_trip_and_stay_small": "test_peer_messages_survive_a_round_trip_within_the_size_limit",
+    "test_messages_survive_a_round_trip_and_stay_small": (
+        "test_peer_messages_survive_a_round_trip_within_the_size_limit"
+    ),
     "test_settings_that_cannot_be_right_are_named": "test_invalid_settings_are_named",
     "test_plans_and_classes_that_cannot_be_right_are_named": "test_invalid_plans_and_classes_are_named",
     "test_fuzzy_surface_is_the_diagonal_table": "test_the_fuzzy_output_follows_the_diagonal_rule_base",
-    "test_a_late_class_gains_share_and_an_early_one_keeps_it": "test_a_class_with_long_delays_gains_share_and_one_with_short_delays_keeps_it",
-    "test_learned_answer_time_cannot_lock_a_class_out": "test_a_long_expected_response_time_cannot_shed_a_class_for_good",
+    "test_a_late_class_gains_share_and_an_early_one_keeps_it": (
+        "test_a_class_with_long_delays_gains_share_and_one_with_short_delays_keeps_it"
+    ),
+    "test_learned_answer_time_cannot_lock_a_class_out": (
+        "test_a_long_expected_response_time_cannot_shed_a_class_for_good"
+    ),
     "test_window_is_shared_out_over_gateways": "test_the_concurrency_limit_is_divided_among_gateways",
-    "test_a_cap_of_less_than_one_leaves_room_for_chance_but_not_for_a_steady_excess": "test_a_limit_below_one_allows_bursts_but_no_lasting_excess",
-    "test_below_the_cap_nothing_is_held_and_at_it_the_worthiest_leave_first": "test_at_the_limit_the_request_of_the_highest_priority_is_dispatched_first",
-    "test_cap_on_attempts_out_is_kept_by_the_home_for_all_gateways": "test_the_quota_owner_limits_requests_in_flight_over_all_gateways",
-    "test_home_lends_to_all_gateways_together_no_more_than_the_quota": "test_the_quota_owner_grants_all_gateways_together_no_more_than_the_quota",
+    "test_a_cap_of_less_than_one_leaves_room_for_chance_but_not_for_a_steady_excess": (
+        "test_a_limit_below_one_allows_bursts_but_no_lasting_excess"
+    ),
+    "test_below_the_cap_nothing_is_held_and_at_it_the_worthiest_leave_first": (
+        "test_at_the_limit_the_request_of_the_highest_priority_is_dispatched_first"
+    ),
+    "test_cap_on_attempts_out_is_kept_by_the_home_for_all_gateways": (
+        "test_the_quota_owner_limits_requests_in_flight_over_all_gateways"
+    ),
+    "test_home_lends_to_all_gateways_together_no_more_than_the_quota": (
+        "test_the_quota_owner_grants_all_gateways_together_no_more_than_the_quota"
+    ),
     "test_a_clients_repeat_leaves_a_reserve_to_first_tries": "test_a_clients_retry_leaves_a_reserve_for_first_requests",
-    "test_a_silent_home_is_asked_again_and_then_one_request_goes_on_credit": "test_an_unresponsive_owner_is_sent_the_request_again_and_then_one_overdraft_is_granted",
-    "test_with_short_aims_credit_still_comes_before_a_request_is_given_up": "test_with_short_latency_objectives_the_overdraft_comes_before_the_request_is_shed",
-    "test_without_peers_nobody_is_asked_and_credit_is_given_at_once": "test_without_peer_messages_no_owner_is_asked_and_an_overdraft_is_granted_at_once",
-    "test_a_home_that_is_silent_among_many_that_speak_is_asked_on_and_gives_no_credit": "test_no_overdraft_is_granted_for_an_unresponsive_owner_while_most_peers_respond",
+    "test_a_silent_home_is_asked_again_and_then_one_request_goes_on_credit": (
+        "test_an_unresponsive_owner_is_sent_the_request_again_and_then_one_overdraft_is_granted"
+    ),
+    "test_with_short_aims_credit_still_comes_before_a_request_is_given_up": (
+        "test_with_short_latency_objectives_the_overdraft_comes_before_the_request_is_shed"
+    ),
+    "test_without_peers_nobody_is_asked_and_credit_is_given_at_once": (
+        "test_without_peer_messages_no_owner_is_asked_and_an_overdraft_is_granted_at_once"
+    ),
+    "test_a_home_that_is_silent_among_many_that_speak_is_asked_on_and_gives_no_credit": (
+        "test_no_overdraft_is_granted_for_an_unresponsive_owner_while_most_peers_respond"
+    ),
     "test_what_was_granted_and_not_used_goes_back": "test_units_that_were_granted_and_not_used_are_refunded",
-    "test_cold_server_is_bounded_over_hundreds_of_gateways_even_after_a_stall": "test_attempts_at_a_warming_up_endpoint_are_bounded_over_hundreds_of_gateways_even_after_a_stall",
+    "test_cold_server_is_bounded_over_hundreds_of_gateways_even_after_a_stall": (
+        "test_attempts_at_a_warming_up_endpoint_are_bounded_over_hundreds_of_gateways_even_after_a_stall"
+    ),
     "test_fast_failer_does_not_attract_load": "test_an_endpoint_that_fails_fast_does_not_attract_load",
-    "test_only_the_home_is_told_and_nothing_without_news": "test_only_the_quota_owner_is_sent_messages_and_none_without_a_request",
-    "test_a_customer_that_repeats_without_end_leaves_room_in_its_homes_inbox": "test_a_customer_far_beyond_its_quota_does_not_fill_its_owners_inbox",
-    "test_work_for_one_request_does_not_grow_with_the_gateways": "test_the_actions_per_request_do_not_grow_with_the_gateways",
-    "test_discovery_that_must_be_asked_is_asked_and_asked_again": "test_a_subscription_is_requested_and_renewed_after_a_failed_list",
-    "test_a_server_that_refuses_at_once_draws_no_load_and_does_not_close_the_window": "test_an_endpoint_that_rejects_at_once_attracts_no_load_and_does_not_reduce_the_limit",
-    "test_an_old_report_of_an_idle_server_draws_no_herd": "test_an_old_report_of_an_idle_endpoint_does_not_attract_a_herd",
-    "test_a_server_that_has_just_told_of_a_free_place_is_compared_though_chance_passes_it_by": "test_an_endpoint_with_a_recent_report_is_compared_even_if_it_is_not_sampled",
+    "test_only_the_home_is_told_and_nothing_without_news": (
+        "test_only_the_quota_owner_is_sent_messages_and_none_without_a_request"
+    ),
+    "test_a_customer_that_repeats_without_end_leaves_room_in_its_homes_inbox": (
+        "test_a_customer_far_beyond_its_quota_does_not_fill_its_owners_inbox"
+    ),
+    "test_work_for_one_request_does_not_grow_with_the_gateways": (
+        "test_the_actions_per_request_do_not_grow_with_the_gateways"
+    ),
+    "test_discovery_that_must_be_asked_is_asked_and_asked_again": (
+        "test_a_subscription_is_requested_and_renewed_after_a_failed_list"
+    ),
+    "test_a_server_that_refuses_at_once_draws_no_load_and_does_not_close_the_window": (
+        "test_an_endpoint_that_rejects_at_once_attracts_no_load_and_does_not_reduce_the_limit"
+    ),
+    "test_an_old_report_of_an_idle_server_draws_no_herd": (
+        "test_an_old_report_of_an_idle_endpoint_does_not_attract_a_herd"
+    ),
+    "test_a_server_that_has_just_told_of_a_free_place_is_compared_though_chance_passes_it_by": (
+        "test_an_endpoint_with_a_recent_report_is_compared_even_if_it_is_not_sampled"
+    ),
     "test_a_crowded_server_is_not_taken_for_a_slow_one": "test_a_loaded_endpoint_does_not_count_as_slow",
-    "test_a_server_that_was_given_large_requests_is_not_taken_for_a_slow_one": "test_an_endpoint_with_large_requests_does_not_count_as_slow",
-    "test_servers_are_compared_by_the_work_that_is_out_not_by_how_many_attempts": "test_endpoints_are_compared_by_their_load_and_not_by_their_number_of_attempts",
-    "test_a_server_that_restarts_under_its_old_id_keeps_its_count_of_attempts_out": "test_an_endpoint_that_restarts_under_its_id_keeps_its_count_of_attempts_in_flight",
-    "test_a_request_is_sent_on_and_the_end_of_input_exits_0": "test_a_request_is_dispatched_and_the_end_of_input_exits_0",
+    "test_a_server_that_was_given_large_requests_is_not_taken_for_a_slow_one": (
+        "test_an_endpoint_with_large_requests_does_not_count_as_slow"
+    ),
+    "test_servers_are_compared_by_the_work_that_is_out_not_by_how_many_attempts": (
+        "test_endpoints_are_compared_by_their_load_and_not_by_their_number_of_attempts"
+    ),
+    "test_a_server_that_restarts_under_its_old_id_keeps_its_count_of_attempts_out": (
+        "test_an_endpoint_that_restarts_under_its_id_keeps_its_count_of_attempts_in_flight"
+    ),
+    "test_a_request_is_sent_on_and_the_end_of_input_exits_0": (
+        "test_a_request_is_dispatched_and_the_end_of_input_exits_0"
+    ),
     "test_what_cannot_be_read_is_named_and_ends_the_process": "test_an_invalid_message_is_named_and_ends_the_process",
-    "test_a_fault_of_the_module_is_told_on_the_wire": "test_an_exception_of_the_controller_is_reported_to_the_simulator",
+    "test_a_fault_of_the_module_is_told_on_the_wire": (
+        "test_an_exception_of_the_controller_is_reported_to_the_simulator"
+    ),
 }
 # Files that came for the sake of the rename; they must not make up for tests that are lost.
 NEW = {
