--- a/anisefront/cluster/backup.py
+++ b/anisefront/cluster/backup.py
@@ -1,13 +1,13 @@
-"""Backup of request replication: stores what primaries have in flight, and takes it over when they fail.
+"""Backup of request replication: stores primaries' requests in flight, and takes them over after failures.
 
     open --lease expired, or primary left--> claiming --EpochDecision, claimed--> claimed: its requests are local
-                                                `--EpochDecision, released--> dropped: the primary has released us
+                                                `--EpochDecision, released--> dropped: the primary released its backup
 
-The witness is asked even where the primary is certainly gone, for it may have released the epoch before. An epoch
-without a witness (a cluster of two) is claimed at once: its primary can't release it either.
+The witness is asked even if the primary has certainly terminated, since the primary may have released the epoch
+before. An epoch without a witness (a cluster of two) is claimed at once: its primary can't release it either.
 
-Once an epoch is claimed each message of it is answered by `EpochFenced`, permanently. Until then each applied entry is
-acknowledged, so a primary that was only paused or partitioned starts no attempt of which its backup does not know.
+Every message for a claimed epoch is answered by `EpochFenced`, permanently. Until the claim, only applied entries are
+acknowledged, so a primary that was merely paused or partitioned starts no attempt that its backup does not know of.
 Leases decide how soon the witness is asked, never who owns a request.
 """
 
@@ -36,7 +36,7 @@
     AppendAck,
     AttemptDiscarded,
     AttemptStarted,
-    BackupFull,
+    BackupAtCapacity,
     ClaimEpoch,
     Completed,
     EpochDecision,
@@ -46,13 +46,13 @@
     Message,
 )
 
-CLAIM_RETRY_MS = 50.0  # interval of claims sent to the witness
-WITNESS_TIMEOUT_MS = 500.0  # idempotent requests are taken over without the witness's decision after this
+CLAIM_RETRY_MS = 50.0  # interval between claims sent to the witness
+WITNESS_TIMEOUT_MS = 500.0  # after which idempotent requests are taken over without the witness's decision
 MAX_REQUESTS = 50_000
 
 
 class Backup:
-    """Requests of other instances that one process incarnation of an instance stores."""
+    """Requests of other instances, stored by one process incarnation of an instance."""
 
     def __init__(
         self, number: int, incarnation: int, lease_ms: float = 1000.0, max_requests: int = MAX_REQUESTS
@@ -63,19 +63,20 @@
             number: Number of the local instance.
             incarnation: Its process incarnation.
             lease_ms: Time without a message of a primary after which its requests are claimed.
-            max_requests: Capacity.
+            max_requests: Number of requests that can be stored.
         """
         self.number = number
         self.incarnation = incarnation
         self.lease_ms = lease_ms
         self.max_requests = max_requests
         self.request_count = 0
-        # Requests that are stored here, or were until their primary gave them to another backup.
-        self._by_identity: dict[bytes, dict[RequestKey, None]] = {}  # the first stored one first
-        # Whether a request of an identity is in flight here, asked for the primary with that number.
+        # Requests that are stored here, or were stored here until their primary moved them to another backup.
+        self._by_identity: dict[bytes, dict[RequestKey, None]] = {}  # oldest first
+        # Returns whether a local request of this identity, or its response, takes precedence over the request of the
+        # primary with this number.
         self.is_local_duplicate: Callable[[bytes, int], bool] | None = None
-        # Whether a process incarnation of an instance asks for locks. Of earlier versions that do not, duplicates are
-        # recognized here.
+        # Returns whether a process incarnation of an instance uses identity locks. Earlier versions do not; duplicates
+        # of their requests are detected here.
         self.uses_locks: Callable[[int, int], bool] = lambda number, incarnation: False
         self.counts: Counter[str] = Counter()
         self._actions: list[Action] = []
@@ -83,16 +84,16 @@
         self._claiming: dict[EpochKey, BackupEpoch] = {}
         self._lease_checks: list[tuple[float, EpochKey]] = []
         self._expirations: list[tuple[float, RequestKey, bytes]] = []  # deadline, key, identity
-        self._terminated: dict[int, int] = {}  # incarnations of a primary up to this one have ended
+        self._terminated: dict[int, int] = {}  # incarnations of a primary up to this one have terminated
 
     def take_actions(self) -> list[Action]:
-        """Return the actions to carry out, and keep none."""
+        """Return and clear the pending actions."""
         actions = self._actions
         self._actions = []
         return actions
 
     def find_primary(self, now_ms: float, identity: bytes) -> int | None:
-        """Return which primary has a request of an identity in flight, as far as this backup knows."""
+        """Return the primary that has a request of an identity in flight, None where this backup knows of none."""
         self._release_expired(now_ms)
         key = self._first_stored(identity)
         return key.primary if key is not None else None
@@ -101,11 +102,11 @@
         return next(iter(self._by_identity.get(identity, ())), None)
 
     def stores(self, identity: bytes) -> bool:
-        """Return whether a request of an identity is stored here, and would be taken over."""
+        """Return whether a request of an identity is stored here and would be taken over."""
         return self.find_stored(identity) is not None
 
     def find_stored(self, identity: bytes) -> ReplicatedRequest | None:
-        """Return the first request of an identity that is stored here, and would be taken over."""
+        """Return the first request of an identity that is stored here and would be taken over."""
         for key in self._by_identity.get(identity, ()):
             epoch = self._epochs(key.primary, key.primary_incarnation).get(key.epoch)
             if epoch is not None and key.request in epoch.requests:
@@ -113,7 +114,7 @@
         return None
 
     def known_locks(self, now_ms: float) -> Iterator[KnownLock]:
-        """Yield the locks that the primaries of the stored requests hold, or ask for."""
+        """Yield the locks that stored requests hold or have requested."""
         for (primary, incarnation), epochs in self._primaries.items():
             for epoch in epochs.by_number.values():
                 for stored in epoch.requests.values():
@@ -133,11 +134,11 @@
 
     def _on_append(self, now_ms: float, primary: int, primary_incarnation: int, message: Append) -> None:
         if message.backup_incarnation != self.incarnation:
-            # What an earlier incarnation has taken over is not known: an acknowledgement could let it run twice.
+            # An earlier incarnation may have taken the request over: after an acknowledgement it could run twice.
             self.counts["for_another_life"] += 1
             return
         if primary_incarnation <= self._terminated.get(primary, 0):
-            return  # a delayed message of a terminated process: its requests would be stored, and run, again
+            return  # a delayed message of a terminated process: its requests would be stored and run again
         epochs = self._primaries.setdefault((primary, primary_incarnation), PrimaryEpochs())
         self._drop_finished(epochs, message.oldest_epoch)
         epoch = epochs.by_number.get(message.epoch)
@@ -155,16 +156,16 @@
         self._send(primary, AppendAck(message.epoch, epoch.last_sequence))
 
     def _drop_finished(self, epochs: PrimaryEpochs, oldest_epoch: int) -> None:
-        """Drop the open epochs with which their primary has finished."""
+        """Drop the open epochs that their primary has finished."""
         for number in [number for number in epochs.by_number if number < oldest_epoch]:
             if epochs.by_number[number].state is EpochState.OPEN:
                 self._drop(epochs.by_number[number])
 
     def _append(self, now_ms: float, epoch: BackupEpoch, message: Append) -> None:
-        """Apply new entries in sequence, up to the first that can't be applied."""
+        """Apply new entries in sequence, up to the first one that cannot be applied."""
         self._release_expired(now_ms)
         for sequence, entry in enumerate(message.entries, message.first_sequence):
-            # Out of sequence, an old `Accepted` would follow the `Completed` that ended its request.
+            # Applied out of sequence, an old `Accepted` could follow the `Completed` of the same request.
             if sequence == epoch.last_sequence + 1:
                 if self._exceeds_capacity(epoch, entry):
                     self._decline_remaining(epoch, message.entries[sequence - message.first_sequence :])
@@ -176,9 +177,9 @@
                 epoch.last_sequence = sequence
 
     def _reject_duplicates(self, epoch_key: EpochKey, entries: tuple[LogEntry, ...]) -> None:
-        """Reject all duplicates among some entries, so that their primary need not send one after the other.
+        """Reject all duplicates of a message at once, which saves their primary a round trip for each of them.
 
-        None is acknowledged: attempts would start beside those of the requests in flight.
+        None is acknowledged, or their attempts would run concurrently with those of the requests in flight.
         """
         for entry in entries:
             if isinstance(entry, Accepted) and self._is_duplicate(epoch_key, entry):
@@ -187,27 +188,27 @@
                 self._send(epoch_key.primary, InProgressElsewhere(epoch_key.epoch, entry.request))
 
     def _exceeds_capacity(self, epoch: BackupEpoch, entry: LogEntry) -> bool:
-        """Return whether a request is not stored for want of capacity.
+        """Return whether a request is not stored for lack of capacity.
 
-        One that was declined once stays declined: its primary continues without a backup however late it is notified.
+        A declined request stays declined, since its primary continues without a backup however late it is notified.
         """
         if not isinstance(entry, Accepted) or entry.request in epoch.requests:
             return False
         return self.request_count >= self.max_requests or entry.request in epoch.declined
 
     def _decline_remaining(self, epoch: BackupEpoch, entries: tuple[LogEntry, ...]) -> None:
-        """Decline all requests without capacity; none is acknowledged, and the primary appends the others again."""
+        """Decline all requests that exceed the capacity; none is acknowledged, so the primary resends the others."""
         for entry in entries:
             if self._exceeds_capacity(epoch, entry):
                 if entry.request not in epoch.declined:
                     self.counts["full"] += 1
                 epoch.declined.add(entry.request)
-                self._send(epoch.key.primary, BackupFull(epoch.key.epoch, entry.request))
+                self._send(epoch.key.primary, BackupAtCapacity(epoch.key.epoch, entry.request))
 
     def _is_duplicate(self, epoch_key: EpochKey, accepted: Accepted) -> bool:
-        """Return whether another request of this identity is stored, was moved from here, or is in flight here.
+        """Return whether another request of this identity is stored here, was moved from here, or is in flight here.
 
-        A request that its own primary appends in another epoch is the same request.
+        A request that its own primary appends in another epoch is no duplicate.
         """
         if not accepted.excludes_duplicates:
             return False
@@ -227,7 +228,7 @@
             case Accepted() if stored is None:
                 self._store(now_ms, epoch, entry)
             case AttemptStarted(_, attempt, endpoint, awaits_ack) if stored is not None:
-                # An attempt that awaits our acknowledgement starts no earlier than now.
+                # An attempt that awaits this acknowledgement starts no earlier than now.
                 stored.attempts[attempt] = (endpoint, now_ms if awaits_ack else -math.inf)
             case AttemptDiscarded(_, attempt) if stored is not None:
                 stored.attempts.pop(attempt, None)
@@ -261,13 +262,13 @@
     # ---- failure of a primary --------------------------------------------------------------------
 
     def primary_failed(self, now_ms: float, primary: int, primary_incarnation: int) -> None:
-        """Claim all epochs of one process of a primary, whatever the lease says."""
+        """Claim all open epochs of one process incarnation of a primary, whether or not their leases have expired."""
         for epoch in list(self._epochs(primary, primary_incarnation).values()):
             if epoch.state is EpochState.OPEN and epoch.requests:
                 self._claim(now_ms, epoch)
 
     def primary_terminated(self, now_ms: float, primary: int, primary_incarnation: int) -> None:
-        """Claim the epochs of this incarnation and those before it, which will send nothing more."""
+        """Claim the epochs of this incarnation and of earlier ones, none of which sends anything more."""
         for number, incarnation in list(self._primaries):
             if number == primary and incarnation <= primary_incarnation:
                 self.primary_failed(now_ms, primary, incarnation)
@@ -308,7 +309,7 @@
         self._actions.append(TakeOver(epoch.key.primary, epoch.key.primary_incarnation, stored))
 
     def _evict_claimed(self, key: EpochKey) -> None:
-        """Bound the number of claimed epochs; an evicted one is never acknowledged again."""
+        """Bound the number of claimed epochs; an evicted epoch is never acknowledged again."""
         epochs = self._primaries[key.primary, key.primary_incarnation]
         claimed = [number for number, epoch in epochs.by_number.items() if epoch.state is EpochState.CLAIMED]
         if len(claimed) > MAX_CLOSED_EPOCHS:
@@ -318,8 +319,8 @@
     def _drop(self, epoch: BackupEpoch) -> None:
         """Close an epoch that its primary has released.
 
-        Its requests have moved to another backup, so their outcome is not known here, and their identities stay
-        blocked until their deadlines: another request of one would run beside the request that has moved.
+        Its requests have moved to another backup, so their outcome is not known here. Their identities stay blocked
+        until their deadlines, or another request of such an identity would run concurrently with the moved one.
         """
         self._claiming.pop(epoch.key, None)
         self.request_count -= len(epoch.requests)
@@ -351,10 +352,9 @@
             heapq.heappush(self._lease_checks, (renewed_ms + self.lease_ms, epoch.key))
 
     def handle_timers(self, now_ms: float) -> None:
-        """Release expired requests, check leases, repeat claims.
+        """Release expired requests, check leases, and repeat claims.
 
-        After a process stall the messages that wait in the sockets are to be handled first, or leases would seem
-        expired that have been renewed.
+        After a process stall, handle the messages that wait in the sockets first, or renewed leases would seem expired.
         """
         self._release_expired(now_ms)
         while self._lease_checks and self._lease_checks[0][0] <= now_ms:
@@ -385,9 +385,9 @@
             self._schedule_lease_check(epoch.lease_renewed_ms, epoch)
 
     def _continue_claim(self, now_ms: float, epoch: BackupEpoch) -> None:
-        """Ask the witness again; take over idempotent requests that can't wait for its decision.
+        """Ask the witness again; take over idempotent requests once its decision is late.
 
-        A witness that was restarted never replies. Nothing is left to take over once the last request has expired.
+        A witness that was restarted never replies. The claim ends when the last request has expired.
         """
         if not epoch.requests:
             epoch.state = EpochState.OPEN
@@ -401,7 +401,7 @@
 
     @property
     def next_timer_ms(self) -> float:
-        """Time at which `handle_timers` is to be called at the latest."""
+        """Latest time for the next call of `handle_timers`."""
         last_claim_ms = min((epoch.claim_sent_ms for epoch in self._claiming.values()), default=math.inf)
         claim_ms = last_claim_ms + CLAIM_RETRY_MS
         if not self._lease_checks:
--- a/anisefront/cluster/backup_state.py
+++ b/anisefront/cluster/backup_state.py
@@ -1,4 +1,4 @@
-"""State that a backup holds for its primaries: their epochs and the requests replicated in them."""
+"""State of a backup: the epochs of its primaries, and the requests replicated in them."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from anisefront.cluster.replication_messages import NO_IDENTITY
 
-MAX_CLOSED_EPOCHS = 256  # epochs of one primary incarnation whose end is known one by one; older ones are all closed
-MAX_INCARNATIONS = 4  # incarnations of one primary of which anything is known; older ones are all closed
+MAX_CLOSED_EPOCHS = 256  # closed epochs tracked for each primary incarnation; all older epochs are closed
+MAX_INCARNATIONS = 4  # incarnations tracked for each primary; the epochs of older ones are closed
 
 
 class EpochKey(NamedTuple):
@@ -31,16 +31,16 @@
 
 @dataclass(slots=True, eq=False)
 class ReplicatedRequest:
-    """A request of another instance.
+    """A request of another instance, as its backup stores it.
 
     Attributes:
         request: Its number at its primary.
         requires_ack: Whether it is keyed or non-idempotent.
-        deadline_ms: When it is of no use any more.
+        deadline_ms: Time at which it expires.
         identity: Digest by which a client's retry is recognized.
         record: The request as its host encodes it.
-        attempts: Attempts that may have executed, by number: the endpoint, and the time before which the attempt had
-            not started (-inf: not known).
+        attempts: Attempts that may have executed, by number: the endpoint, and the earliest time at which the attempt
+            can have started (-inf: unknown).
     """
 
     request: int
@@ -52,7 +52,7 @@
 
     @property
     def excludes_duplicates(self) -> bool:
-        """Whether no other request of its identity may run beside it."""
+        """Whether no other request of its identity may run concurrently."""
         return self.requires_ack and self.identity != NO_IDENTITY
 
 
@@ -60,7 +60,7 @@
     """State of an epoch at its backup."""
 
     OPEN = 0
-    CLAIMING = 1  # the witness has been asked for it
+    CLAIMING = 1  # the witness has not decided on the claim yet
     CLAIMED = 2
 
 
@@ -70,11 +70,11 @@
 
     Attributes:
         last_sequence: Number of the last entry applied.
-        declined: Requests for which there was no capacity, until they complete.
-        lease_renewed_ms: When the last message of the primary arrived.
+        declined: Requests declined for lack of capacity, until they complete.
+        lease_renewed_ms: Time of the primary's last message.
         lease_check_scheduled: Whether a check of the lease is scheduled.
-        claim_started_ms: When the witness was first asked.
-        claim_sent_ms: When the witness was last asked.
+        claim_started_ms: Time of the first claim sent to the witness.
+        claim_sent_ms: Time of the last claim sent to the witness.
     """
 
     key: EpochKey
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True, eq=False)
 class PrimaryEpochs:
-    """Epochs of one incarnation of a primary; those up to `closed_up_to` that are not listed are closed."""
+    """Epochs of one incarnation of a primary; those up to `closed_up_to` that are not in `by_number` are closed."""
 
     by_number: dict[int, BackupEpoch] = field(default_factory=dict)
     closed_up_to: int = 0
--- a/anisefront/cluster/datagrams.py
+++ b/anisefront/cluster/datagrams.py
@@ -2,8 +2,8 @@
 
     version 1 | sender 2 | receiver 2 | process incarnation 8 | sequence 8 | sent, ms 8 | data | HMAC-SHA256, first 16
 
-A receiver accepts each datagram once, only from the sender's newest process incarnation, and none older than
-`MAX_AGE_MS`. So a duplicated, forged or replayed datagram has no effect, not even after a restart of the receiver.
+A receiver accepts each datagram once, only from the sender's latest process incarnation, and none older than
+`MAX_AGE_MS`. Duplicated, forged and replayed datagrams therefore have no effect, even after a restart of the receiver.
 """
 
 from __future__ import annotations
@@ -18,25 +18,27 @@
 _VERSION = 1
 _MAC_BYTES = 16
 OVERHEAD_BYTES = _HEADER.size + _MAC_BYTES
-MAX_AGE_MS = 10_000.0  # a little more than clocks of one cluster may differ and a datagram may take
-REPLAY_WINDOW = 128  # sequence numbers behind the highest that are tracked; older datagrams are dropped
+MAX_AGE_MS = 10_000.0  # exceeds the tolerated clock skew plus transit time
+REPLAY_WINDOW = 128  # sequence numbers below the highest that are tracked; older datagrams are dropped
 MIN_SECRET_BYTES = 16
 
 
 @dataclass(slots=True)
 class _Peer:
+    """Replay window over the datagrams of one sender."""
+
     process_incarnation: int = 0
     highest_sequence: int = 0
     received: int = 0  # bits of the REPLAY_WINDOW sequence numbers up to the highest
 
     def restart(self, process_incarnation: int) -> None:
-        """Begin to track a newer process."""
+        """Start to track a later process incarnation."""
         self.process_incarnation = process_incarnation
         self.highest_sequence = 0
         self.received = 0
 
     def accept(self, sequence: int) -> bool:
-        """Track a sequence number; returns whether it is new, as the sliding window of RFC 4303 does."""
+        """Track a sequence number in a sliding window (RFC 4303); returns whether it is new."""
         ahead = sequence - self.highest_sequence
         if ahead > 0:
             self.highest_sequence = sequence
@@ -51,7 +53,7 @@
 
 
 class DatagramAuthenticator:
-    """Writes and reads the datagrams of one process incarnation of an instance."""
+    """Signs and verifies the datagrams of one process incarnation of an instance."""
 
     def __init__(self, secret: bytes, number: int, process_incarnation: int) -> None:
         """Initialize with the secret that all instances share.
@@ -60,7 +62,7 @@
             ValueError: The secret is too short.
         """
         if len(secret) < MIN_SECRET_BYTES:
-            raise ValueError(f"secret: {len(secret)} bytes, at least {MIN_SECRET_BYTES} are due")
+            raise ValueError(f"secret: {len(secret)} bytes, at least {MIN_SECRET_BYTES} are required")
         self.number = number
         self.process_incarnation = process_incarnation
         self.peers: dict[int, _Peer] = {}
@@ -80,7 +82,7 @@
         return body + self._mac(body)
 
     def read(self, datagram: bytes, now_ms: float) -> tuple[int, bytes] | None:
-        """Return sender and data, or None for a datagram that must be ignored; `counts` says why."""
+        """Return sender and data, or None for a rejected datagram; `counts` has the reasons."""
         result, accepted = self._read(datagram, now_ms)
         self.counts[result] += 1
         return accepted
@@ -95,7 +97,7 @@
         if receiver != self.number or sender == self.number:
             return "misdirected", None
         if abs(now_ms - sent_ms) > MAX_AGE_MS:
-            # A receiver that has just started tracks no sequence numbers: it would accept a replayed datagram.
+            # A receiver that has just started knows no sequence numbers and would accept a replayed datagram.
             return "too_old", None
         peer = self.peers.setdefault(sender, _Peer())
         if process_incarnation < peer.process_incarnation:
--- a/anisefront/cluster/endpoint_file.py
+++ b/anisefront/cluster/endpoint_file.py
@@ -1,7 +1,7 @@
-"""The endpoint list as a file in the published `ClusterLoadAssignment` JSON form. Free of I/O.
+"""Endpoint list in the JSON form of Envoy's `ClusterLoadAssignment`. Free of I/O.
 
 health HEALTHY, UNKNOWN, DEGRADED: ready    DRAINING, UNHEALTHY, TIMEOUT: draining    absent: removed
-locality.zone: the zone                     locality.sub_zone: the cell that deduplicates requests together
+locality.zone: the zone                     locality.sub_zone: the cell whose endpoints share request deduplication
 metadata.filter_metadata.anisefront.started: Unix seconds at which the endpoint started; absent: long ago
 """
 
@@ -24,40 +24,40 @@
 
 
 class EndpointFileError(Exception):
-    """A list that is rejected; the one before stays in force."""
+    """An endpoint list was rejected; the previous list stays in use."""
 
 
 def parse(text: bytes) -> EndpointList:
-    """Parse a complete list.
+    """Parse a complete endpoint list.
 
     Raises:
-        EndpointFileError: The list is malformed or empty; the message names the place.
+        EndpointFileError: The list is malformed or empty; the message names the faulty entry.
     """
     if len(text) > MAX_FILE_BYTES:
-        raise EndpointFileError(f"{len(text)} bytes, at most {MAX_FILE_BYTES}")
+        raise EndpointFileError(f"endpoint list too large: {len(text)} bytes, at most {MAX_FILE_BYTES}")
     try:
         assignment = json_format.Parse(text, endpoint_pb2.ClusterLoadAssignment(), ignore_unknown_fields=True)
     except (json_format.ParseError, UnicodeDecodeError) as error:
         reason = " ".join(str(error).split())[:200]
-        raise EndpointFileError(f"no ClusterLoadAssignment: {reason}") from error
+        raise EndpointFileError(f"not a ClusterLoadAssignment: {reason}") from error
     endpoints: dict[str, Endpoint] = {}
     for row, group in enumerate(assignment.endpoints):
         for column, entry in enumerate(group.lb_endpoints):
             place = f"endpoints[{row}].lb_endpoints[{column}]"
             address = _parse_address(place, entry)
             if address in endpoints:
-                raise EndpointFileError(f"{place}: {address} stands twice")
+                raise EndpointFileError(f"{place}: {address} is listed more than once")
             endpoints[address] = _parse_endpoint(place, address, group.locality, entry)
     if not endpoints:
         # A truncated file, or a template that rendered no rows, would remove all endpoints.
-        raise EndpointFileError("no endpoints: an empty list is taken for a fault")
+        raise EndpointFileError("no endpoints: an empty list is rejected")
     return EndpointList(tuple(endpoints.values()))
 
 
 def _parse_address(place: str, entry: Any) -> str:
     socket = entry.endpoint.address.socket_address
     if not socket.address or not 0 < socket.port_value <= MAX_PORT:
-        raise EndpointFileError(f"{place}: address and port are due")
+        raise EndpointFileError(f"{place}: address and port are required")
     return f"{socket.address}:{socket.port_value}"
 
 
@@ -77,12 +77,12 @@
         return 0.0
     started_s = dict(entry.metadata.filter_metadata[_METADATA_NAMESPACE]).get("started", 0.0)
     if not isinstance(started_s, float) or not 0 <= started_s < MAX_STARTED_S:
-        raise EndpointFileError(f"{place}: started: Unix seconds are due")
+        raise EndpointFileError(f"{place}: started: Unix seconds are required")
     return started_s
 
 
 def write(cluster: str, endpoints: list[Endpoint], cells: dict[int, str]) -> str:
-    """Write a list as such a file; `cells` names each `Endpoint.cell`."""
+    """Return the JSON text of an endpoint list; `cells` maps each `Endpoint.cell` to its name."""
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=cluster)
     for endpoint in endpoints:
         if endpoint.status is EndpointStatus.REMOVED:
--- a/anisefront/cluster/epoch_log.py
+++ b/anisefront/cluster/epoch_log.py
@@ -1,4 +1,4 @@
-"""Log of one epoch at its primary: entries that the backup has not acknowledged, and what is scheduled for it."""
+"""Log of one epoch at its primary: unacknowledged entries, and the state of retries and heartbeats."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from anisefront.cluster.replication_codec import MAX_ENTRIES_BYTES, encode_entry
 from anisefront.cluster.replication_messages import Completed, LogEntry
 
-MAX_UNACKNOWLEDGED = 4000  # entries at one backup; beyond them it gets no further request
+MAX_UNACKNOWLEDGED = 4000  # entries at one backup, beyond which it gets no further request
 MAX_ENTRIES_PER_MESSAGE = 255
 RETRY_MS = 30.0  # after which unacknowledged entries are sent again
 
 
 class EncodedEntry(NamedTuple):
-    """An entry with its bytes."""
+    """An entry with its encoded bytes."""
 
     entry: LogEntry
     data: bytes
@@ -25,23 +25,23 @@
 
 @dataclass(slots=True, eq=False)
 class EpochLog:
-    """What one incarnation of a backup is sent, with one witness over it.
+    """The log that is sent to one incarnation of a backup, under one witness.
 
     Attributes:
-        is_pinned: Whether its requests stay with the backup while that is a member, however late it is.
+        is_pinned: Whether its requests stay with the backup while that is a member, even if it is unresponsive.
         requests: Numbers of the requests that this epoch replicates.
-        entries: Entries that are not acknowledged.
-        deferred: Entries of idempotent requests of which the backup was not notified yet.
-        deferred_due_ms: When these are appended; 0: there are none.
+        entries: Unacknowledged entries.
+        deferred: Entries of idempotent requests that are not appended yet.
+        deferred_due_ms: Time at which these are appended; 0 without any.
         first_sequence: Number of the first unacknowledged entry.
         last_sent_sequence: Number of the last entry that has been sent.
-        last_sent_ms: When something was last sent.
-        waiting_since_ms: Since when an acknowledgement that makes progress is awaited.
-        retry_ms: When to send again without one.
-        releasing: Whether the primary gives up the backup; without a witness nothing ends this state.
+        last_sent_ms: Time of the last message.
+        waiting_since_ms: Time from which on an acknowledgement that makes progress is awaited.
+        retry_ms: Time of the next retry without one.
+        releasing: Whether the primary is releasing the backup; without a witness nothing ends this state.
         heartbeat_scheduled: Whether `heartbeat_ms` is set.
         heartbeat_unacknowledged: Whether a heartbeat awaits its acknowledgement.
-        relayed_count: How often the entries were sent through another instance since the last acknowledgement.
+        relayed_count: Number of relayed transmissions since the last acknowledgement.
     """
 
     epoch: int
@@ -66,12 +66,12 @@
 
     @property
     def awaits_ack(self) -> bool:
-        """Whether the backup owes an acknowledgement."""
+        """Whether an acknowledgement of the backup is outstanding."""
         return self.last_sent_sequence >= self.first_sequence or self.heartbeat_unacknowledged
 
     @property
     def next_sequence(self) -> int:
-        """Number that the next entry gets."""
+        """Number of the next entry."""
         return self.first_sequence + len(self.entries)
 
     @property
@@ -80,7 +80,7 @@
         return len(self.entries) + len(self.deferred) < MAX_UNACKNOWLEDGED
 
     def append(self, entry: LogEntry) -> bool:
-        """Append an entry; returns whether it is ready to be sent, rather than deferred with its request."""
+        """Append an entry; returns whether it is ready to be sent, False if it is deferred with its request."""
         if entry.request in self.deferred:
             self.deferred[entry.request].append(entry)
             return False
@@ -88,29 +88,29 @@
         return True
 
     def acknowledge(self, last_sequence: int) -> Iterator[LogEntry]:
-        """Remove and yield the entries up to a number."""
+        """Remove and yield the entries up to a sequence number."""
         while self.entries and self.first_sequence <= last_sequence:
             entry = self.entries.popleft().entry
             self.first_sequence += 1
             yield entry
 
     def withdraw(self, request: int) -> None:
-        """Replace a request's entries by ones without effect, and send all entries again."""
-        without_effect = Completed(request)
+        """Replace a request's entries by no-ops, and have all entries sent again."""
+        no_op = Completed(request)
         for position, (entry, _) in enumerate(self.entries):
             if entry.request == request:
-                self.entries[position] = EncodedEntry(without_effect, encode_entry(without_effect))
+                self.entries[position] = EncodedEntry(no_op, encode_entry(no_op))
         self.last_sent_sequence = self.first_sequence - 1
 
     def restart_retries(self, now_ms: float) -> None:
-        """Measure the retry interval and the backup's timeout from now."""
+        """Restart the retry interval and the backup's timeout."""
         self.waiting_since_ms = now_ms
         self.relayed_count = 0
         self.retry_interval_ms = RETRY_MS
         self.retry_ms = now_ms + RETRY_MS
 
     def batches(self, first_sequence: int) -> Iterator[tuple[int, list[EncodedEntry]]]:
-        """Split the entries from a number on into messages, at least one: its first number and its entries."""
+        """Split the entries from a sequence number on into batches, at least one: first sequence number and entries."""
         batch = list[EncodedEntry]()
         size = 0
         batch_sequence = first_sequence
--- a/anisefront/cluster/epoch_sender.py
+++ b/anisefront/cluster/epoch_sender.py
@@ -1,4 +1,4 @@
-"""Epochs of one primary: sends their entries and heartbeats to the backups, and schedules retries."""
+"""Sender of one primary: sends entries and heartbeats of all epochs to the backups, and schedules retries."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 from anisefront.cluster.replication_codec import encode
 from anisefront.cluster.replication_messages import Accepted, Append, LogEntry, Message, RelayRequest
 
-HEARTBEAT_LEASE_FRACTION = 0.25  # of a lease: interval of heartbeats while a backup stores something
-DEFERRAL_MS = 20.0  # idempotent requests are appended so late: most have completed by then and cost no message
+HEARTBEAT_LEASE_FRACTION = 0.25  # heartbeat interval, as a fraction of the lease, while a backup stores requests
+DEFERRAL_MS = 20.0  # delay before idempotent requests are appended: most complete earlier and cost no message
 _NO_WITNESS = Replica(-1, 0)
 
 
 class EpochSender:
-    """Logs of all open epochs of one primary, and their schedule."""
+    """Logs of all open epochs of one primary, with their timers."""
 
     def __init__(self, lease_ms: float) -> None:
         """Initialize without any epoch; `lease_ms` is the backups' lease, which heartbeats renew."""
         self.lease_ms = lease_ms
         self.logs: dict[int, EpochLog] = {}  # by epoch
         self._messages: list[SendMessage] = []
-        # Epoch that takes new requests, by number of the backup and whether they are pinned to it.
+        # Epoch that accepts new requests, by number of the backup and whether the requests are pinned to it.
         self._current: dict[tuple[int, bool], int] = {}
-        self._open_epochs: dict[int, list[int]] = {}  # by number of the backup, the oldest first
-        self._unsent: dict[int, None] = {}  # epochs with new entries, in the order of the first of these
-        self._schedule: list[tuple[float, int]] = []  # when to look at an epoch
+        self._open_epochs: dict[int, list[int]] = {}  # by number of the backup, oldest first
+        self._unsent: dict[int, None] = {}  # epochs with new entries, in the order of their first new entry
+        self._schedule: list[tuple[float, int]] = []  # time and epoch
         self._last_epoch = 0
 
     def take_messages(self) -> list[SendMessage]:
-        """Return the messages to send, and keep none."""
+        """Return and clear the pending messages."""
         messages = self._messages
         self._messages = []
         return messages
 
     def send(self, receiver: int, message: Message) -> None:
-        """Send a message, after those that were sent before."""
+        """Queue a message to be sent."""
         self._messages.append(SendMessage(receiver, message))
 
     # ---- epochs ----------------------------------------------------------------------------------
 
     def open(self, backup: Replica, witness: Replica | None, is_pinned: bool) -> EpochLog:
-        """Open an epoch that takes the new requests of a backup; its witness learns of it only in a conflict."""
+        """Open an epoch for the new requests of a backup; its witness learns of it only when the epoch is contested."""
         self._last_epoch += 1
         log = EpochLog(self._last_epoch, backup, witness, is_pinned)
         self.logs[log.epoch] = log
@@ -54,15 +54,15 @@
         return log
 
     def current(self, backup: int, is_pinned: bool) -> EpochLog | None:
-        """Return the epoch that takes the new requests of a backup."""
+        """Return the epoch that accepts the new requests of a backup."""
         return self.logs.get(self._current.get((backup, is_pinned), 0))
 
     def is_current(self, log: EpochLog) -> bool:
-        """Return whether an epoch takes new requests."""
+        """Return whether an epoch accepts new requests."""
         return self._current.get((log.backup.number, log.is_pinned)) == log.epoch
 
     def retire(self, log: EpochLog) -> None:
-        """Let new requests of this backup go to another epoch."""
+        """Stop accepting new requests in an epoch; those of its backup go to another one."""
         if self.is_current(log):
             del self._current[log.backup.number, log.is_pinned]
 
@@ -72,7 +72,7 @@
         self._open_epochs[log.backup.number].remove(log.epoch)
 
     def close_if_finished(self, log: EpochLog) -> None:
-        """Remove an epoch that takes no requests, replicates none, and has nothing to send."""
+        """Remove an epoch that accepts no requests, replicates none, and has nothing to send."""
         if log.requests or self.is_current(log) or log.epoch not in self.logs:
             return
         if log.releasing or not log.entries:
@@ -81,7 +81,7 @@
     # ---- entries ---------------------------------------------------------------------------------
 
     def add_request(self, now_ms: float, log: EpochLog, accepted: Accepted) -> None:
-        """Append the first entry of a request; one that is idempotent is deferred."""
+        """Append the first entry of a request; that of an idempotent request is deferred."""
         log.requests.add(accepted.request)
         if accepted.requires_ack:
             self.append(log, accepted)
@@ -93,12 +93,12 @@
         self._schedule_heartbeat(now_ms, log)
 
     def append(self, log: EpochLog, entry: LogEntry, immediately: bool = True) -> None:
-        """Append an entry; one that is not sent immediately goes with the next one, or with a heartbeat."""
+        """Append an entry; unless sent immediately, it goes with the next entry or heartbeat."""
         if log.append(entry) and immediately:
             self.mark_unsent(log)
 
     def mark_unsent(self, log: EpochLog) -> None:
-        """Send an epoch's entries by the next `flush`."""
+        """Have the entries of an epoch sent by the next `flush`."""
         self._unsent[log.epoch] = None
 
     def flush(self, now_ms: float) -> None:
@@ -110,16 +110,16 @@
         self._unsent.clear()
 
     def send_new_entries(self, now_ms: float, log: EpochLog) -> None:
-        """Send the entries that have not been sent; without any, the message is a heartbeat."""
+        """Send the entries that have not been sent; a message without entries is a heartbeat."""
         self._send_entries(now_ms, log, max(log.first_sequence, log.last_sent_sequence + 1))
 
     def resend(self, now_ms: float, log: EpochLog, relay: int | None = None) -> None:
-        """Send all unacknowledged entries, through another instance too if one is given."""
+        """Send all unacknowledged entries again, if `relay` is given also through that instance."""
         self._send_entries(now_ms, log, log.first_sequence, relay)
 
     def _send_entries(self, now_ms: float, log: EpochLog, first_sequence: int, relay: int | None = None) -> None:
         if not log.awaits_ack:
-            # Counted from the last message instead, a lost entry would never be retried while others follow it.
+            # Restarted by every message, the timer would never retry a lost entry while others follow it.
             log.restart_retries(now_ms)
             self.schedule(log, log.retry_ms)
         for batch_sequence, batch in log.batches(first_sequence):
@@ -146,11 +146,11 @@
     # ---- schedule --------------------------------------------------------------------------------
 
     def schedule(self, log: EpochLog, at_ms: float) -> None:
-        """Look at an epoch at a time."""
+        """Schedule a check of an epoch."""
         heapq.heappush(self._schedule, (at_ms, log.epoch))
 
     def due_logs(self, now_ms: float) -> Iterator[EpochLog]:
-        """Yield the epochs to look at, also those that come due meanwhile."""
+        """Yield the epochs whose checks are due, including checks scheduled for now meanwhile."""
         while self._schedule and self._schedule[0][0] <= now_ms:
             _, epoch = heapq.heappop(self._schedule)
             log = self.logs.get(epoch)
@@ -159,11 +159,11 @@
 
     @property
     def next_timer_ms(self) -> float:
-        """Time of the next epoch to look at; infinite without one."""
+        """Time of the next scheduled check; infinite without one."""
         return self._schedule[0][0] if self._schedule else math.inf
 
     def append_deferred(self, now_ms: float, log: EpochLog) -> None:
-        """Append the deferred entries of the requests that are still in flight, once they are due."""
+        """Append the deferred entries of the requests that are still in flight, once `DEFERRAL_MS` has passed."""
         if not log.deferred_due_ms or now_ms < log.deferred_due_ms:
             return
         deferred = log.deferred
@@ -174,7 +174,7 @@
                 self.append(log, entry)
 
     def send_due_heartbeat(self, now_ms: float, log: EpochLog) -> None:
-        """Renew the lease at a backup that has received nothing for long; it would claim the epoch otherwise."""
+        """Renew the lease at a backup that has received nothing recently, which would claim the epoch otherwise."""
         if not log.heartbeat_scheduled or log.releasing or now_ms < log.heartbeat_ms:
             return
         log.heartbeat_scheduled = False
--- a/anisefront/cluster/local_requests.py
+++ b/anisefront/cluster/local_requests.py
@@ -1,4 +1,4 @@
-"""Requests of a primary: their attempts, and what becomes of them when their backup replies. Free of I/O."""
+"""Local requests of a primary: their attempts, and the effects of the backups' replies. Free of I/O."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
 @dataclass(slots=True, eq=False)
 class LocalRequest:
-    """A local request that was replicated.
+    """A replicated local request.
 
     Attributes:
-        attempts: Endpoints of the attempts that are not proved never to have executed, by number of the attempt.
-        prior_attempts: Those of them that a failed instance had started.
-        awaiting_ack: Attempts that start when the backup has acknowledged them.
-        awaiting_lock: Attempts that start when the request has the lock of its identity.
-        is_locked: Whether it has the lock of its identity, or needs none.
-        rejection_pending: Whether its rejection is delivered when the backup has acknowledged it.
-        lost: Whether another instance owns it: no further attempt starts here.
+        attempts: Endpoints of the attempts that may have executed or may still start, by attempt number.
+        prior_attempts: Those of them that a failed instance started.
+        awaiting_ack: Attempts that start once the backup has acknowledged them.
+        awaiting_lock: Attempts that start once the request holds the lock of its identity.
+        is_locked: Whether it holds the lock of its identity, or needs none.
+        rejection_pending: Whether its rejection is delivered once the backup has acknowledged it.
+        lost: Whether another instance owns it, so that no further attempt starts here.
     """
 
     accepted: Accepted
@@ -54,22 +54,22 @@
 
     @property
     def has_identity(self) -> bool:
-        """Whether a client's retry of it can be recognized."""
+        """Whether a client's retry can be recognized."""
         return self.accepted.identity != NO_IDENTITY
 
     @property
     def not_started(self) -> set[int]:
-        """Attempts that were announced and have not left."""
+        """Attempts that are recorded but have not started."""
         return self.awaiting_ack | self.awaiting_lock
 
     @property
     def is_pinned(self) -> bool:
-        """Whether another request of its identity must meet it at its backup, or both would run."""
+        """Whether duplicates must be detected at its backup, or both requests would run."""
         return self.accepted.excludes_duplicates
 
 
 class LocalRequests:
-    """The replicated requests of one primary, by number, and the actions that follow from the replies of backups."""
+    """The replicated requests of one primary, by number, and the actions that result from the replies of backups."""
 
     def __init__(self, sender: EpochSender, counts: Counter[str]) -> None:
         """Initialize without any request; `counts` are the primary's counters."""
@@ -83,11 +83,11 @@
         return len(self._requests)
 
     def __getitem__(self, request: int) -> LocalRequest:
-        """Return a request that is replicated."""
+        """Return a replicated request."""
         return self._requests[request]
 
     def get(self, request: int) -> LocalRequest | None:
-        """Return a request, None where it is not replicated."""
+        """Return a request, None if it is not replicated."""
         return self._requests.get(request)
 
     def add(self, local: LocalRequest) -> None:
@@ -95,17 +95,17 @@
         self._requests[local.accepted.request] = local
 
     def remove(self, request: int) -> LocalRequest | None:
-        """Remove a request that has completed."""
+        """Remove and return a completed request."""
         return self._requests.pop(request, None)
 
     def take_actions(self) -> list[Action]:
-        """Return the actions to carry out, and keep none."""
+        """Return and clear the pending actions."""
         actions = self._actions
         self._actions = []
         return actions
 
     def start_awaiting(self, local: LocalRequest) -> None:
-        """Start the attempts that await an acknowledgement, or let them await the lock alone."""
+        """Start the attempts that await an acknowledgement, or let them await only the lock."""
         for attempt in sorted(local.awaiting_ack):
             self._start(local, attempt)
         local.awaiting_ack.clear()
@@ -117,7 +117,7 @@
             local.awaiting_lock.add(attempt)
 
     def on_locked(self, request: int) -> None:
-        """Start the attempts that await the lock alone."""
+        """Start the attempts that await only the lock."""
         local = self._requests.get(request)
         if local is None:
             return
@@ -126,17 +126,17 @@
         local.awaiting_lock.clear()
 
     def on_lock_unavailable(self, request: int) -> None:
-        """Let the host reject a request that can't get its lock."""
+        """Have the host reject a request that cannot get its lock."""
         local = self._requests.get(request)
         if local is not None and not local.lost:
             self._actions.append(LockUnavailable(request))
 
     def deliver_rejection(self, request: int) -> None:
-        """Deliver a pending rejection; the request stays known until its host completes it."""
+        """Deliver a pending rejection; the request remains until its host completes it."""
         self._actions.append(DeliverRejection(request))
 
     def on_entry_acknowledged(self, log: EpochLog, entry: LogEntry) -> None:
-        """Carry out what waits for an entry."""
+        """Carry out what awaits the acknowledgement of an entry."""
         local = self._requests.get(entry.request)
         if local is None or local.epoch != log.epoch:
             return
@@ -148,11 +148,11 @@
             self.deliver_rejection(entry.request)
 
     def on_duplicate(self, request: int, informed: tuple[int, ...]) -> None:
-        """Yield to another request of this identity; the entries behind this one continue without it.
+        """Yield to another request of this identity; later entries of the epoch are sent without this request.
 
         Args:
             request: The request.
-            informed: Instances that know of the other one.
+            informed: Instances that know of the other request.
         """
         local = self._requests.get(request)
         if local is None or local.lost:
@@ -165,17 +165,17 @@
         local.lost = True
         self._counts["names_elsewhere"] += 1
         for attempt in local.not_started:
-            del local.attempts[attempt]  # it has not started, and won't
+            del local.attempts[attempt]  # not started, and never will
         local.awaiting_ack.clear()
         local.awaiting_lock.clear()
-        # The response of an attempt that has started here may still come.
+        # The response of an attempt that has started here may still arrive.
         if local.attempts.keys() - local.prior_attempts:
             self._actions.append(LoseOwnership(request, informed))
         else:
             self._actions.append(YieldToDuplicate(request, informed))
 
-    def on_backup_full(self, now_ms: float, log: EpochLog, request: int) -> None:
-        """Continue without a backup: it does not know of the request, so no instance takes it over."""
+    def on_backup_at_capacity(self, now_ms: float, log: EpochLog, request: int) -> None:
+        """Continue without a backup: it did not store the request, so no instance takes the request over."""
         local = self._withdraw(log, request)
         log.waiting_since_ms = now_ms  # the backup responds
         self._counts["unprotected_full"] += 1
@@ -198,14 +198,14 @@
         return local
 
     def _append_end(self, log: EpochLog, local: LocalRequest) -> None:
-        """End a withdrawn request at its backup, which may have stored another copy of its entries since."""
+        """End a withdrawn request at its backup, which may have stored a resent copy of its entries meanwhile."""
         request = local.accepted.request
         for attempt in sorted(local.not_started):
             log.append(AttemptDiscarded(request, attempt))
         log.append(Completed(request))
 
     def lose_epoch(self, log: EpochLog) -> None:
-        """Give up an epoch that its backup has claimed; idempotent requests continue here all the same."""
+        """Give up an epoch that its backup has claimed; idempotent requests continue here nevertheless."""
         for request in sorted(log.requests):
             local = self._requests[request]
             local.epoch = 0
--- a/anisefront/cluster/lock_codec.py
+++ b/anisefront/cluster/lock_codec.py
@@ -1,4 +1,4 @@
-"""Bytes of the messages of identity locks. All integers are big-endian."""
+"""Encoding of the messages of identity locks. All integers are big-endian."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 RELEASES_KIND = 16
 RECOVERY_QUERY_KIND = 17
 RECOVERY_REPLY_KIND = 18
-MAX_ITEMS = 28  # requests, replies, releases or locks in one message: a datagram that no network fragments
+MAX_ITEMS = 28  # requests, replies, releases or locks in one message; avoids IP fragmentation
 
 _REQUESTS = struct.Struct(">4sB")
 _REQUEST = struct.Struct(">8sQIH??HQQ")
@@ -42,7 +42,7 @@
 
 
 def encode_body(message: LockMessage) -> tuple[int, bytes]:
-    """Return the kind and the bytes of a message."""
+    """Return the kind and the encoded body of a message."""
     match message:
         case LockRequests(placement, requests):
             return REQUESTS_KIND, _REQUESTS.pack(placement, len(requests)) + b"".join(map(_encode_request, requests))
@@ -92,7 +92,7 @@
     """
     decoder = _DECODERS.get(kind)
     if decoder is None:
-        raise ValueError(f"message of kind {kind}")
+        raise ValueError(f"unknown message kind {kind}")
     return decoder(body)
 
 
@@ -133,7 +133,7 @@
 def _decode_recovery_reply(body: bytes) -> LockRecoveryReply:
     serial, page, pages, is_recovered, count = _RECOVERY_REPLY.unpack_from(body)
     if page >= pages:
-        raise ValueError(f"page {page} of {pages}")
+        raise ValueError(f"page {page} out of range: {pages} pages")
     locks = tuple(
         KnownLock(identity, LockOwner(number, incarnation, request), remaining_ms, backup)
         for identity, number, incarnation, request, remaining_ms, backup in _items(
@@ -143,10 +143,10 @@
     return LockRecoveryReply(serial, page, pages, is_recovered, locks)
 
 
-def _items(body: bytes, offset: int, form: struct.Struct, count: int) -> list[tuple[Any, ...]]:
-    if len(body) != offset + count * form.size:
-        raise ValueError("a message of another length than it says")
-    return list(form.iter_unpack(body[offset:]))
+def _items(body: bytes, offset: int, layout: struct.Struct, count: int) -> list[tuple[Any, ...]]:
+    if len(body) != offset + count * layout.size:
+        raise ValueError("message length does not match its number of items")
+    return list(layout.iter_unpack(body[offset:]))
 
 
 _DECODERS: dict[int, Callable[[bytes], LockMessage]] = {
--- a/anisefront/cluster/lock_decisions.py
+++ b/anisefront/cluster/lock_decisions.py
@@ -1,4 +1,4 @@
-"""What the requester of identity locks decides."""
+"""Decisions of the requester of identity locks."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LockHeld:
-    """A request has its lock."""
+    """A request holds its lock."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class LockRefused:
-    """Another request of the identity has the lock, or gets it; `informed` are instances that know of that one."""
+    """Another request of the identity holds the lock or gets it; `informed` are instances that know of that request."""
 
     request: int
     informed: tuple[int, ...]
--- a/anisefront/cluster/lock_messages.py
+++ b/anisefront/cluster/lock_messages.py
@@ -1,9 +1,9 @@
 """Typed messages of identity locks: who may run the requests of one identity.
 
-owner --LockRequests-->       voter   asks for its vote on identities, again until it has enough votes
-owner <--LockReplies--        voter   the vote, or who has it; a holder whose lock another wants is told again
+owner --LockRequests-->       voter   requests votes on identities; repeated until a majority has replied
+owner <--LockReplies--        voter   the vote, or its holder; repeated to a holder whose lock another requests
 owner --LockReleases-->       voter   the owner's requests have ended
-voter --LockRecoveryQuery-->  all     a restarted voter has no memory of its votes, and asks what others know
+voter --LockRecoveryQuery-->  all     a restarted voter has lost its votes, and asks which locks are known
 voter <--LockRecoveryReply--  all     one page of the locks that an instance knows
 """
 
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-NO_INSTANCE = 0xFFFF  # in place of the number of an instance
+NO_INSTANCE = 0xFFFF  # sentinel in place of an instance's number
 
 
 class LockOwner(NamedTuple):
@@ -25,15 +25,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LockRequest:
-    """Asks for a vote.
+    """Requests a vote.
 
     Attributes:
         identity: Digest of the identity.
         request: Number of the request at its instance.
         remaining_ms: Time until its deadline, after which the vote lapses.
-        backup: The instance that knows of the request; `NO_INSTANCE` for none.
-        has_yielded: Whether its client's request had yielded to another of the identity before.
-        predecessor: The request of a failed instance that this one continues.
+        backup: The instance that stores the request; `NO_INSTANCE` for none.
+        has_yielded: Whether the client's request has yielded to another one of the identity before.
+        predecessor: The request of a failed instance that this request continues.
     """
 
     identity: bytes
@@ -45,13 +45,13 @@
 
     @property
     def follows_another(self) -> bool:
-        """Whether it must not run if another request of the identity has been executed meanwhile."""
+        """Whether it must not run if another request of the identity was executed meanwhile."""
         return self.has_yielded or self.predecessor is not None
 
 
 @dataclass(frozen=True, slots=True)
 class LockRequests:
-    """Asks one voter for votes; `placement` is the digest of the placement that names the voters."""
+    """Requests votes of one voter; `placement` is the digest of the voters' placement."""
 
     placement: bytes
     requests: tuple[LockRequest, ...]
@@ -59,10 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LockRelease:
-    """Ends the lock of a request, and that of the request which it continued.
+    """Releases the lock of a request, and that of its predecessor.
 
-    `may_have_executed`: it must not be executed again, so requests that had yielded to it, or were taken over, must
-    not run.
+    `may_have_executed`: it must not be executed again, so requests that yielded to it, or were taken over, must not
+    run.
     """
 
     identity: bytes
@@ -73,14 +73,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LockReleases:
-    """Ends locks at one voter."""
+    """Releases locks at one voter."""
 
     releases: tuple[LockRelease, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class LockReply:
-    """A vote for a request, or against it: then `holder` has the vote, and `holder_backup` knows of its request."""
+    """A vote for a request, or a refusal: then `holder` has the vote, and `holder_backup` stores its request."""
 
     identity: bytes
     request: int
@@ -90,12 +90,12 @@
 
     @property
     def is_granted(self) -> bool:
-        """Whether it is a vote for the request."""
+        """Whether the vote was given to the request."""
         return self.holder == NO_INSTANCE
 
 
 class VoterRestart(NamedTuple):
-    """A process incarnation of a voter that has asked for what others know: votes of earlier ones are void."""
+    """A process incarnation of a voter that is recovering: votes of its earlier incarnations are void."""
 
     number: int
     incarnation: int
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LockReplies:
-    """Votes of one voter, with the restarts of other voters that it has replied to before."""
+    """Votes of one voter, with the restarts of other voters whose queries it has answered."""
 
     restarts: tuple[VoterRestart, ...]
     replies: tuple[LockReply, ...]
@@ -118,7 +118,7 @@
 
 
 class KnownLock(NamedTuple):
-    """A lock that an instance knows, as a voter, as the owner or as the owner's backup."""
+    """A lock that an instance knows as a voter, as the owner, or as the owner's backup."""
 
     identity: bytes
     owner: LockOwner
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LockRecoveryReply:
-    """One of `pages` pages, from 0, of the reply to a query; `is_recovered`: the sender votes itself."""
+    """Page `page`, from 0, of the `pages` pages of a reply; `is_recovered`: the sender votes itself."""
 
     serial: int
     page: int
--- a/anisefront/cluster/lock_placement.py
+++ b/anisefront/cluster/lock_placement.py
@@ -1,8 +1,8 @@
-"""Which instances vote on an identity.
+"""Placement of voters: the instances that vote on an identity.
 
-The first three of its slot's rendezvous order over the configured instances, dead or not, in different zones as far as
-there are. Two majorities of the same three share a member (Gifford 1979, Thomas 1979), so the three must not follow
-from who is believed alive.
+These are the first three configured instances, dead or alive, in the rendezvous order of the identity's slot, in
+different zones as far as possible. Two majorities of the same three voters intersect (Gifford 1979, Thomas 1979), so
+the voters must not depend on which instances are believed alive.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 
 class LockPlacement:
-    """Voters of each slot, by the configured instances and their zones."""
+    """Voters of each slot, computed from the configured instances and their zones."""
 
     def __init__(self, zones: dict[int, str]) -> None:
-        """Compute the voters; `zones` has all configured instances, with "" where no zone is told."""
+        """Compute the voters; `zones` has all configured instances, "" for those without a zone."""
         self.instances = frozenset(zones)
         self.digest = hashlib.blake2b(repr(sorted(zones.items())).encode(), digest_size=DIGEST_BYTES).digest()
         self._voters = [_voters_of(slot, zones) for slot in range(SLOTS)]
 
     def voters(self, identity: bytes) -> tuple[int, ...]:
-        """Return who votes on an identity."""
+        """Return the voters on an identity."""
         return self.voters_of_slot(slot_of(identity))
 
     def voters_of_slot(self, slot: int) -> tuple[int, ...]:
-        """Return who votes on the identities of a slot."""
+        """Return the voters on the identities of a slot."""
         return self._voters[slot]
 
     def slots_of(self, number: int) -> list[int]:
@@ -37,7 +37,7 @@
         return [slot for slot, voters in enumerate(self._voters) if number in voters]
 
     def other_voters(self, slot: int, number: int) -> list[int]:
-        """Return who votes beside an instance."""
+        """Return the voters of a slot other than an instance."""
         return [voter for voter in self._voters[slot] if voter != number]
 
 
--- a/anisefront/cluster/lock_requester.py
+++ b/anisefront/cluster/lock_requester.py
@@ -1,17 +1,17 @@
-"""Owner's side of identity locks: asks the voters for a majority before a request may have an effect. Free of I/O.
+"""Owner's side of identity locks: obtains a majority of votes before a request may have an effect. Free of I/O.
 
     requested --votes of a majority--> held --end of the request--> released
         |-----a majority has voted for another--------------------> refused
-        |-----the vote is split, and another comes first----------> refused
+        |-----the vote is split, and another has precedence-------> refused
         `-----no majority replies in time-------------------------> unavailable
 
-Once a lock is held it stays held: any majority that votes later shares a voter with this one. The third voter is asked
-until it knows, too. Before a lock is held, votes of a voter that was restarted since are void, as it may have forgotten
-them.
+A held lock stays held, since any later majority shares a voter with the one that granted it. The third voter is asked
+until it has voted, too. Until the lock is held, votes of a voter that was restarted since are void, as the voter may
+have lost them.
 
-No single voter decides alone, however many instances are alive: in a partition the two others may vote together on the
-other side, before or after it is noticed. Of two instances the lower one decides alone while the other is not alive, as
-the other never does.
+No single voter decides alone, however many instances are alive: in a partition the two others may be a majority on the
+other side, before or after the partition is detected. Of two instances, the one with the lower number decides alone
+while the other is not alive, as the other never does.
 """
 
 from __future__ import annotations
@@ -42,14 +42,14 @@
 from anisefront.cluster.replication_actions import SendMessage
 
 MAJORITY = 2  # of three voters, or of two
-WIDEN_MS = 10.0  # without a majority of those asked first, after which the third voter is asked, too
-UNRESPONSIVE_MS = 5000.0  # during which a voter that did not reply before the third was asked is not asked first
-RELEASE_DELAY_MS = 5.0  # locks of executed requests are released so late, many in one message
+WIDEN_MS = 10.0  # after which the third voter is asked, too, if the first two are no majority
+UNRESPONSIVE_MS = 5000.0  # for which a voter that did not reply within `WIDEN_MS` is not asked first
+RELEASE_DELAY_MS = 5.0  # delay of the release of executed requests' locks, to batch them
 RETRY_MS = 30.0
 MAX_RETRY_MS = 240.0
-MAX_ENDED = 10_000  # requests whose end is remembered, for votes that come later
+MAX_ENDED = 10_000  # ended requests that are tracked, for votes that arrive later
 NO_REQUEST = 0  # requests are numbered from 1
-MAX_WAITING_FRACTION = 0.5  # of the time until its deadline that a request waits for a majority
+MAX_WAITING_FRACTION = 0.5  # of the time until its deadline, for which a request waits for a majority
 
 
 @dataclass(slots=True, eq=False)
@@ -58,8 +58,8 @@
 
     Attributes:
         votes: Process incarnations of the voters that have voted for it, by number.
-        refusals: Replies of those that have voted for another, by number.
-        must_tell_backup: Whether the backup has changed since the voters were asked.
+        refusals: Replies of those that have voted for another request, by number.
+        has_new_backup: Whether the backup has changed since the voters were asked.
         asked: The voters that were asked.
     """
 
@@ -72,7 +72,7 @@
     predecessor: LockOwner | None
     has_yielded: bool
     is_held: bool = False
-    must_tell_backup: bool = False
+    has_new_backup: bool = False
     asked: tuple[int, ...] = ()
     votes: dict[int, int] = field(default_factory=dict)
     refusals: dict[int, LockReply] = field(default_factory=dict)
@@ -80,7 +80,7 @@
     retry_interval_ms: float = RETRY_MS
 
     def continues(self, refusal: LockReply) -> bool:
-        """Return whether a refusal names the request that this one continues: the voter has not heard of that yet."""
+        """Return whether a refusal names the predecessor, as the voter does not know of the continuation yet."""
         holder = (refusal.holder, refusal.holder_request)
         return self.predecessor is not None and holder == (self.predecessor.number, self.predecessor.request)
 
@@ -89,18 +89,18 @@
     """Locks of the requests of one process incarnation of an instance."""
 
     def __init__(self, local: Replica, placement: LockPlacement) -> None:
-        """Start without locks."""
+        """Initialize without locks."""
         self.counts: Counter[str] = Counter()
         self._local = local
         self._placement = placement
         self._locks: dict[int, _LocalLock] = {}  # by request
-        self._retained: dict[int, _LocalLock] = {}  # of requests that have ended, until their deadlines
+        self._retained: dict[int, _LocalLock] = {}  # of ended requests, until their deadlines
         self._alive: frozenset[int] = frozenset({local.number})
-        self._voter_incarnations: dict[int, int] = {}  # by number: votes of earlier ones are void
+        self._voter_incarnations: dict[int, int] = {}  # by number; votes of earlier ones are void
         self._decisions: list[LockDecision] = []
-        self._ended: OrderedDict[int, bool] = OrderedDict()  # by request: whether it may have been executed
+        self._ended: OrderedDict[int, bool] = OrderedDict()  # by request: whether it may have executed
         self._abandoned: OrderedDict[int, None] = OrderedDict()  # requests that other instances continue
-        self._unsent: dict[int, None] = {}  # requests to ask for
+        self._unsent: dict[int, None] = {}  # requests whose votes are to be requested
         self._releases: dict[int, list[LockRelease]] = {}  # by voter
         self._releases_due_ms = math.inf
         self._predecessors = PredecessorReleases()
@@ -109,11 +109,11 @@
 
     @property
     def is_required(self) -> bool:
-        """Whether another instance could run a request of the same identity."""
+        """Whether other instances are configured, which could run a request of the same identity."""
         return len(self._placement.instances) > 1
 
     def update_members(self, alive: frozenset[int]) -> None:
-        """Replace the live instances, the local one not among them."""
+        """Replace the live instances, which exclude the local one."""
         self._alive = alive | {self._local.number}
         for lock in list(self._locks.values()):
             if not lock.is_held:
@@ -129,16 +129,16 @@
         predecessor: LockOwner | None = None,
         has_yielded: bool = False,
     ) -> None:
-        """Ask for the lock of a request.
+        """Request the lock of a request.
 
         Args:
             now_ms: Clock time.
             identity: Digest of its identity.
             request: Its number.
             remaining_ms: Time until its deadline.
-            backup: The instance that knows of it.
+            backup: The instance that stores it.
             predecessor: The request of a failed instance that it continues.
-            has_yielded: Whether its client's request had yielded to another of the identity before.
+            has_yielded: Whether the client's request has yielded to another one of the identity before.
         """
         give_up_ms = now_ms + MAX_WAITING_FRACTION * remaining_ms
         deadline_ms = now_ms + remaining_ms
@@ -153,16 +153,16 @@
             self._ask_all(now_ms, lock)
 
     def _first_voters(self, now_ms: float, lock: _LocalLock) -> tuple[int, ...]:
-        """Return a majority of the voters: the local one and the backup, which is told anyway, but no late one."""
+        """Return a preferred majority of the voters: responsive ones first, then the local one, then the backup."""
 
         def _order(voter: int) -> tuple[bool, bool, bool]:
-            is_late = self._unresponsive_until_ms.get(voter, 0.0) > now_ms
-            return is_late, voter != self._local.number, voter != lock.backup
+            is_unresponsive = self._unresponsive_until_ms.get(voter, 0.0) > now_ms
+            return is_unresponsive, voter != self._local.number, voter != lock.backup
 
         return tuple(sorted(lock.voters, key=_order)[:MAJORITY])
 
     def _ask_all(self, now_ms: float, lock: _LocalLock) -> None:
-        """Ask all voters that have not voted for it."""
+        """Request the votes of all voters that have not voted for it."""
         lock.asked = lock.voters
         self._unsent[lock.request] = None
         lock.retry_ms = now_ms + lock.retry_interval_ms
@@ -172,41 +172,41 @@
         heapq.heappush(self._schedule, (at_ms, lock.request))
 
     def set_backup(self, request: int, backup: int) -> None:
-        """Tell the voters which instance knows of a request: those that are refused ask it for the outcome."""
+        """Notify the voters which instance stores a request: owners of refused requests query its outcome there."""
         lock = self._locks.get(request)
         if lock is not None and lock.backup != backup:
             lock.backup = backup
-            lock.must_tell_backup = True
+            lock.has_new_backup = True
             self._unsent[request] = None
 
     def continue_predecessor(self, now_ms: float, request: int, predecessor: LockOwner) -> bool:
-        """Let a request that asks for its lock take over that of a failed instance's request.
+        """Have a request that awaits its lock take over the lock of a failed instance's request.
 
         Returns:
-            Whether it does; False where it has been refused its lock or has it already.
+            Whether it does; False if its lock was refused or is held already.
         """
         lock = self._locks.get(request)
         if lock is None or lock.is_held:
             return False
-        self._release_predecessor_of(lock)  # it continues this one instead
+        self._release_predecessor_of(lock)  # it continues the new predecessor instead
         lock.predecessor = predecessor
         lock.refusals = {voter: reply for voter, reply in lock.refusals.items() if not lock.continues(reply)}
         self._ask_all(now_ms, lock)
         return True
 
     def release_predecessor(self, identity: bytes, predecessor: LockOwner, deadline_ms: float) -> None:
-        """End the lock of a failed instance's request that is not continued here, until all voters know.
+        """Release the lock of a failed instance's request that is not continued here, repeatedly until it expires.
 
         Args:
             identity: Its identity.
             predecessor: The request.
-            deadline_ms: Its deadline, at which the lock lapses.
+            deadline_ms: Its deadline, at which the lock expires.
         """
         release = LockRelease(identity, NO_REQUEST, False, predecessor)
         self._predecessors.add(release, self._placement.voters(identity), deadline_ms)
 
     def release(self, request: int, may_have_executed: bool = False) -> None:
-        """End the lock of a request at once; `may_have_executed`: it must not be executed again."""
+        """Release the lock of a request at once; `may_have_executed`: it must not be executed again."""
         lock = self._locks.pop(request, None)
         if lock is not None:
             self._release_at_voters(lock, may_have_executed)
@@ -214,7 +214,7 @@
             _remember(self._ended, request, may_have_executed)
 
     def release_soon(self, now_ms: float, request: int, may_have_executed: bool = False) -> None:
-        """End the lock of a request that has its response, together with others that end about now."""
+        """Release the lock of a request that has its response, within `RELEASE_DELAY_MS` and batched with others."""
         lock = self._locks.pop(request, None)
         if lock is not None:
             self._release_at_voters(lock, may_have_executed)
@@ -222,7 +222,7 @@
             _remember(self._ended, request, may_have_executed)
 
     def retain(self, request: int) -> None:
-        """Keep the lock of a request that has ended until its deadline: none of its identity may run before."""
+        """Retain the lock of an ended request until its deadline: no request of its identity may run before."""
         lock = self._locks.pop(request, None)
         if lock is not None:
             self._retained[request] = lock
@@ -231,7 +231,7 @@
     def abandon(self, request: int) -> None:
         """Leave the lock of a request to the instance that continues it.
 
-        That instance knows nothing of the request that this one continued.
+        That instance does not know of the request's own predecessor, whose lock is released here.
         """
         lock = self._locks.pop(request, None)
         if lock is not None:
@@ -239,13 +239,13 @@
             _remember(self._abandoned, request, None)
 
     def take_decisions(self) -> list[LockDecision]:
-        """Return the decisions since the last call."""
+        """Return and clear the pending decisions."""
         decisions = self._decisions
         self._decisions = []
         return decisions
 
     def known_locks(self, now_ms: float) -> Iterator[KnownLock]:
-        """Yield the locks that are held or asked for."""
+        """Yield the locks that are held or requested."""
         for lock in (*self._locks.values(), *self._retained.values()):
             owner = LockOwner(self._local.number, self._local.incarnation, lock.request)
             yield KnownLock(lock.identity, owner, max(0, int(lock.deadline_ms - now_ms)), lock.backup)
@@ -265,11 +265,11 @@
                 self._on_reply(now_ms, lock, sender, sender_incarnation, reply)
 
     def _note_restart(self, voter: int, incarnation: int) -> None:
-        """Note a voter's incarnation; one that was restarted may vote for another now."""
+        """Record a voter's incarnation; after its restart it may vote for another request."""
         self._voter_incarnations[voter] = max(incarnation, self._voter_incarnations.get(voter, 0))
 
     def _release_unknown(self, sender: int, reply: LockReply) -> None:
-        """Release a vote that came after the end of its request, or whose release was lost."""
+        """Release a vote that arrived after the end of its request, or whose release was lost."""
         if reply.is_granted and reply.request not in self._retained and reply.request not in self._abandoned:
             may_have_executed = self._ended.get(reply.request, True)
             release = LockRelease(reply.identity, reply.request, may_have_executed)
@@ -318,7 +318,7 @@
                 return
 
     def _deciding_voters(self, lock: _LocalLock) -> tuple[int, ...]:
-        """Return the voters of which a majority decides: all, or of two the tie-breaker while the other is lost."""
+        """Return the voters whose majority decides: all, or of two only the tie-breaker while the other is lost."""
         tie_breaker = min(lock.voters)
         is_other_lost = tie_breaker in self._alive and not self._alive.issuperset(lock.voters)
         return (tie_breaker,) if len(lock.voters) == MAJORITY and is_other_lost else lock.voters
@@ -337,14 +337,14 @@
         self._release_predecessor_of(lock)
 
     def _release_predecessor_of(self, lock: _LocalLock) -> None:
-        """End the lock that a request continued at voters that have not heard of the request yet."""
+        """Release the predecessor's lock at voters that do not know of the continuation yet."""
         if lock.predecessor is not None:
             self.release_predecessor(lock.identity, lock.predecessor, lock.deadline_ms)
 
     # ---- sending ---------------------------------------------------------------------------------
 
     def flush(self, now_ms: float) -> list[SendMessage]:
-        """Return the messages to send: one to each voter for all requests since the last call."""
+        """Return the messages to send, with all requests since the last call batched by voter."""
         for voter, release in self._predecessors.take_due(now_ms):
             self._releases.setdefault(voter, []).append(release)
             self._releases_due_ms = now_ms
@@ -356,9 +356,9 @@
             if lock is not None:
                 request = self._request(now_ms, lock)
                 for voter in lock.asked:
-                    if voter not in lock.votes or lock.must_tell_backup:
+                    if voter not in lock.votes or lock.has_new_backup:
                         requests.setdefault(voter, []).append(request)
-                lock.must_tell_backup = False
+                lock.has_new_backup = False
         self._unsent.clear()
         messages = self._take_releases(now_ms, requests.keys())
         messages += [
@@ -369,7 +369,7 @@
         return messages
 
     def _take_releases(self, now_ms: float, receivers: Collection[int]) -> list[SendMessage]:
-        """Return the messages that release locks: all that are due, and those to voters that are asked now."""
+        """Return the releases that are due, and those to voters that get a message now."""
         is_due = now_ms >= self._releases_due_ms
         voters = [voter for voter in self._releases if is_due or voter in receivers]
         messages = []
@@ -388,7 +388,7 @@
     # ---- timers ----------------------------------------------------------------------------------
 
     def handle_timers(self, now_ms: float) -> None:
-        """Ask again for what is not decided, and decide what stays undecided."""
+        """Retry undecided requests, and refuse or give up those that stay undecided."""
         while self._schedule and self._schedule[0][0] <= now_ms:
             _, request = heapq.heappop(self._schedule)
             retained = self._retained.get(request)
@@ -396,12 +396,12 @@
                 del self._retained[request]
             lock = self._locks.get(request)
             if lock is not None and lock.is_held:
-                self._tell_remaining_voters(now_ms, lock)
+                self._ask_remaining_voters(now_ms, lock)
             elif lock is not None:
                 self._on_undecided(now_ms, lock)
 
-    def _tell_remaining_voters(self, now_ms: float, lock: _LocalLock) -> None:
-        """Ask those that have not voted yet; should the others fail, they know who has the lock."""
+    def _ask_remaining_voters(self, now_ms: float, lock: _LocalLock) -> None:
+        """Ask the voters that have not voted yet, so that they know the lock's holder if the others fail."""
         if not lock.retry_ms:
             lock.retry_ms = now_ms + RETRY_MS
             self._schedule_next(lock.retry_ms, lock)
@@ -413,7 +413,7 @@
 
     def _on_undecided(self, now_ms: float, lock: _LocalLock) -> None:
         preceding = [reply for reply in lock.refusals.values() if self._precedes(reply, lock)]
-        if preceding and self._has_heard_voters(lock):
+        if preceding and self._have_voters_replied(lock):
             self._refuse(lock, preceding[0])
         elif now_ms >= lock.give_up_ms:
             self.counts["locks_unavailable"] += 1
@@ -426,8 +426,8 @@
             lock.retry_interval_ms = min(MAX_RETRY_MS, 2 * lock.retry_interval_ms)
             self._ask_all(now_ms, lock)
 
-    def _has_heard_voters(self, lock: _LocalLock) -> bool:
-        """Return whether all live voters have replied, or were asked twice: one of them may make a majority."""
+    def _have_voters_replied(self, lock: _LocalLock) -> bool:
+        """Return whether all live voters have replied or were asked twice, as a missing vote may make a majority."""
         replied = lock.votes.keys() | lock.refusals.keys()
         return replied >= self._alive.intersection(lock.voters) or lock.retry_interval_ms > RETRY_MS
 
@@ -437,20 +437,20 @@
                 self._unresponsive_until_ms[voter] = now_ms + UNRESPONSIVE_MS
 
     def _precedes(self, reply: LockReply, lock: _LocalLock) -> bool:
-        """Return whether the holder comes first where the votes are split; all contenders know the same order."""
+        """Return whether the holder has precedence when the votes are split; all contenders compute the same order."""
         slot = slot_of(lock.identity)
         holder_rank = (placement_hash(slot, reply.holder), reply.holder_request)
         return holder_rank < (placement_hash(slot, self._local.number), lock.request)
 
     @property
     def next_timer_ms(self) -> float:
-        """Time at which `handle_timers` is to be called at the latest; infinite without a lock."""
+        """Latest time for the next call of `handle_timers`; infinite without a lock."""
         scheduled_ms = self._schedule[0][0] if self._schedule else math.inf
         return min(scheduled_ms, self._releases_due_ms, self._predecessors.next_timer_ms)
 
 
 def _remember(requests: OrderedDict[int, Any], request: int, value: Any) -> None:
-    """Remember something of a request; the oldest are forgotten."""
+    """Store a value for a request, and evict the oldest entry beyond `MAX_ENDED`."""
     requests[request] = value
     if len(requests) > MAX_ENDED:
         requests.popitem(last=False)
--- a/anisefront/cluster/lock_voter.py
+++ b/anisefront/cluster/lock_voter.py
@@ -1,10 +1,10 @@
 """Voter on identity locks: gives its vote on an identity to one request at a time. Free of I/O.
 
-    free --LockRequests--> voted for the first who asks --LockReleases, or the deadline--> free
+    free --LockRequests--> voted for the first request --LockReleases, or the deadline--> free
                                  `--LockRequests of its successor--> voted for the successor
 
-A vote is final until its request has ended: a second one beside it would let two requests of one identity have a
-majority. A voter that was restarted has forgotten its votes, and votes only once it has recovered them.
+A vote is final until its request has ended: with a second concurrent vote two requests of one identity could each have
+a majority. A restarted voter has lost its votes, and votes only once it has recovered them.
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
 from anisefront.cluster.replication_actions import SendMessage
 
 MAX_LOCKS = 50_000
-MAX_ENDED = 10_000  # ended requests that are remembered, since a delayed message could ask for them again
+MAX_ENDED = 10_000  # ended requests that are tracked, since a delayed message could request their locks again
 
 
 @dataclass(slots=True, eq=False)
 class _Lock:
-    """Votes on one identity.
+    """Vote on one identity.
 
     Attributes:
         holders: The requests that may have the vote, each with the number of its backup; after a recovery there may be
-            several, and then none gets the vote before the others have ended.
-        expires_ms: When it lapses.
+            several, none of which gets the vote before the others have ended.
+        expires_ms: Time at which the vote expires.
     """
 
     holders: dict[LockOwner, int]
@@ -65,17 +65,17 @@
         max_locks: int = MAX_LOCKS,
         is_recovered: bool = False,
     ) -> None:
-        """Start without votes.
+        """Initialize without votes.
 
         Args:
-            local: This instance.
-            placement: Who votes.
+            local: The local instance.
+            placement: The voters of all slots.
             max_deadline_ms: Longest deadline of a request.
-            max_locks: Capacity; beyond it there are no votes.
+            max_locks: Number of identities beyond which the voter abstains.
             is_recovered: Whether no earlier process of this instance has voted.
         """
         self.counts: Counter[str] = Counter()
-        # Locks that this instance knows otherwise: of its own requests, and of those that it stores as a backup.
+        # Returns the locks of local requests and of those stored as a backup.
         self.other_locks: Callable[[float], Iterable[KnownLock]] = lambda now_ms: ()
         self._local = local
         self._placement = placement
@@ -84,29 +84,29 @@
         self._locks: dict[bytes, _Lock] = {}
         self._expirations: list[tuple[float, bytes]] = []
         self._alive: dict[int, int] = {}
-        self._gone: frozenset[int] = frozenset()
+        self._departed: frozenset[int] = frozenset()
         self._ended: OrderedDict[LockOwner, None] = OrderedDict()
-        self._restarts: dict[int, int] = {}  # incarnations from which on votes of other voters count
-        self._newest_incarnation: dict[int, int] = {}  # of those who have sent something
+        self._restarts: dict[int, int] = {}  # oldest incarnations of other voters whose votes count, by number
+        self._newest_incarnation: dict[int, int] = {}  # of senders, by number
         self._actions: list[SendMessage] = []
         self._replies: dict[int, list[LockReply]] = {}  # by receiver
-        # Requests that may have been executed and have ended since, by identity, with the deadline of their lock.
+        # Ended requests that may have been executed, by identity, with the deadline of their lock.
         self._finished: OrderedDict[bytes, tuple[LockOwner, float]] = OrderedDict()
-        # Requests whose locks have lapsed, so that nobody has told whether they were executed, with the deadline. One
-        # that has yielded to such a request, or to a finished one, may wait for up to the longest deadline after that.
-        self._lapsed: OrderedDict[bytes, tuple[LockOwner, float]] = OrderedDict()
+        # Requests whose locks have expired, so that it is unknown whether they were executed, with the deadline. A
+        # request that yielded to one of these, or to a finished one, may wait up to the longest deadline after that.
+        self._expired: OrderedDict[bytes, tuple[LockOwner, float]] = OrderedDict()
         self._max_deadline_ms = max_deadline_ms
 
     def __len__(self) -> int:
-        """Return the number of identities on which there is a vote."""
+        """Return the number of identities with a vote."""
         return len(self._locks)
 
     def uses_locks(self, number: int, incarnation: int) -> bool:
-        """Return whether this process incarnation of an instance, or a later one, has sent a message of locks."""
+        """Return whether this process incarnation of an instance, or a later one, has sent a lock message."""
         return self._newest_incarnation.get(number, 0) >= incarnation
 
     def take_actions(self) -> list[SendMessage]:
-        """Return the messages to send, and keep none."""
+        """Return and clear the pending messages."""
         if self._replies:
             self._collect_replies()
         actions = self._actions
@@ -146,7 +146,7 @@
                 self._on_recovery_reply(now_ms, sender, sender_incarnation, message)
 
     def _has_same_placement(self, placement: bytes) -> bool:
-        """Return whether the sender's voters are the same; majorities of others may share no member with ours."""
+        """Return whether the sender computes the same voters; majorities of different voters may not intersect."""
         if placement != self._placement.digest:
             self.counts["placements_differing"] += 1
         return placement == self._placement.digest
@@ -180,44 +180,44 @@
         self._reply(owner.number, LockReply(request.identity, request.request))
 
     def _preceding_holder(self, now_ms: float, request: LockRequest) -> LockOwner | None:
-        """Return the request that was or may have been executed before one that must not run after another."""
+        """Return the request that may have executed before one that must not run after another, None without any."""
         if not request.follows_another:
             return None
-        for ended in (self._finished, self._lapsed):
+        for ended in (self._finished, self._expired):
             holder, expires_ms = ended.get(request.identity, (None, -math.inf))
             if expires_ms + self._max_deadline_ms > now_ms and holder != request.predecessor:
                 return holder
         return None
 
     def _replace_predecessor(self, lock: _Lock, owner: LockOwner, request: LockRequest) -> None:
-        """Give the vote of a failed instance's request to the one that continues it."""
+        """Transfer the vote of a failed instance's request to the request that continues it."""
         if request.predecessor in lock.holders:
             del lock.holders[request.predecessor]
             lock.holders[owner] = request.backup
             self._note_ended(request.predecessor)
 
     def _drop_lost_holders(self, lock: _Lock, owner: LockOwner) -> None:
-        """Drop requests that nobody continues: those of dead instances that had no backup.
+        """Drop holders that no instance continues: requests of departed instances that had no backup.
 
-        One with a backup stays even if that is dead, too: both may be alive on the other side of a partition.
+        A request with a backup stays even if the backup seems dead, too: both may be alive behind a partition.
         """
         for holder, backup in list(lock.holders.items()):
-            if holder != owner and backup == NO_INSTANCE and self._is_gone(holder):
+            if holder != owner and backup == NO_INSTANCE and self._has_departed(holder):
                 self.counts["locks_lost"] += 1
                 del lock.holders[holder]
                 self._note_ended(holder)
 
-    def _is_gone(self, holder: LockOwner) -> bool:
+    def _has_departed(self, holder: LockOwner) -> bool:
         if holder.number == self._local.number:
             return holder.incarnation < self._local.incarnation
-        return holder.number in self._gone or self._alive.get(holder.number, 0) > holder.incarnation
+        return holder.number in self._departed or self._alive.get(holder.number, 0) > holder.incarnation
 
     def _refuse(self, owner: LockOwner, request: LockRequest, lock: _Lock, holder: LockOwner) -> None:
         self.counts["refusals"] += 1
         reply = LockReply(request.identity, request.request, holder.number, holder.request, lock.holders[holder])
         self._reply(owner.number, reply)
         if len(lock.holders) == 1 and self._recovery.is_recovered(slot_of(request.identity)):
-            # If its release was lost, the holder releases it again.
+            # Prompts the holder to release it again if its release was lost.
             self._reply(holder.number, LockReply(request.identity, holder.request))
 
     def _reply(self, receiver: int, reply: LockReply) -> None:
@@ -256,23 +256,23 @@
             lock = self._locks.get(identity)
             if lock is not None and lock.expires_ms <= now_ms:
                 del self._locks[identity]
-                self._note_lapsed(identity, lock)
+                self._note_expired(identity, lock)
 
-    def _note_lapsed(self, identity: bytes, lock: _Lock) -> None:
+    def _note_expired(self, identity: bytes, lock: _Lock) -> None:
         if not lock.holders:
-            return  # all were dropped, and no vote was given since
-        self._lapsed[identity] = (next(iter(lock.holders)), lock.expires_ms)
-        self._lapsed.move_to_end(identity)
-        if len(self._lapsed) > MAX_ENDED:
-            self._lapsed.popitem(last=False)
+            return  # all holders were dropped, and no vote was given since
+        self._expired[identity] = (next(iter(lock.holders)), lock.expires_ms)
+        self._expired.move_to_end(identity)
+        if len(self._expired) > MAX_ENDED:
+            self._expired.popitem(last=False)
 
     # ---- recovery --------------------------------------------------------------------------------
 
     def _on_recovery_query(self, now_ms: float, sender: int, sender_incarnation: int, serial: int) -> None:
-        """Reply with all locks that are known here in slots of the sender.
+        """Reply with all locks known here in slots of the sender.
 
-        Votes that are given from now on name the sender's incarnation. Together with a vote of an earlier one, of
-        which the sender does not learn from this reply, they would be a majority beside another.
+        Votes given from now on name the sender's incarnation, which voids votes of its earlier ones. Otherwise such a
+        vote, which this reply does not report, and a new one from here could be a second majority.
         """
         self._note_restart(sender, sender_incarnation)
         known = [lock for lock in self.known_locks(now_ms) if sender in self._placement.voters(lock.identity)]
@@ -283,7 +283,7 @@
             self._actions.append(SendMessage(sender, reply))
 
     def known_locks(self, now_ms: float) -> list[KnownLock]:
-        """Return all locks that this instance knows."""
+        """Return all locks that this instance knows as voter, owner and backup."""
         voted = [
             KnownLock(identity, owner, max(0, int(lock.expires_ms - now_ms)), backup)
             for identity, lock in self._locks.items()
@@ -312,31 +312,31 @@
 
     # ---- timers ----------------------------------------------------------------------------------
 
-    def update_members(self, now_ms: float, alive: dict[int, int], gone: frozenset[int]) -> None:
-        """Replace what is known of the other instances.
+    def update_members(self, now_ms: float, alive: dict[int, int], departed: frozenset[int]) -> None:
+        """Replace the membership of the other instances.
 
         Args:
             now_ms: Clock time.
-            alive: Process incarnations of those that are alive, by number.
-            gone: Those that are dead or have left.
+            alive: Process incarnations of the live instances, by number.
+            departed: Numbers of the instances that are dead or have left.
         """
         self._alive = alive
-        self._gone = gone
+        self._departed = departed
         self._recovery.retry_soon(now_ms)
 
     def handle_timers(self, now_ms: float) -> None:
-        """Let votes lapse, and ask again what earlier votes were."""
+        """Expire votes, and send the recovery queries that are due."""
         self._release_expired(now_ms)
-        for receiver in self._recovery.receivers_due(now_ms):
+        for receiver in self._recovery.receivers_to_query(now_ms):
             query = LockRecoveryQuery(self._placement.digest, self._recovery.serial)
             self._actions.append(SendMessage(receiver, query))
 
     @property
     def next_timer_ms(self) -> float:
-        """Time at which `handle_timers` is to be called at the latest; votes that lapse need no call."""
+        """Latest time for the next call of `handle_timers`; expiring votes need no call."""
         return self._recovery.next_timer_ms
 
 
 def _other_holder(lock: _Lock, owner: LockOwner) -> LockOwner | None:
-    """Return a request other than this one that may have the vote."""
+    """Return another request that may have the vote, None without any."""
     return next((holder for holder in lock.holders if holder != owner), None)
--- a/anisefront/cluster/member_state.py
+++ b/anisefront/cluster/member_state.py
@@ -1,11 +1,11 @@
-"""What one gateway instance knows of the others, as rows that any two instances merge alike. Free of I/O.
+"""State of the members as one gateway instance knows it, in rows with a deterministic merge. Free of I/O.
 
     alive --no ack--> suspect --timeout--> dead     a greater SWIM incarnation of the same process: alive again
       |                                             a greater process incarnation: alive, whatever the earlier one was
-      +--announced by itself--> left, permanently for this process incarnation
+      +--announced by the member--> left, permanently for this process incarnation
 
-Rows are totally ordered by (process incarnation, left, SWIM incarnation, status), and the greater one wins. So the
-state is independent of the order and number of deliveries, as in a join semilattice; correctness needs no clock.
+Rows are totally ordered by (process incarnation, left, SWIM incarnation, status), and the greater one wins. The state
+is therefore independent of the order and number of deliveries (a join semilattice), and needs no clock.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
     """Status of a member."""
 
     ALIVE = 0
-    SUSPECT = 1  # did not acknowledge a ping; it may refute
+    SUSPECT = 1  # did not acknowledge a ping; may refute the suspicion
     DEAD = 2  # did not refute in time; a pause or a network partition looks the same as a crash
-    LEFT = 3  # announced by itself: it does nothing more
+    LEFT = 3  # announced its shutdown
 
 
 @dataclass(frozen=True, slots=True)
 class MemberRow:
-    """State of one member. Only the process itself raises its `swim_incarnation`."""
+    """State of one member. Only the member itself increments its `swim_incarnation`."""
 
     number: int
     process_incarnation: int
@@ -43,13 +43,13 @@
         return self.process_incarnation, self.status is MemberStatus.LEFT, self.swim_incarnation, int(self.status)
 
     def with_status(self, status: MemberStatus) -> MemberRow:
-        """Return the row with another status of the same incarnations."""
+        """Return the row with another status and the same incarnations."""
         return replace(self, status=status)
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """A member's row has changed; `previous` is None where nothing was known."""
+    """A change of a member's row; `previous` is None for a new member."""
 
     row: MemberRow
     previous: MemberRow | None
@@ -59,21 +59,21 @@
     """Return whether `row` replaces the known row.
 
     The process incarnation comes first, or the status of a dead process would apply to its successor. The SWIM
-    incarnation comes before the status, or a suspicion could never be refuted, or an old refutation would refute a
-    new suspicion.
+    incarnation comes before the status; otherwise a suspicion could never be refuted, or an old refutation would refute
+    a new suspicion.
     """
     return known is None or row.precedence > known.precedence
 
 
 def encode_rows(rows: Iterable[MemberRow]) -> bytes:
-    """Encode rows, each as `ROW_FORMAT`."""
+    """Encode rows, each in `ROW_FORMAT`."""
     return b"".join(
         ROW_FORMAT.pack(row.number, row.process_incarnation, row.swim_incarnation, row.status) for row in rows
     )
 
 
 def decode_rows(data: bytes) -> list[MemberRow] | None:
-    """Decode rows; None where the bytes are malformed."""
+    """Decode rows; None if the bytes are malformed."""
     if len(data) % ROW_FORMAT.size or len(data) > MAX_ROWS * ROW_FORMAT.size:
         return None
     try:
--- a/anisefront/cluster/membership.py
+++ b/anisefront/cluster/membership.py
@@ -6,9 +6,9 @@
     suspect --not refuted in time--> dead
     suspect, dead --a greater SWIM incarnation, announced by the member itself--> alive
 
-A member whose own probes are acknowledged late, that must refute suspicions, or that misses nacks takes itself for
-slow (`awareness`). It then probes less often and allows more time, so a paused member does not declare the others
-dead. Rows travel on pings and acks; so the messages that a member sends do not grow with the cluster.
+A member whose probes are acknowledged late, that has to refute suspicions, or that misses nacks considers itself slow
+(`awareness`). It then probes less often and with longer timeouts, so a paused member does not declare the others dead.
+Rows are piggybacked on pings and acks, so the message rate of a member does not grow with the cluster.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 )
 from anisefront.cluster.membership_timers import MembershipTimers, Timer
 from anisefront.cluster.probes import PendingProbes, Probe, ProbeOrder
-from anisefront.cluster.recovery import Recovery
+from anisefront.cluster.recovery import PartitionRecovery
 from anisefront.cluster.suspicion import MAX_AWARENESS, MAX_CONFIRMATIONS, Suspicion, suspicion_timeout_ms
 
-INDIRECT_PINGS = 3  # members asked to ping on our behalf
-ACK_TIMEOUT_FRACTION = 0.4  # of a period, after which others are asked
+INDIRECT_PINGS = 3  # members requested to ping indirectly
+ACK_TIMEOUT_FRACTION = 0.4  # of a period, after which indirect pings are sent
 NACK_TIMEOUT_FRACTION = 0.8  # of that timeout, after which an indirect ping is answered by a nack
 JOIN_RETRY_MS = 250.0
-JOIN_SEEDS = 3  # members asked for all rows while none has answered
-SYNC_PERIODS = 30  # between requests for all rows of one member
+JOIN_SEEDS = 3  # peers that all rows are requested from until one has answered
+SYNC_PERIODS = 30  # between requests for all rows of a random member
 DEAD_PROBE_PERIODS = 5  # between pings of a dead or unknown member
 
 
@@ -50,7 +50,7 @@
 
         Args:
             number: Number of the local instance.
-            process_incarnation: Greater at each of its starts.
+            process_incarnation: Its process incarnation, which increases with each start.
             peers: Numbers of all instances that may be members.
             seed: Seed of the random generator.
             period_ms: Probe period.
@@ -59,14 +59,14 @@
         self.period_ms = period_ms
         self.peers = sorted(set(peers) - {number})
         self.rows = {number: MemberRow(number, process_incarnation, 0, MemberStatus.ALIVE)}
-        self.changes: list[MemberChange] = []  # taken out by the host
+        self.changes: list[MemberChange] = []  # drained by the host
         self.awareness = 0
         self.counts: Counter[str] = Counter()
         self._rng = random.Random(seed)
         self._probe_order = ProbeOrder(self._rng)
         self._probes = PendingProbes()
         self._periods = 0
-        self._recovery = Recovery()
+        self._recovery = PartitionRecovery()
         self._suspicions: dict[int, Suspicion] = {}
         self._dissemination = Dissemination()
         self._timers = MembershipTimers()
@@ -77,7 +77,7 @@
     # ---- state -----------------------------------------------------------------------------------
 
     def status(self, number: int) -> MemberStatus | None:
-        """Return a member's status; None where nothing is known."""
+        """Return a member's status; None for an unknown member."""
         row = self.rows.get(number)
         return row.status if row else None
 
@@ -90,13 +90,13 @@
 
     @property
     def next_timer_ms(self) -> float:
-        """Time at which `handle` is to be called again at the latest."""
+        """Latest time for the next call of `handle`."""
         return self._timers.next_ms
 
     # ---- entry points ----------------------------------------------------------------------------
 
     def handle(self, now_ms: float, received: Iterable[tuple[int, int, bytes]] = ()) -> list[tuple[int, bytes]]:
-        """Handle messages and due timers.
+        """Handle messages and expired timers.
 
         Args:
             now_ms: Current time.
@@ -119,7 +119,7 @@
         return self._outgoing
 
     def leave(self) -> list[tuple[int, bytes]]:
-        """Leave the cluster; returns the last datagrams to send. Nothing is probed or acknowledged afterwards."""
+        """Leave the cluster; returns the final datagrams to send. Nothing is probed or acknowledged afterwards."""
         row = self.rows[self.number]
         left = row.with_status(MemberStatus.LEFT)
         self.rows[self.number] = left
@@ -148,7 +148,7 @@
                 self._check_suspicion(now_ms, argument)
 
     def _join(self, now_ms: float) -> None:
-        """Request all rows from some peers while none has answered."""
+        """Request all rows from random peers until one has answered."""
         if len(self.rows) > 1 or not self.peers:
             return
         for number in self._rng.sample(self.peers, min(JOIN_SEEDS, len(self.peers))):
@@ -156,17 +156,17 @@
         self._timers.set(now_ms + JOIN_RETRY_MS * (0.5 + self._rng.random()), Timer.JOIN)
 
     def _start_period(self, now_ms: float) -> None:
-        """Probe the next member; a slow instance does so less often and allows more time."""
+        """Probe the next member; an instance that considers itself slow uses a longer period."""
         self._periods += 1
         period_ms = self.period_ms * (1 + self.awareness)
         self._timers.set(now_ms + period_ms, Timer.PERIOD)
-        if self._recovery.takes_turn(len(self.rows)) or self._periods % SYNC_PERIODS == 0:
+        if self._recovery.should_exchange(len(self.rows)) or self._periods % SYNC_PERIODS == 0:
             self._request_rows()
         if self._periods % DEAD_PROBE_PERIODS == 0:
             self._ping_dead_or_unknown()
         number = self._probe_order.next(self._others_alive, self._is_alive)
         if number is None:
-            self._change_awareness(-1)  # an instance that knows no other must not probe ever less often
+            self._change_awareness(-1)  # without members to probe, the period must not keep its extension
             return
         sequence = self._ping(Probe(number))
         self._timers.set(now_ms + ACK_TIMEOUT_FRACTION * period_ms, Timer.ACK_TIMEOUT, sequence)
@@ -176,16 +176,16 @@
         return self.rows[number].status <= MemberStatus.SUSPECT
 
     def _request_rows(self) -> None:
-        """Compare all rows with one member: it repairs whatever the dissemination has lost.
+        """Request all rows of one member, which repairs losses of the dissemination.
 
-        One that was dead comes first: on its side of a partition that has healed all rows are different.
+        Members that have returned come first: after a healed partition, all rows of their side are different.
         """
         others = self._recovery.take_returned(self._is_alive) or self._others_alive()
         if others:
             self._send(self._rng.choice(others), MessageKind.JOIN, rows=[self.rows[self.number]])
 
     def _ping_dead_or_unknown(self) -> None:
-        """Ping a member that is dead or unknown, or a healed partition would stay split."""
+        """Ping a dead or unknown member, or the sides of a healed partition would never merge."""
         dead = [number for number, row in self.rows.items() if row.status is MemberStatus.DEAD]
         unknown = [number for number in self.peers if number not in self.rows]
         if dead or unknown:
@@ -197,7 +197,7 @@
         return sequence
 
     def _accusation(self, number: int) -> list[MemberRow]:
-        """Return the row of a suspect or dead member, which is sent to the member itself so that it can refute."""
+        """Return the row of a suspect or dead member, which is sent to that member so that it can refute the status."""
         row = self.rows.get(number)
         if row is None or row.status not in (MemberStatus.SUSPECT, MemberStatus.DEAD):
             return []
@@ -225,7 +225,7 @@
         if probe.acknowledged:
             self._change_awareness(-1)
             return
-        # Helpers that do not even send a nack: it may be we who receive nothing.
+        # Missing nacks indicate that the local instance may be the one that receives nothing.
         self._change_awareness(probe.indirect_pings - probe.nacks if probe.indirect_pings else 1)
         row = self.rows.get(probe.number)
         if row is not None and row.status is MemberStatus.ALIVE:
@@ -233,7 +233,7 @@
             self._merge(now_ms, row.with_status(MemberStatus.SUSPECT), self.number)
 
     def _check_suspicion(self, now_ms: float, number: int) -> None:
-        """Declare a suspect member dead once its time to refute is over."""
+        """Declare a suspect member dead once its suspicion timeout has expired."""
         suspicion = self._suspicions.get(number)
         if suspicion is None or self.rows[number] != suspicion.row:
             return
@@ -261,7 +261,7 @@
             return
         known = self.rows.get(sender)
         if known is None or known.process_incarnation < process_incarnation:
-            # The datagram's authentication code proves this incarnation.
+            # This incarnation is authenticated by the datagram.
             self._merge(now_ms, MemberRow(sender, process_incarnation, 0, MemberStatus.ALIVE), sender)
         for row in message.rows:
             self._merge(now_ms, row, sender)
@@ -285,7 +285,7 @@
         if probe is None or probe.acknowledged:
             return
         if sender != probe.number and not probe.indirect_pings:
-            return  # neither the member itself nor one that pinged it on our behalf
+            return  # from neither the member itself nor one that pinged it indirectly
         probe.acknowledged = True
         if probe.requester is not None:
             self._send(probe.requester, MessageKind.ACK, probe.requester_sequence, probe.number)
@@ -313,7 +313,7 @@
             self._merge_local(row)
             return
         if row.number not in self.peers:
-            return  # the settings say who may be a member: the others' rows can't make the cluster grow
+            return  # only configured peers may become members, whatever rows others send
         known = self.rows.get(row.number)
         self._confirm_suspicion(now_ms, row, sender)
         if not supersedes(row, known):
@@ -331,7 +331,7 @@
             self.changes.append(MemberChange(row, known))
 
     def _confirm_suspicion(self, now_ms: float, row: MemberRow, sender: int) -> None:
-        """Shorten the time to refute where one more member shares a suspicion."""
+        """Shorten the suspicion timeout when another member confirms a suspicion."""
         suspicion = self._suspicions.get(row.number)
         if suspicion is None or row != suspicion.row or sender in suspicion.suspected_by:
             return
@@ -342,12 +342,12 @@
             self._timers.set(max(now_ms, expires_ms), Timer.SUSPICION, row.number)
 
     def _merge_local(self, row: MemberRow) -> None:
-        """Refute what others report of the local member, by a greater SWIM incarnation."""
+        """Refute a suspicion or death of the local member by a greater SWIM incarnation."""
         local = self.rows[self.number]
         if row.process_incarnation != local.process_incarnation or row.status is MemberStatus.ALIVE:
             return
-        # A refutation that was sent often enough, and lost each time on its way to this sender, would never reach it
-        # otherwise: the two would take each other for dead permanently.
+        # Spread again even if already refuted: the transmissions of the refutation may all have been lost on the way to
+        # this sender, and the two members would consider each other dead permanently.
         self._dissemination.spread(self.number)
         if supersedes(row, local):
             self.rows[self.number] = MemberRow(
@@ -364,7 +364,7 @@
         subject: int = 0,
         rows: Iterable[MemberRow] = (),
     ) -> None:
-        """Send a message, with rows that are to be spread behind those given."""
+        """Send a message with the given rows, followed by piggybacked rows."""
         carried = self._dissemination.piggyback(self.rows, list(rows))
         self._outgoing_message(receiver, MembershipMessage(kind, sequence, subject, tuple(carried)))
 
--- a/anisefront/cluster/membership_messages.py
+++ b/anisefront/cluster/membership_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the membership protocol: a header, and rows of members behind it."""
+"""Messages of the membership protocol: a header, followed by rows of members."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
     PING = 1
     ACK = 2
-    INDIRECT_PING = 3  # a request to ping the subject on behalf of the sender
-    NACK = 4  # the subject of an indirect ping has not answered in time
-    JOIN = 5  # a request for all rows
-    ROWS = 6  # rows alone
+    INDIRECT_PING = 3  # requests a ping of the subject on behalf of the sender
+    NACK = 4  # the subject of an indirect ping has not acknowledged in time
+    JOIN = 5  # requests all rows
+    ROWS = 6  # carries only rows
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipMessage:
-    """A message; `subject` is the number of the member it is about."""
+    """A message; `subject` is the number of the member that it concerns."""
 
     kind: MessageKind
     sequence: int = 0
@@ -45,7 +45,7 @@
 
 
 def decode_message(data: bytes) -> MembershipMessage | None:
-    """Decode a message; None where the bytes are malformed."""
+    """Decode a message; None if the bytes are malformed."""
     _, kind, sequence, subject = _HEADER.unpack_from(data)
     rows = decode_rows(data[_HEADER.size :])
     if rows is None or kind not in MessageKind._value2member_map_:
--- a/anisefront/cluster/membership_timers.py
+++ b/anisefront/cluster/membership_timers.py
@@ -1,4 +1,4 @@
-"""Timers of the membership protocol, in the order in which they are due."""
+"""Timers of the membership protocol, ordered by expiration."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class Timer(Enum):
-    """What a timer is for."""
+    """Purpose of a timer."""
 
     JOIN = auto()
     PERIOD = auto()
     ACK_TIMEOUT = auto()  # argument: sequence number of the probe
-    NACK = auto()  # the same
-    PROBE_END = auto()  # the same
+    NACK = auto()  # argument: sequence number of the probe
+    PROBE_END = auto()  # argument: sequence number of the probe
     SUSPICION = auto()  # argument: number of the suspect member
 
 
 class MembershipTimers:
-    """Pending timers; those of one time are due in the order in which they were set."""
+    """Pending timers; those of the same time expire in the order in which they were set."""
 
     def __init__(self) -> None:
         """Initialize without any timer."""
@@ -33,7 +33,7 @@
         heapq.heappush(self._pending, (at_ms, self._serial, timer, argument))
 
     def expired(self, now_ms: float) -> Iterator[tuple[Timer, int]]:
-        """Remove and yield the timers that are due with their arguments, also those that come due meanwhile."""
+        """Remove and yield expired timers with their arguments, including those set for now meanwhile."""
         while self._pending and self._pending[0][0] <= now_ms:
             _, _, timer, argument = heapq.heappop(self._pending)
             yield timer, argument
--- a/anisefront/cluster/predecessor_releases.py
+++ b/anisefront/cluster/predecessor_releases.py
@@ -1,7 +1,7 @@
-"""Releases of failed instances' locks, repeated until the locks lapse. Free of I/O.
+"""Releases of failed instances' locks, repeated until the locks expire. Free of I/O.
 
-A release is one datagram, and a voter that missed it goes on naming the owner. A live owner is told so and releases
-again; nobody answers for a failed one. So the instance that took its request over repeats the release.
+A release is a single datagram, and a voter that misses it keeps naming the owner as the holder. A live owner receives
+the vote again and repeats the release; a failed owner does not. So the instance that took its request over repeats it.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, eq=False)
 class _RepeatedRelease:
-    """A release, the voters that it is sent to, and when the lock lapses by itself."""
+    """A release, its receivers, and the time at which the lock expires by itself."""
 
     release: LockRelease
     voters: tuple[int, ...]
@@ -31,23 +31,23 @@
     """The releases that one instance repeats."""
 
     def __init__(self) -> None:
-        """Start without releases."""
+        """Initialize without releases."""
         self._serials = itertools.count()
         self._schedule: list[tuple[float, int, _RepeatedRelease]] = []
 
     def __len__(self) -> int:
-        """Return the number of releases that are being repeated."""
+        """Return the number of repeated releases."""
         return len(self._schedule)
 
     def add(self, release: LockRelease, voters: tuple[int, ...], expires_ms: float) -> None:
-        """Send a release to some voters with the next messages, and again until the lock lapses at `expires_ms`."""
+        """Send a release to voters with the next messages, and again until the lock expires at `expires_ms`."""
         self._push(-math.inf, _RepeatedRelease(release, voters, expires_ms))
 
     def _push(self, due_ms: float, repeated: _RepeatedRelease) -> None:
         heapq.heappush(self._schedule, (due_ms, next(self._serials), repeated))
 
     def take_due(self, now_ms: float) -> list[tuple[int, LockRelease]]:
-        """Return voters and the releases that are due at them."""
+        """Return the releases to send now, with their receivers."""
         due = []
         while self._schedule and self._schedule[0][0] <= now_ms:
             _, _, repeated = heapq.heappop(self._schedule)
@@ -60,5 +60,5 @@
 
     @property
     def next_timer_ms(self) -> float:
-        """Time at which `take_due` is to be called at the latest; infinite without a release."""
+        """Latest time for the next call of `take_due`; infinite without a release."""
         return self._schedule[0][0] if self._schedule else math.inf
--- a/anisefront/cluster/primary.py
+++ b/anisefront/cluster/primary.py
@@ -1,19 +1,20 @@
-"""Primary of request replication: which backup knows of a request, and when an attempt may start. Free of I/O.
+"""Primary of request replication: which backup stores a request, and when an attempt may start. Free of I/O.
 
-A request is replicated to one backup. An attempt of a keyed or non-idempotent request starts only when the backup has
-acknowledged it. So a backup that takes over knows of each attempt that may have executed, whatever clocks and pauses
-did (primary-backup replication with a witness; compare Liskov et al., Harp, 1991).
+A request is replicated to one backup. An attempt of a keyed or non-idempotent request starts only once the backup has
+acknowledged it. So a backup that takes over knows of each attempt that may have executed, regardless of clocks and
+pauses (primary-backup replication with a witness; compare Liskov et al., Harp, 1991).
 
-    open --backup slow or not alive--> releasing --EpochDecision, released--> its requests go to another backup
+    open --backup late or not alive--> releasing --EpochDecision, released--> its requests go to another backup
       |                                    `-------EpochDecision, claimed---> lost: the backup owns its requests
       `--EpochFenced--> lost
 
-Requests with an identity that must not run twice are pinned: another request of their identity, at another primary, is
-recognized at the backup only. So they have epochs of their own, which are released when the backup is not alive and
-never because it is slow. While it does not acknowledge, their entries go through other instances too.
+Requests with an identity that must not run twice are pinned: a duplicate at another primary is detected only at their
+common backup. So they have epochs of their own, which are released when the backup is not alive, but never because it
+is slow. While it does not acknowledge, their entries are also relayed through other instances.
 
-Safety rests on three orders: an attempt after the backup's acknowledgement, another backup after the witness's
-decision, and at the witness the first who asked. Times decide only when to retry or to look for another backup.
+Safety depends on three orderings: an attempt follows the backup's acknowledgement, another backup follows the
+witness's decision, and the witness decides for the first request. Timers only trigger retries and the selection of
+another backup.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
     AppendAck,
     AttemptDiscarded,
     AttemptStarted,
-    BackupFull,
+    BackupAtCapacity,
     Completed,
     EpochDecision,
     EpochFenced,
@@ -48,9 +49,9 @@
     ReleaseEpoch,
 )
 
-MAX_RETRY_MS = 480.0  # up to which retries back off that can't lead to another backup
+MAX_RETRY_MS = 480.0  # limit of the back-off of retries that cannot lead to another backup
 NO_ATTEMPTS: Mapping[int, str] = MappingProxyType({})
-# Without an acknowledgement, after which another backup is selected, or pinned requests' entries are relayed.
+# Time without an acknowledgement after which another backup is selected, or entries of pinned requests are relayed.
 BACKUP_TIMEOUT_MS = 150.0
 
 
@@ -61,14 +62,14 @@
         """Initialize without any request.
 
         Args:
-            local: This instance.
+            local: The local instance.
             lease_ms: The lease at its backups.
-            locks: Locks of identities; None: requests of one identity are recognized at their common backup only.
+            locks: Identity locks; None: duplicates are detected only at their common backup.
         """
         self.local = local
         self.counts: Counter[str] = Counter()
         self._selector = BackupSelector(local)
-        # A retry renews the lease at its backup, which a longer interval would let expire.
+        # Retries also renew the lease at the backup, which would expire with a longer interval.
         self._max_retry_ms = min(MAX_RETRY_MS, lease_ms * HEARTBEAT_LEASE_FRACTION)
         self._sender = EpochSender(lease_ms)
         self._requests = LocalRequests(self._sender, self.counts)
@@ -79,7 +80,7 @@
         return len(self._requests)
 
     def take_actions(self) -> list[Action]:
-        """Return the actions to carry out, and keep none."""
+        """Return and clear the pending actions."""
         self._carry_out_lock_decisions()
         return [*self._sender.take_messages(), *self._requests.take_actions()]
 
@@ -93,14 +94,14 @@
         has_yielded: bool = False,
         prior_attempts: Mapping[int, str] = NO_ATTEMPTS,
     ) -> bool:
-        """Replicate a request; returns False where no backup is available.
+        """Replicate a request; returns False if no backup is available.
 
         Args:
             now_ms: Clock time.
             accepted: The request.
             predecessor: The request of a failed instance that it continues.
-            has_yielded: Whether its client's request had yielded to another of its identity before.
-            prior_attempts: Endpoints of the failed instance's attempts that may have been executed, by number.
+            has_yielded: Whether the client's request has yielded to another one of its identity before.
+            prior_attempts: Endpoints of the failed instance's attempts that may have executed, by number.
         """
         local = self._make_local(now_ms, accepted)
         log = self._choose_log(now_ms, local)
@@ -123,7 +124,7 @@
         predecessor: LockOwner | None = None,
         has_yielded: bool = False,
     ) -> None:
-        """Accept a request that no backup knows of; it still needs the lock of its identity."""
+        """Accept a request without replicating it; it still needs the lock of its identity."""
         local = self._make_local(now_ms, accepted)
         if self._locks is not None and accepted.excludes_duplicates:
             self._requests.add(local)
@@ -135,7 +136,7 @@
         return LocalRequest(accepted, slot, now_ms + accepted.remaining_ms)
 
     def _is_pinned(self, local: LocalRequest) -> bool:
-        """Return whether another request of its identity must meet it at its backup, since there are no locks."""
+        """Return whether duplicates are detected only at its backup, since identity locks are not used."""
         return self._locks is None and local.is_pinned
 
     def _acquire_lock(
@@ -156,7 +157,7 @@
                 has_yielded,
             )
 
-    def _tell_backup_to_lock(self, local: LocalRequest) -> None:
+    def _update_lock_backup(self, local: LocalRequest) -> None:
         log = self._sender.logs.get(local.epoch)
         if self._locks is not None and log is not None:
             self._locks.set_backup(local.accepted.request, log.backup.number)
@@ -174,38 +175,38 @@
                     self._requests.on_lock_unavailable(request)
 
     def may_run_unprotected(self, accepted: Accepted) -> bool:
-        """Return whether a request that `accept` did not replicate may run all the same.
+        """Return whether a request that `accept` did not replicate may run nevertheless.
 
-        One of an identity may not while there are other instances: its backup may know another of this identity.
+        One with an identity must not while other instances are live: its backup may know a duplicate.
         """
         return not accepted.excludes_duplicates or not self._selector.has_alternative_to(self.local.number)
 
     def start_attempt(self, now_ms: float, request: int, attempt: int, endpoint: str) -> bool:
         """Return whether an attempt may start at once.
 
-        Otherwise a `StartAttempt` follows when it may, or a `LoseOwnership` of its request.
+        If not, a `StartAttempt` follows later, or a `LoseOwnership` of its request.
         """
         local = self._requests.get(request)
         if local is None:
-            return True  # not replicated, so no instance takes it over
+            return True  # not replicated, so that no instance takes it over
         if local.lost:
             return False
         local.attempts[attempt] = endpoint
         log = self._sender.logs.get(local.epoch)
-        if log is None:  # no backup is available, and the witness has excluded the last one
+        if log is None:  # no backup is available, and the witness has fenced the last one
             if not local.is_locked:
                 local.awaiting_lock.add(attempt)
             return local.is_locked
         requires_ack = local.accepted.requires_ack
         if requires_ack:
-            # Started before the acknowledgement, the attempt would run a second time if the backup takes over.
+            # Started before the acknowledgement, the attempt would be repeated by a backup that takes over.
             local.awaiting_ack.add(attempt)
         if not log.releasing:
             self._sender.append(log, AttemptStarted(request, attempt, endpoint), immediately=requires_ack)
         return not requires_ack
 
     def discard_attempt(self, now_ms: float, request: int, attempt: int) -> None:
-        """Record that an attempt is proved never to have executed."""
+        """Record that an attempt is proven never to have executed."""
         local = self._requests.get(request)
         if local is not None and local.attempts.pop(attempt, None) is not None:
             local.awaiting_ack.discard(attempt)
@@ -215,7 +216,7 @@
     def reject(self, now_ms: float, request: int) -> bool:
         """Return whether the rejection of a request may be delivered at once.
 
-        Otherwise a `DeliverRejection` follows when it may, or a `LoseOwnership`.
+        If not, a `DeliverRejection` follows later, or a `LoseOwnership`.
         """
         local = self._requests.get(request)
         if local is None:
@@ -225,8 +226,8 @@
         if local.epoch not in self._sender.logs or not local.accepted.requires_ack:
             self.complete(now_ms, request)
             return True
-        # A rejection lets the client retry elsewhere: a backup that takes over without knowing of it would run the
-        # request beside that retry.
+        # A rejected client may retry elsewhere: a backup that takes over without knowing of the rejection would run the
+        # request concurrently with that retry.
         local.rejection_pending = True
         self._append(local, Completed(request))
         return False
@@ -239,7 +240,7 @@
         Args:
             now_ms: Clock time.
             request: The request.
-            must_not_repeat: Whether it may have been executed and a second execution would do harm.
+            must_not_repeat: Whether it may have executed and a second execution would be harmful.
             blocks_identity: Whether no other request of its identity may run until its deadline.
         """
         self._end_lock(now_ms, request, must_not_repeat, blocks_identity)
@@ -251,7 +252,7 @@
             return
         log.requests.discard(request)
         if log.deferred.pop(request, None) is None and not local.rejection_pending:
-            # A client's retry may wait at the backup for just this.
+            # A client's retry may wait for this entry at the backup.
             self._append(local, Completed(request), immediately=local.accepted.excludes_duplicates)
         self._sender.close_if_finished(log)
 
@@ -274,27 +275,24 @@
             self._sender.append(log, entry, immediately)
 
     def may_have_executed(self, request: int) -> bool | None:
-        """Return whether an attempt of a request has started that is not proved never to have executed.
-
-        None where the request is not replicated.
-        """
+        """Return whether a started attempt of a request may have executed; None if the request is not replicated."""
         local = self._requests.get(request)
         if local is None:
             return None
         return bool(local.attempts.keys() - local.not_started)
 
     def has_lock(self, request: int) -> bool:
-        """Return whether a request has the lock of its identity, so that no other of its identity has left."""
+        """Return whether a request holds the lock of its identity, so that no other of its identity has started."""
         local = self._requests.get(request)
         return self._locks is not None and local is not None and local.is_locked and not local.lost
 
     def is_lost(self, request: int) -> bool:
-        """Return whether another instance owns a request: its last attempts may still bring a response here."""
+        """Return whether another instance owns a request; responses of its attempts may still arrive here."""
         local = self._requests.get(request)
         return local is not None and local.lost
 
     def backup_of(self, request: int) -> int | None:
-        """Return the number of the backup of a request."""
+        """Return the number of the backup of a request, None without one."""
         local = self._requests.get(request)
         if local is None:
             return None
@@ -304,8 +302,8 @@
     def yields_to(self, request: int, other: int) -> bool:
         """Return whether a local request yields to one of its identity at another instance.
 
-        Of two instances that are each other's backups, both would reject the other's request, or neither would. So
-        the one that comes first in the order of backups continues.
+        Two instances that are each other's backups would otherwise reject each other's request, or run both. The one
+        that ranks first in the order of backups continues.
         """
         if self.backup_of(request) != other:
             return False
@@ -315,7 +313,7 @@
     # ---- backups ---------------------------------------------------------------------------------
 
     def update_members(self, now_ms: float, alive: dict[int, Replica]) -> None:
-        """Replace the instances that may be backup or witness, the local one not among them."""
+        """Replace the live instances, which exclude the local one."""
         self._selector.update_members(alive)
         if self._locks is not None:
             self._locks.update_members(frozenset(alive))
@@ -326,11 +324,11 @@
                 self._on_witness_lost(now_ms, log)
 
     def _on_witness_lost(self, now_ms: float, log: EpochLog) -> None:
-        """Give new requests another witness, as two of the three must agree on each change.
+        """Retire an epoch whose witness is lost, so that new requests get another witness.
 
-        An epoch that is being released can't be any more: it returns to its backup, or its requests would neither
-        move nor be replicated until their deadlines. If the witness had released it the backup stores nothing of it,
-        and they are unprotected.
+        Without its witness the epoch cannot be released. One that is being released returns to its backup, or its
+        requests would neither move nor be replicated until their deadlines. If the witness had already released it,
+        the backup stores none of its requests, and they are unprotected.
         """
         self._sender.retire(log)
         if log.releasing:
@@ -340,7 +338,7 @@
 
     def _choose_log(self, now_ms: float, local: LocalRequest) -> EpochLog | None:
         if self._is_pinned(local):
-            backup = self._selector.meeting_place(local.slot)
+            backup = self._selector.common_backup(local.slot)
             return None if backup is None else self._current_log(backup, is_pinned=True)
         for backup in self._selector.candidates(now_ms, local.slot, local.has_identity):
             log = self._current_log(backup, is_pinned=False)
@@ -355,7 +353,7 @@
         return self._sender.open(backup, self._selector.witness_for(backup), is_pinned)
 
     def _release(self, now_ms: float, log: EpochLog) -> None:
-        """Move the requests of an unresponsive backup, once the witness excludes that it takes them over."""
+        """Move the requests of a lost backup, the non-idempotent ones once the witness has fenced that backup."""
         if log.releasing:
             return
         log.releasing = True
@@ -364,7 +362,7 @@
         self.counts["keepers_left"] += 1
         self._sender.retire(log)
         for request in sorted(log.requests):
-            if not self._requests[request].accepted.requires_ack:  # it may run any number of times
+            if not self._requests[request].accepted.requires_ack:  # safe to run more than once
                 self._move(now_ms, request)
         self._send_release(now_ms, log)
 
@@ -377,11 +375,12 @@
     def _move(self, now_ms: float, request: int) -> None:
         """Replicate a request to another backup.
 
-        One that is not idempotent moves only after the witness's decision: the backup before might have taken it over.
+        A non-idempotent request must move only after the witness's decision, as the previous backup might have taken it
+        over.
         """
         local = self._requests[request]
         self._sender.logs[local.epoch].requests.discard(request)
-        if local.rejection_pending:  # no backup knows of it any more
+        if local.rejection_pending:  # no backup stores it any more
             self._requests.deliver_rejection(request)
             return
         log = self._choose_log(now_ms, local)
@@ -393,7 +392,7 @@
             self._requests.continue_without_backup(local)
             return
         local.epoch = log.epoch
-        self._tell_backup_to_lock(local)
+        self._update_lock_backup(local)
         remaining_ms = max(0, int(local.deadline_ms - now_ms))
         self._sender.add_request(now_ms, log, replace(local.accepted, remaining_ms=remaining_ms))
         for attempt, endpoint in sorted(local.attempts.items()):
@@ -410,7 +409,7 @@
             if self._locks is not None:
                 self._locks.receive(now_ms, sender, sender_incarnation, message)
             return
-        if isinstance(message, AppendAck | EpochFenced | InProgressElsewhere | BackupFull):
+        if isinstance(message, AppendAck | EpochFenced | InProgressElsewhere | BackupAtCapacity):
             self._on_backup_message(now_ms, sender, sender_incarnation, message)
 
     def _on_backup_message(
@@ -418,7 +417,7 @@
         now_ms: float,
         sender: int,
         sender_incarnation: int,
-        message: AppendAck | EpochFenced | InProgressElsewhere | BackupFull,
+        message: AppendAck | EpochFenced | InProgressElsewhere | BackupAtCapacity,
     ) -> None:
         log = self._sender.logs.get(message.epoch)
         if log is None:
@@ -433,11 +432,11 @@
                 self._lose_epoch(log)
             case InProgressElsewhere() if message.request in log.requests:
                 self._on_duplicate(now_ms, log, message.request)
-            case BackupFull() if message.request in log.requests:
-                self._on_backup_full(now_ms, log, message.request)
+            case BackupAtCapacity() if message.request in log.requests:
+                self._on_backup_at_capacity(now_ms, log, message.request)
 
-    def _on_backup_full(self, now_ms: float, log: EpochLog, request: int) -> None:
-        self._requests.on_backup_full(now_ms, log, request)
+    def _on_backup_at_capacity(self, now_ms: float, log: EpochLog, request: int) -> None:
+        self._requests.on_backup_at_capacity(now_ms, log, request)
         if self._locks is not None:
             self._locks.set_backup(request, NO_INSTANCE)
 
@@ -450,9 +449,9 @@
                     self._locks.abandon(request)
 
     def _on_duplicate(self, now_ms: float, log: EpochLog, request: int) -> None:
-        """Yield to the request that the backup knows, unless the lock tells that this one is to run."""
+        """Yield to the request that the backup knows, unless this one holds the lock."""
         if self._locks is not None and self._requests[request].is_locked:
-            self._on_backup_full(now_ms, log, request)
+            self._on_backup_at_capacity(now_ms, log, request)
             return
         if self._locks is not None:
             self._locks.release(request)
@@ -488,17 +487,17 @@
     # ---- timers ----------------------------------------------------------------------------------
 
     def flush(self, now_ms: float) -> None:
-        """Send the new entries, and the requests of locks."""
+        """Send new entries, and lock requests and releases."""
         self._sender.flush(now_ms)
         if self._locks is not None:
             for action in self._locks.flush(now_ms):
                 self._sender.send(action.receiver, action.message)
 
     def handle_timers(self, now_ms: float) -> None:
-        """Send heartbeats, and retry what was not acknowledged.
+        """Send heartbeats, and retry unacknowledged entries and releases.
 
-        After a process stall the messages that wait in the sockets are to be handled first, or backups would seem
-        unresponsive that have acknowledged.
+        After a process stall, handle the messages that wait in the sockets first, or backups that have acknowledged
+        would seem unresponsive.
         """
         for log in self._sender.due_logs(now_ms):
             self._sender.append_deferred(now_ms, log)
@@ -518,7 +517,7 @@
             self._retry_append(now_ms, log)
 
     def _retry_append(self, now_ms: float, log: EpochLog) -> None:
-        """Resend unacknowledged entries; after the timeout choose another backup, or relay those that are pinned."""
+        """Resend unacknowledged entries; after the timeout, select another backup, or relay the entries if pinned."""
         has_alternative = self._selector.has_alternative_to(log.backup.number)
         has_timed_out = has_alternative and now_ms - log.waiting_since_ms >= BACKUP_TIMEOUT_MS
         if has_timed_out and not log.is_pinned:
@@ -533,14 +532,14 @@
         self._sender.schedule(log, log.retry_ms)
 
     def _next_relay(self, log: EpochLog) -> int:
-        """Return the instance through which entries are sent now; each retry takes another."""
+        """Return the instance that relays the entries of this retry; each retry uses another one."""
         self.counts["relayed"] += 1
-        relay = self._selector.relay_to(log.backup, log.relayed_count)
+        relay = self._selector.relay_for(log.backup, log.relayed_count)
         log.relayed_count += 1
         return relay.number
 
     @property
     def next_timer_ms(self) -> float:
-        """Time at which `handle_timers` is to be called at the latest; infinite without one."""
+        """Latest time for the next call of `handle_timers`; infinite without a timer."""
         lock_timer_ms = self._locks.next_timer_ms if self._locks is not None else math.inf
         return min(self._sender.next_timer_ms, lock_timer_ms)
--- a/anisefront/cluster/probes.py
+++ b/anisefront/cluster/probes.py
@@ -1,4 +1,4 @@
-"""Probes that await their result, and the order in which members are probed."""
+"""Pending probes, and the order in which members are probed."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-MAX_PENDING_PROBES = 256  # some are never evaluated: those on behalf of others, and of dead members
+MAX_PENDING_PROBES = 256  # probes for other members and of dead members are never removed otherwise
 MAX_SEQUENCE = 0xFFFFFFFF
 
 
@@ -15,10 +15,10 @@
     """A ping of one member.
 
     Attributes:
-        requester: Member on whose behalf it is sent; None: ourselves.
+        requester: Member on whose behalf it is sent; None: the local one.
         requester_sequence: Sequence number of the requester's own probe.
-        indirect_pings: Members that were asked to ping on our behalf.
-        nacks: Of these, those that replied that they got no answer either: so others can reach us.
+        indirect_pings: Number of members that were requested to ping indirectly.
+        nacks: Number of these that got no acknowledgement either; their nacks show that the local member is reachable.
     """
 
     number: int
@@ -38,7 +38,7 @@
         self._sequence = 0
 
     def add(self, probe: Probe) -> int:
-        """Add a probe, evict the oldest where there are too many, and return its sequence number."""
+        """Add a probe and return its sequence number; evicts the oldest beyond `MAX_PENDING_PROBES`."""
         self._sequence = self._sequence % MAX_SEQUENCE + 1
         self._probes[self._sequence] = probe
         if len(self._probes) > MAX_PENDING_PROBES:
@@ -46,18 +46,18 @@
         return self._sequence
 
     def get(self, sequence: int) -> Probe | None:
-        """Return a probe that is pending."""
+        """Return a pending probe, None without it."""
         return self._probes.get(sequence)
 
     def remove(self, sequence: int) -> Probe | None:
-        """Return a probe that was pending, and forget it."""
+        """Remove and return a pending probe, None without it."""
         return self._probes.pop(sequence, None)
 
 
 class ProbeOrder:
     """Round-robin order of members, shuffled before each round.
 
-    Each member is probed once a round, so the time to detect a failure is bounded (SWIM, section 4.3).
+    Each member is probed once per round, which bounds the time to detect a failure (SWIM, section 4.3).
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -66,11 +66,11 @@
         self._round: list[int] = []
 
     def next(self, candidates: Callable[[], list[int]], is_alive: Callable[[int], bool]) -> int | None:
-        """Return the next live member; None where there is none.
+        """Return the next live member; None without any.
 
         Args:
-            candidates: Returns the members of a new round.
-            is_alive: Returns whether a member is still to be probed when its turn comes.
+            candidates: Returns the members to probe in a new round.
+            is_alive: Returns whether a member of the round is still alive.
         """
         while True:
             if not self._round:
--- a/anisefront/cluster/replication_actions.py
+++ b/anisefront/cluster/replication_actions.py
@@ -1,4 +1,4 @@
-"""Actions that the replication roles want their host to carry out, in the order in which it must do so."""
+"""Actions that the replication roles request from their host, and the order in which it carries them out."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationUnavailable:
-    """No backup is available for this local request, or the one had no capacity: no instance replicates it."""
+    """No backup is available for this local request, or its backup has no capacity: it is not replicated."""
 
     request: int
 
@@ -44,7 +44,7 @@
 class LoseOwnership:
     """No further attempt of this local request may start here: another instance owns it or its identity.
 
-    `informed` are instances that know of the other one, the first of them best.
+    `informed` are instances that know of the other request, the best informed first.
     """
 
     request: int
@@ -53,9 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class YieldToDuplicate:
-    """A local request of which no attempt has started must wait for another of its identity.
+    """A local request of which no attempt has started must wait for another one of its identity.
 
-    `informed` are instances that know of that one, the first of them best.
+    `informed` are instances that know of the other request, the best informed first.
     """
 
     request: int
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LockUnavailable:
-    """A local request of which no attempt has started can't get the lock of its identity in time."""
+    """A local request of which no attempt has started cannot get the lock of its identity in time."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class NotifyLater:
-    """A primary's request was rejected as a duplicate; the primary is to be notified of the other's outcome."""
+    """A primary's request was rejected as a duplicate; notify the primary of the other request's outcome later."""
 
     primary: int
     identity: bytes
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRequest:
-    """A request of a primary is replicated here no longer, and not owned here: completed, or expired."""
+    """A primary's request is no longer stored here, since it completed or expired; it was not taken over."""
 
     primary: int
     primary_incarnation: int
@@ -108,8 +108,8 @@
     | TakeOver
 )
 
-# All actions of one type are carried out before those of the next: what other instances must learn first goes first,
-# and a client that waits for a released request is served before the requests that are taken over.
+# All actions of one type are carried out before those of the next: messages to other instances go first, and clients
+# that wait for a released request are served before requests are taken over.
 _EXECUTION_ORDER: dict[type[Action], int] = {
     SendMessage: 0,
     ReplicationUnavailable: 1,
@@ -125,5 +125,5 @@
 
 
 def in_execution_order(actions: Iterable[Action]) -> list[Action]:
-    """Sort actions by type, those of one type in the order given."""
+    """Sort actions by the execution order of their types, stably."""
     return sorted(actions, key=lambda action: _EXECUTION_ORDER[type(action)])
--- a/anisefront/cluster/replication_codec.py
+++ b/anisefront/cluster/replication_codec.py
@@ -1,6 +1,6 @@
-"""Bytes of the messages and log entries of request replication.
+"""Encoding of the messages and log entries of request replication.
 
-Each message begins with `MARK` and its kind; each log entry with its kind. All integers are big-endian.
+Each message begins with `MARK` and its kind, each log entry with its kind. All integers are big-endian.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
     AppendAck,
     AttemptDiscarded,
     AttemptStarted,
-    BackupFull,
+    BackupAtCapacity,
     Bundle,
     ClaimEpoch,
     Completed,
@@ -33,8 +33,8 @@
 )
 
 MARK = 0x4B  # first byte; quota messages begin with their version, membership messages with 0x4D
-MAX_ENTRIES_BYTES = 1200  # of entries in one message: a datagram that no network fragments
-MAX_RECORD_BYTES = 1100  # of one record; a larger request is not replicated, and counted as such
+MAX_ENTRIES_BYTES = 1200  # of entries in one message; avoids IP fragmentation
+MAX_RECORD_BYTES = 1100  # of one record; a larger request is counted and not replicated
 MAX_ENDPOINT_BYTES = 255
 
 _HEADER = struct.Struct(">BB")  # mark, kind
@@ -56,9 +56,9 @@
     EpochDecision: (6, struct.Struct(">HQI?")),
     InProgressElsewhere: (7, struct.Struct(">IQ")),
     OutcomeQuery: (9, struct.Struct(">8s")),
-    BackupFull: (10, struct.Struct(">IQ")),
+    BackupAtCapacity: (10, struct.Struct(">IQ")),
 }
-_FIXED_SIZE_BY_KIND = {kind: (message_type, form) for message_type, (kind, form) in _FIXED_SIZE.items()}
+_FIXED_SIZE_BY_KIND = {kind: (message_type, layout) for message_type, (kind, layout) in _FIXED_SIZE.items()}
 
 _ACCEPTED_KIND = 1
 _ACCEPTED = struct.Struct(">BQ?I8sH")
@@ -79,13 +79,13 @@
     match entry:
         case Accepted(request, requires_ack, remaining_ms, identity, record):
             if len(record) > MAX_RECORD_BYTES:
-                raise ValueError(f"record: {len(record)} bytes are more than {MAX_RECORD_BYTES}")
+                raise ValueError(f"record: {len(record)} bytes exceed {MAX_RECORD_BYTES}")
             head = _ACCEPTED.pack(_ACCEPTED_KIND, request, requires_ack, remaining_ms, identity, len(record))
             return head + record
         case AttemptStarted(request, attempt, endpoint, awaits_ack):
             name = endpoint.encode()
             if len(name) > MAX_ENDPOINT_BYTES:
-                raise ValueError(f"endpoint: {len(name)} bytes of a name are more than {MAX_ENDPOINT_BYTES}")
+                raise ValueError(f"endpoint: name of {len(name)} bytes exceeds {MAX_ENDPOINT_BYTES}")
             return _ATTEMPT_STARTED.pack(_ATTEMPT_STARTED_KIND, request, attempt, awaits_ack, len(name)) + name
         case AttemptDiscarded(request, attempt):
             return _ATTEMPT_DISCARDED.pack(_ATTEMPT_DISCARDED_KIND, request, attempt)
@@ -94,17 +94,17 @@
 
 
 def _decode_entry(data: bytes, offset: int) -> tuple[LogEntry, int]:
-    """Decode the entry at `offset`; returns it and the offset behind it."""
+    """Decode the entry at `offset`; returns it and the offset of the next one."""
     kind = data[offset]
     if kind == _ACCEPTED_KIND:
         _, request, requires_ack, remaining_ms, identity, length = _ACCEPTED.unpack_from(data, offset)
         offset += _ACCEPTED.size
-        record = _exactly(data, offset, length)
+        record = _read_exactly(data, offset, length)
         return Accepted(request, requires_ack, remaining_ms, identity, record), offset + length
     if kind == _ATTEMPT_STARTED_KIND:
         _, request, attempt, awaits_ack, length = _ATTEMPT_STARTED.unpack_from(data, offset)
         offset += _ATTEMPT_STARTED.size
-        endpoint = _exactly(data, offset, length).decode()
+        endpoint = _read_exactly(data, offset, length).decode()
         return AttemptStarted(request, attempt, endpoint, awaits_ack), offset + length
     if kind == _ATTEMPT_DISCARDED_KIND:
         _, request, attempt = _ATTEMPT_DISCARDED.unpack_from(data, offset)
@@ -112,18 +112,18 @@
     if kind == _COMPLETED_KIND:
         _, request = _COMPLETED.unpack_from(data, offset)
         return Completed(request), offset + _COMPLETED.size
-    raise ValueError(f"entry of kind {kind}")
+    raise ValueError(f"unknown entry kind {kind}")
 
 
-def _exactly(data: bytes, offset: int, length: int) -> bytes:
+def _read_exactly(data: bytes, offset: int, length: int) -> bytes:
     if offset + length > len(data):
-        raise ValueError("an entry that ends beyond the message")
+        raise ValueError("field extends beyond the end of the message")
     return data[offset : offset + length]
 
 
-def _remaining(data: bytes, offset: int, length: int) -> bytes:
+def _read_remaining(data: bytes, offset: int, length: int) -> bytes:
     if len(data) != offset + length:
-        raise ValueError("a message of another length than it says")
+        raise ValueError("message length does not match its length field")
     return data[offset:]
 
 
@@ -146,8 +146,9 @@
     if isinstance(message, LockMessage):
         kind, body = lock_codec.encode_body(message)
         return _HEADER.pack(MARK, kind) + body
-    kind, form = _FIXED_SIZE[type(message)]
-    return _HEADER.pack(MARK, kind) + form.pack(*(getattr(message, name) for name in message.__slots__))
+    kind, layout = _FIXED_SIZE[type(message)]
+    # Fields are packed in the order of `__slots__`, which is part of the wire format.
+    return _HEADER.pack(MARK, kind) + layout.pack(*(getattr(message, name) for name in message.__slots__))
 
 
 def _encode_append(message: Append) -> bytes:
@@ -165,7 +166,7 @@
 
 
 def decode(data: bytes) -> Message | LockMessage | None:
-    """Decode a message; None where the bytes are malformed."""
+    """Decode a message; None if the bytes are malformed."""
     try:
         mark, kind = _HEADER.unpack_from(data)
         if mark != MARK:
@@ -177,16 +178,18 @@
             return _decode_append(data)
         if kind == _RELAY_REQUEST_KIND:
             receiver, length = _RELAY_REQUEST.unpack_from(data, _HEADER.size)
-            return RelayRequest(receiver, _remaining(data, _HEADER.size + _RELAY_REQUEST.size, length))
+            return RelayRequest(receiver, _read_remaining(data, _HEADER.size + _RELAY_REQUEST.size, length))
         if kind == _RELAYED_MESSAGE_KIND:
             origin, incarnation, length = _RELAYED_MESSAGE.unpack_from(data, _HEADER.size)
-            return RelayedMessage(origin, incarnation, _remaining(data, _HEADER.size + _RELAYED_MESSAGE.size, length))
+            return RelayedMessage(
+                origin, incarnation, _read_remaining(data, _HEADER.size + _RELAYED_MESSAGE.size, length)
+            )
         if kind == _BUNDLE_KIND:
             return _decode_bundle(data)
         if kind not in _FIXED_SIZE_BY_KIND:
             return lock_codec.decode_body(kind, data[_HEADER.size :])
-        message_type, form = _FIXED_SIZE_BY_KIND[kind]
-        return message_type(*form.unpack(data[_HEADER.size :]))
+        message_type, layout = _FIXED_SIZE_BY_KIND[kind]
+        return message_type(*layout.unpack(data[_HEADER.size :]))
     except (struct.error, ValueError, KeyError, IndexError, UnicodeDecodeError):
         return None
 
@@ -197,7 +200,7 @@
     while offset < len(data):
         (length,) = _BUNDLED_LENGTH.unpack_from(data, offset)
         offset += _BUNDLED_LENGTH.size
-        messages.append(_exactly(data, offset, length))
+        messages.append(_read_exactly(data, offset, length))
         offset += length
     return Bundle(tuple(messages))
 
--- a/anisefront/cluster/replication_messages.py
+++ b/anisefront/cluster/replication_messages.py
@@ -1,17 +1,17 @@
 """Typed log entries and messages of request replication.
 
-primary --Append-->              backup    numbered entries of one epoch, applied in order only
-primary <--AppendAck--           backup    all entries up to this number are known
+primary --Append-->              backup    numbered entries of one epoch, applied in sequence
+primary <--AppendAck--           backup    all entries up to this number are applied
 primary <--EpochFenced--         backup    the backup has claimed the epoch: the primary must send nothing more
 primary --ReleaseEpoch-->        witness   the primary gives up the epoch's backup
 backup  --ClaimEpoch-->          witness   the backup takes the epoch over
-either  <--EpochDecision--       witness   who owns the epoch: the first who claimed or released it, permanently
-primary <--InProgressElsewhere-- backup    a request of this identity is in progress elsewhere: this one must not run
+either  <--EpochDecision--       witness   the owner of the epoch: the first to claim or release it, permanently
+primary <--InProgressElsewhere-- backup    another request of this identity is in progress: this one must not run
 primary <--OutcomeReply--        backup    the outcome of the other request
-primary --OutcomeQuery-->        backup    asks for that outcome, as a lost reply is not repeated by itself
-primary <--BackupFull--          backup    no capacity for this request: it continues without a backup
-any     --RelayRequest-->        any       asks an instance to pass a message on to one that can't be reached directly
-any     <--RelayedMessage--      any       a message that was passed on for another instance
+primary --OutcomeQuery-->        backup    queries that outcome, as a lost reply is not repeated by itself
+primary <--BackupAtCapacity--    backup    no capacity for this request: it continues without a backup
+any     --RelayRequest-->        any       requests forwarding of a message to an instance that is not reached directly
+any     <--RelayedMessage--      any       a message forwarded for another instance
 any     --Bundle-->              any       several messages in one datagram
 """
 
@@ -29,9 +29,9 @@
 
     Attributes:
         request: Its number at the primary.
-        requires_ack: Whether it is keyed or non-idempotent, so that attempts wait for an acknowledgement.
+        requires_ack: Whether it is keyed or non-idempotent, so that attempts await an acknowledgement.
         remaining_ms: Time until its deadline.
-        identity: Digest by which a client's retry is recognized; `NO_IDENTITY` where there is none.
+        identity: Digest by which a client's retry is recognized; `NO_IDENTITY` without one.
         record: The request as its host encodes it.
     """
 
@@ -43,7 +43,7 @@
 
     @property
     def excludes_duplicates(self) -> bool:
-        """Whether no other request of its identity may run beside it."""
+        """Whether no other request of its identity may run concurrently."""
         return self.requires_ack and self.identity != NO_IDENTITY
 
 
@@ -51,8 +51,8 @@
 class AttemptStarted:
     """An attempt is about to start at an endpoint.
 
-    `awaits_ack` is false for an attempt that started earlier, while another instance was the backup; it is set for
-    attempts of idempotent requests too, although these start without an acknowledgement.
+    `awaits_ack` is false for an attempt that started earlier, under another backup. It is also true for attempts of
+    idempotent requests, although these start without an acknowledgement.
     """
 
     request: int
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptDiscarded:
-    """An attempt is proved never to have executed."""
+    """An attempt is proven never to have executed."""
 
     request: int
     attempt: int
@@ -83,12 +83,12 @@
 class Append:
     """Entries of an epoch from `first_sequence` on, for one process incarnation of the backup.
 
-    Epochs below `oldest_epoch` are finished. `encoded_entries` holds the entries' bytes where they exist already.
+    Epochs below `oldest_epoch` are finished. `encoded_entries` caches the encoded entries, if available.
     """
 
     epoch: int
     backup_incarnation: int
-    witness: int  # number of a gateway instance; -1: none
+    witness: int  # instance number; -1: none
     witness_incarnation: int
     oldest_epoch: int
     first_sequence: int
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendAck:
-    """The backup knows all entries of the epoch up to this number and has not claimed the epoch."""
+    """The backup has applied all entries of the epoch up to this number and has not claimed the epoch."""
 
     epoch: int
     last_sequence: int
@@ -120,8 +120,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BackupFull:
-    """The backup has no capacity: it does not know this request and never will."""
+class BackupAtCapacity:
+    """The backup has no capacity for this request and will never store it."""
 
     epoch: int
     request: int
@@ -129,22 +129,22 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeQuery:
-    """Asks for the outcome of the request in progress that has this identity."""
+    """Queries the outcome of the request in progress with this identity."""
 
     identity: bytes
 
 
 class Outcome(IntEnum):
-    """Outcome of a request that blocked another of its identity."""
+    """Outcome of a request that blocked another one of its identity."""
 
-    NEVER_EXECUTED = 0  # or endpoints drop a repeated execution: the other may run
+    NEVER_EXECUTED = 0  # or endpoints deduplicate executions: the other request may run
     MAY_HAVE_EXECUTED = 1
-    RESPONDED = 2  # the response is included
+    RESPONDED = 2  # with the response
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeReply:
-    """Notifies those whose requests got `InProgressElsewhere`; `response` is encoded by the host."""
+    """Notifies the owners of requests that got `InProgressElsewhere`; `response` is encoded by the host."""
 
     identity: bytes
     outcome: Outcome
@@ -153,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseEpoch:
-    """Notifies the witness that the epoch's backup must not claim it; sent by the primary."""
+    """Releases an epoch, so that its backup must not claim it; sent to the witness by the primary."""
 
     epoch: int
     witness_incarnation: int
@@ -181,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayRequest:
-    """Asks for a message, in its encoded form, to be passed on to another instance."""
+    """Requests that an encoded message be forwarded to another instance."""
 
     receiver: int
     data: bytes
@@ -189,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedMessage:
-    """A message, in its encoded form, that was passed on for one process incarnation of another instance."""
+    """An encoded message, forwarded for one process incarnation of another instance."""
 
     origin: int
     origin_incarnation: int
@@ -198,7 +198,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bundle:
-    """Several messages, in their encoded form, to one receiver in one datagram."""
+    """Several encoded messages to one receiver in one datagram."""
 
     messages: tuple[bytes, ...]
 
@@ -208,7 +208,7 @@
     | AppendAck
     | EpochFenced
     | InProgressElsewhere
-    | BackupFull
+    | BackupAtCapacity
     | OutcomeReply
     | OutcomeQuery
     | ReleaseEpoch
--- a/anisefront/cluster/witness.py
+++ b/anisefront/cluster/witness.py
@@ -1,12 +1,12 @@
 """Witness of request replication: decides for each epoch whether its primary or its backup owns it.
 
-An epoch is owned by the first who asks: released by its primary, or claimed by its backup.
+The first request decides: the epoch is released by its primary, or claimed by its backup.
 
     undecided --ReleaseEpoch--> released
         `-------ClaimEpoch----> claimed
 
-A decision is final: a second one that differed would give one request to two instances. So a witness whose memory of
-an epoch was evicted, or that has been restarted, does not reply at all.
+A decision is final, since a different second one would make two instances own one request. So a witness that has
+evicted its decision on an epoch, or was restarted, does not reply at all.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
         """Initialize without any decision; `incarnation` is that of the local process."""
         self.incarnation = incarnation
         self._actions: list[SendMessage] = []
-        # By primary's number and incarnation: whether each decided epoch was claimed.
+        # Whether each decided epoch was claimed, by primary's number, incarnation and epoch.
         self._decisions: dict[int, dict[int, dict[int, bool]]] = {}
-        self._evicted_epoch: dict[_PrimaryKey, int] = {}  # epochs up to this one get no reply any more
-        self._evicted_incarnation: dict[int, int] = {}  # nor do incarnations of a primary up to this one
+        self._evicted_epoch: dict[_PrimaryKey, int] = {}  # epochs up to this one get no reply
+        self._evicted_incarnation: dict[int, int] = {}  # incarnations of a primary up to this one get no reply
 
     def receive(self, sender: int, sender_incarnation: int, message: Message) -> None:
         """Handle a message from an authenticated sender."""
         if not isinstance(message, ReleaseEpoch | ClaimEpoch):
             return
         if message.witness_incarnation != self.incarnation:
-            return  # the decisions of an earlier incarnation are not known
+            return  # decisions of an earlier incarnation are lost
         if isinstance(message, ClaimEpoch):
             claimed = True
             primary = _PrimaryKey(message.primary, message.primary_incarnation)
@@ -61,7 +61,7 @@
     def _evict(
         self, primary: _PrimaryKey, by_incarnation: dict[int, dict[int, bool]], decisions: dict[int, bool]
     ) -> None:
-        """Bound the memory for one primary."""
+        """Bound the number of decisions stored for one primary."""
         if len(decisions) > MAX_CLOSED_EPOCHS:
             oldest_epoch = min(decisions)
             self._evicted_epoch[primary] = max(self._evicted_epoch.get(primary, 0), oldest_epoch)
@@ -73,7 +73,7 @@
             del by_incarnation[oldest]
 
     def take_actions(self) -> list[SendMessage]:
-        """Return the messages to send, and keep none."""
+        """Return and clear the pending messages."""
         actions = self._actions
         self._actions = []
         return actions
--- a/tests/lock_mutations.py
+++ b/tests/lock_mutations.py
@@ -29,7 +29,7 @@
         return alive if len(alive) == 1 and is_half_alive else lock.voters"""
 BELIEVED_DEAD = """instances = self._placement.instances - {self._local.number}
         replied = self._recovery._recovered_by_replies.keys()
-        if not self._recovery.is_recovered(slot) and not (replied and instances <= replied | self._gone):"""
+        if not self._recovery.is_recovered(slot) and not (replied and instances <= replied | self._departed):"""
 CUTS_OF_PARTITIONS = {
     "the only live voter does not decide alone": (
         LATE,
@@ -47,7 +47,7 @@
     ),
     "a lock stands while its backup may continue its request": (
         LATE,
-        [("lock_voter", "backup == NO_INSTANCE and", "(backup == NO_INSTANCE or backup in self._gone) and")],
+        [("lock_voter", "backup == NO_INSTANCE and", "(backup == NO_INSTANCE or backup in self._departed) and")],
     ),
     "a restarted voter does not do without those that seem dead": (
         LATE_RESTART,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -138,7 +138,7 @@
 
 
 def test_roster_with_a_worker_twice():
-    with pytest.raises(endpoint_file.EndpointFileError, match="stands twice"):
+    with pytest.raises(endpoint_file.EndpointFileError, match="is listed more than once"):
         endpoint_file.parse(endpoint_file.write("c", [SERVERS[0], SERVERS[0]], {}).encode())
 
 
--- a/tests/test_identity_locks.py
+++ b/tests/test_identity_locks.py
@@ -335,7 +335,7 @@
     request = LockRequests(cluster.placement.digest, (LockRequest(IDENTITY, 1, 8000),))
     voter.receive(0.0, owner, 1, request)
     voter.update_members(0.0, {}, frozenset({owner}))
-    voter._recovery._open_slots = {slot_of(IDENTITY)}  # restarted, and told of the lock by another
+    voter._recovery._unrecovered_slots = {slot_of(IDENTITY)}  # restarted, and told of the lock by another
     voter.receive(1.0, other, 1, request)
     voter.handle_timers(DEADLINE_MS + 1)
     assert len(voter) == 0
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -33,7 +33,7 @@
     AppendAck,
     AttemptDiscarded,
     AttemptStarted,
-    BackupFull,
+    BackupAtCapacity,
     ClaimEpoch,
     Completed,
     EpochDecision,
@@ -439,7 +439,7 @@
     four = Append(1, 1, -1, 0, 1, 1, tuple(Accepted(n, True, 1000, NO_IDENTITY, b"") for n in range(4)))
     keeper.receive(0.0, 0, 1, four)
     assert (
-        messages(keeper) == [(0, BackupFull(1, 2)), (0, BackupFull(1, 3)), (0, AppendAck(1, 2))]
+        messages(keeper) == [(0, BackupAtCapacity(1, 2)), (0, BackupAtCapacity(1, 3)), (0, AppendAck(1, 2))]
         and keeper.request_count == 2
     )
     messages(keeper)
@@ -450,7 +450,7 @@
     keeper._release(keeper._epochs(0, 1)[1], keeper._epochs(0, 1)[1].requests[1])  # there is room again
     messages(keeper)
     keeper.receive(1.0, 0, 1, Append(1, 1, -1, 0, 1, 2, (Accepted(2, True, 1000, NO_IDENTITY, b""),)))
-    assert messages(keeper) == [(0, BackupFull(1, 2)), (0, AppendAck(1, 1))] and keeper.request_count == 0
+    assert messages(keeper) == [(0, BackupAtCapacity(1, 2)), (0, AppendAck(1, 1))] and keeper.request_count == 0
     keeper.receive(2.0, 0, 1, Append(1, 1, -1, 0, 1, 2, (Completed(2), Accepted(3, True, 1000, NO_IDENTITY, b""))))
     assert (
         messages(keeper)[-1] == (0, AppendAck(1, 3))
@@ -465,13 +465,13 @@
         made.accept(0.0, Accepted(request, True, 1000, NO_IDENTITY, b""))
         assert not made.start_attempt(0.0, request, 0, "w")
     [(_, feed)] = feeds(made)
-    made.receive(1.0, 1, 1, BackupFull(feed.epoch, 1))
+    made.receive(1.0, 1, 1, BackupAtCapacity(feed.epoch, 1))
     assert (
         done(made, ReplicationUnavailable) == [ReplicationUnavailable(1)]
         and started(made) == [(1, 0)]
         and made.counts["unprotected_full"] == 1
     )
-    made.receive(1.0, 1, 1, BackupFull(feed.epoch, 1))  # said twice
+    made.receive(1.0, 1, 1, BackupAtCapacity(feed.epoch, 1))  # said twice
     assert started(made) == [(1, 0)]
     [(_, again)] = feeds(made, 1.0)
     assert [entry.request for entry in again.entries] == [1, 1, 2, 2] and again.entries[0] == Completed(1)
@@ -543,7 +543,7 @@
         assert decode(data) == message
         for cut in range(len(data)):
             assert decode(data[:cut]) is None
-    with pytest.raises(ValueError, match="record: 1101 bytes are more than 1100"):
+    with pytest.raises(ValueError, match="record: 1101 bytes exceed 1100"):
         encode(Append(1, 1, -1, 0, 1, 1, (Accepted(1, True, 0, NO_IDENTITY, bytes(MAX_RECORD_BYTES + 1)),)))
 
 
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -274,7 +274,7 @@
     replication_messages.EpochDecision(primary=4, primary_incarnation=2**41, epoch=3, claimed=True),
     replication_messages.EpochDecision(primary=0, primary_incarnation=1, epoch=3, claimed=False),
     replication_messages.InProgressElsewhere(epoch=3, request=2**33),
-    replication_messages.BackupFull(epoch=3, request=2**33),
+    replication_messages.BackupAtCapacity(epoch=3, request=2**33),
     replication_messages.OutcomeQuery(identity=b"the name"),
     *(
         replication_messages.OutcomeReply(identity=b"the name", outcome=word, response=b"answer" if word else b"")
