--- a/anisefront/daemon/authenticated_datagrams.py
+++ b/anisefront/daemon/authenticated_datagrams.py
@@ -17,15 +17,15 @@
     undeliverable_key = "no_address"
     sent_key = None
 
-    def __init__(self, seal: DatagramAuthenticator, peers: Mapping[int, Address]) -> None:
+    def __init__(self, authenticator: DatagramAuthenticator, peers: Mapping[int, Address]) -> None:
         """Use this authentication; `peers` holds the addresses by number."""
-        self._seal = seal
+        self._authenticator = authenticator
         self._peers = peers
 
     @property
     def counts(self) -> Counter[str]:
         """Return the counters, which the authentication shares."""
-        return self._seal.counts
+        return self._authenticator.counts
 
     def address_of(self, receiver: int, data: bytes) -> PeerAddress | None:
         """Return the address of a peer; None if it has none."""
@@ -34,9 +34,9 @@
 
     def encode(self, receiver: int, data: bytes) -> bytes:
         """Return the authenticated datagram of a message."""
-        return self._seal.write(receiver, data, time.time() * 1000)
+        return self._authenticator.write(receiver, data, time.time() * 1000)
 
     def decode(self, datagram: bytes, address: tuple[str, int]) -> ReceivedMessage | None:
         """Return the message of a datagram that is authentic, recent and not a duplicate."""
-        accepted = self._seal.read(datagram, time.time() * 1000)
+        accepted = self._authenticator.read(datagram, time.time() * 1000)
         return None if accepted is None else ReceivedMessage(*accepted)
--- a/anisefront/daemon/collector.py
+++ b/anisefront/daemon/collector.py
@@ -55,7 +55,7 @@
         self._last_collection_s = self._reactor.seconds()
         self._reactor.callLater(self._interval_s, self._check)
 
-    def settle(self) -> None:
+    def freeze_new_objects(self) -> None:
         """Freeze what a change of settings has created.
 
         It creates objects for each line of the files that it affects. Without freezing, after a day of changes each
--- a/anisefront/daemon/duplicate_requests.py
+++ b/anisefront/daemon/duplicate_requests.py
@@ -64,14 +64,14 @@
     """
 
     def __init__(
-        self, send: Callable[[int, bytes], None], reactor: Any, returning: Deduplicator, counts: Counter[str]
+        self, send: Callable[[int, bytes], None], reactor: Any, deduplicator: Deduplicator, counts: Counter[str]
     ) -> None:
         """Start without requests."""
-        self.is_gone: Callable[[int], bool] = lambda number: False  # whether an instance is dead or has left
+        self.is_unavailable: Callable[[int], bool] = lambda number: False  # whether an instance is dead or has left
         self.is_stored: Callable[[bytes], bool] = lambda identity: False  # whether this backup stores a request of it
         self._send = send
         self._reactor = reactor
-        self._returning = returning
+        self._deduplicator = deduplicator
         self._counts = counts
         self._local: dict[int, LocalRequest] = {}
         self._request_numbers: dict[bytes, list[int]] = {}  # the first represents its identity
@@ -126,25 +126,25 @@
     def add_waiting_instance(self, identity: bytes, number: int) -> None:
         """Notify an instance of the outcome of an identity, at once where the response is here already."""
         self.wait_for(identity, {number})
-        answer = self._returning.response_of(identity)
-        if answer is not None:
-            self.notify(identity, Outcome.RESPONDED, answer)
+        response = self._deduplicator.response_of(identity)
+        if response is not None:
+            self.notify(identity, Outcome.RESPONDED, response)
 
     def wait_for(self, identity: bytes, numbers: set[int]) -> None:
         """Notify some instances of the outcome of an identity."""
         self._waiting_instances.setdefault(identity, set()).update(numbers)
 
-    def notify(self, identity: bytes, outcome: Outcome, answer: FinalResponse | None = None) -> None:
+    def notify(self, identity: bytes, outcome: Outcome, response: FinalResponse | None = None) -> None:
         """Notify the waiting instances of an outcome."""
         receivers = self._waiting_instances.pop(identity, ())
-        if receivers and answer is None:
+        if receivers and response is None:
             self.remember(identity, outcome)
         for receiver in receivers:
-            response = encode_response(answer) if answer is not None else b""
-            if len(response) > MAX_RECORD_BYTES:
+            encoded_response = encode_response(response) if response is not None else b""
+            if len(encoded_response) > MAX_RECORD_BYTES:
                 outcome = Outcome.MAY_HAVE_EXECUTED
-                response = b""
-            self._send(receiver, encode(OutcomeReply(identity, outcome, response)))
+                encoded_response = b""
+            self._send(receiver, encode(OutcomeReply(identity, outcome, encoded_response)))
 
     def remember(self, identity: bytes, outcome: Outcome) -> None:
         """Remember an outcome; that one request was never executed does not say so of another of its identity."""
@@ -157,7 +157,7 @@
     def end(self, identity: bytes, outcome: Outcome) -> None:
         """End the wait of all requests of an identity, here and elsewhere, without a response."""
         self.remember(identity, outcome)
-        self._returning.ended_elsewhere(identity, outcome is not Outcome.NEVER_EXECUTED)
+        self._deduplicator.ended_elsewhere(identity, outcome is not Outcome.NEVER_EXECUTED)
         self.notify(identity, outcome)
 
     def on_query(
@@ -179,21 +179,21 @@
         """
         self.wait_for(identity, {sender})
         in_progress = is_replicated_here or identity in self._request_numbers or identity in self._uncertain
-        answer = self._returning.response_of(identity)
-        if answer is not None:
-            self.notify(identity, Outcome.RESPONDED, answer)
+        response = self._deduplicator.response_of(identity)
+        if response is not None:
+            self.notify(identity, Outcome.RESPONDED, response)
         elif identity in self._outcomes and not in_progress:
             self.notify(identity, self._outcomes[identity])
         elif self._outcomes.get(identity) is Outcome.MAY_HAVE_EXECUTED and identity not in self._request_numbers:
             self.notify(identity, Outcome.MAY_HAVE_EXECUTED)  # what is stored here of others waits for that, too
         elif not in_progress and uses_locks:
             self.notify(identity, Outcome.NEVER_EXECUTED)
-        elif not in_progress and self._returning.is_awaited(identity):
+        elif not in_progress and self._deduplicator.is_awaited(identity):
             # Ours has yielded to another. If that is the sender's, which has yielded to ours, one has to go on.
             following = self._followed.get(identity)
             if precedes and following is not None and following.holder == sender:
                 self.notify(identity, Outcome.NEVER_EXECUTED)
-        elif not in_progress and identity not in self._returning:
+        elif not in_progress and identity not in self._deduplicator:
             del self._waiting_instances[identity]  # the outcome is not known: no reply is better than a wrong one
 
     # ---- requests of others that have completed --------------------------------------------------
@@ -204,7 +204,7 @@
         Its primary may still have the response, so it is queried first. Without a reply all that wait are failed,
         unless a request of the identity is in flight again.
         """
-        if not self._returning.is_awaited(identity) and identity not in self._waiting_instances:
+        if not self._deduplicator.is_awaited(identity) and identity not in self._waiting_instances:
             return
         self._uncertain.add(identity)
         self._send(primary, encode(OutcomeQuery(identity)))
@@ -214,28 +214,28 @@
         self._uncertain.discard(identity)
         if is_in_flight(identity):
             return
-        self._returning.ended_elsewhere(identity, may_have_run=True)
+        self._deduplicator.ended_elsewhere(identity, may_have_executed=True)
         self.notify(identity, Outcome.MAY_HAVE_EXECUTED)
 
     # ---- requests here that wait for an outcome --------------------------------------------------
 
-    def wait_here(
+    def add_waiting_request(
         self,
         identity: bytes,
-        job: DirectRequest,
+        request: DirectRequest,
         deadline_ms: float,
         on_response: Callable[[FinalResponse], None],
         on_released: Callable[[], None],
         informed: int | None,
     ) -> None:
         """Let a request wait for the outcome of another of its identity, of which instance `informed` knows."""
-        self._returning.wait_for_outcome(identity, content_digest(job), deadline_ms, on_response, on_released)
+        self._deduplicator.wait_for_outcome(identity, content_digest(request), deadline_ms, on_response, on_released)
         if informed is not None:
             self._reactor.callLater(QUERY_INTERVAL_S, self._query, identity, informed, QUERY_INTERVAL_S)
 
     def is_followed(self, identity: bytes) -> bool:
         """Return whether a request here has yielded to the holder of the lock of an identity, and waits."""
-        return identity in self._followed and self._returning.is_awaited(identity)
+        return identity in self._followed and self._deduplicator.is_awaited(identity)
 
     def follow(self, identity: bytes, informed: tuple[int, ...]) -> None:
         """Query the outcome to which a request here has yielded, now and again until it is known.
@@ -254,10 +254,10 @@
     def _query_holder(self, identity: bytes, following: _Following) -> None:
         if self._followed.get(identity) is not following:
             return  # the request has asked for its lock since, and was refused by another holder
-        if not self._returning.is_awaited(identity):
+        if not self._deduplicator.is_awaited(identity):
             del self._followed[identity]
             return
-        remaining = [number for number in following.informed if not self.is_gone(number)]
+        remaining = [number for number in following.informed if not self.is_unavailable(number)]
         if not remaining or following.queries >= MAX_QUERIES:
             self.ask_for_lock_again(identity)
             return
@@ -278,7 +278,7 @@
             return
         self._asked_for_lock[identity] = False
         self._reactor.callLater(_jittered(identity, QUERY_INTERVAL_S), self._on_asking_interval_over, identity)
-        self._returning.ended_elsewhere(identity, may_have_run=False)
+        self._deduplicator.ended_elsewhere(identity, may_have_executed=False)
 
     def _on_asking_interval_over(self, identity: bytes) -> None:
         if self._asked_for_lock.pop(identity):
@@ -290,9 +290,9 @@
         The reply is a single datagram. When an instance fails with thousands of requests in flight many are lost, and
         a request would wait until its deadline.
         """
-        if not self._returning.is_awaited(identity):
+        if not self._deduplicator.is_awaited(identity):
             return
-        if self.is_gone(informed) and not self.is_stored(identity):
+        if self.is_unavailable(informed) and not self.is_stored(identity):
             self.ask_for_lock_again(identity)  # its primary had moved it to another backup
             return
         self._counts["asked_again"] += 1
@@ -302,15 +302,15 @@
 
     def on_reply(self, reply: OutcomeReply) -> None:
         """End the wait of the requests of an identity."""
-        answer = decode_response(reply.response) if reply.outcome is Outcome.RESPONDED else None
-        if answer is not None:
-            self._returning.responded_elsewhere(reply.identity, answer)
-            self.notify(reply.identity, Outcome.RESPONDED, answer)
+        response = decode_response(reply.response) if reply.outcome is Outcome.RESPONDED else None
+        if response is not None:
+            self._deduplicator.responded_elsewhere(reply.identity, response)
+            self.notify(reply.identity, Outcome.RESPONDED, response)
             return
         if reply.outcome is Outcome.NEVER_EXECUTED:
             self.ask_for_lock_again(reply.identity)
         else:
-            self._returning.ended_elsewhere(reply.identity, may_have_run=True)
+            self._deduplicator.ended_elsewhere(reply.identity, may_have_executed=True)
         self.notify(reply.identity, reply.outcome)
 
 
--- a/anisefront/daemon/endpoint_file.py
+++ b/anisefront/daemon/endpoint_file.py
@@ -56,8 +56,8 @@
             with open(self._path, "rb") as file:
                 text = file.read(endpoint_file.MAX_FILE_BYTES + 1)
             endpoints = endpoint_file.parse(text)
-        except (OSError, endpoint_file.EndpointFileError) as problem:
-            self._reject(str(problem))
+        except (OSError, endpoint_file.EndpointFileError) as error:
+            self._reject(str(error))
             return
         self._version = version
         self.fault = ""
--- a/anisefront/daemon/gateway_instance.py
+++ b/anisefront/daemon/gateway_instance.py
@@ -117,14 +117,16 @@
     def _connect_peers(self, config: Config, seed: int) -> None:
         """Create the peer port, and the membership if it is enabled."""
         self.peer_port: PeerPort | None = None
-        self.members: MembershipService | None = None
+        self.membership_service: MembershipService | None = None
         if config.peers_listen is None:
             return
         number = config.settings.number
-        self.seal = DatagramAuthenticator(config.secret, number, self.process_incarnation)
-        self.peer_port = PeerPort(AuthenticatedDatagrams(self.seal, config.peers), self._on_peer_message)
+        self.datagram_authenticator = DatagramAuthenticator(config.secret, number, self.process_incarnation)
+        self.peer_port = PeerPort(
+            AuthenticatedDatagrams(self.datagram_authenticator, config.peers), self._on_peer_message
+        )
         if config.members_ms:
-            self.members = MembershipService(
+            self.membership_service = MembershipService(
                 self.reactor,
                 self.clock,
                 self.peer_port.send,
@@ -138,20 +140,26 @@
 
     def _create_upstreams(self, config: Config) -> None:
         """Create both ways of carrying attempts out: delegated to the proxy, and over our own connections."""
-        if self.members is not None:
-            self.members.on_unavailable = self.request_table.set_unreachable_peers
-        self.proxied = DelegatedRequests(self.request_table, self.reactor, self.incarnation, _delegation_limits(config))
+        if self.membership_service is not None:
+            self.membership_service.on_unavailable = self.request_table.set_unreachable_peers
+        self.delegated_requests = DelegatedRequests(
+            self.request_table, self.reactor, self.incarnation, _delegation_limits(config)
+        )
         self.pool = ConnectionPool(self.reactor)
-        self.own = DirectRequests(self.request_table, self.pool, self.incarnation, config.settings.load_report_fields)
+        self.direct_requests = DirectRequests(
+            self.request_table, self.pool, self.incarnation, config.settings.load_report_fields
+        )
 
     def _create_frontends(self, config: Config) -> None:
         """Create the gRPC services and the JSON-RPC service."""
-        self.authorization = authorization.AuthorizationService(self.router, self.proxied, self.clock, self.gateways_of)
-        self.dispatcher = CallDispatcher(self.router, self.own, self.clock, self.gateways_of, self.state)
+        self.authorization = authorization.AuthorizationService(
+            self.router, self.delegated_requests, self.clock, self.gateways_of
+        )
+        self.dispatcher = CallDispatcher(self.router, self.direct_requests, self.clock, self.gateways_of, self.state)
         self.health = HealthService(SERVICES)
         methods = {
             authorization.PATH: self.authorization.method(),
-            access_log.PATH: access_log.method(self.proxied, config.settings.load_report_fields),
+            access_log.PATH: access_log.method(self.delegated_requests, config.settings.load_report_fields),
             **self.health.methods(),
         }
         self.grpc = GrpcFactory(self.reactor, methods, ServerLimits(config.most_connections))
@@ -159,20 +167,20 @@
 
     def _replicate_requests(self, config: Config) -> None:
         """Replicate requests to peers if that is enabled; it needs the membership."""
-        self.keepers: ReplicationService | None = None
-        if self.members is None or not config.lease_ms:
+        self.replication_service: ReplicationService | None = None
+        if self.membership_service is None or not config.lease_ms:
             return
-        self.keepers = ReplicationService(
+        self.replication_service = ReplicationService(
             self.reactor,
             self.clock,
             self.peer_port.send,
             self.log,
             config,
             self.process_incarnation,
-            self.members.membership,
+            self.membership_service.membership,
         )
-        self.keepers.attach(self.request_table, self.own, self.proxied)
-        self.members.on_changes = self.keepers.on_member_changes
+        self.replication_service.attach(self.request_table, self.direct_requests, self.delegated_requests)
+        self.membership_service.on_changes = self.replication_service.on_member_changes
 
     def _record_events(self, config: Config) -> None:
         """Record events and actions if that is enabled."""
@@ -227,13 +235,13 @@
         """
         config = self.config
         self.request_table.max_open_requests = config.most_open
-        self.proxied.timeouts = _delegation_limits(config)
+        self.delegated_requests.timeouts = _delegation_limits(config)
         # The controller visits each customer whose quota it owns, so changes of routes and keys must not reach it.
         if config.settings != before.settings:
             self.request_table.change_settings(config.settings)
-        if self.keepers is not None:
-            self.keepers.update_config(config)
-        self.reactor.callLater(0, self.collector.settle)
+        if self.replication_service is not None:
+            self.replication_service.update_config(config)
+        self.reactor.callLater(0, self.collector.freeze_new_objects)
 
     # ---- service -------------------------------------------------------------------------------
 
@@ -257,8 +265,8 @@
                 addresses[name] = f"{address.host}:{listener.getHost().port}"
         if self.peer_port is not None:
             addresses["peers"] = self._listen_for_peers(config)
-        if self.members is not None:
-            self.members.start()
+        if self.membership_service is not None:
+            self.membership_service.start()
         self.log.info("started", **addresses, life=self.incarnation, servers=len(self.request_table.endpoint_statuses))
         return addresses
 
@@ -275,11 +283,15 @@
         """Pass a peer's message on to the part that it is for."""
         mark = data[:1]
         if mark == MEMBERSHIP_MARK:
-            if self.members is not None:
-                self.members.receive(sender, self.seal.peers[sender].process_incarnation, data)
+            if self.membership_service is not None:
+                self.membership_service.receive(
+                    sender, self.datagram_authenticator.peers[sender].process_incarnation, data
+                )
         elif mark == REPLICATION_MARK:
-            if self.keepers is not None:
-                self.keepers.receive(sender, self.seal.peers[sender].process_incarnation, data)
+            if self.replication_service is not None:
+                self.replication_service.receive(
+                    sender, self.datagram_authenticator.peers[sender].process_incarnation, data
+                )
         else:
             self.request_table.receive_peer_message(sender, data)
 
@@ -332,12 +344,12 @@
     def _leave(self) -> None:
         """End the drain: all requests are answered or handed over, and peers are notified."""
         self.log.info("drained", left_open=self.request_table.open_requests)
-        if self.keepers is not None:
-            self.keepers.stop()
+        if self.replication_service is not None:
+            self.replication_service.stop()
         else:  # no peer continues open requests
             self.request_table.fail_open_requests()
-        if self.members is not None:
-            self.members.leave()
+        if self.membership_service is not None:
+            self.membership_service.leave()
         if self.recorder is not None:
             self.recorder.flush()
         self.grpc.drain()
--- a/anisefront/daemon/lifecycle.py
+++ b/anisefront/daemon/lifecycle.py
@@ -40,7 +40,7 @@
     LISTEN_AND_RELOAD = auto()
     RELOAD = auto()
     DRAIN = auto()
-    HURRY = auto()
+    END_DRAIN = auto()
     STOP = auto()
 
 
@@ -57,7 +57,7 @@
     (Phase.SERVING, Step.FAULT): (Phase.ENDED, Command.STOP),
     # Requests that are open while draining use the current endpoint list, so its source may still change.
     (Phase.DRAINING, Step.HANG_UP): (Phase.DRAINING, Command.RELOAD),
-    (Phase.DRAINING, Step.TERMINATE): (Phase.HURRIED, Command.HURRY),
+    (Phase.DRAINING, Step.TERMINATE): (Phase.HURRIED, Command.END_DRAIN),
     (Phase.DRAINING, Step.DRAINED): (Phase.ENDED, Command.STOP),
     (Phase.DRAINING, Step.FAULT): (Phase.ENDED, Command.STOP),
     (Phase.HURRIED, Step.DRAINED): (Phase.ENDED, Command.STOP),
--- a/anisefront/daemon/memory_purposes.py
+++ b/anisefront/daemon/memory_purposes.py
@@ -63,9 +63,9 @@
         Purpose("stores", lambda: controller.quota_owner.buckets, max_customers),
         Purpose("requests", lambda: instance.request_table.requests, max_open),
         Purpose("attempts", lambda: controller.attempts.in_flight),
-        Purpose("exchanges", lambda: instance.proxied.index.by_number, max_open),
+        Purpose("exchanges", lambda: instance.delegated_requests.index.by_number, max_open),
         Purpose("agenda", lambda: controller.timers.pending),
-        Purpose("peers", lambda: instance.seal.peers if instance.peer_port else {}, gateways),
+        Purpose("peers", lambda: instance.datagram_authenticator.peers if instance.peer_port else {}, gateways),
         Purpose("workers", lambda: controller.endpoints.known),
         Purpose("connections", lambda: [*instance.grpc.connections, *instance.jsonrpc.connections], max_connections),
     )
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -25,7 +25,7 @@
     from anisefront.daemon.settings_source import SettingsSource
     from anisefront.gateway.request_table import RequestTable
 
-SETTLE_S = 0.002  # between the work of the start and listening, so that the event loop waits once
+LISTEN_DELAY_S = 0.002  # between the work of the start and listening, so that the event loop waits once
 FAULT_WRITE_S = 0.2  # for the answers after a fault of the controller
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
@@ -193,7 +193,7 @@
             self._reload()
         elif command is Command.DRAIN:
             self._instance.drain().addBoth(lambda _: self._advance(Step.DRAINED))
-        elif command is Command.HURRY:
+        elif command is Command.END_DRAIN:
             self._log.warning("stopped_at_once", open=self._instance.request_table.open_requests)
             self._exit_code = ExitCode.STOPPED
             self._instance.end_drain()
@@ -209,9 +209,9 @@
             return
         try:
             call()
-        except Exception as problem:
-            trace = None if isinstance(problem, OSError) else problem
-            self._log.error("not_started", fault=str(problem), exc_info=trace)
+        except Exception as error:
+            trace = None if isinstance(error, OSError) else error
+            self._log.error("not_started", fault=str(error), exc_info=trace)
             self._exit_code = ExitCode.STOPPED
             self._advance(Step.FAULT)
 
@@ -223,7 +223,7 @@
         """
         self._prepare_instance(self._instance)
         self._instance.collector.start()
-        self._reactor.callLater(SETTLE_S, self._start_step, lambda: self._advance(Step.READY))
+        self._reactor.callLater(LISTEN_DELAY_S, self._start_step, lambda: self._advance(Step.READY))
 
     def _listen(self) -> None:
         """Open the listeners and print the ready line; the first endpoint list has been handed in before."""
@@ -236,12 +236,12 @@
             return
         try:
             self._reload_instance(self._instance)
-        except Exception as problem:
-            self._log.error("reload_raised", exc_info=problem)
+        except Exception as error:
+            self._log.error("reload_raised", exc_info=error)
 
-    def _on_controller_fault(self, problem: Exception) -> None:
+    def _on_controller_fault(self, error: Exception) -> None:
         """End the process after the failure answers have been written."""
         failed = self._instance.request_table.counts["failed"]
-        self._log.critical("module_fault", exc_info=problem, open_failed=failed)
+        self._log.critical("module_fault", exc_info=error, open_failed=failed)
         self._exit_code = ExitCode.CONTROLLER_FAULT
         self._reactor.callLater(FAULT_WRITE_S, self._advance, Step.FAULT)
--- a/anisefront/daemon/recorder.py
+++ b/anisefront/daemon/recorder.py
@@ -47,8 +47,8 @@
             with open(path, "wb") as file:
                 file.write(trace.FILE_HEADER)
             self._file_bytes = len(trace.FILE_HEADER)
-        except OSError as problem:
-            self.fault = f"{path}: {problem.strerror or problem}"
+        except OSError as error:
+            self.fault = f"{path}: {error.strerror or error}"
 
     def record_event(self, at_ms: float, event: object) -> None:
         """Record an event or an action."""
@@ -112,8 +112,8 @@
         try:
             with open(self._settings.path, "ab") as file:
                 file.write(data)
-        except OSError as problem:
-            self.fault = f"{self._settings.path}: {problem.strerror or problem}"
+        except OSError as error:
+            self.fault = f"{self._settings.path}: {error.strerror or error}"
             return
         self.written += len(records)
         self._file_bytes += len(data)
--- a/anisefront/daemon/reload_scheduler.py
+++ b/anisefront/daemon/reload_scheduler.py
@@ -146,6 +146,6 @@
                     return
         except StopIteration:
             self._steps = None
-        except Exception as problem:  # unexpected contents of a file must not end a gateway instance in service
+        except Exception as error:  # unexpected contents of a file must not end a gateway instance in service
             self._steps = None
-            self._on_raise(problem)
+            self._on_raise(error)
--- a/anisefront/daemon/replication.py
+++ b/anisefront/daemon/replication.py
@@ -45,7 +45,7 @@
 from anisefront.gateway.pending_request import PendingRequest
 from anisefront.gateway.request_table import RequestTable
 from anisefront.policy.settings import Idempotency
-from anisefront.upstream.deduplication import Deduplicator, request_key
+from anisefront.upstream.deduplication import Deduplicator, request_identity
 from anisefront.upstream.delegated_requests import DelegatedRequests
 from anisefront.upstream.direct_requests import DirectRequest, DirectRequests, FinalResponse
 
@@ -95,13 +95,13 @@
         self._reactor = reactor
         self._incarnation = incarnation
         self._send_datagram = send
-        self.returning = Deduplicator(clock, reactor)
+        self.deduplicator = Deduplicator(clock, reactor)
         self.counts: Counter[str] = Counter()
-        self.duplicates = DuplicateRequests(self._send_or_loop_back, reactor, self.returning, self.counts)
-        self.duplicates.is_gone = self._is_gone
+        self.duplicates = DuplicateRequests(self._send_or_loop_back, reactor, self.deduplicator, self.counts)
+        self.duplicates.is_unavailable = self._is_unavailable
         self.duplicates.is_stored = self.backup.stores
         self.takeover = RequestTakeover(
-            clock, log, self.primary, self.locks, self.returning, self.duplicates, self.counts
+            clock, log, self.primary, self.locks, self.deduplicator, self.duplicates, self.counts
         )
         self.completed = CompletedRequests()
         self.update_config(config)
@@ -121,20 +121,22 @@
         self._classes = {request_class.name: request_class for request_class in config.settings.classes}
         self.takeover.update_classes(self._classes)
 
-    def attach(self, request_table: RequestTable, own: DirectRequests, proxied: DelegatedRequests) -> None:
+    def attach(
+        self, request_table: RequestTable, direct_requests: DirectRequests, delegated_requests: DelegatedRequests
+    ) -> None:
         """Connect to the request table and the upstreams."""
         self._request_table = request_table
-        self.takeover.attach(request_table, own, proxied)
+        self.takeover.attach(request_table, direct_requests, delegated_requests)
         request_table.guard = self
         request_table.batches.after_iteration.append(self.process)
-        own.duplicates = self
-        proxied.is_in_progress_elsewhere = self._is_replicated
+        direct_requests.duplicates = self
+        delegated_requests.is_in_progress_elsewhere = self._is_replicated
 
-    def _identity(self, customer: str, identity: str) -> bytes:
-        return request_key(customer, identity, self._settings.tag_key)
+    def _identity(self, customer: str, idempotency_key: str) -> bytes:
+        return request_identity(customer, idempotency_key, self._settings.tag_key)
 
-    def _is_replicated(self, customer: str, identity: str) -> bool:
-        return self._is_in_flight_elsewhere(self._identity(customer, identity))
+    def _is_replicated(self, customer: str, idempotency_key: str) -> bool:
+        return self._is_in_flight_elsewhere(self._identity(customer, idempotency_key))
 
     def _is_in_flight_elsewhere(self, identity: bytes) -> bool:
         return self.backup.find_primary(self._clock(), identity) is not None
@@ -144,25 +146,25 @@
 
     # ---- guard of the request table --------------------------------------------------------------
 
-    def try_protect(self, entry: PendingRequest) -> bool:
+    def try_protect(self, request: PendingRequest) -> bool:
         """Replicate a request that was accepted; returns False where it must not run without."""
-        if entry.replica is None:
+        if request.replica is None:
             return True
         now_ms = self._clock()
-        accepted = self._accepted(now_ms, entry)
+        accepted = self._accepted(now_ms, request)
         if accepted.excludes_duplicates:
-            must_not_repeat = not self._classes[entry.arrival.class_name].is_repeatable_anywhere
+            must_not_repeat = not self._classes[request.arrival.class_name].is_repeatable_anywhere
             self.duplicates.add(accepted.request, accepted.identity, must_not_repeat)
         inherited = self.takeover.inherited_locks.take(accepted.identity)
         predecessor = inherited.owner if inherited is not None else None
         has_yielded = self._has_yielded(now_ms, accepted.identity)
-        reason = self._replicate(now_ms, accepted, predecessor, has_yielded, _prior_attempts(entry))
+        reason = self._replicate(now_ms, accepted, predecessor, has_yielded, _prior_attempts(request))
         if reason is None:
             self.counts["protected"] += 1
             return True
         self.counts[f"unprotected_{reason}"] += 1
         is_required = reason == NO_BACKUP and not self.primary.may_run_unprotected(accepted)
-        if is_required or entry.arrival.class_name in self._protected_only:
+        if is_required or request.arrival.class_name in self._protected_only:
             self.duplicates.remove(accepted.request)
             if inherited is not None:
                 self.locks.release_predecessor(accepted.identity, *inherited)
@@ -176,15 +178,15 @@
             self._yielded.popitem(last=False)
         return identity in self._yielded
 
-    def _accepted(self, now_ms: float, entry: PendingRequest) -> Accepted:
-        arrival = entry.arrival
-        has_identity = bool(entry.replica.identity)
+    def _accepted(self, now_ms: float, request: PendingRequest) -> Accepted:
+        arrival = request.arrival
+        has_identity = bool(request.replica.idempotency_key)
         return Accepted(
             request=arrival.id,
             requires_ack=self._idempotency(arrival.class_name) is not Idempotency.IDEMPOTENT,
             remaining_ms=max(0, int(arrival.deadline_at_ms - now_ms)),
-            identity=self._identity(arrival.customer, entry.replica.identity) if has_identity else NO_IDENTITY,
-            record=RequestRecord.of(entry).encode(),
+            identity=self._identity(arrival.customer, request.replica.idempotency_key) if has_identity else NO_IDENTITY,
+            record=RequestRecord.of(request).encode(),
         )
 
     def _replicate(
@@ -201,30 +203,30 @@
         is_accepted = self.primary.accept(now_ms, accepted, predecessor, has_yielded, prior_attempts)
         return None if is_accepted else NO_BACKUP
 
-    def may_release_attempt(self, request: int, attempt: int, worker: str) -> bool:
+    def may_release_attempt(self, request_number: int, attempt_number: int, endpoint: str) -> bool:
         """Return whether an attempt may start now."""
-        return self.primary.start_attempt(self._clock(), request, attempt, worker)
+        return self.primary.start_attempt(self._clock(), request_number, attempt_number, endpoint)
 
-    def may_release_rejection(self, request: int) -> bool:
+    def may_release_rejection(self, request_number: int) -> bool:
         """Return whether a rejection may be delivered now."""
-        return self.primary.reject(self._clock(), request)
+        return self.primary.reject(self._clock(), request_number)
 
-    def attempt_never_executed(self, request: int, attempt: int) -> None:
+    def attempt_never_executed(self, request_number: int, attempt_number: int) -> None:
         """Record that an attempt is proved never to have executed."""
-        self.primary.discard_attempt(self._clock(), request, attempt)
+        self.primary.discard_attempt(self._clock(), request_number, attempt_number)
 
-    def request_completed(self, request: int) -> None:
+    def request_completed(self, request_number: int) -> None:
         """Record that a request has ended."""
-        self._owned_elsewhere.pop(request, None)
-        may_have_executed = self._may_have_executed(request)
-        represents_identity = self.duplicates.represents(request)
-        local = self.duplicates.remove(request)
+        self._owned_elsewhere.pop(request_number, None)
+        may_have_executed = self._may_have_executed(request_number)
+        represents_identity = self.duplicates.represents(request_number)
+        local = self.duplicates.remove(request_number)
         is_uncertain = may_have_executed and local is not None and local.must_not_repeat
-        is_retained = local is not None and local.identity in self.returning
-        had_lock = self.primary.has_lock(request)
-        backup = self.primary.backup_of(request)
-        self.primary.complete(self._clock(), request, is_uncertain, is_uncertain and is_retained)
-        if local is None or not represents_identity or request == self._yielding:
+        is_retained = local is not None and local.identity in self.deduplicator
+        had_lock = self.primary.has_lock(request_number)
+        backup = self.primary.backup_of(request_number)
+        self.primary.complete(self._clock(), request_number, is_uncertain, is_uncertain and is_retained)
+        if local is None or not represents_identity or request_number == self._yielding:
             return  # those who wait for one that yields are told when the outcome of the other is known
         outcome = Outcome.MAY_HAVE_EXECUTED if is_uncertain else Outcome.NEVER_EXECUTED
         if had_lock:  # others may have been refused on its behalf and ask later
@@ -234,13 +236,13 @@
         elif backup is not None:  # the response follows; its backup may have changed since it was taken over
             self.duplicates.wait_for(local.identity, {backup})
 
-    def _may_have_executed(self, request: int) -> bool:
-        entry = self._request_table.requests[request]
-        prior_attempts = entry.arrival.prior_attempts
+    def _may_have_executed(self, request_number: int) -> bool:
+        request = self._request_table.requests[request_number]
+        prior_attempts = request.arrival.prior_attempts
         if prior_attempts is not None and prior_attempts.uncertain:
             return True
-        started_here = self.primary.may_have_executed(request)
-        return entry.attempts > 0 if started_here is None else started_here
+        started_here = self.primary.may_have_executed(request_number)
+        return request.attempts > 0 if started_here is None else started_here
 
     def stop(self) -> None:
         """Stop before the process leaves: its backups own what is in flight once they learn that it has left."""
@@ -254,43 +256,43 @@
     def try_join(
         self,
         customer: str,
-        identity: str,
+        idempotency_key: str,
         class_name: str,
         deadline_at_ms: float,
-        job: DirectRequest,
-        done: Callable[[FinalResponse], None],
-        go_on: Callable[[], None],
+        request: DirectRequest,
+        on_response: Callable[[FinalResponse], None],
+        start_anew: Callable[[], None],
     ) -> bool:
         """Return whether a client's request is in progress here or at a primary that this instance backs up.
 
         If so it waits for the response; otherwise it is a new request.
         """
-        digest = self._identity(customer, identity)
-        if self.returning.try_join(digest, content_digest(job), done):
+        identity = self._identity(customer, idempotency_key)
+        if self.deduplicator.try_join(identity, content_digest(request), on_response):
             return True
-        primary = self.backup.find_primary(self._clock(), digest)
+        primary = self.backup.find_primary(self._clock(), identity)
         if primary is None or self._idempotency(class_name) is Idempotency.IDEMPOTENT:
             return False
-        self._yielded[digest] = deadline_at_ms
-        self.duplicates.wait_here(digest, job, deadline_at_ms, done, go_on, primary)
+        self._yielded[identity] = deadline_at_ms
+        self.duplicates.add_waiting_request(identity, request, deadline_at_ms, on_response, start_anew, primary)
         return True
 
     def wait_for_outcome(
         self,
         customer: str,
-        identity: str,
+        idempotency_key: str,
         deadline_at_ms: float,
-        job: DirectRequest,
-        done: Callable[[FinalResponse], None],
-        go_on: Callable[[], None],
+        request: DirectRequest,
+        on_response: Callable[[FinalResponse], None],
+        start_anew: Callable[[], None],
     ) -> None:
         """Let a request wait that yields to another of its identity."""
-        digest = self._identity(customer, identity)
-        self.duplicates.wait_here(digest, job, deadline_at_ms, done, go_on, None)
-        if digest in self.takeover.inherited_locks:  # that of the holder, which was taken over here meanwhile
-            self.duplicates.ask_for_lock_again(digest)
+        identity = self._identity(customer, idempotency_key)
+        self.duplicates.add_waiting_request(identity, request, deadline_at_ms, on_response, start_anew, None)
+        if identity in self.takeover.inherited_locks:  # that of the holder, which was taken over here meanwhile
+            self.duplicates.ask_for_lock_again(identity)
         else:
-            self.duplicates.follow(digest, self._informed)
+            self.duplicates.follow(identity, self._informed)
 
     def _other_locks(self, now_ms: float) -> Iterator[KnownLock]:
         yield from self.locks.known_locks(now_ms)
@@ -300,10 +302,10 @@
         """Return whether a request of this identity, or its response, is here."""
         if self.takeover.blocks(identity):
             return True
-        request = self.duplicates.request_number(identity)
-        if request is None:
-            return identity in self.returning
-        return not self.primary.yields_to(request, primary)
+        request_number = self.duplicates.request_number(identity)
+        if request_number is None:
+            return identity in self.deduplicator
+        return not self.primary.yields_to(request_number, primary)
 
     # ---- membership and messages -----------------------------------------------------------------
 
@@ -327,7 +329,7 @@
         )
         self.process()
 
-    def _is_gone(self, number: int) -> bool:
+    def _is_unavailable(self, number: int) -> bool:
         row = self._membership.rows.get(number)
         return row is not None and row.status in (MemberStatus.DEAD, MemberStatus.LEFT)
 
@@ -403,13 +405,13 @@
     def _retain_response(self, reply: OutcomeReply) -> None:
         """Retain the response of a request that is stored here: its primary may be lost, or taken for lost, later."""
         replica = self.backup.find_stored(reply.identity) if reply.outcome is Outcome.RESPONDED else None
-        answer = decode_response(reply.response) if replica is not None else None
-        if answer is None or answer.message is None:
+        response = decode_response(reply.response) if replica is not None else None
+        if response is None or response.message is None:
             return
         record = decode_record(replica.record, self._classes)
-        job = record.job() if record is not None else None
-        if job is not None:
-            self.returning.retain_response(reply.identity, content_digest(job), replica.deadline_ms, answer)
+        request = record.direct_request() if record is not None else None
+        if request is not None:
+            self.deduplicator.retain_response(reply.identity, content_digest(request), replica.deadline_ms, response)
 
     def _precedes(self, identity: bytes, other: int) -> bool:
         slot = slot_of(identity)
@@ -480,18 +482,18 @@
 
     def _carry_out(self, action: actions.Action) -> None:
         match action:
-            case actions.ReplicationUnavailable(request):
-                self._on_replication_unavailable(request)
-            case actions.StartAttempt(request, attempt):
-                self._request_table.release_attempt(request, attempt)
-            case actions.DeliverRejection(request):
-                self._request_table.release_rejection(request)
-            case actions.LoseOwnership(request, informed):
-                self._lose_ownership(request, informed)
-            case actions.YieldToDuplicate(request, informed):
-                self._yield_to_duplicate(request, informed)
-            case actions.LockUnavailable(request):
-                self._request_table.reject_unprotected(request)
+            case actions.ReplicationUnavailable(request_number):
+                self._on_replication_unavailable(request_number)
+            case actions.StartAttempt(request_number, attempt_number):
+                self._request_table.release_attempt(request_number, attempt_number)
+            case actions.DeliverRejection(request_number):
+                self._request_table.release_rejection(request_number)
+            case actions.LoseOwnership(request_number, informed):
+                self._lose_ownership(request_number, informed)
+            case actions.YieldToDuplicate(request_number, informed):
+                self._yield_to_duplicate(request_number, informed)
+            case actions.LockUnavailable(request_number):
+                self._request_table.reject_unprotected(request_number)
             case actions.NotifyLater(primary, identity):
                 self.duplicates.add_waiting_instance(identity, primary)
             case actions.ReleaseRequest(primary, incarnation, replica):
@@ -499,44 +501,46 @@
             case actions.TakeOver(primary, incarnation, replica):
                 self.takeover.take_over(primary, incarnation, replica)
 
-    def _on_replication_unavailable(self, request: int) -> None:
-        entry = self._request_table.requests.get(request)
-        if entry is not None and entry.arrival.class_name in self._protected_only:
-            self._request_table.reject_unprotected(request)
+    def _on_replication_unavailable(self, request_number: int) -> None:
+        request = self._request_table.requests.get(request_number)
+        if request is not None and request.arrival.class_name in self._protected_only:
+            self._request_table.reject_unprotected(request_number)
 
-    def _lose_ownership(self, request: int, informed: tuple[int, ...]) -> None:
-        if request in self._request_table.requests:
-            self._owned_elsewhere[request] = informed
-        self.duplicates.demote(request)
-        self._request_table.transfer_to_backup(request)
+    def _lose_ownership(self, request_number: int, informed: tuple[int, ...]) -> None:
+        if request_number in self._request_table.requests:
+            self._owned_elsewhere[request_number] = informed
+        self.duplicates.demote(request_number)
+        self._request_table.transfer_to_backup(request_number)
 
     def try_follow_owner(self, request: PendingRequest) -> bool:
         """Let the client of a request that another instance owns wait for the outcome there, as duplicates do.
 
         One that may have been executed here, and must not be again, fails: the owner does not execute it either.
         """
-        number = request.arrival.id
-        informed = self._owned_elsewhere.get(number)
-        local = self.duplicates.get(number)
+        request_number = request.arrival.id
+        informed = self._owned_elsewhere.get(request_number)
+        local = self.duplicates.get(request_number)
         if not informed or local is None or request.replica.kind != OWN_POOL:
             return False
-        if local.must_not_repeat and self._may_have_executed(number):
+        if local.must_not_repeat and self._may_have_executed(request_number):
             return False
         self.counts["followed_owner"] += 1
-        self._yield_to_duplicate(number, informed)
+        self._yield_to_duplicate(request_number, informed)
         # The owner may never have stored it: then its client starts anew, and nobody else continues its lock.
-        owner = LockOwner(self._settings.number, self._incarnation, number)
+        owner = LockOwner(self._settings.number, self._incarnation, request_number)
         self.takeover.inherit_lock(local.identity, InheritedLock(owner, request.arrival.deadline_at_ms))
         return True
 
-    def _yield_to_duplicate(self, request: int, informed: tuple[int, ...]) -> None:
-        entry = self._request_table.requests.get(request)
-        if entry is None or entry.ended:
+    def _yield_to_duplicate(self, request_number: int, informed: tuple[int, ...]) -> None:
+        request = self._request_table.requests.get(request_number)
+        if request is None or request.ended:
             return
-        self._yielded[self._identity(entry.arrival.customer, entry.replica.identity)] = entry.arrival.deadline_at_ms
-        self._yielding = request
+        self._yielded[self._identity(request.arrival.customer, request.replica.idempotency_key)] = (
+            request.arrival.deadline_at_ms
+        )
+        self._yielding = request_number
         self._informed = informed  # for `wait_for_outcome`, which the upstream calls
-        entry.handler.yield_to_duplicate(entry.arrival, entry.replica.identity)
+        request.handler.yield_to_duplicate(request.arrival, request.replica.idempotency_key)
         self._informed = ()
         self._yielding = None
 
@@ -553,14 +557,14 @@
         elif not self._is_in_flight_elsewhere(replica.identity):
             # Who has yielded to the holder of the lock is told by the holder: this one may have yielded as well.
             if not self.duplicates.is_followed(replica.identity):
-                self.returning.ended_elsewhere(replica.identity, may_have_run=False)
+                self.deduplicator.ended_elsewhere(replica.identity, may_have_executed=False)
             if not self.voter.uses_locks(owner.number, 1):
                 self.duplicates.notify(replica.identity, outcome)
 
     def _release_if_completed(self, identity: bytes) -> None:
         """Release the lock of a completed request whose primary has failed since, or tell that it may have executed."""
         completed = self.completed.get(self._clock(), identity)
-        if completed is None or not self._is_gone(completed.owner.number):
+        if completed is None or not self._is_unavailable(completed.owner.number):
             return
         if completed.is_uncertain:
             self.duplicates.remember(identity, Outcome.MAY_HAVE_EXECUTED)
@@ -574,18 +578,18 @@
         return {
             "kept_for_others": self.backup.request_count,
             "kept_by_others": len(self.primary),
-            "answers": len(self.returning),
+            "answers": len(self.deduplicator),
             "counts": dict(sum((part.counts for part in self._counting_parts), self.counts.copy())),
         }
 
     @property
     def _counting_parts(self) -> tuple[Any, ...]:
-        return self.primary, self.backup, self.locks, self.voter, self.returning
+        return self.primary, self.backup, self.locks, self.voter, self.deduplicator
 
 
-def _prior_attempts(entry: PendingRequest) -> dict[int, str]:
+def _prior_attempts(request: PendingRequest) -> dict[int, str]:
     """Return the attempts of a failed instance that may have been executed, all with the endpoint of the first."""
-    prior = entry.arrival.prior_attempts
+    prior = request.arrival.prior_attempts
     if prior is None:
         return {}
     return dict.fromkeys(range(prior.attempts - prior.uncertain, prior.attempts), prior.endpoint)
--- a/anisefront/daemon/request_records.py
+++ b/anisefront/daemon/request_records.py
@@ -26,8 +26,8 @@
     `data` depends on `carrier`, the kind of upstream that executes the request.
     """
 
-    carrier: str
-    identity: str
+    handler_kind: str
+    idempotency_key: str
     customer: str
     class_name: str
     plan_name: str
@@ -37,19 +37,19 @@
     data: dict[str, Any]
 
     @classmethod
-    def of(cls, entry: PendingRequest) -> RequestRecord:
+    def of(cls, request: PendingRequest) -> RequestRecord:
         """Return the record of a request that carries its work."""
-        arrival = entry.arrival
+        arrival = request.arrival
         return cls(
-            entry.replica.kind,
-            entry.replica.identity,
+            request.replica.kind,
+            request.replica.idempotency_key,
             arrival.customer,
             arrival.class_name,
             arrival.plan_name,
             arrival.units,
             arrival.first_gateway,
             arrival.spread,
-            entry.replica.data,
+            request.replica.data,
         )
 
     def encode(self) -> bytes:
@@ -57,7 +57,7 @@
         fields = [getattr(self, name) for name in self.__slots__]
         return json.dumps([RECORD_VERSION, *fields], separators=(",", ":")).encode()
 
-    def job(self) -> DirectRequest | None:
+    def direct_request(self) -> DirectRequest | None:
         """Return the call of a request that our own connection pool executes; None where the data are none."""
         data = self.data
         if not all(isinstance(data.get(name), str) for name in ("method", "target", "body")):
@@ -101,7 +101,7 @@
 
 
 def _is_well_formed(record: RequestRecord) -> bool:
-    texts = (record.carrier, record.identity, record.customer, record.class_name, record.plan_name)
+    texts = (record.handler_kind, record.idempotency_key, record.customer, record.class_name, record.plan_name)
     if not all(isinstance(text, str) for text in texts):
         return False
     if not _is_finite(record.units) or not isinstance(record.data, dict):
@@ -131,12 +131,12 @@
         return None
 
 
-def encode_response(answer: FinalResponse) -> bytes:
+def encode_response(response: FinalResponse) -> bytes:
     """Encode a response for another instance."""
-    message = answer.message
+    message = response.message
     served = None if message is None else [message.status, message.headers, base64.b64encode(message.body).decode()]
     return json.dumps(
-        [served, answer.endpoint, answer.attempts, answer.is_rejected, answer.retry_after_ms, answer.reason],
+        [served, response.endpoint, response.attempts, response.is_rejected, response.retry_after_ms, response.reason],
         separators=(",", ":"),
     ).encode()
 
@@ -169,9 +169,9 @@
     return None if body is None else http1.Message("", "", status, headers, body, True)
 
 
-def content_digest(job: DirectRequest) -> bytes:
+def content_digest(request: DirectRequest) -> bytes:
     """Return a digest of what a call asks for, by which different calls of one identity are distinguished."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
-    for part in (job.method.encode(), job.target.encode(), job.body):
+    for part in (request.method.encode(), request.target.encode(), request.body):
         digest.update(len(part).to_bytes(4, "big") + part)
     return digest.digest()
--- a/anisefront/daemon/request_table.py
+++ b/anisefront/daemon/request_table.py
@@ -44,7 +44,7 @@
         peer_port.send if peer_port is not None else _drop_message,
         max_open_requests=max_open,
         on_controller_error=on_fault,
-        on_action_error=lambda problem: log.error("action_raised", exc_info=problem),
+        on_action_error=lambda error: log.error("action_raised", exc_info=error),
     )
 
 
--- a/anisefront/daemon/request_takeover.py
+++ b/anisefront/daemon/request_takeover.py
@@ -38,7 +38,7 @@
         log: Any,
         primary: Primary,
         locks: LockRequester,
-        returning: Deduplicator,
+        deduplicator: Deduplicator,
         duplicates: DuplicateRequests,
         counts: Counter[str],
     ) -> None:
@@ -48,7 +48,7 @@
         self._primary = primary
         self._locks = locks
         self.inherited_locks = InheritedLocks(clock)
-        self._returning = returning
+        self._deduplicator = deduplicator
         self._duplicates = duplicates
         self._counts = counts
         self._classes: dict[str, RequestClass] = {}
@@ -59,11 +59,13 @@
         """Put other request classes in force."""
         self._classes = classes
 
-    def attach(self, request_table: RequestTable, own: DirectRequests, proxied: DelegatedRequests) -> None:
+    def attach(
+        self, request_table: RequestTable, direct_requests: DirectRequests, delegated_requests: DelegatedRequests
+    ) -> None:
         """Connect to the request table and the upstreams."""
         self._request_table = request_table
-        self._own = own
-        self._proxied = proxied
+        self._direct_requests = direct_requests
+        self._delegated_requests = delegated_requests
 
     def uncertain_outcome(self, replica: ReplicatedRequest) -> Outcome:
         """Return the outcome of a request that may have executed.
@@ -88,7 +90,7 @@
         if inherited.uncertain_attempts and not self._classes[class_name].is_repeatable_anywhere:
             self._inherited[identity] = inherited
             return True
-        self._proxied.inherited.release(inherited)
+        self._delegated_requests.inherited.release(inherited)
         return False
 
     def take_over(self, primary: int, incarnation: int, replica: ReplicatedRequest) -> None:
@@ -106,10 +108,10 @@
             self._counts["records_unreadable"] += 1
             self._release_unless_uncertain(replica, owner)
             return
-        local_request = self._duplicates.request_number(replica.identity)
-        if local_request is not None and not self._primary.is_lost(local_request):
+        local_request_number = self._duplicates.request_number(replica.identity)
+        if local_request_number is not None and not self._primary.is_lost(local_request_number):
             self._counts["taken_in_hand"] += 1
-            self._continue_local(local_request, replica, owner)
+            self._continue_local(local_request_number, replica, owner)
             return
         prior_attempts = _prior_attempts(replica)
         self._log.info(
@@ -119,7 +121,7 @@
             request=replica.request,
             attempts=prior_attempts.attempts,
         )
-        if record.carrier == OWN_POOL:
+        if record.handler_kind == OWN_POOL:
             self._continue_own(record, replica, owner, prior_attempts)
         else:
             self._inherit_lock(replica, owner)
@@ -145,46 +147,48 @@
         if replica.excludes_duplicates and not self._is_uncertain(replica):
             self._locks.release_predecessor(replica.identity, owner, replica.deadline_ms)
 
-    def _continue_local(self, local_request: int, replica: ReplicatedRequest, owner: LockOwner) -> None:
+    def _continue_local(self, local_request_number: int, replica: ReplicatedRequest, owner: LockOwner) -> None:
         """Let the local request of this identity continue in place of the failed primary's, or fail."""
-        if self._primary.has_lock(local_request):  # so no attempt of the other has left
+        if self._primary.has_lock(local_request_number):  # so no attempt of the other has left
             self._locks.release_predecessor(replica.identity, owner, replica.deadline_ms)
         elif self._is_uncertain(replica):
             self._duplicates.remember(replica.identity, Outcome.MAY_HAVE_EXECUTED)
-            self._request_table.transfer_to_backup(local_request)
-        elif not self._locks.continue_predecessor(self._clock(), local_request, owner):
+            self._request_table.transfer_to_backup(local_request_number)
+        elif not self._locks.continue_predecessor(self._clock(), local_request_number, owner):
             self._inherit_lock(replica, owner)  # it was refused its lock, and asks for it again at once
 
     def _continue_own(
         self, record: RequestRecord, replica: ReplicatedRequest, owner: LockOwner, prior_attempts: PriorAttempts
     ) -> None:
-        job = record.job()
-        if job is None:
+        request = record.direct_request()
+        if request is None:
             self._counts["records_unreadable"] += 1
             self._release_unless_uncertain(replica, owner)
             return
         identity = replica.identity
-        if identity != NO_IDENTITY and not self._returning.add(identity, content_digest(job), replica.deadline_ms):
+        if identity != NO_IDENTITY and not self._deduplicator.add(
+            identity, content_digest(request), replica.deadline_ms
+        ):
             self._continue_waiting(replica, owner)
             return
         self._inherit_lock(replica, owner)
-        self._own.resume(
-            job,
-            lambda answer: self._on_response(identity, answer),
+        self._direct_requests.resume(
+            request,
+            lambda response: self._on_response(identity, response),
             _terms(record, replica),
-            record.identity,
+            record.idempotency_key,
             prior_attempts,
         )
         if self.inherited_locks.take(identity) is not None:  # it was not accepted
             self._release_unless_uncertain(replica, owner)
-        local_request = self._duplicates.request_number(identity)
-        if local_request is not None:  # its new backup may have clients waiting for this identity
-            backup = self._primary.backup_of(local_request)
+        local_request_number = self._duplicates.request_number(identity)
+        if local_request_number is not None:  # its new backup may have clients waiting for this identity
+            backup = self._primary.backup_of(local_request_number)
             self._duplicates.wait_for(identity, set() if backup is None else {backup})
 
     def _continue_waiting(self, replica: ReplicatedRequest, owner: LockOwner) -> None:
         """Continue by the request of this identity that was taken over before: it is answered, or has yielded."""
-        if self._returning.response_of(replica.identity) is not None:
+        if self._deduplicator.response_of(replica.identity) is not None:
             self._release_unless_uncertain(replica, owner)
         elif self._is_uncertain(replica):
             self._duplicates.end(replica.identity, Outcome.MAY_HAVE_EXECUTED)
@@ -199,10 +203,10 @@
         if incarnation is None:
             self._counts["records_unreadable"] += 1
             return
-        inherited = self._proxied.inherit(
+        inherited = self._delegated_requests.inherit(
             incarnation,
             replica.request,
-            record.identity,
+            record.idempotency_key,
             _terms(record, replica),
             prior_attempts,
             dict(replica.attempts),
@@ -214,15 +218,15 @@
         self._inherited[replica.identity] = inherited
         self._duplicates.notify(replica.identity, self.uncertain_outcome(replica))
 
-    def _on_response(self, identity: bytes, answer: FinalResponse) -> None:
+    def _on_response(self, identity: bytes, response: FinalResponse) -> None:
         """Deliver the response to all that wait for this identity."""
         if identity == NO_IDENTITY:
             return
-        self._returning.record_response(identity, answer)
-        if answer.is_rejected:
+        self._deduplicator.record_response(identity, response)
+        if response.is_rejected:
             self._duplicates.notify(identity, Outcome.NEVER_EXECUTED)
         else:
-            self._duplicates.notify(identity, Outcome.RESPONDED, answer)
+            self._duplicates.notify(identity, Outcome.RESPONDED, response)
 
 
 def _prior_attempts(replica: ReplicatedRequest) -> PriorAttempts:
--- a/anisefront/daemon/settings_source.py
+++ b/anisefront/daemon/settings_source.py
@@ -11,17 +11,20 @@
     """One settings file for the duration of a process; parts that did not change between two reads are cached."""
 
     def __init__(
-        self, path: str, environment: Mapping[str, str], make: Callable[..., IncrementalLoader] = IncrementalLoader
+        self,
+        path: str,
+        environment: Mapping[str, str],
+        make_loader: Callable[..., IncrementalLoader] = IncrementalLoader,
     ) -> None:
         """Use the file at `path`; `make` creates the reader with its cache."""
-        self._make = lambda: make(path, environment)
-        self._reading = self._make()
+        self._make_loader = lambda: make_loader(path, environment)
+        self._loader = self._make_loader()
 
     def steps(self) -> Generator[None, None, LoadOutcome]:
         """Read all files in small steps and return the outcome, valid or not."""
         try:
-            return (yield from self._reading.steps())
+            return (yield from self._loader.steps())
         except Exception:
             # The interrupted read may have left its cache inconsistent, which would corrupt the next one.
-            self._reading = self._make()
+            self._loader = self._make_loader()
             raise
--- a/anisefront/daemon/settings_updates.py
+++ b/anisefront/daemon/settings_updates.py
@@ -142,11 +142,11 @@
             **_logged_differences(version.changes),
         )
 
-    def _on_raise(self, problem: Exception) -> None:
-        fault = f"unforeseen, please report it: {type(problem).__name__}: {problem}"
+    def _on_raise(self, error: Exception) -> None:
+        fault = f"unforeseen, please report it: {type(error).__name__}: {error}"
         self._record("raised", fault[:MAX_FAULT_CHARACTERS])
         # The variables of a traceback hold settings, secrets among them, so only its lines are logged.
-        trace = "".join(traceback.format_exception(problem))
+        trace = "".join(traceback.format_exception(error))
         self._log.error("reload_raised", fault=self._fault, trace=trace[-MAX_TRACE_CHARACTERS:])
 
     def _record(self, outcome: str, fault: str) -> None:
--- a/anisefront/daemon/state_report.py
+++ b/anisefront/daemon/state_report.py
@@ -105,12 +105,12 @@
         grpc_connections=len(instance.grpc.connections),
         jsonrpc_connections=len(instance.jsonrpc.connections),
         request_counts=dict(table.counts),
-        delegated_counts=dict(instance.proxied.counts),
+        delegated_counts=dict(instance.delegated_requests.counts),
         grpc_counts=dict(instance.grpc.counts),
         jsonrpc_counts=dict(instance.jsonrpc.counts),
         datagram_counts=dict(instance.peer_port.counts) if instance.peer_port else {},
-        membership=instance.members.state() if instance.members is not None else {},
-        replication=instance.keepers.state() if instance.keepers is not None else {},
+        membership=instance.membership_service.state() if instance.membership_service is not None else {},
+        replication=instance.replication_service.state() if instance.replication_service is not None else {},
     )
 
 
--- a/anisefront/frontends/authorization.py
+++ b/anisefront/frontends/authorization.py
@@ -174,7 +174,7 @@
     headers = {
         "x-envoy-original-dst-host": response.endpoint,
         "x-envoy-upstream-rq-timeout-ms": str(max(1, int(response.timeout_ms))),
-        ATTEMPT_HEADER: response.attempt,
+        ATTEMPT_HEADER: response.attempt_name,
     }
     if rewritten_path:
         headers[":path"] = rewritten_path
--- a/anisefront/gateway/__init__.py
+++ b/anisefront/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The lifecycle of requests between frontends, attempt handlers and the controller, and the routing of requests."""
+"""Request lifecycle between frontends, attempt handlers and the controller, and routing of requests."""
--- a/anisefront/gateway/action_executor.py
+++ b/anisefront/gateway/action_executor.py
@@ -52,14 +52,14 @@
         elif isinstance(action, Subscribe):
             self._subscribe()
         elif isinstance(action, ProbeEndpoint):
-            self._table.counts["probes_dropped"] += 1  # settings never allow them here
+            self._table.counts["probes_dropped"] += 1  # probing is never enabled here
 
     def limit_failure(self, action: Action) -> None:
-        """Limit the effect of an action that raised to its request."""
+        """Confine the failure of an action to its request."""
         request = self._table.requests.get(getattr(action, "id", None))
         if request is None:
             return
-        if isinstance(action, StartAttempt) and action.attempt in request.in_flight:  # it may have left
+        if isinstance(action, StartAttempt) and action.attempt in request.in_flight:  # it may have been sent
             self._table.attempt_ended(action.id, action.attempt, AttemptResult.ERROR)
         else:
             self._table.remove_if_complete(request)
@@ -67,21 +67,21 @@
     def _start_attempt(self, now_ms: float, action: StartAttempt) -> None:
         self._table.counts["attempts"] += 1
         request = self._table.requests.get(action.id)
-        if request is None:  # its client disconnected in the batch in which the controller decided
+        if request is None:  # its client disconnected in the same batch
             self._table.attempt_discarded(action)
             return
-        number = action.attempt
-        request.attempts = number + 1
+        attempt_number = action.attempt
+        request.attempts = attempt_number + 1
         attempt = AttemptInFlight(action.endpoint, now_ms, now_ms + action.start_within_ms)
-        request.in_flight[number] = attempt
+        request.in_flight[attempt_number] = attempt
         guard = self._table.guard
         if request.ended or request.transferred:
-            # Nothing leaves for a request that has its final response or is another gateway instance's.
-            self._table.attempt_ended(action.id, number, AttemptResult.DISCARDED, 0.0)
-        elif guard is not None and not guard.may_release_attempt(action.id, number, action.endpoint):
+            # No attempt starts for a request that has its final response or is owned by another gateway instance.
+            self._table.attempt_ended(action.id, attempt_number, AttemptResult.DISCARDED, 0.0)
+        elif guard is not None and not guard.may_release_attempt(action.id, attempt_number, action.endpoint):
             attempt.withheld_until_ms = now_ms + action.timeout_ms
         else:
-            request.handler.start_attempt(action.id, number, action.endpoint, action.timeout_ms)
+            request.handler.start_attempt(action.id, attempt_number, action.endpoint, action.timeout_ms)
 
     def _cancel_attempt(self, action: CancelAttempt) -> None:
         request = self._table.requests.get(action.id)
--- a/anisefront/gateway/batch_processor.py
+++ b/anisefront/gateway/batch_processor.py
@@ -1,4 +1,4 @@
-"""Passes batches of events to the controller and its actions to those who carry them out, and contains errors."""
+"""Passes batches of events to the controller, executes its actions and handles errors of both."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class BatchProcessor:
-    """Handles one batch of events at a time. Those who handle errors may raise them again."""
+    """Processes one batch of events at a time. The error callbacks may raise the error again."""
 
     def __init__(
         self,
@@ -23,8 +23,8 @@
         Args:
             decide: The controller: takes the time in milliseconds and events, returns actions.
             carry_out: Carries out one action.
-            on_decide_error: Called where the controller raised. It must not be called again.
-            on_action_error: Called where an action could not be carried out. Those behind it are still carried out.
+            on_decide_error: Called if the controller raises. The controller must not be called again after that.
+            on_action_error: Called if an action can't be carried out. The remaining actions are still carried out.
         """
         self.observer: Callable[[float, object], None] | None = None  # called with each event and each action
         self._decide = decide
--- a/anisefront/gateway/errors.py
+++ b/anisefront/gateway/errors.py
@@ -8,11 +8,11 @@
 
 
 class AmbiguousPathError(GatewayError):
-    """A request target that two readers could interpret differently. The message says why."""
+    """A request target that two parsers could interpret differently. The message states the reason."""
 
 
 class UnroutableRequestError(GatewayError):
-    """A request that no route or key covers: it must be denied.
+    """A request that matches no route or has no valid key, and must be denied.
 
     Attributes:
         status: The HTTP status of the denial.
--- a/anisefront/gateway/event_batches.py
+++ b/anisefront/gateway/event_batches.py
@@ -1,8 +1,9 @@
 """Batches of events for the controller, in event loop iterations of bounded time.
 
-Events wait in three queues: requests with all that must keep its order among them, ends of attempts, and peer
-messages. An iteration takes slices of each in turn until its time is up, and continues after the event loop has read
-its sockets. Endpoint lists precede all other events, since endpoints that they name as draining drain already.
+Events wait in three queues: requests and all that must stay in order with them, ends of attempts, and peer messages.
+An iteration takes slices of each queue in turn until its time is used up; the rest follows after the event loop has
+read its sockets. Endpoint lists precede all other events, since endpoints that are listed as draining have
+already begun to drain.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 from anisefront.gateway.timers import CoarseTimers
 from anisefront.policy.events import AttemptEnded, EndpointList, Event, PeerMessage
 
-SLICE_EVENTS = 16  # events of each queue that the controller is handed at once
-MAX_ITERATION_MS = 4.0  # an iteration starts no further slice after this time; a slice takes less than a millisecond
-MAX_PEER_MESSAGES = 10_000  # peer messages that wait for an iteration; further ones are dropped
+SLICE_EVENTS = 16  # events of each queue in one batch for the controller
+MAX_ITERATION_MS = 4.0  # time after which an iteration starts no further slice; a slice takes less than 1 ms
+MAX_PEER_MESSAGES = 10_000  # queued peer messages; further ones are dropped
 STALL_RETRY_S = 0.001  # delay of an iteration that a stall defers
 
 
 class EventQueues:
     """Events that no iteration has taken yet.
 
-    A proxy's access logs free slots that its authorization checks wait for, and a batch of logs must not delay these.
-    Hence ends of attempts and requests have queues of their own.
+    Access logs of a proxy end attempts and free capacity for its authorization checks, and a batch of logs must not
+    delay the checks. Hence ends of attempts and requests have separate queues.
     """
 
     def __init__(self, counts: Counter[str]) -> None:
@@ -39,14 +40,14 @@
         self._peer_messages: deque[Event] = deque()
 
     def __len__(self) -> int:
-        """Number of events that wait."""
+        """Return the number of queued events."""
         return len(self._requests) + len(self._attempt_ends) + len(self._peer_messages) + len(self._endpoint_lists)
 
     def add(self, event: Event) -> bool:
         """Append an event to its queue.
 
         Returns:
-            Whether there was capacity. A dropped peer message is as one lost in the network: peers repeat requests.
+            Whether there was capacity. A dropped peer message counts as lost in the network: peers retry.
         """
         if isinstance(event, EndpointList):
             self._endpoint_lists.append(event)
@@ -63,12 +64,12 @@
         return True
 
     def add_before_later_attempt_ends(self, event: Event) -> None:
-        """Append an event that the controller must receive before any end of an attempt that is reported later."""
+        """Append an event that the controller must receive before any end of an attempt that is added later."""
         self._attempt_ends.append(event)
         self.received += 1
 
     def take_slice(self) -> list[Event]:
-        """Remove the next events, as many of each queue; ends of attempts first, since they free capacity."""
+        """Remove and return the next events of each queue; ends of attempts first, since they free capacity."""
         events = self._endpoint_lists
         self._endpoint_lists = []
         for queue in (self._attempt_ends, self._requests, self._peer_messages):
@@ -96,7 +97,7 @@
             counts: Where stalls and dropped messages are counted.
         """
         self.before_iteration: list[Callable[[], None]] = []
-        self.after_iteration: list[Callable[[], None]] = []  # frontends write all responses of an iteration at once
+        self.after_iteration: list[Callable[[], None]] = []  # frontends flush the responses of an iteration
         self.stopped = False
         self.lateness_ms = 0.0  # of the last iteration's earliest timer
         self.duration_ms = LagHistogram()  # of iterations
@@ -112,7 +113,7 @@
 
     @property
     def waiting(self) -> int:
-        """Events that no iteration has taken yet."""
+        """Return the number of events that no iteration has taken yet."""
         return len(self._queues)
 
     def post(self, event: Event) -> None:
@@ -136,12 +137,12 @@
             self._timers.callLater(0, self.run_iteration)
 
     def run_scheduled(self) -> None:
-        """Run the scheduled iteration, if any, at once: a frontend that opens next finds its events processed."""
+        """Run the scheduled iteration at once, if any, so that queued events are processed before a frontend opens."""
         if self._scheduled:
             self.run_iteration()
 
     def run_iteration(self) -> None:
-        """Process the events that wait, in batches, until none waits or the time of an iteration is up."""
+        """Process queued events in batches, until the queues are empty or the time of an iteration is used up."""
         if self.stopped:
             return
         now_ms = self._now_ms()
@@ -162,7 +163,7 @@
         self.duration_ms.record(now_ms - started_ms)
         for call in self.after_iteration:
             call()
-        if self.waiting:  # more than one iteration may take, or attempts that ended at once
+        if self.waiting:  # more than fits into one iteration, or ends of attempts that the batch itself caused
             self.schedule_iteration()
         self._controller_timers.arm(now_ms)
 
@@ -175,7 +176,7 @@
     def _process_batches(self, now_ms: float, fired: list[Event]) -> float:
         """Process batches, the first with the timers that fired, and return the time at the end.
 
-        An unbounded iteration would delay sockets and timers, and with them responses that must be sent in time.
+        An unbounded iteration would delay sockets and timers, and responses would miss their deadlines.
         """
         started_ms = now_ms
         while True:
--- a/anisefront/gateway/event_loop_lag.py
+++ b/anisefront/gateway/event_loop_lag.py
@@ -1,8 +1,8 @@
 """Lateness of an event loop and its cause: the process's own work, other load on the machine, or a blocking wait.
 
-The kernel's accounting of a thread distinguishes the three causes. The thread ran: the process's own work took too
-long. It was ready to run and another thread had the core: the machine is overloaded. It slept: a blocking call, or a
-stopped process. No I/O: the accounting is handed in.
+The kernel's scheduling statistics of a thread distinguish the three causes. The thread ran: the process's own work
+took too long. It was runnable while another thread had the core: the machine is overloaded. It slept: a blocking call,
+or a stopped process. Performs no I/O: the caller reads the statistics.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerSample:
-    """How long a thread had run, and had waited for a core, at a moment. All in milliseconds."""
+    """Total time that a thread had run and had waited for a core, at one moment. All in milliseconds."""
 
     at_ms: float
     ran_ms: float
@@ -22,7 +22,7 @@
 
 
 def parse_schedstat(text: str, at_ms: float) -> SchedulerSample | None:
-    """Parse the kernel's line on a thread.
+    """Parse the kernel's scheduling statistics of a thread.
 
     Args:
         text: `/proc/PID/schedstat`: time run and time waited in nanoseconds, number of time slices.
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ThreadTime:
-    """How a thread spent the time between two samples. The three add up to it."""
+    """How a thread spent the time between two samples; the three fields add up to that time."""
 
     ran_ms: float
     waited_ms: float
@@ -55,10 +55,10 @@
 
 
 class LagHistogram:
-    """A histogram of lateness, with the causes of lateness above a threshold. Its size is fixed."""
+    """A fixed-size histogram of lateness, with the causes of lateness above a threshold."""
 
     def __init__(self, notable_ms: float = 20.0) -> None:
-        """Start empty; lateness from `notable_ms` on is attributed to a cause."""
+        """Create an empty histogram; lateness of `notable_ms` or more is attributed to a cause."""
         self.notable_ms = notable_ms
         self.counts = [0] * (len(BOUNDS_MS) + 1)
         self.worst_ms = 0.0
@@ -69,10 +69,10 @@
 
         Args:
             late_ms: The lateness.
-            thread_time: How the event loop's thread spent the time; None if it isn't known.
+            thread_time: How the event loop's thread spent the time; None if unknown.
 
         Returns:
-            The main cause; "" where the lateness isn't notable or its cause isn't known.
+            The main cause; "" if the lateness is below the threshold or its cause is unknown.
         """
         late_ms = max(0.0, late_ms)
         row = 0
@@ -82,7 +82,7 @@
         self.worst_ms = max(self.worst_ms, late_ms)
         if late_ms < self.notable_ms or thread_time is None:
             return ""
-        # Until its time the thread slept on purpose. Only sleep beyond that is a blocking wait.
+        # Until the timer was due the thread slept on purpose. Only sleep beyond that is a blocking wait.
         elapsed_ms = thread_time.slept_ms + thread_time.ran_ms + thread_time.waited_ms
         intended_sleep_ms = max(0.0, elapsed_ms - late_ms)
         by_cause = {
--- a/anisefront/gateway/interfaces.py
+++ b/anisefront/gateway/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces between the request table and what is handed to it: timers, attempt handlers and a replication guard."""
+"""Interfaces that the request table depends on: timers, attempt handlers and a replication guard."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 
 class AttemptHandler(Protocol):
-    """Carries the attempts of a request to endpoints and its final response to the client."""
+    """Sends the attempts of a request to endpoints and its final response to the client."""
 
-    def start_attempt(self, request: int, attempt: int, endpoint: str, timeout_ms: float) -> None:
-        """Start an attempt. Its end must be reported to `RequestTable.attempt_ended` in every case."""
+    def start_attempt(self, request_number: int, attempt_number: int, endpoint: str, timeout_ms: float) -> None:
+        """Start an attempt. Its end must always be reported to `RequestTable.attempt_ended`."""
 
-    def cancel_attempt(self, request: int, attempt: int) -> None:
+    def cancel_attempt(self, request_number: int, attempt_number: int) -> None:
         """Stop waiting for an attempt. Its end must still be reported."""
 
-    def reject(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
+    def reject(self, request_number: int, retry_after_ms: float, reason: RejectionReason) -> None:
         """Send the final response: it is safe for the client to retry the request."""
 
-    def fail(self, request: int) -> None:
+    def fail(self, request_number: int) -> None:
         """Send the final response: the request may have been executed."""
 
-    def yield_to_duplicate(self, arrival: Arrival, identity: str) -> None:
-        """Give way to a request of the same identity that is in progress at another gateway instance.
+    def yield_to_duplicate(self, arrival: Arrival, idempotency_key: str) -> None:
+        """Yield to a request with the same idempotency key that is in progress at another gateway instance.
 
         No attempt of this request is in flight. The handler ends it by `RequestTable.client_disconnected` and remains
         responsible for the client.
@@ -47,18 +47,18 @@
         """Begin to replicate an accepted request.
 
         Returns:
-            Whether the request may proceed. False: its class requires a backup and none is available.
+            Whether the request may proceed. False if its class requires a backup and none is available.
         """
 
-    def may_release_attempt(self, request: int, attempt: int, endpoint: str) -> bool:
+    def may_release_attempt(self, request_number: int, attempt_number: int, endpoint: str) -> bool:
         """Replicate the start of an attempt.
 
         Returns:
-            Whether the attempt may leave now. Otherwise `RequestTable.release_attempt` or
+            Whether the attempt may be sent now. Otherwise `RequestTable.release_attempt` or
             `RequestTable.transfer_to_backup` is called later.
         """
 
-    def may_release_rejection(self, request: int) -> bool:
+    def may_release_rejection(self, request_number: int) -> bool:
         """Replicate the rejection of a request.
 
         Returns:
@@ -66,7 +66,7 @@
             `RequestTable.transfer_to_backup` is called later.
         """
 
-    def attempt_never_executed(self, request: int, attempt: int) -> None:
+    def attempt_never_executed(self, request_number: int, attempt_number: int) -> None:
         """Record that an attempt is proved never to have been executed."""
 
     def try_follow_owner(self, request: PendingRequest) -> bool:
@@ -76,5 +76,5 @@
             Whether it waits. Otherwise its request ends here.
         """
 
-    def request_completed(self, request: int) -> None:
+    def request_completed(self, request_number: int) -> None:
         """Record that a request has its final response or its client has disconnected."""
--- a/anisefront/gateway/key_table.py
+++ b/anisefront/gateway/key_table.py
@@ -1,6 +1,6 @@
-"""Immutable tables of customers' keys. The next one shares with the one before what did not change.
+"""Immutable tables of customers' keys with structural sharing: an edited table shares all unchanged shards.
 
-Keys are distributed over a fixed number of dictionaries by hash, of which a change copies those that it touches.
+Keys are distributed by hash over a fixed number of dictionaries (shards); an edit copies only the shards it changes.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 from anisefront.gateway.routes import Key
 
-SHARDS = 256  # of 22,000 keys each has 86
+SHARDS = 256  # 86 keys in each at 22,000 keys
 
 
 class KeyTable(Mapping[str, Key]):
@@ -18,7 +18,7 @@
     __slots__ = ("_count", "_shards")
 
     def __init__(self, shards: tuple[dict[str, Key], ...] = ({},) * SHARDS, count: int = 0) -> None:
-        """Create a table of `count` keys; those of one hash are in one shard."""
+        """Create a table of `count` keys; a key's shard is the hash of its text modulo `SHARDS`."""
         self._shards = shards
         self._count = count
 
@@ -40,14 +40,14 @@
         return self._shards[hash(text) % SHARDS].get(text, default)
 
     def differing(self, other: KeyTable) -> Iterator[str]:
-        """Iterate over the texts whose keys differ between two tables; shards that both share cost nothing."""
+        """Iterate over the texts whose keys differ between two tables; shared shards are skipped."""
         for first, second in zip(self._shards, other._shards, strict=True):
             if first is not second:
                 yield from (text for text in {**first, **second} if first.get(text) != second.get(text))
 
 
 class KeyTableEdit:
-    """The next table of keys, in progress."""
+    """Builder of an edited table of keys."""
 
     def __init__(self, before: KeyTable) -> None:
         """Start from a table, which remains unchanged."""
@@ -75,6 +75,6 @@
             self._count += 1
 
     def table(self) -> KeyTable:
-        """Return the table. Later changes are in no table that was returned before."""
+        """Return the table. Later changes do not affect tables that were returned before."""
         self._copied.clear()
         return KeyTable(tuple(self._shards), self._count)
--- a/anisefront/gateway/paths.py
+++ b/anisefront/gateway/paths.py
@@ -1,8 +1,8 @@
 """Normalization of request targets by RFC 3986. Routes match the normal form, and endpoints receive it.
 
-A path that matches one route here and is interpreted as another by the endpoint would bypass a class, a quota or a
-denial. Paths with a normal form are normalized (sections 5.2.4 and 6.2.2; doubled slashes are merged as proxies do);
-those that two readers could still interpret differently are errors. Pure functions.
+A path that matches one route here and is interpreted differently by the endpoint would bypass a class, a quota or a
+denial. Paths are normalized (sections 5.2.4 and 6.2.2; doubled slashes are merged, as proxies do); a path that two
+parsers could still interpret differently is an error. Pure functions.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from anisefront.gateway.errors import AmbiguousPathError
 
-_PLAIN = re.compile(r"(?:/[A-Za-z0-9_~!$&'()*+,=:@-][A-Za-z0-9_~!$&'()*+,=:@.-]*)*/?\Z")  # equals its normal form
+_PLAIN = re.compile(r"(?:/[A-Za-z0-9_~!$&'()*+,=:@-][A-Za-z0-9_~!$&'()*+,=:@.-]*)*/?\Z")  # already in normal form
 _ENCODED = re.compile(r"%([0-9A-Fa-f]{2})")
 _STRAY_PERCENT = re.compile(r"%(?![0-9A-Fa-f]{2})")
 _DOUBLE_ENCODED = re.compile(r"%25(?:2[eEfF]|5[cC]|25|[01][0-9A-Fa-f]|7[fF])")  # decoded twice: . / \ % or a control
@@ -24,7 +24,7 @@
     """Normalize the path of a request target; its query remains as it is.
 
     Raises:
-        AmbiguousPathError: Two readers could interpret the target differently.
+        AmbiguousPathError: Two parsers could interpret the target differently.
     """
     path, mark, query = target.partition("?")
     if query and _INVALID_QUERY.search(query):
@@ -60,7 +60,7 @@
         raise AmbiguousPathError("an encoded control")
     if b"/" in octets or b"\\" in octets:
         raise AmbiguousPathError("an encoded slash or backslash")
-    # Some servers decode invalid UTF-8 leniently: the overlong C0 AE was a dot to more than one of them.
+    # Some servers decode invalid UTF-8 leniently: several have taken the overlong sequence C0 AE for a dot.
     for run in re.findall(r"(?:%[0-9A-Fa-f]{2})+", path):
         try:
             bytes.fromhex(run.replace("%", "")).decode()
--- a/anisefront/gateway/patterns.py
+++ b/anisefront/gateway/patterns.py
@@ -1,4 +1,4 @@
-"""The sets of requests that routes' patterns cover: shapes, precedence, overlap and examples. Pure functions.
+"""Route patterns: which requests they cover, their precedence, overlaps and example requests. Pure functions.
 
     host    exact "a.example"  >  "*.example", longer first  >  "*"
     path    segment by segment: literal  >  :parameter  >  a final prefix*, longer first
@@ -6,7 +6,7 @@
     when    more header conditions first
     then    the earlier line
 
-Compared in this order, exactly one of the routes that match a request comes first.
+By this order, exactly one of the routes that match a request takes precedence.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 
 
 def shape(path: str) -> tuple[tuple[int, int, str], ...]:
-    """Return a path pattern without the names of its parameters, in the form by which it is ranked."""
+    """Return a path pattern without the names of its parameters, as a sort key of its precedence."""
     out = []
     for segment in segments(path):
         if segment.startswith(":"):
@@ -70,7 +70,7 @@
 
 
 def host_rank(host: str) -> tuple[int, int]:
-    """Return how specific a host pattern is; less comes first."""
+    """Return the precedence of a host pattern; lower values come first."""
     if host == "*":
         return 2, 0
     if host.startswith("*."):
@@ -79,12 +79,12 @@
 
 
 def rank(pattern: Pattern, method: str, order: int) -> tuple:
-    """Return the precedence of a pattern for one of its methods; less comes first."""
+    """Return the precedence of a pattern for one of its methods; lower values come first."""
     return (host_rank(pattern.host), shape(pattern.path), method == "*", -len(pattern.when), order)
 
 
 def host_matches(pattern: str, host: str) -> bool:
-    """Whether a pattern covers a host, which is in lower case and without port."""
+    """Return whether a pattern covers a host, which is in lower case and without port."""
     return (
         pattern in ("*", host)
         or pattern.startswith("*.")
@@ -94,7 +94,7 @@
 
 
 def path_matches(pattern: str, path: str) -> bool:
-    """Whether a pattern covers a path without query. A plain algorithm, against which the table is tested."""
+    """Return whether a pattern covers a path without query. The reference against which the table is tested."""
     wanted, given = segments(pattern), segments(path)
     for number, segment in enumerate(wanted):
         if segment.endswith("*") and number == len(wanted) - 1 and not segment.startswith(":"):
@@ -110,12 +110,12 @@
 
 
 def when_matches(when: tuple[tuple[str, str], ...], headers: dict[str, str]) -> bool:
-    """Whether all header conditions hold."""
+    """Return whether all header conditions hold."""
     return all(name in headers and value in ("*", headers[name]) for name, value in when)
 
 
 def matches(pattern: Pattern, request: Request) -> bool:
-    """Whether a pattern covers a request. A plain algorithm, against which the table is tested."""
+    """Return whether a pattern covers a request. The reference against which the table is tested."""
     return (
         ("*" in pattern.methods or request.method in pattern.methods)
         and host_matches(pattern.host, request.host)
@@ -225,9 +225,9 @@
 
 
 def covers(first: Pattern, second: Pattern) -> bool:
-    """Whether the first pattern covers every request of the second, if both have the same host and shape.
+    """Return whether the first pattern covers every request of the second, and both have the same host and shape.
 
-    If they have not, the more specific of the two comes first anyway.
+    Otherwise the more specific of the two takes precedence anyway.
     """
     return (
         first.host == second.host
--- a/anisefront/gateway/pending_request.py
+++ b/anisefront/gateway/pending_request.py
@@ -17,10 +17,10 @@
     """An attempt that has not ended.
 
     Attributes:
-        endpoint: Where it goes.
-        started_ms: When it was decided or, if it was withheld, released.
-        start_before_ms: Its effect may begin until then.
-        withheld_until_ms: Set while the replication guard withholds it: the end of the time it would have.
+        endpoint: The endpoint that it is sent to.
+        started_ms: When the controller started it or, if it was withheld, when it was released.
+        start_before_ms: Latest time at which it may be sent.
+        withheld_until_ms: Set while the replication guard withholds it: when its timeout ends.
     """
 
     endpoint: str
@@ -35,27 +35,27 @@
 
     Attributes:
         kind: The kind of attempt handler.
-        identity: The name by which the client or proxy knows the request, unique within its customer; "" for none.
+        idempotency_key: The client's or proxy's key of the request, unique within its customer; "" for none.
         data: What the attempt handler needs, as plain JSON values.
     """
 
     kind: str
-    identity: str
+    idempotency_key: str
     data: dict[str, object]
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request. It is held until it has ended and none of its attempts is in flight.
+    """A request. It stays in the table until it has ended and none of its attempts is in flight.
 
     Attributes:
         arrival: The request as the controller knows it.
-        handler: Carries its attempts and its final response.
+        handler: Sends its attempts and its final response.
         accepted_ms: When it was accepted.
-        attempts: Number of attempts that were decided, those of earlier gateway instances included.
+        attempts: Number of attempts started by the controller, including those of earlier gateway instances.
         in_flight: Its attempts that have not ended, by number.
         ended: Whether it has its final response or its client has disconnected.
-        transferred: Whether another gateway instance has taken it over: no further attempt leaves this one.
+        transferred: Whether another gateway instance has taken it over: this one sends no further attempt.
         withheld_rejection: Its rejection, while the replication guard withholds it.
         replica: What another gateway instance needs to continue it; None where it is not replicated.
     """
--- a/anisefront/gateway/process_stall.py
+++ b/anisefront/gateway/process_stall.py
@@ -1,13 +1,13 @@
-"""Detection of a stall of the whole process, after which timers are deferred until the sockets have been read.
+"""Detection of stalls of the whole process, after which timers are deferred until the sockets have been read.
 
-After a stall (a stopped or starved process) the event loop runs its timers first. A controller whose timers fire
-before it receives the responses that wait in the sockets would fail requests that were served, and would count
+After a stall (a process that was stopped or got no processor time) the event loop runs its timers first. If they fired
+before the controller receives the responses in the socket buffers, it would fail requests that were served and count
 failures against their endpoints.
 """
 
 from __future__ import annotations
 
-MIN_STALL_MS = 250.0  # lateness of a timer above which the whole process must have stalled
+MIN_STALL_MS = 250.0  # lateness of a timer above which the whole process is taken to have stalled
 MAX_IDLE_DEFERRALS = 3  # deferrals without a new event after which the sockets are taken as read
 MAX_DEFERRALS = 20
 
@@ -17,7 +17,7 @@
 
     def __init__(self) -> None:
         """Start without a stall."""
-        self.deferrals = 0  # of the present stall
+        self.deferrals = 0  # during the current stall
         self._idle_deferrals = 0
         self._received_events = 0
 
--- a/anisefront/gateway/request_table.py
+++ b/anisefront/gateway/request_table.py
@@ -1,8 +1,7 @@
 """The requests and attempts of one gateway instance, between frontends, attempt handlers and the controller.
 
 Everything that happens becomes an event for the controller; every action of the controller is carried out. The table
-opens no socket, reads no clock of its own and decides nothing: clock, timers and the connection to peers are handed
-in.
+makes no decisions and performs no I/O: clock, timers and the connection to peers are passed in.
 """
 
 from __future__ import annotations
@@ -32,9 +31,9 @@
 )
 from anisefront.policy.settings import Settings
 
-UNPROTECTED_RETRY_AFTER_MS = 1000.0  # advice where no other gateway instance can know of a request
-MAX_REMOVED_ENDPOINTS_MULTIPLIER = 4  # of the listed endpoints: known ones beyond which the removed ones are evicted
-MIN_KNOWN_ENDPOINTS = 256  # below which removed endpoints are never evicted
+UNPROTECTED_RETRY_AFTER_MS = 1000.0  # retry advice if a request can't be replicated
+MAX_REMOVED_ENDPOINTS_MULTIPLIER = 4  # of the listed endpoints; if more are known, removed ones are evicted
+MIN_KNOWN_ENDPOINTS = 256  # known endpoints up to which none is evicted, however few are listed
 
 
 class RequestTable:
@@ -59,9 +58,9 @@
             timers: The event loop's timers.
             send_to_peer: Sends bytes to another gateway instance, given its number.
             subscribe: Asks for endpoint lists.
-            max_open_requests: Requests above which further ones are not accepted.
+            max_open_requests: Limit on open requests; further ones are not accepted.
             on_controller_error: Called after the controller raised and all requests failed; if None, it is raised.
-            on_action_error: Called where an action could not be carried out; if None, it is raised.
+            on_action_error: Called if an action can't be carried out; if None, it is raised.
         """
         self.controller = controller
         self.now_ms = now_ms
@@ -77,7 +76,7 @@
         self._timers = timers
         self._on_controller_error = on_controller_error
         self._on_action_error = on_action_error
-        self._last_number = 0
+        self._last_request_number = 0
 
     # ---- events --------------------------------------------------------------------------------
 
@@ -92,14 +91,14 @@
         """Accept a request, which is then owed one final response by `deadline_at_ms`.
 
         Returns:
-            Its number. None where the table is at capacity or stopped, or where a backup is required and none is
-            available: then it is not counted, and the caller rejects it at once.
+            Its number. None if the table is at capacity or stopped, or if a backup is required and none is available:
+            then it does not count as accepted, and the caller must reject it at once.
         """
         if self.open_requests >= self.max_open_requests or self.batches.stopped:
             self.counts["turned_away"] += 1
             return None
-        self._last_number += 1
-        arrival = _arrival(self._last_number, terms, allows_hedging, prior_attempts)
+        self._last_request_number += 1
+        arrival = _arrival(self._last_request_number, terms, allows_hedging, prior_attempts)
         attempts = prior_attempts.attempts if prior_attempts else 0
         request = PendingRequest(arrival, handler, self.now_ms(), attempts, replica=replica)
         if self.guard is not None and not self.guard.try_protect(request):
@@ -113,20 +112,20 @@
 
     def attempt_ended(
         self,
-        number: int,
-        attempt: int,
+        request_number: int,
+        attempt_number: int,
         result: AttemptResult,
         duration_ms: float | None = None,
         load: tuple[float, ...] = (),
         actual_units: float = 0.0,
     ) -> bool:
-        """Record the end of an attempt. An attempt that is not known, or has ended before, changes nothing.
+        """Record the end of an attempt. An attempt that is unknown or has ended before is ignored.
 
         Returns:
-            Whether this served the request: the response is the client's.
+            Whether this served the request, so that the response is sent to the client.
         """
-        request = self.requests.get(number)
-        ended = request.in_flight.pop(attempt, None) if request else None
+        request = self.requests.get(request_number)
+        ended = request.in_flight.pop(attempt_number, None) if request else None
         if request is None or ended is None:
             self.counts["outcomes_unknown"] += 1
             return False
@@ -136,11 +135,21 @@
             self.counts["served"] += 1
         self.counts[f"attempts_{result.value}"] += 1
         if self.guard is not None and result.never_executed:
-            self.guard.attempt_never_executed(number, attempt)
+            self.guard.attempt_never_executed(request_number, attempt_number)
         if duration_ms is None:
             duration_ms = self.now_ms() - ended.started_ms
         self.batches.post(
-            AttemptEnded(number, attempt, ended.endpoint, duration_ms, result, request.ended, actual_units, 0, load)
+            AttemptEnded(
+                request_number,
+                attempt_number,
+                ended.endpoint,
+                duration_ms,
+                result,
+                request.ended,
+                actual_units,
+                0,
+                load,
+            )
         )
         if request.transferred and not request.in_flight and not request.ended:
             self._end_transferred(request)
@@ -153,13 +162,13 @@
         self.counts[f"attempts_{result.value}"] += 1
         self.batches.post(AttemptEnded(action.id, action.attempt, action.endpoint, 0.0, result, final=True))
 
-    def client_disconnected(self, number: int) -> None:
-        """End a request whose client, or proxy on its behalf, has disconnected or has a response from elsewhere."""
-        request = self.requests.get(number)
+    def client_disconnected(self, request_number: int) -> None:
+        """End a request whose client or proxy has disconnected, or has a response from elsewhere."""
+        request = self.requests.get(request_number)
         if request is not None and not request.ended:
             self._end(request)
             self.counts["left"] += 1
-            self.batches.post(ClientDisconnected(number))
+            self.batches.post(ClientDisconnected(request_number))
             self.remove_if_complete(request)
 
     def receive_peer_message(self, sender: int, data: bytes) -> None:
@@ -167,7 +176,7 @@
         self.batches.post(PeerMessage(sender, data))
 
     def set_unreachable_peers(self, gateways: frozenset[int]) -> None:
-        """Replace the set of all gateway instances that are known to have failed or left."""
+        """Replace the set of gateway instances that are known to have failed or left."""
         self.batches.post(PeersUnreachable(gateways))
 
     def update_endpoints(self, endpoint_list: EndpointList) -> None:
@@ -180,23 +189,23 @@
         self.batches.post(endpoint_list)
 
     def change_settings(self, settings: Settings) -> None:
-        """Apply other settings to the requests that arrive from now on."""
+        """Apply changed settings to the requests that arrive from now on."""
         self.batches.post(settings)
 
     def fail_open_requests(self) -> None:
-        """Fail every request that is still owed its final response, at the end of the process."""
+        """Fail every request without a final response, at the end of the process."""
         for request in list(self.requests.values()):
             if not request.ended:
                 self.fail(request)
 
-    def may_start_attempt(self, number: int, attempt: int) -> bool:
-        """Whether an attempt that was decided earlier may still leave; asked at the last moment before it does.
+    def may_start_attempt(self, request_number: int, attempt_number: int) -> bool:
+        """Return whether an attempt that was started earlier may still be sent; checked immediately before it is.
 
         Meanwhile its endpoint may have begun to drain, its client may have disconnected, another gateway instance may
-        have taken the request over, or the time in which the endpoints recognize a retry may have passed.
+        have taken the request over, or the endpoints' deduplication window may have passed.
         """
-        request = self.requests.get(number)
-        pending = request.in_flight.get(attempt) if request is not None else None
+        request = self.requests.get(request_number)
+        pending = request.in_flight.get(attempt_number) if request is not None else None
         return (
             pending is not None
             and not request.ended
@@ -207,57 +216,61 @@
 
     # ---- results of replication ----------------------------------------------------------------
 
-    def release_attempt(self, number: int, attempt: int) -> None:
-        """Start a withheld attempt, now that another gateway instance knows of it."""
-        request = self.requests.get(number)
-        pending = request.in_flight.get(attempt) if request is not None else None
+    def release_attempt(self, request_number: int, attempt_number: int) -> None:
+        """Start a withheld attempt after it was replicated."""
+        request = self.requests.get(request_number)
+        pending = request.in_flight.get(attempt_number) if request is not None else None
         if pending is None or pending.withheld_until_ms is None:
             return
         timeout_ms = pending.withheld_until_ms - self.now_ms()
         pending.withheld_until_ms = None
         pending.started_ms = self.now_ms()
-        if timeout_ms <= 0 or not self.may_start_attempt(number, attempt):  # the controller decides again
-            self.attempt_ended(number, attempt, AttemptResult.DISCARDED, 0.0)
+        if timeout_ms <= 0 or not self.may_start_attempt(
+            request_number, attempt_number
+        ):  # the controller decides again
+            self.attempt_ended(request_number, attempt_number, AttemptResult.DISCARDED, 0.0)
         else:
-            action = StartAttempt(number, pending.endpoint, timeout_ms, attempt=attempt)
-            self._contain(action, request.handler.start_attempt, number, attempt, pending.endpoint, timeout_ms)
-
-    def release_rejection(self, number: int) -> None:
-        """Send a withheld rejection, now that another gateway instance knows of it."""
-        request = self.requests.get(number)
+            action = StartAttempt(request_number, pending.endpoint, timeout_ms, attempt=attempt_number)
+            self._contain(
+                action, request.handler.start_attempt, request_number, attempt_number, pending.endpoint, timeout_ms
+            )
+
+    def release_rejection(self, request_number: int) -> None:
+        """Send a withheld rejection after it was replicated."""
+        request = self.requests.get(request_number)
         if request is not None and request.withheld_rejection is not None and not request.ended:
             self._contain(request.withheld_rejection, self.reject, request, request.withheld_rejection)
             self.remove_if_complete(request)
 
-    def reject_unprotected(self, number: int) -> None:
-        """Reject a request that lacks the backup or the lock that it requires, unless an attempt of it has left."""
-        request = self.requests.get(number)
+    def reject_unprotected(self, request_number: int) -> None:
+        """Reject a request that lacks its required backup or lock, unless an attempt of it has been sent."""
+        request = self.requests.get(request_number)
         if request is None or request.ended or len(request.withheld_attempts) < len(request.in_flight):
             return
         self.counts["unprotected_refused"] += 1
-        self.batches.post_before_later_attempt_ends(ClientDisconnected(number))
+        self.batches.post_before_later_attempt_ends(ClientDisconnected(request_number))
         prior_attempts = request.arrival.prior_attempts
         if prior_attempts is not None and prior_attempts.uncertain:  # a failed instance may have had it executed
             self.fail(request)
             self.remove_if_complete(request)
             return
-        rejection = Reject(number, UNPROTECTED_RETRY_AFTER_MS, RejectionReason.CAPACITY)
+        rejection = Reject(request_number, UNPROTECTED_RETRY_AFTER_MS, RejectionReason.CAPACITY)
         self._contain(rejection, self.reject, request, rejection)
         self.remove_if_complete(request)
 
-    def transfer_to_backup(self, number: int) -> None:
+    def transfer_to_backup(self, request_number: int) -> None:
         """Yield a request to the gateway instance that has taken it over.
 
-        Attempts in flight may still bring its response. No further attempt leaves. Without a response from here its
-        client waits for the other instance's, or fails.
+        Attempts in flight may still serve it; no further attempt is sent. If none does, its client waits for the
+        response of the other instance, or the request fails.
         """
-        request = self.requests.get(number)
+        request = self.requests.get(request_number)
         if request is None or request.ended or request.transferred:
             return
         request.transferred = True
         self.counts["lost"] += 1
         # If the controller received the ends below first, it would start a further attempt.
-        self.batches.post_before_later_attempt_ends(ClientDisconnected(number))
+        self.batches.post_before_later_attempt_ends(ClientDisconnected(request_number))
         self._discard_withheld_attempts(request)
         if request.ended:
             return
@@ -273,12 +286,12 @@
             self.fail(request)
 
     def fail_at_deadline(self, request: PendingRequest, now_ms: float) -> None:
-        """Ensure the final response of a request that the controller no longer watches."""
+        """Ensure a final response to a request that the controller no longer tracks."""
         delay_ms = max(0.0, request.arrival.deadline_at_ms - now_ms)
         self._timers.callLater(delay_ms / 1000, self._deadline_passed, request.arrival.id)
 
-    def _deadline_passed(self, number: int) -> None:
-        request = self.requests.get(number)
+    def _deadline_passed(self, request_number: int) -> None:
+        request = self.requests.get(request_number)
         if request is not None and not request.ended:
             self.fail(request)
             self.remove_if_complete(request)
@@ -298,8 +311,8 @@
     def _controller_failed(self, error: Exception) -> None:
         """Fail all requests after the controller raised within a batch.
 
-        Its state is undefined then: it must not be called again, and its requests would never get a response. The
-        process is to end afterwards.
+        Its state is undefined then, so it must not be called again, and open requests would never get a response. The
+        process should end afterwards.
         """
         if self._on_controller_error is None:
             raise error
@@ -308,7 +321,7 @@
         self._on_controller_error(error)
 
     def _contain(self, action: Action, carry_out: Callable[..., None], *arguments: Any) -> None:
-        """Carry out an action that was withheld; an error has the same effect as if it had not been withheld."""
+        """Carry out a withheld action, with the same error handling as for other actions."""
         try:
             carry_out(*arguments)
         except Exception as error:
@@ -324,14 +337,14 @@
     # ---- ends of requests ----------------------------------------------------------------------
 
     def reject(self, request: PendingRequest, action: Reject) -> None:
-        """Send the final response of a request: it is safe for the client to retry it."""
+        """Reject a request as its final response: it is safe for the client to retry it."""
         self._end(request)
         self.counts["refused"] += 1
         self.counts[f"refused_{action.reason.value}"] += 1
         request.handler.reject(action.id, action.retry_after_ms, action.reason)
 
     def fail(self, request: PendingRequest) -> None:
-        """Send the final response of a request: it may have been executed."""
+        """Fail a request as its final response: it may have been executed."""
         self._end(request)
         self.counts["failed"] += 1
         request.handler.fail(request.arrival.id)
@@ -344,9 +357,9 @@
         self._discard_withheld_attempts(request)
 
     def _discard_withheld_attempts(self, request: PendingRequest) -> None:
-        """End the attempts that the replication guard withholds: they never left."""
-        for attempt in request.withheld_attempts:
-            self.attempt_ended(request.arrival.id, attempt, AttemptResult.DISCARDED, 0.0)
+        """End the attempts that the replication guard withholds: they were never sent."""
+        for attempt_number in request.withheld_attempts:
+            self.attempt_ended(request.arrival.id, attempt_number, AttemptResult.DISCARDED, 0.0)
 
     def remove_if_complete(self, request: PendingRequest) -> None:
         """Remove a request that has ended and has no attempt in flight."""
@@ -354,9 +367,11 @@
             self.requests.pop(request.arrival.id, None)
 
 
-def _arrival(number: int, terms: RequestTerms, allows_hedging: bool, prior_attempts: PriorAttempts | None) -> Arrival:
+def _arrival(
+    request_number: int, terms: RequestTerms, allows_hedging: bool, prior_attempts: PriorAttempts | None
+) -> Arrival:
     return Arrival(
-        number,
+        request_number,
         terms.customer,
         terms.class_name,
         terms.plan_name,
--- a/anisefront/gateway/request_terms.py
+++ b/anisefront/gateway/request_terms.py
@@ -1,4 +1,4 @@
-"""What a frontend knows of a request when it accepts it."""
+"""Terms of a request: what a frontend determines when it accepts one."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     """The terms under which a request is accepted.
 
     Attributes:
-        customer: Whose quota it debits.
+        customer: The customer whose quota it debits.
         class_name: Its request class.
         plan_name: Its customer's plan.
         deadline_at_ms: The latest time of its final response.
--- a/anisefront/gateway/route_groups.py
+++ b/anisefront/gateway/route_groups.py
@@ -1,4 +1,4 @@
-"""Which groups of routes to remove and to add for a table to have another list of groups."""
+"""Difference between two lists of route groups, as groups to remove from and to add to a route table."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 def changed_groups(
     before: Sequence[RouteGroup], after: Sequence[RouteGroup]
 ) -> tuple[list[RouteGroup], list[RouteGroup]]:
-    """Return the groups to remove and those to add, so that the others remain in their order among themselves.
+    """Return the groups to remove and those to add, so that the remaining groups keep their relative order.
 
-    A group that moved is in both lists; as many groups as possible remain. Groups are compared by identity.
+    A group that moved is in both lists; as many groups as possible remain. Groups are compared by object identity.
     """
     known = {id(group): number for number, group in enumerate(before)}
     common = [known[id(group)] for group in after if id(group) in known]
@@ -26,8 +26,8 @@
 
 
 def _longest_increasing(numbers: list[int]) -> set[int]:
-    """The longest increasing subsequence of distinct numbers."""
-    ends: list[int] = []  # the least number that a subsequence of each length ends with
+    """Return the longest increasing subsequence of distinct numbers."""
+    ends: list[int] = []  # the smallest last number of a subsequence, by its length
     previous: dict[int, int | None] = {}
     for number in numbers:
         at = bisect(ends, number)
--- a/anisefront/gateway/route_table.py
+++ b/anisefront/gateway/route_table.py
@@ -1,8 +1,8 @@
-"""Immutable tables of routes, by host and path. The next one is made in steps and shares what did not change.
+"""Immutable tables of routes, by host and path. An edited table is built in steps and shares what did not change.
 
-The cost of a look-up grows with the request's path, not with the number of routes; the cost of a change, with what it
-changes. The order of precedence is defined in gateway/patterns.py. Persistent maps of the package `immutables` would
-share more, but a look-up here is one of a plain dictionary, and the standard library suffices.
+The cost of a lookup grows with the length of the request's path, not with the number of routes; that of an edit grows
+with the number of changed routes. The order of precedence is defined in gateway/patterns.py. Persistent maps of the
+package `immutables` would share more, but a lookup in plain dictionaries needs only the standard library.
 """
 
 from __future__ import annotations
@@ -44,13 +44,13 @@
     def edited(
         self, removed: Iterable[RouteGroup], added: Iterable[RouteGroup], ranks: Mapping[int, int]
     ) -> Generator[None, None, RouteTable]:
-        """Make the table without some groups and with others, in steps.
+        """Build the table with some groups removed and others added, in steps.
 
         Args:
             removed: Groups to remove.
             added: Groups to add.
-            ranks: The order of all groups that are then in the table, by their ids. The groups that remain must remain
-                in their order among themselves.
+            ranks: The order of all groups of the new table, by their object ids. The groups that remain must keep
+                their relative order.
         """
         owner = object()
         table = RouteTable(self._exact.copy(), self._suffixes.copy(), self._any)
@@ -111,12 +111,12 @@
 
 
 def build_route_table(routes: RouteGroup) -> RouteTable:
-    """Make a table of routes at once."""
+    """Build a table of routes in one go."""
     return run_to_end(RouteTable().edited((), (routes,), {id(routes): 0}))
 
 
 def _removals(groups: Iterable[RouteGroup]) -> Iterator[tuple[Route, Edit | None]]:
-    """The routes of groups, and the edit that removes each; None if an edit before has removed it."""
+    """Yield the routes of groups with the edit that removes each; None if an earlier edit has removed it."""
     for group in groups:
         edit = removal(group)
         seen: set[tuple[str, str]] = set()
@@ -127,7 +127,7 @@
 
 
 def _insertions(groups: Iterable[RouteGroup], ranks: Mapping[int, int]) -> Iterator[tuple[Route, Edit | None]]:
-    """The routes of groups, and the edit that inserts each."""
+    """Yield the routes of groups with the edit that inserts each."""
     for group in groups:
         for at, route in enumerate(group):
             yield route, insertion(PlacedRoute(route, group, at), ranks)
--- a/anisefront/gateway/route_trie.py
+++ b/anisefront/gateway/route_trie.py
@@ -9,7 +9,7 @@
 
 
 class PlacedRoute:
-    """A route and its place: its group, and its number in it."""
+    """A route with its group and its index in the group."""
 
     __slots__ = ("at", "group", "route", "when")
 
@@ -21,15 +21,15 @@
         self.when = route.pattern.when
 
 
-RoutesByMethod = tuple[tuple[str, tuple[PlacedRoute, ...]], ...]  # of each method in order of precedence
-Edit = Callable[[RoutesByMethod, tuple[str, ...]], RoutesByMethod]  # of the routes of some methods
+RoutesByMethod = tuple[tuple[str, tuple[PlacedRoute, ...]], ...]  # by method, in order of precedence
+Edit = Callable[[RoutesByMethod, tuple[str, ...]], RoutesByMethod]  # replaces the routes of some methods
 
 
 class RouteNode:
     """A node of the trie.
 
     Attributes:
-        owner: The edit that created the node. Only this edit may change it.
+        owner: Identifies the edit that created the node. Only this edit may modify it.
         literals: Children by literal segment.
         parameter: The child for any segment.
         tails: Routes for the rest of a path, by its prefix, longest first.
@@ -53,7 +53,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether neither the node nor a child has a route."""
+        """Return whether neither the node nor a child has a route."""
         return not (self.routes or self.tails or self.literals or self.parameter)
 
     def child(self, segment: str) -> RouteNode | None:
@@ -80,8 +80,8 @@
 ) -> PlacedRoute | None:
     """Find the first route, depth first in order of precedence.
 
-    Clients control the path: the search is bounded by the depth of the routes, and backtracks only where a literal and
-    a parameter are siblings.
+    Clients control the path, so the search must be bounded: by the depth of the routes, and it backtracks only where a
+    literal and a parameter are siblings.
     """
     if at == len(segments):
         return _first_match(node.routes, method, headers) if node.routes else None
@@ -158,10 +158,10 @@
 
 
 def insertion(placed: PlacedRoute, ranks: Mapping[int, int]) -> Edit:
-    """Return the edit that inserts a route; `ranks` orders the groups by their ids."""
+    """Return the edit that inserts a route; `ranks` holds the order of the groups by their object ids."""
 
     def precedence(each: PlacedRoute) -> tuple[int, int, int]:
-        """More conditions first, then the order of the groups, then the order in the group."""
+        """Return the sort key: more conditions first, then the order of the groups, then the order in the group."""
         return -len(each.when), ranks[id(each.group)], each.at
 
     def edit(routes: RoutesByMethod, methods: tuple[str, ...]) -> RoutesByMethod:
--- a/anisefront/gateway/routes.py
+++ b/anisefront/gateway/routes.py
@@ -13,7 +13,7 @@
     """Requests of one kind, and their class and cost.
 
     Attributes:
-        pattern: Which requests it covers.
+        pattern: The requests that it covers.
         class_name: Their request class.
         pool: The endpoints that serve them.
         units: Their cost in units of quota.
@@ -28,16 +28,16 @@
 
     @property
     def outcome(self) -> tuple[str, str, float, str]:
-        """What distinguishes the requests of this route from those of another."""
+        """Return all that the route determines for its requests."""
         return self.class_name, self.pool, self.units, self.units_header
 
 
-RouteGroup = Sequence[Route]  # routes that stand together and change together; compared by identity
+RouteGroup = Sequence[Route]  # adjacent routes that are replaced together; compared by object identity
 
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """The customer and the plan that a customer's key stands for."""
+    """The customer and the plan of a customer's key."""
 
     customer: str
     plan: str
--- a/anisefront/gateway/routing.py
+++ b/anisefront/gateway/routing.py
@@ -1,4 +1,4 @@
-"""Routing: the customer, plan, class and cost of a request, by its method, host, path and headers. Decides nothing."""
+"""Routing: determines customer, plan, class and cost of a request by its method, host, path and headers."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """A request with what the controller needs to know of it.
+    """A request with what the controller needs to know about it.
 
     Attributes:
-        customer: Whose quota it debits.
+        customer: The customer whose quota it debits.
         plan: The customer's plan.
         class_name: Its request class.
         units: Its cost in units of quota.
-        deadline_ms: The time that the client allows, from now on.
+        deadline_ms: The time that the client allows, relative to now.
         is_retry: Whether the client says that it is a retry.
-        target: Path and query in normal form: what the route matched, and what an endpoint may receive.
+        target: Path and query in normal form, as matched by the route and sent to the endpoint.
     """
 
     customer: str
@@ -68,14 +68,14 @@
 
     Attributes:
         routes: All routes.
-        deadlines_ms: The longest time that a request may take, by class.
+        deadlines_ms: The maximum time that a request may take, by class.
         customer_header: The header with the customer's key.
         keys: The listed keys.
-        default_plan: The plan of keys that are not listed, each of which is a customer of its own; "" to deny them.
+        default_plan: The plan of unlisted keys, each of which is a separate customer; "" to deny them.
         max_units: The maximum cost of a request.
         repeat_header: The header by which a client marks a retry; "" for none.
         deadline_header: The header with the time that the client allows.
-        table: The table of the routes, if there is one already.
+        table: The table of the routes; built from `routes` if None.
     """
 
     routes: tuple[Route, ...]
@@ -89,7 +89,7 @@
     table: RouteTable | None = None
 
     def __post_init__(self) -> None:
-        """Make the table, if there is none."""
+        """Build the table if none was given."""
         if self.table is None:
             self.table = build_route_table(self.routes)
 
@@ -119,7 +119,7 @@
         )
 
     def _customer(self, headers: Mapping[str, str]) -> tuple[str, str]:
-        """The customer and the plan."""
+        """Return the customer and the plan."""
         text = headers.get(self.customer_header, "")
         if not text or len(text) > MAX_KEY_LENGTH:
             raise UnroutableRequestError(401, "no-key")
@@ -147,11 +147,11 @@
 
 
 def first_gateway(customer: str, tag_key: bytes, gateways: int) -> int:
-    """Return the first of the gateway instances that a customer comes through; all instances agree on it.
+    """Return the first of the gateway instances that serve a customer; all instances compute the same.
 
-    The controller selects the quota owner within the set by the remainder of the customer's tag. If the same remainder
-    were used here, all owners in a cluster of even size would have even numbers, and half of the instances would own
-    all quotas. Hence the tag's upper bits.
+    The controller selects the quota owner within the set by the lower bits of the customer's tag. If they were used
+    here too, all owners in a cluster of even size would have even numbers, and half of the instances would own all
+    quotas. Hence the tag's upper bits.
     """
     return (customer_tag(customer, tag_key) >> 40) % gateways
 
--- a/anisefront/gateway/steps.py
+++ b/anisefront/gateway/steps.py
@@ -1,4 +1,4 @@
-"""Work in steps, so that a long change yields to requests meanwhile."""
+"""Generators that do long work in steps, so that requests are handled in between."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def run_to_end(steps: Generator[None, None, Value]) -> Value:
-    """Run all steps at once, as at the start of a process, and return their result."""
+    """Run all steps without interruption, as at the start of a process, and return the result."""
     while True:
         try:
             next(steps)
--- a/anisefront/gateway/timers.py
+++ b/anisefront/gateway/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the controller, rounded up to a grain so that those close together expire in one batch."""
+"""Timers of the controller, rounded up to a coarse granularity so that adjacent ones expire in one batch."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CoarseTimers:
-    """Named timers over one call of the event loop. A name may be set for several times."""
+    """Named timers on top of one event loop timer. A name may be set for several points in time."""
 
     def __init__(self, timers: Timers, on_expiry: Callable[[], None]) -> None:
         """Create timers that call `on_expiry` once the earliest of them expires."""
@@ -20,7 +20,7 @@
         self._on_expiry = on_expiry
         self._heap: list[tuple[float, str]] = []
         self._known: set[tuple[float, str]] = set()
-        self._armed_ms = float("inf")  # expiry that the event loop was last asked to call for
+        self._armed_ms = float("inf")  # expiry of the event loop timer that was set last
 
     def set(self, now_ms: float, delay_ms: float, name: str) -> None:
         """Set a timer; the same name at the same rounded time is set once."""
@@ -40,11 +40,11 @@
         return [TimerFired(name) for name in sorted(names)]
 
     def lateness_ms(self, now_ms: float) -> float:
-        """How long ago the earliest timer expired; 0 if none has."""
+        """Return how long ago the earliest timer expired; 0 if none has."""
         return now_ms - min(self._next_expiry_ms(), now_ms)
 
     def arm(self, now_ms: float) -> None:
-        """Ask the event loop for a call at the earliest expiry, unless it was asked for one as early before."""
+        """Set the event loop timer to the earliest expiry, unless it is set to that time or earlier."""
         earliest_ms = self._next_expiry_ms()
         if earliest_ms < self._armed_ms:
             self._armed_ms = earliest_ms
@@ -54,6 +54,6 @@
         return self._heap[0][0] if self._heap else float("inf")
 
     def _expire(self, expiry_ms: float) -> None:
-        if expiry_ms == self._armed_ms:  # otherwise an earlier call was armed meanwhile
+        if expiry_ms == self._armed_ms:  # otherwise an earlier timer was set meanwhile
             self._armed_ms = float("inf")
             self._on_expiry()
--- a/anisefront/gateway/versions.py
+++ b/anisefront/gateway/versions.py
@@ -1,7 +1,7 @@
-"""Versions of the settings: immutable, made in steps and put in force by one assignment.
+"""Versions of the settings: immutable, built in steps and activated by one assignment.
 
-Hence no request is handled by a mix of two versions. A version shares with the one before what did not change. Pure:
-nothing is read here; settings are handed in.
+Hence no request is handled by a mix of two versions. A version shares with the previous one what did not change.
+Performs no I/O: loaded settings are passed in.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NameChanges:
-    """The settings of one kind that were added, changed and removed.
+    """Names of the settings of one kind that were added, changed and removed.
 
-    Of routes `METHODS host/path conditions`. Of keys the customers, one for each key, since a key's text is a secret.
+    A route is named `METHODS host/path conditions`, a key by its customer, since its text is a secret.
     """
 
     added: tuple[str, ...] = ()
@@ -32,7 +32,7 @@
     removed: tuple[str, ...] = ()
 
     def __bool__(self) -> bool:
-        """Whether there is any change."""
+        """Return whether there is any change."""
         return bool(self.added or self.changed or self.removed)
 
 
@@ -48,11 +48,11 @@
 
 
 class LoadedSettings(Protocol):
-    """What a version is made of: settings that were loaded without an error.
+    """Settings that were loaded without an error, from which a version is built.
 
     Attributes:
         config: A `Config`.
-        digest: Of the files.
+        digest: Digest of the files.
         parts: The routes of `config` in groups; a group that did not change is the same object as before.
     """
 
@@ -74,9 +74,9 @@
 
 
 def build_next_version(before: Version | None, loaded: LoadedSettings) -> Generator[None, None, Version]:
-    """Make the version after `before`, or the first if it is None, in steps.
+    """Build the version after `before`, or the first one if it is None, in steps.
 
-    Settings that were loaded between the two don't matter: the versions are compared by their groups of routes.
+    Settings that were loaded in between without being applied don't matter: the groups of routes are compared.
     """
     removed, added = changed_groups(() if before is None else before.parts, loaded.parts)
     ranks = {id(group): number for number, group in enumerate(loaded.parts)}
--- a/anisefront/resp_gateway/resp_requests.py
+++ b/anisefront/resp_gateway/resp_requests.py
@@ -41,7 +41,7 @@
     """Codec of one connection to a worker, for the pool."""
 
     fault = RespProtocolError
-    early = False  # a worker starts a command when its last byte has arrived
+    allows_early_response = False  # a worker starts a command when its last byte has arrived
 
     def __init__(self) -> None:
         """Start without received bytes."""
--- a/anisefront/upstream/__init__.py
+++ b/anisefront/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Attempts: sent by the proxy that asked, or over connections of this gateway instance."""
+"""Attempt handlers: attempts are sent by the proxy that asked, or over this gateway instance's own connections."""
--- a/anisefront/upstream/attempt_results.py
+++ b/anisefront/upstream/attempt_results.py
@@ -1,6 +1,6 @@
-"""What the end of an attempt proves: HTTP statuses and a proxy's response flags as the controller's `AttemptResult`.
+"""Mapping of HTTP statuses and a proxy's response flags to the controller's `AttemptResult`.
 
-The table is docs/operators/outcomes.md; a test keeps both equal. Nothing here decides on requests.
+docs/operators/outcomes.md documents the same table; a test compares the two.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
     """How an attempt ended.
 
     Attributes:
-        result: What its end proves.
-        is_final: Whether the client has its response or has disconnected, whatever the controller decides now.
+        result: What its end proves about its execution.
+        is_final: Whether the client has its response or has disconnected, so that no retry is possible.
     """
 
     result: AttemptResult
     is_final: bool = False
 
 
-# Response flags of envoy.data.accesslog.v3.ResponseFlags; the first match counts. Where more than one is set, those
-# that prove most about the client come first, then those that prove least about the endpoint.
+# Response flags of envoy.data.accesslog.v3.ResponseFlags; the first match counts. Flags that show that the client has
+# disconnected come first, then those that say least about the execution at the endpoint.
 RESPONSE_FLAGS: tuple[tuple[str, AttemptEnd], ...] = (
-    ("unauthorized_details", AttemptEnd(AttemptResult.DISCARDED, True)),  # the proxy denied by itself: nothing was sent
+    ("unauthorized_details", AttemptEnd(AttemptResult.DISCARDED, True)),  # denied by the proxy: nothing was sent
     ("downstream_connection_termination", AttemptEnd(AttemptResult.CANCELLED, True)),
     ("downstream_remote_reset", AttemptEnd(AttemptResult.CANCELLED, True)),
     ("downstream_protocol_error", AttemptEnd(AttemptResult.CANCELLED, True)),
@@ -40,7 +40,7 @@
     ("upstream_protocol_error", AttemptEnd(AttemptResult.RESET)),
     ("local_reset", AttemptEnd(AttemptResult.RESET)),
     ("upstream_connection_failure", AttemptEnd(AttemptResult.CONNECT_FAILED)),
-    ("upstream_overflow", AttemptEnd(AttemptResult.DISCARDED)),  # the proxy's own breaker: nothing was sent
+    ("upstream_overflow", AttemptEnd(AttemptResult.DISCARDED)),  # the proxy's circuit breaker: nothing was sent
     ("no_healthy_upstream", AttemptEnd(AttemptResult.DISCARDED)),
     ("no_route_found", AttemptEnd(AttemptResult.DISCARDED, True)),
     ("no_cluster_found", AttemptEnd(AttemptResult.DISCARDED, True)),
@@ -54,8 +54,8 @@
 def result_of_response(status: int, headers: Mapping[str, str]) -> AttemptResult:
     """Return what a complete response of an endpoint proves.
 
-    Only the published header of an overloaded upstream proves that the request was not executed: a 503 without it may
-    come from behind the work.
+    Only the `x-envoy-overloaded` header proves that the request was not executed: a 503 without it may have been sent
+    after the endpoint had executed it.
     """
     if status in (429, 503) and headers.get("x-envoy-overloaded", "").lower() == "true":
         return AttemptResult.OVERLOADED
--- a/anisefront/upstream/connection_pool.py
+++ b/anisefront/upstream/connection_pool.py
@@ -1,9 +1,9 @@
 """A pool of connections to endpoints, on Twisted. A connection carries one exchange at a time.
 
-    connecting --connected--> writing --all with the system--> waiting --response--> quiet --> idle --> writing
+    connecting --connected--> writing --all handed to the OS--> waiting --response--> quiet --> idle --> writing
 
-A cancel and a timeout close the connection. A fault before the operating system had the last byte of the request
-proves that the request was not executed. The protocol is handed in: a `ResponseReader` for each connection.
+A cancellation or a timeout closes the connection. A failure before the operating system has the last byte of the
+request proves that the request was not executed. The protocol is pluggable: each connection has a `ResponseReader`.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
     """Limits of a pool.
 
     Attributes:
-        connect_timeout_s: Time to make a connection.
-        idle_timeout_s: Time after which an idle connection is closed; well under what endpoints wait.
-        max_idle_per_endpoint: Idle connections above which further ones are closed.
-        max_body_bytes: Size of a response's body above which it is an error.
-        max_connections: Connections in all, those being made included; 0 for no limit.
+        connect_timeout_s: Time to establish a connection.
+        idle_timeout_s: Time after which an idle connection is closed; well below the endpoints' own idle timeout.
+        max_idle_per_endpoint: Idle connections to one endpoint; further ones are closed.
+        max_body_bytes: Size of a response's body; a longer one is an error.
+        max_connections: Total connections, including those being established; 0 for no limit.
         quiet_period_s: Time after a response in which a connection must stay silent before it is used again.
-        stall_timeout_s: Time without a further byte after which a response that has begun is given up; 0 for none.
+        stall_timeout_s: Time without a further byte after which an incomplete response is abandoned; 0 for none.
     """
 
     connect_timeout_s: float = 1.0
@@ -65,7 +65,7 @@
         """Create a pool without connections.
 
         Args:
-            reactor: Twisted's.
+            reactor: Twisted's event loop.
             limits: Limits; the defaults if None.
             make_reader: Makes the reader of a connection; None for HTTP/1.1.
             address_of: Returns the host and port of an endpoint, None if it has none. Called for each use.
@@ -91,12 +91,12 @@
         """Send a request to an endpoint.
 
         Args:
-            endpoint: Where to.
+            endpoint: The endpoint that is to receive it.
             data: The encoded request.
-            timeout_s: When it is given up.
-            on_end: Called with its end.
+            timeout_s: Time after which the exchange is aborted.
+            on_end: Called with the result or the response.
             head_only: Whether its response has no body.
-            may_start: Asked at the last moment before the first byte is written.
+            may_start: Checked immediately before the first byte is written.
 
         Returns:
             The exchange, by which it can be cancelled.
@@ -106,7 +106,7 @@
         return exchange
 
     def connect(self, endpoint: str, address: tuple[str, int], exchange: Exchange) -> Callable[[], object]:
-        """Make a connection for an exchange. Of a host name all addresses are tried, of both IP versions.
+        """Make a connection for an exchange. For a host name, all its IPv4 and IPv6 addresses are tried.
 
         Returns:
             A function that stops connecting.
@@ -144,7 +144,7 @@
         return found
 
     def add_idle(self, connection: PoolConnection) -> None:
-        """Hold a connection whose exchange has ended for further ones, unless it is surplus or its endpoint moved."""
+        """Return a connection to the pool, or close it if there are enough or its endpoint's address has changed."""
         idle = self._idle.setdefault(connection.endpoint, deque())
         is_surplus = len(idle) >= self.limits.max_idle_per_endpoint
         if is_surplus or self.address_of(connection.endpoint) != connection.address:
@@ -174,7 +174,7 @@
         return True
 
     def close_idle(self, endpoint: str) -> None:
-        """Close the idle connections to an endpoint that has left or moved."""
+        """Close the idle connections to an endpoint that was removed or whose address has changed."""
         for connection in self._idle.pop(endpoint, ()):
             connection.transport.loseConnection()
 
@@ -188,7 +188,7 @@
         self.connections -= 1
 
     def remove_idle(self, connection: PoolConnection) -> None:
-        """Use a connection no further."""
+        """Remove a connection from the pool, so that it is not used again."""
         idle = self._idle.get(connection.endpoint)
         if idle is not None and connection in idle:
             idle.remove(connection)
@@ -201,11 +201,11 @@
             self.close_idle(endpoint)
 
     def _is_usable(self, connection: PoolConnection) -> bool:
-        """Whether a request may be written to an idle connection.
+        """Return whether a request may be written to an idle connection.
 
-        One that the endpoint closed while it was idle would look like a failed request, and bytes that it sent
-        unasked would be taken for the response. One that is idle for too long, as after a process stall, may have
-        been dropped on its path without notice.
+        A request on a connection that the endpoint has closed meanwhile would count as failed, and unsolicited bytes
+        would be taken for its response. A connection that is idle for too long, as after a process stall, may have
+        been dropped silently by the network.
         """
         is_recent = connection.idle_since_s > self.reactor.seconds() - self.limits.idle_timeout_s
         return is_recent and not connection.is_dead()
@@ -213,7 +213,7 @@
     def _sweep(self) -> None:
         """Close the connections whose idle timeout has passed.
 
-        One timer serves all connections, since one each would cost every exchange a timer.
+        One timer serves all connections: one for each connection would cost every exchange a timer.
         """
         self._sweep_call = None
         now_s = self.reactor.seconds()
--- a/anisefront/upstream/delegated_checks.py
+++ b/anisefront/upstream/delegated_checks.py
@@ -1,4 +1,4 @@
-"""Records of the requests that a proxy delegates: its checks, our responses to them, and names of attempts."""
+"""Records of the requests that a proxy delegates: its checks, our responses to them, and the names of attempts."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         verdict: What the proxy is to do.
         endpoint: Where an attempt goes.
         timeout_ms: How long it may take.
-        attempt: The name by which the proxy refers to it.
+        attempt_name: The name by which the proxy refers to it.
         retry_after_ms: Advice with a rejection.
         reason: Of a rejection or failure.
     """
@@ -32,7 +32,7 @@
     verdict: Verdict
     endpoint: str = ""
     timeout_ms: float = 0.0
-    attempt: str = ""
+    attempt_name: str = ""
     retry_after_ms: float = 0.0
     reason: str = ""
 
@@ -61,10 +61,10 @@
     """A request that a proxy asked about.
 
     Attributes:
-        request_id: The proxy's name of it; "" if it has none.
+        request_id: The proxy's id of it; "" if it has none.
         number: Its number in the request table.
-        reply: Responds to the check that is open, if one is.
-        attempt: The number of the last attempt that was started.
+        reply: Callback that responds to the open check, if there is one.
+        attempt_number: The number of the last attempt that was started.
         in_flight: Whether the proxy may have started the attempt and has not logged its end.
         peer: The proxy's host.
         is_ambiguous: Whether another check came with the same request id.
@@ -77,7 +77,7 @@
     request_id: str
     number: int
     reply: Reply | None
-    attempt: int = -1
+    attempt_number: int = -1
     in_flight: bool = False
     peer: str = ""
     is_ambiguous: bool = False
@@ -87,7 +87,7 @@
     revision: int = 0
 
     def take_reply(self) -> Reply | None:
-        """Return what responds to the open check, which is then open no more."""
+        """Remove and return the callback that responds to the open check."""
         reply = self.reply
         self.reply = None
         return reply
@@ -98,10 +98,10 @@
     """Times in milliseconds that the path through a proxy takes.
 
     Attributes:
-        log_ms: Time after an attempt's timeout without a log after which the attempt counts as timed out.
-        next_check_ms: Time without a check after which the proxy has answered its client by itself.
+        log_ms: Time to wait for an attempt's log after its timeout, before the attempt counts as timed out.
+        next_check_ms: Time without a check after which the proxy is taken to have answered its client by itself.
         proxy_overhead_ms: Subtracted from an attempt's timeout, so that the proxy ends it before our deadline.
-        max_withheld_ms: Time for which an attempt may wait for its check. After it the controller decides again.
+        max_withheld_ms: Maximum time that an attempt waits for its check, before the controller decides again.
     """
 
     log_ms: float = 1000.0
@@ -130,7 +130,7 @@
 
 
 def parse_number(text: str) -> int | None:
-    """Return the number of a request or attempt in a name; None where the text is none."""
+    """Parse the number of a request or attempt in a name; None if the text is not a number."""
     if len(text) > MAX_NUMBER_DIGITS or not (text.isascii() and text.isdigit()):
         return None
     return int(text)
--- a/anisefront/upstream/delegated_index.py
+++ b/anisefront/upstream/delegated_index.py
@@ -6,12 +6,12 @@
 
 
 class DelegatedIndex:
-    """Open requests.
+    """Index of the open delegated requests.
 
     Attributes:
         by_number: By their number in the request table.
-        by_request_id: Their numbers by request id, then by customer. Clients select the ids: if they were unique
-            over all customers, one customer could block another's requests.
+        by_request_id: Their numbers by request id, then by customer. Clients choose the ids: if an id had to be unique
+            across customers, one customer could block another's requests.
     """
 
     def __init__(self, incarnation: str) -> None:
@@ -40,12 +40,12 @@
         return self.by_number.get(number)
 
     def find(self, request_id: str, customer: str) -> DelegatedRequest | None:
-        """Return a customer's request by the proxy's name of it."""
+        """Return a customer's request by its request id."""
         number = self.by_request_id.get(request_id, {}).get(customer)
         return None if number is None else self.by_number[number]
 
     def find_sole(self, request_id: str) -> DelegatedRequest | None:
-        """Return the request of an id, if only one customer has a request of that id."""
+        """Return the request with this request id, if only one customer has one."""
         numbers = self.by_request_id.get(request_id, {})
         if len(numbers) != 1:
             return None
@@ -58,4 +58,4 @@
             return None
         number = parse_number(parts.request)
         request = None if number is None else self.by_number.get(number)
-        return request if request is not None and request.attempt == parse_number(parts.attempt) else None
+        return request if request is not None and request.attempt_number == parse_number(parts.attempt) else None
--- a/anisefront/upstream/delegated_requests.py
+++ b/anisefront/upstream/delegated_requests.py
@@ -1,6 +1,6 @@
 """Requests whose attempts a proxy sends: a check asks for an attempt, our response starts it, the access log ends it.
 
-Relates a proxy's checks and logs to the requests of the table. It opens no socket and decides nothing. States:
+Maps a proxy's checks and access logs to the requests of the table. Opens no socket and makes no decisions. States:
 
     checking (a check is open) --start_attempt--> in flight --log: served--> ended
                                                   in flight --log: failed--> between checks --check--> checking
@@ -56,7 +56,7 @@
         self.timeouts = timeouts or DelegationTimeouts()
         self.index = DelegatedIndex(incarnation)
         self.counts: Counter[str] = Counter()
-        # Set where requests are replicated: whether another gateway instance has a customer's request of an identity.
+        # Set where requests are replicated: whether another gateway instance has a customer's request of a key.
         self.is_in_progress_elsewhere: Callable[[str, str], bool] | None = None
         self.inherited = InheritedRequests(
             request_table.now_ms, timers, self.counts, lambda: self.timeouts.log_ms, self._readmit
@@ -65,35 +65,35 @@
     # ---- checks --------------------------------------------------------------------------------
 
     def first_check(
-        self, request_id: str, reply: Reply, terms: RequestTerms, peer: str = "", identity: str = ""
+        self, request_id: str, reply: Reply, terms: RequestTerms, peer: str = "", idempotency_key: str = ""
     ) -> int | None:
         """Receive the first check of a request.
 
         Args:
-            request_id: The proxy's name of the request.
+            request_id: The proxy's id of the request.
             reply: Receives the response to the check.
             terms: The request's terms.
             peer: The proxy's host.
-            identity: The client's name of the request, where it differs from `request_id`.
+            idempotency_key: The client's key of the request, where it differs from `request_id`.
 
         Returns:
             The number for `check_cancelled`; None if the response was sent at once.
         """
-        identity = identity or request_id
-        inherited = self.inherited.find(terms.customer, identity)
+        idempotency_key = idempotency_key or request_id
+        inherited = self.inherited.find(terms.customer, idempotency_key)
         if inherited is not None:
             return self.inherited.readmit(inherited, reply, peer, request_id)
-        if self._is_duplicate(request_id, terms.customer, identity):
+        if self._is_duplicate(request_id, terms.customer, idempotency_key):
             # Sent through two proxies or gateway instances, the same request would be executed twice.
             self.counts["same_id_twice"] += 1
             reply(IN_PROGRESS)
             return None
-        number = self._accept(identity, terms, None)
-        if number is None:
+        request_number = self._accept(idempotency_key, terms, None)
+        if request_number is None:
             reply(AT_CAPACITY)
             return None
-        self.index.add(DelegatedRequest(request_id, number, reply, peer=peer, customer=terms.customer))
-        return number
+        self.index.add(DelegatedRequest(request_id, request_number, reply, peer=peer, customer=terms.customer))
+        return request_number
 
     def next_check(self, attempt_name: str, reply: Reply) -> int | None:
         """Receive a further check: the proxy asks for the attempt after the one that it names.
@@ -101,12 +101,12 @@
         Returns:
             The number for `check_cancelled`; None if the response was sent at once.
         """
-        inherited, attempt = self.inherited.find_attempt(attempt_name)
+        inherited, attempt_number = self.inherited.find_attempt(attempt_name)
         if inherited is not None and inherited.reply is None:
-            return self.inherited.next_check(inherited, attempt, reply)
+            return self.inherited.next_check(inherited, attempt_number, reply)
         request = self.index.find_attempt(attempt_name)
         if request is None or request.reply is not None:
-            # Of another incarnation, ended long ago, or repeated: whether it was executed isn't known here.
+            # From another incarnation, ended long ago, or repeated: whether it was executed isn't known here.
             self.counts["asked_again_unknown"] += 1
             reply(UNKNOWN_ATTEMPT)
             return None
@@ -121,15 +121,15 @@
             self._state_timers.call_later(self.timeouts.log_ms, request, self._log_missing)
         return request.number
 
-    def check_cancelled(self, number: int) -> None:
+    def check_cancelled(self, request_number: int) -> None:
         """End a request whose proxy gave up its open check: the client disconnected, or the proxy's timeout passed."""
-        request = self.index.get(number)
+        request = self.index.get(request_number)
         if request is not None and request.reply is not None:
             request.reply = None
             self.counts["withdrawn"] += 1
             if not request.in_flight:
                 self._close(request)
-            self._request_table.client_disconnected(number)
+            self._request_table.client_disconnected(request_number)
 
     # ---- access logs ---------------------------------------------------------------------------
 
@@ -153,9 +153,9 @@
         Returns:
             Whether the attempt is known and had no log before. Otherwise nothing changes.
         """
-        inherited, attempt = self.inherited.find_attempt(attempt_name)
-        if inherited is not None and attempt in inherited.uncertain_attempts:
-            self.inherited.attempt_logged(inherited, attempt, result, is_final)
+        inherited, attempt_number = self.inherited.find_attempt(attempt_name)
+        if inherited is not None and attempt_number in inherited.uncertain_attempts:
+            self.inherited.attempt_logged(inherited, attempt_number, result, is_final)
             return True
         request = self.index.find_attempt(attempt_name)
         if request is None or not request.in_flight:
@@ -165,7 +165,7 @@
         request.revision += 1
         if is_final and result is not AttemptResult.OK:
             self._request_table.client_disconnected(request.number)
-        is_served = self._request_table.attempt_ended(request.number, request.attempt, result, duration_ms, load)
+        is_served = self._request_table.attempt_ended(request.number, request.attempt_number, result, duration_ms, load)
         if is_served or is_final or result is AttemptResult.OK:
             self._close(request)
         elif request.reply is None:
@@ -182,22 +182,22 @@
             Whether it proves that.
         """
         request = self.index.find_sole(request_id)
-        if request is None or request.is_ambiguous or request.peer != peer or request.attempt > 0:
+        if request is None or request.is_ambiguous or request.peer != peer or request.attempt_number > 0:
             self.counts["logs_unknown"] += 1
             return False
         self.counts["unsent"] += 1
         self._request_table.client_disconnected(request.number)
         if request.in_flight:
             request.in_flight = False
-            self._request_table.attempt_ended(request.number, request.attempt, AttemptResult.DISCARDED, 0.0)
+            self._request_table.attempt_ended(request.number, request.attempt_number, AttemptResult.DISCARDED, 0.0)
         self._close(request)
         return True
 
     def inherit(
         self,
         incarnation: str,
-        number: int,
-        identity: str,
+        request_number: int,
+        idempotency_key: str,
         terms: RequestTerms,
         prior_attempts: PriorAttempts,
         uncertain_attempts: dict[int, tuple[str, float]],
@@ -205,52 +205,56 @@
         """Wait for the proxy or the client of a request that another gateway instance had.
 
         Args:
-            incarnation: Of the other gateway instance.
-            number: The request's number there.
-            identity: The client's name of the request.
+            incarnation: Process incarnation of the other gateway instance.
+            request_number: The request's number there.
+            idempotency_key: The client's key of the request.
             terms: Its terms.
-            prior_attempts: Its attempts.
-            uncertain_attempts: Those that may have been executed: endpoint and start, by number.
+            prior_attempts: Summary of its attempts so far.
+            uncertain_attempts: Attempts that may have been executed: endpoint and start, by number.
         """
-        inherited = InheritedRequest((incarnation, number), identity, terms, prior_attempts, uncertain_attempts)
+        inherited = InheritedRequest(
+            (incarnation, request_number), idempotency_key, terms, prior_attempts, uncertain_attempts
+        )
         self.inherited.add(inherited)
         return inherited
 
     def _readmit(self, inherited: InheritedRequest, reply: Reply, peer: str, request_id: str) -> int | None:
         prior_attempts = inherited.remaining_prior_attempts()
-        number = self._accept(inherited.identity, inherited.terms, prior_attempts)
-        if number is None:
+        request_number = self._accept(inherited.idempotency_key, inherited.terms, prior_attempts)
+        if request_number is None:
             reply(FAILED if inherited.uncertain_attempts else AT_CAPACITY)
             return None
-        request = DelegatedRequest(request_id, number, reply, peer=peer, customer=inherited.terms.customer)
-        request.attempt = prior_attempts.attempts - 1
+        request = DelegatedRequest(request_id, request_number, reply, peer=peer, customer=inherited.terms.customer)
+        request.attempt_number = prior_attempts.attempts - 1
         self.index.add(request)
-        return number
+        return request_number
 
     # ---- attempt handler -----------------------------------------------------------------------
 
-    def start_attempt(self, number: int, attempt: int, endpoint: str, timeout_ms: float) -> None:
+    def start_attempt(self, request_number: int, attempt_number: int, endpoint: str, timeout_ms: float) -> None:
         """Start an attempt: by the open check, or by the next one if it comes soon."""
-        request = self.index.get(number)
+        request = self.index.get(request_number)
         if request is None:
-            self._request_table.attempt_ended(number, attempt, AttemptResult.DISCARDED, 0.0)
+            self._request_table.attempt_ended(request_number, attempt_number, AttemptResult.DISCARDED, 0.0)
         elif request.reply is not None:
-            self._start(request, attempt, endpoint, timeout_ms)
+            self._start(request, attempt_number, endpoint, timeout_ms)
         else:
-            request.withheld = WithheldAttempt(attempt, endpoint, timeout_ms, self._request_table.now_ms())
+            request.withheld = WithheldAttempt(attempt_number, endpoint, timeout_ms, self._request_table.now_ms())
 
-    def cancel_attempt(self, number: int, attempt: int) -> None:
+    def cancel_attempt(self, request_number: int, attempt_number: int) -> None:
         """Do nothing: a proxy's attempt can't be cancelled. Its log or its timeout ends it."""
 
-    def reject(self, number: int, retry_after_ms: float, reason: RejectionReason) -> None:
+    def reject(self, request_number: int, retry_after_ms: float, reason: RejectionReason) -> None:
         """Send a rejection to the open check, or retain it for the next."""
-        self._respond(number, CheckResponse(Verdict.REJECTED, retry_after_ms=retry_after_ms, reason=reason.value))
+        self._respond(
+            request_number, CheckResponse(Verdict.REJECTED, retry_after_ms=retry_after_ms, reason=reason.value)
+        )
 
-    def fail(self, number: int) -> None:
+    def fail(self, request_number: int) -> None:
         """Send a failure to the open check, or retain it for the next."""
-        self._respond(number, FAILED)
+        self._respond(request_number, FAILED)
 
-    def yield_to_duplicate(self, arrival: Arrival, identity: str) -> None:
+    def yield_to_duplicate(self, arrival: Arrival, idempotency_key: str) -> None:
         """Let the proxy retry a request that is in progress at another gateway instance."""
         request = self.index.get(arrival.id)
         self._request_table.client_disconnected(arrival.id)
@@ -262,31 +266,31 @@
 
     # ---- open requests -------------------------------------------------------------------------
 
-    def _accept(self, identity: str, terms: RequestTerms, prior_attempts: PriorAttempts | None) -> int | None:
+    def _accept(self, idempotency_key: str, terms: RequestTerms, prior_attempts: PriorAttempts | None) -> int | None:
         replica = None
         if self.is_in_progress_elsewhere is not None:
-            replica = ReplicaRecord(REPLICA_KIND, identity, {"life": self._incarnation})
+            replica = ReplicaRecord(REPLICA_KIND, idempotency_key, {"life": self._incarnation})
         return self._request_table.accept(
             self, terms, allows_hedging=False, prior_attempts=prior_attempts, replica=replica
         )
 
-    def _is_duplicate(self, request_id: str, customer: str, identity: str) -> bool:
+    def _is_duplicate(self, request_id: str, customer: str, idempotency_key: str) -> bool:
         """Whether the customer's request is in progress here, which is then marked as ambiguous, or elsewhere."""
         request = self.index.find(request_id, customer)
         if request is not None:
             request.is_ambiguous = True
             return True
-        if self.is_in_progress_elsewhere is None or not identity:
+        if self.is_in_progress_elsewhere is None or not idempotency_key:
             return False
-        return self.is_in_progress_elsewhere(customer, identity)
+        return self.is_in_progress_elsewhere(customer, idempotency_key)
 
-    def _start(self, request: DelegatedRequest, attempt: int, endpoint: str, timeout_ms: float) -> None:
+    def _start(self, request: DelegatedRequest, attempt_number: int, endpoint: str, timeout_ms: float) -> None:
         reply = request.take_reply()
-        request.attempt = attempt
+        request.attempt_number = attempt_number
         request.in_flight = True
         request.revision += 1
         timeout_ms = self.timeouts.proxy_timeout_ms(timeout_ms)
-        name = f"{self._incarnation}.{request.number}.{attempt}"
+        name = f"{self._incarnation}.{request.number}.{attempt_number}"
         reply(CheckResponse(Verdict.START_ATTEMPT, endpoint, timeout_ms, name))
         self._state_timers.call_later(timeout_ms + self.timeouts.log_ms, request, self._log_missing)
 
@@ -303,8 +307,8 @@
         else:
             self._start(request, withheld.number, withheld.endpoint, withheld.timeout_ms - waited_ms)
 
-    def _respond(self, number: int, response: CheckResponse) -> None:
-        request = self.index.get(number)
+    def _respond(self, request_number: int, response: CheckResponse) -> None:
+        request = self.index.get(request_number)
         if request is None:
             return
         if request.reply is not None:
@@ -326,7 +330,7 @@
         self.index.remove(request)
         if request.in_flight:  # its log won't be recognized any more
             request.in_flight = False
-            self._request_table.attempt_ended(request.number, request.attempt, AttemptResult.TIMEOUT)
+            self._request_table.attempt_ended(request.number, request.attempt_number, AttemptResult.TIMEOUT)
         if request.withheld is not None:
             withheld = request.withheld
             request.withheld = None
@@ -339,7 +343,7 @@
         self.counts["logs_missing"] += 1
         request.in_flight = False
         request.revision += 1
-        self._request_table.attempt_ended(request.number, request.attempt, AttemptResult.TIMEOUT)
+        self._request_table.attempt_ended(request.number, request.attempt_number, AttemptResult.TIMEOUT)
         if request.reply is None:
             self._state_timers.call_later(self.timeouts.next_check_ms, request, self._next_check_missing)
 
--- a/anisefront/upstream/delegated_timers.py
+++ b/anisefront/upstream/delegated_timers.py
@@ -11,7 +11,7 @@
 
 
 class StateTimers:
-    """Timers that a change of their request's state cancels."""
+    """Timers that are void once the state of their request has changed."""
 
     def __init__(self, timers: Timers) -> None:
         """Create timers over those of an event loop."""
--- a/anisefront/upstream/direct_requests.py
+++ b/anisefront/upstream/direct_requests.py
@@ -1,4 +1,4 @@
-"""Requests whose attempts this gateway instance sends over its own HTTP connections. Decides nothing."""
+"""Requests whose attempts this gateway instance sends over its own HTTP connections. Makes no decisions."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectRequest:
-    """An HTTP request for an endpoint that is yet to be selected."""
+    """An HTTP request whose endpoint has not been selected yet."""
 
     method: str
     target: str
@@ -53,14 +53,14 @@
     def try_join(
         self,
         customer: str,
-        identity: str,
+        idempotency_key: str,
         class_name: str,
         deadline_at_ms: float,
         request: DirectRequest,
         on_response: OnResponse,
         start_anew: Callable[[], object],
     ) -> bool:
-        """Join a client's request to one of the same identity.
+        """Let a client's request share the response of one with the same idempotency key.
 
         Returns:
             Whether there is one: `on_response` then receives its response, or `start_anew` is called if the request
@@ -70,13 +70,13 @@
     def wait_for_outcome(
         self,
         customer: str,
-        identity: str,
+        idempotency_key: str,
         deadline_at_ms: float,
         request: DirectRequest,
         on_response: OnResponse,
         start_anew: Callable[[], object],
     ) -> None:
-        """Let a client's request wait for the outcome of the one of the same identity."""
+        """Let a client's request wait for the outcome of the one with the same idempotency key."""
 
 
 @dataclass(slots=True, eq=False)
@@ -105,14 +105,14 @@
         """Accept a client's request.
 
         Returns:
-            Its number for `client_disconnected`; None if it has its response or joined another request.
+            Its number for `client_disconnected`; None if it was answered at once or joined another request.
         """
-        identity = request.headers.get("x-idempotency-key") or request.headers.get("x-request-id", "")
-        start_anew = partial(self._accept, request, on_response, terms, identity, None)
-        if self.duplicates is not None and identity:
+        idempotency_key = request.headers.get("x-idempotency-key") or request.headers.get("x-request-id", "")
+        start_anew = partial(self._accept, request, on_response, terms, idempotency_key, None)
+        if self.duplicates is not None and idempotency_key:
             has_joined = self.duplicates.try_join(
                 terms.customer,
-                identity,
+                idempotency_key,
                 terms.class_name,
                 terms.deadline_at_ms,
                 request,
@@ -128,13 +128,13 @@
         request: DirectRequest,
         on_response: OnResponse,
         terms: RequestTerms,
-        identity: str,
+        idempotency_key: str,
         prior_attempts: PriorAttempts,
     ) -> None:
         """Continue a request that another gateway instance had accepted."""
-        self._accept(request, on_response, terms, identity, prior_attempts)
+        self._accept(request, on_response, terms, idempotency_key, prior_attempts)
 
-    def yield_to_duplicate(self, arrival: Arrival, identity: str) -> None:
+    def yield_to_duplicate(self, arrival: Arrival, idempotency_key: str) -> None:
         """Let a client wait for the outcome of its request at another gateway instance."""
         opened = self.close_request(arrival.id)
         self._request_table.client_disconnected(arrival.id)
@@ -142,9 +142,11 @@
             return
         request = opened.request
         on_response = opened.on_response
-        start_anew = partial(self._accept, request, on_response, _terms_of(arrival), identity, arrival.prior_attempts)
+        start_anew = partial(
+            self._accept, request, on_response, _terms_of(arrival), idempotency_key, arrival.prior_attempts
+        )
         self.duplicates.wait_for_outcome(
-            arrival.customer, identity, arrival.deadline_at_ms, request, on_response, start_anew
+            arrival.customer, idempotency_key, arrival.deadline_at_ms, request, on_response, start_anew
         )
 
     def encode_request(
@@ -164,26 +166,28 @@
         """Send the endpoint's response to the client."""
         request.on_response(FinalResponse(response, endpoint, request.attempts))
 
-    def reject(self, number: int, retry_after_ms: float, reason: RejectionReason) -> None:
+    def reject(self, request_number: int, retry_after_ms: float, reason: RejectionReason) -> None:
         """Send a rejection: it is safe for the client to retry the request."""
-        self._respond(number, FinalResponse(is_rejected=True, retry_after_ms=retry_after_ms, reason=reason.value))
+        self._respond(
+            request_number, FinalResponse(is_rejected=True, retry_after_ms=retry_after_ms, reason=reason.value)
+        )
 
-    def fail(self, number: int) -> None:
+    def fail(self, request_number: int) -> None:
         """Send a failure: the request may have been executed."""
-        self._respond(number, FinalResponse(reason="failed"))
+        self._respond(request_number, FinalResponse(reason="failed"))
 
     def _accept(
         self,
         request: DirectRequest,
         on_response: OnResponse,
         terms: RequestTerms,
-        identity: str,
+        idempotency_key: str,
         prior_attempts: PriorAttempts | None,
     ) -> int | None:
-        replica = _replica_of(request, identity) if self.duplicates is not None else None
-        number = self._request_table.accept(self, terms, prior_attempts=prior_attempts, replica=replica)
-        if number is None:
-            # An attempt of another gateway instance may have been executed: then it must not be retried blindly.
+        replica = _replica_of(request, idempotency_key) if self.duplicates is not None else None
+        request_number = self._request_table.accept(self, terms, prior_attempts=prior_attempts, replica=replica)
+        if request_number is None:
+            # An attempt of another gateway instance may have been executed: then a retry may execute it twice.
             if prior_attempts is not None and prior_attempts.uncertain:
                 on_response(FinalResponse(reason="failed"))
             else:
@@ -193,23 +197,23 @@
             return None
         opened = _OpenRequest(request, on_response)
         opened.attempts = prior_attempts.attempts if prior_attempts is not None else 0
-        self.open_requests[number] = opened
-        return number
+        self.open_requests[request_number] = opened
+        return request_number
 
-    def _respond(self, number: int, response: FinalResponse) -> None:
-        opened = self.close_request(number)
+    def _respond(self, request_number: int, response: FinalResponse) -> None:
+        opened = self.close_request(request_number)
         if opened is not None:
             opened.on_response(response)
 
 
-def _replica_of(request: DirectRequest, identity: str) -> ReplicaRecord:
+def _replica_of(request: DirectRequest, idempotency_key: str) -> ReplicaRecord:
     data = {
         "method": request.method,
         "target": request.target,
         "headers": request.headers,
         "body": base64.b64encode(request.body).decode(),
     }
-    return ReplicaRecord(REPLICA_KIND, identity, data)
+    return ReplicaRecord(REPLICA_KIND, idempotency_key, data)
 
 
 def _terms_of(arrival: Arrival) -> RequestTerms:
--- a/anisefront/upstream/http_responses.py
+++ b/anisefront/upstream/http_responses.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 responses for the connection pool: complete messages, without interim ones. No I/O."""
+"""HTTP/1.1 responses for the connection pool: complete messages, without interim (1xx) responses. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     """Reads the responses on one connection."""
 
     fault = MessageFault
-    early = True  # a server may respond before it has read the whole request
+    allows_early_response = True  # a server may respond before it has read the whole request
 
     def __init__(self, max_body_bytes: int) -> None:
         """Create a reader; a longer body is an error."""
@@ -22,7 +22,7 @@
         self._reader.head_only = head_only
 
     def feed(self, data: bytes) -> tuple[Message, bool] | None:
-        """Return a completed response, and whether it allows further exchanges and nothing follows it."""
+        """Return a completed response, and whether the connection can be reused: keep-alive, and no bytes follow."""
         for event in self._reader.feed(data):
             if not isinstance(event, Head) and event.status >= MIN_FINAL_STATUS:
                 return event, event.keep_alive and not self._reader.midway
--- a/anisefront/upstream/inherited_requests.py
+++ b/anisefront/upstream/inherited_requests.py
@@ -1,6 +1,6 @@
-"""Delegated requests that a lost gateway instance had, until their proxy or their client returns.
+"""Delegated requests of a failed gateway instance, until their proxy or their client returns.
 
-Nothing can be sent for them before: an attempt needs a check of the proxy.
+No attempt can be sent before that: each attempt needs a check by the proxy.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 @dataclass(slots=True, eq=False)
 class InheritedRequest:
-    """A request that another gateway instance had.
+    """A delegated request of a failed gateway instance.
 
     Attributes:
         origin: The incarnation and the number by which the proxy knows it.
-        identity: The name by which its client knows it.
+        idempotency_key: The key that its client sent with it.
         terms: Its terms.
         prior_attempts: Its attempts, as the backup knows them.
         uncertain_attempts: Attempts that may have been executed: endpoint and lower bound of the start, by number.
-        reply: Responds to a check that came before the log of the attempt it refers to.
+        reply: Callback for a check that came before the log of the attempt it refers to.
         is_awaited: Whether neither proxy nor client has returned and its deadline has not passed.
     """
 
     origin: tuple[str, int]
-    identity: str
+    idempotency_key: str
     terms: RequestTerms
     prior_attempts: PriorAttempts
     uncertain_attempts: dict[int, tuple[str, float]]
@@ -80,57 +80,59 @@
         self._log_timeout_ms = log_timeout_ms
         self._readmit = readmit
         self._by_origin: dict[tuple[str, int], InheritedRequest] = {}
-        self._by_identity: dict[tuple[str, str], InheritedRequest] = {}  # by customer and identity
+        self._by_idempotency_key: dict[tuple[str, str], InheritedRequest] = {}  # by customer and key
 
     def add(self, inherited: InheritedRequest) -> None:
         """Wait for a request's proxy or client until its deadline."""
         self._by_origin[inherited.origin] = inherited
-        if inherited.identity:
-            self._by_identity[inherited.terms.customer, inherited.identity] = inherited
+        if inherited.idempotency_key:
+            self._by_idempotency_key[inherited.terms.customer, inherited.idempotency_key] = inherited
         self._counts["inherited"] += 1
         delay_ms = max(0.0, inherited.terms.deadline_at_ms - self._now_ms())
         self._timers.callLater(delay_ms / 1000, self.release, inherited)
 
-    def find(self, customer: str, identity: str) -> InheritedRequest | None:
-        """Return the request by its client's name of it."""
-        return self._by_identity.get((customer, identity))
+    def find(self, customer: str, idempotency_key: str) -> InheritedRequest | None:
+        """Return a customer's request by its idempotency key."""
+        return self._by_idempotency_key.get((customer, idempotency_key))
 
     def find_attempt(self, name: str) -> tuple[InheritedRequest | None, int]:
         """Return the request and the number of the attempt that a proxy names; None and 0 if there is none."""
         parts = split_attempt_name(name)
-        request = parse_number(parts.request)
-        attempt = parse_number(parts.attempt)
-        if request is None or attempt is None:
+        request_number = parse_number(parts.request)
+        attempt_number = parse_number(parts.attempt)
+        if request_number is None or attempt_number is None:
             return None, 0
-        return self._by_origin.get((parts.incarnation, request)), attempt
+        return self._by_origin.get((parts.incarnation, request_number)), attempt_number
 
     def release(self, inherited: InheritedRequest) -> None:
         """Stop waiting for a request's proxy or client."""
         inherited.is_awaited = False
-        identity = (inherited.terms.customer, inherited.identity)
-        if self._by_identity.get(identity) is inherited:
-            del self._by_identity[identity]
+        key = (inherited.terms.customer, inherited.idempotency_key)
+        if self._by_idempotency_key.get(key) is inherited:
+            del self._by_idempotency_key[key]
         self._by_origin.pop(inherited.origin, None)
 
-    def next_check(self, inherited: InheritedRequest, attempt: int, reply: Reply) -> int | None:
+    def next_check(self, inherited: InheritedRequest, attempt_number: int, reply: Reply) -> int | None:
         """Receive the proxy's check after an attempt.
 
         Returns:
             The number of the request if it was readmitted. Otherwise the log will show whether the attempt was
             executed; without one it may have been.
         """
-        if attempt not in inherited.uncertain_attempts:
+        if attempt_number not in inherited.uncertain_attempts:
             return self.readmit(inherited, reply)
         inherited.reply = reply
         self._timers.callLater(self._log_timeout_ms() / 1000, self._log_missing, inherited, reply)
         return None
 
-    def attempt_logged(self, inherited: InheritedRequest, attempt: int, result: AttemptResult, is_final: bool) -> None:
-        """Record the late log of an attempt that the lost gateway instance had started."""
+    def attempt_logged(
+        self, inherited: InheritedRequest, attempt_number: int, result: AttemptResult, is_final: bool
+    ) -> None:
+        """Record the late log of an attempt that the failed gateway instance had started."""
         self._counts["logs_settled"] += 1
         reply = inherited.reply
         if result.never_executed:
-            del inherited.uncertain_attempts[attempt]
+            del inherited.uncertain_attempts[attempt_number]
         if is_final or result is AttemptResult.OK:
             inherited.reply = None
             self.release(inherited)
@@ -150,7 +152,7 @@
         waiting = inherited.reply
         inherited.reply = None
         if waiting is not None and waiting is not reply:
-            waiting(UNKNOWN_ATTEMPT)  # another check replaces it
+            waiting(UNKNOWN_ATTEMPT)  # superseded by the new check
         return self._readmit(inherited, reply, peer, request_id)
 
     def _log_missing(self, inherited: InheritedRequest, reply: Reply) -> None:
--- a/anisefront/upstream/pool_connection.py
+++ b/anisefront/upstream/pool_connection.py
@@ -19,9 +19,9 @@
     """A connection to an endpoint.
 
     Attributes:
-        exchange: The exchange that it carries or, until it is connected, that it is made for.
+        exchange: The exchange that it carries or, until it is connected, for which it is made.
         idle_since_s: When its last exchange ended.
-        writing: Whether the operating system does not have the whole request yet.
+        writing: Whether part of the request has not been handed to the operating system yet.
     """
 
     def __init__(self, pool: ConnectionPool, endpoint: str, address: tuple[str, int], exchange: Exchange) -> None:
@@ -50,7 +50,7 @@
         self.transport.registerProducer(self, False)
 
     def resumeProducing(self) -> None:
-        """Hand the request to the transport; the second call says that the operating system has it."""
+        """Hand the request to the transport; a second call means that the operating system has all of it."""
         data = self._unwritten
         self._unwritten = None
         if data is not None:
@@ -63,17 +63,17 @@
         """Do nothing: the transport is closing."""
 
     def dataReceived(self, data: bytes) -> None:
-        """Read a response, or refuse bytes that no request preceded."""
+        """Read a response, or abort the connection if no request is pending."""
         exchange = self.exchange
         if exchange is None:
-            # The transport reports its end in a later iteration. If the connection stayed idle until then, a request
-            # would be written to it and these bytes be taken for its response.
+            # The transport reports the abort in a later iteration. If the connection stayed in the pool until then, a
+            # request could be written to it, and these bytes would be taken for its response.
             self.pool.counts["unasked"] += 1
             self.pool.remove_idle(self)
             self.transport.abortConnection()
-        elif self.writing and not self.reader.early:
-            # Bytes that came between the check of an idle connection and the write would be taken for the response to
-            # a request that the endpoint has not read.
+        elif self.writing and not self.reader.allows_early_response:
+            # Bytes that arrived between the check of an idle connection and the write would be taken for the response
+            # to a request that the endpoint has not read.
             self.pool.counts["unasked"] += 1
             self._abort(exchange, AttemptResult.CONNECT_FAILED)
         else:
@@ -87,7 +87,7 @@
         self.exchange = None
         if exchange is None:
             return
-        # A reset completes nothing: a response without a length that it breaks off is truncated.
+        # Only a clean close completes a response without a length: after a reset it is truncated.
         response = self.reader.close() if reason.check(error.ConnectionDone) else None
         if response is not None:
             exchange.finish(None, response)
@@ -95,7 +95,7 @@
             exchange.finish(AttemptResult.CONNECT_FAILED if self.writing else AttemptResult.RESET, None)
 
     def is_dead(self) -> bool:
-        """Whether the endpoint has closed or sent bytes, though the event loop has not reported it yet."""
+        """Return whether the endpoint has closed or sent bytes that the event loop has not reported yet."""
         try:
             return self.transport.getHandle().recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) is not None
         except BlockingIOError:
@@ -130,9 +130,9 @@
         exchange.finish(result, None)
 
     def _restart_stall_timer(self) -> None:
-        """Bound the time until more of a response comes.
+        """Restart the timeout for the next bytes of a response.
 
-        A response that stops, as one with a wrong length, would occupy its request until the request's deadline.
+        Without it, a response that stops midway, as with a wrong length, would block its request until the deadline.
         """
         self._cancel_stall_timer()
         self._stall_timer = self.pool.reactor.callLater(self.pool.limits.stall_timeout_s, self._stalled)
@@ -155,7 +155,7 @@
     noisy = False
 
     def __init__(self, pool: ConnectionPool, endpoint: str, address: tuple[str, int], exchange: Exchange) -> None:
-        """Create a factory; the arguments are those of the connection."""
+        """Create a factory; the arguments are those of `PoolConnection`."""
         self._pool = pool
         self._endpoint = endpoint
         self._address = address
--- a/anisefront/upstream/pool_exchange.py
+++ b/anisefront/upstream/pool_exchange.py
@@ -11,12 +11,12 @@
     from anisefront.upstream.connection_pool import ConnectionPool
     from anisefront.upstream.pool_connection import PoolConnection
 
-OnEnd = Callable[[AttemptResult | None, Any], None]  # a result where no complete response came, else the response
+OnEnd = Callable[[AttemptResult | None, Any], None]  # the result if there is no complete response, else the response
 MIN_TIMEOUT_S = 0.001
 
 
 class Exchange:
-    """A request that is in progress. Its `on_end` is called once in every case."""
+    """A request in progress. Its `on_end` is called exactly once, whatever happens."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._head_only = head_only
         self._may_start = may_start
         self._connection: PoolConnection | None = None
-        self._stop_connecting: Callable[[], object] | None = None  # while it is being connected
+        self._stop_connecting: Callable[[], object] | None = None  # while connecting
         self._timer = pool.reactor.callLater(max(MIN_TIMEOUT_S, timeout_s), self._abort, AttemptResult.TIMEOUT)
 
     def start(self) -> None:
@@ -55,10 +55,10 @@
     def connected(self, connection: PoolConnection) -> None:
         """Write the request to a connection that carries no other exchange."""
         self._stop_connecting = None
-        if self._on_end is None:  # it ended while it was being connected
+        if self._on_end is None:  # it ended while connecting
             connection.transport.abortConnection()
             return
-        # While it was being connected the endpoint may have moved, or the attempt may have become invalid.
+        # Meanwhile the endpoint's address may have changed, or the attempt may no longer be allowed to start.
         has_moved = self._pool.address_of(self._endpoint) != connection.address
         if has_moved or not self._may_start():
             self._pool.counts["not_begun"] += 1
@@ -80,7 +80,7 @@
         self._abort(AttemptResult.CANCELLED)
 
     def finish(self, result: AttemptResult | None, response: Any) -> None:
-        """Report the end: the response, or the result where there is none."""
+        """Report the end of the exchange: the response, or the result if there is none."""
         on_end = self._on_end
         self._on_end = None
         if self._timer.active():
@@ -89,7 +89,7 @@
             on_end(result, response)
 
     def _discard_later(self) -> None:
-        """End the exchange in the next iteration, since the caller of `ConnectionPool.request` doesn't have it yet."""
+        """End the exchange in the next iteration: `ConnectionPool.request` has not returned it to its caller yet."""
         self._pool.reactor.callLater(0, self.finish, AttemptResult.DISCARDED, None)
 
     def _abort(self, result: AttemptResult) -> None:
--- a/anisefront/upstream/pooled_requests.py
+++ b/anisefront/upstream/pooled_requests.py
@@ -1,4 +1,4 @@
-"""Requests whose attempts use the connection pool, whatever protocol the endpoints speak. Decides nothing."""
+"""Requests whose attempts use the connection pool, independent of the endpoints' protocol. Makes no decisions."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
         """Create a handler without requests."""
         self._request_table = request_table
         self._pool = pool
-        self.open_requests: dict[int, Any] = {}  # the subclass's kind of `OpenRequest`, by number
+        self.open_requests: dict[int, Any] = {}  # instances of the subclass's `OpenRequest`, by number
         self._exchanges: dict[tuple[int, int], Exchange] = {}  # hedged ones outlive the response until cancelled
 
     def encode_request(self, request: Any, attempt_name: str, endpoint: str, timeout_ms: float) -> tuple[bytes, bool]:
-        """Encode the request of an attempt, and tell whether its response has no body."""
+        """Return the encoded request of an attempt, and whether its response has no body."""
         raise NotImplementedError
 
     def interpret_response(self, response: Any) -> tuple[AttemptResult, tuple[float, ...]]:
@@ -42,53 +42,55 @@
         raise NotImplementedError
 
     def has_disconnected(self, request: Any) -> bool:
-        """Whether the client has disconnected, though its frontend has not received the event yet."""
+        """Return whether the client has disconnected, though its frontend has not received the event yet."""
         return False
 
-    def client_disconnected(self, number: int) -> None:
+    def client_disconnected(self, request_number: int) -> None:
         """End a request whose client has disconnected."""
-        if self.close_request(number) is not None:
-            self._request_table.client_disconnected(number)
+        if self.close_request(request_number) is not None:
+            self._request_table.client_disconnected(request_number)
 
-    def start_attempt(self, number: int, attempt: int, endpoint: str, timeout_ms: float) -> None:
+    def start_attempt(self, request_number: int, attempt_number: int, endpoint: str, timeout_ms: float) -> None:
         """Start an attempt over a connection of the pool."""
-        request = self.open_requests.get(number)
+        request = self.open_requests.get(request_number)
         if request is None:
-            self._request_table.attempt_ended(number, attempt, AttemptResult.DISCARDED, 0.0)
+            self._request_table.attempt_ended(request_number, attempt_number, AttemptResult.DISCARDED, 0.0)
             return
         request.attempts += 1
-        data, head_only = self.encode_request(request, f"{number}.{attempt}", endpoint, timeout_ms)
+        data, head_only = self.encode_request(request, f"{request_number}.{attempt_number}", endpoint, timeout_ms)
 
-        self._exchanges[number, attempt] = self._pool.request(
+        self._exchanges[request_number, attempt_number] = self._pool.request(
             endpoint,
             data,
             timeout_ms / 1000,
-            partial(self._exchange_ended, number, attempt, endpoint),
+            partial(self._exchange_ended, request_number, attempt_number, endpoint),
             head_only,
-            partial(self._may_start, request, number, attempt),
+            partial(self._may_start, request, request_number, attempt_number),
         )
 
-    def cancel_attempt(self, number: int, attempt: int) -> None:
+    def cancel_attempt(self, request_number: int, attempt_number: int) -> None:
         """Close the connection of an attempt; its end is reported at once."""
-        exchange = self._exchanges.get((number, attempt))
+        exchange = self._exchanges.get((request_number, attempt_number))
         if exchange is not None:
             exchange.cancel()
 
-    def close_request(self, number: int) -> Any:
+    def close_request(self, request_number: int) -> Any:
         """Remove and return a request that has ended; None if it was removed before."""
-        return self.open_requests.pop(number, None)
+        return self.open_requests.pop(request_number, None)
 
-    def _may_start(self, request: Any, number: int, attempt: int) -> bool:
-        return self._request_table.may_start_attempt(number, attempt) and not self.has_disconnected(request)
+    def _may_start(self, request: Any, request_number: int, attempt_number: int) -> bool:
+        return self._request_table.may_start_attempt(request_number, attempt_number) and not self.has_disconnected(
+            request
+        )
 
     def _exchange_ended(
-        self, number: int, attempt: int, endpoint: str, result: AttemptResult | None, response: Any
+        self, request_number: int, attempt_number: int, endpoint: str, result: AttemptResult | None, response: Any
     ) -> None:
         load: tuple[float, ...] = ()
         if response is not None:
             result, load = self.interpret_response(response)
-        self._exchanges.pop((number, attempt), None)
-        if self._request_table.attempt_ended(number, attempt, result, None, load):
-            request = self.close_request(number)
+        self._exchanges.pop((request_number, attempt_number), None)
+        if self._request_table.attempt_ended(request_number, attempt_number, result, None, load):
+            request = self.close_request(request_number)
             if request is not None:
                 self.deliver_response(request, response, endpoint)
--- a/anisefront/upstream/response_reader.py
+++ b/anisefront/upstream/response_reader.py
@@ -1,4 +1,4 @@
-"""Interface of the codec that reads an endpoint's responses, by which the connection pool is independent of it."""
+"""Interface between the connection pool and the protocol in which endpoints respond."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 class ResponseReader(Protocol):
     """Reads the responses on one connection, one at a time."""
 
-    fault: type[Exception]  # raised by `feed` for bytes that can't be read
-    early: bool  # whether a response may begin before the whole request is written
+    fault: type[Exception]  # raised by `feed` for a malformed response
+    allows_early_response: bool  # whether a response may begin before the whole request is written
 
     def begin(self, head_only: bool) -> None:
         """Expect the response to a request that is being written.
 
         Args:
-            head_only: Whether the response has no body, as to HTTP's HEAD.
+            head_only: Whether the response has no body, as after an HTTP HEAD request.
         """
 
     def feed(self, data: bytes) -> tuple[Any, bool] | None:
-        """Read bytes.
+        """Read received bytes.
 
         Returns:
-            The response that they complete and whether the connection can carry a further exchange; None if the
-            response is incomplete.
+            The response that they complete, and whether the connection can be reused; None if the response is
+            incomplete.
         """
 
     def close(self) -> Any | None:
--- a/tests/test_attempt_accounting.py
+++ b/tests/test_attempt_accounting.py
@@ -50,7 +50,7 @@
         desk.proxied.first_check(f"r{n}", desk.told.append, terms(desk.request_table, 2000.0)) for n in range(200)
     ]
     desk.run(0.005)
-    started = [reply.attempt for reply in desk.told]
+    started = [reply.attempt_name for reply in desk.told]
     assert 20 < len(started) < 200
     for name in started[:20]:
         desk.proxied.attempt_logged(name, AttemptResult.OK, 10.0, (), True)
