--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -101,7 +101,7 @@
     desk = Desk()
     desk.ask()
     assert desk.told[0].verdict is Verdict.START_ATTEMPT and desk.told[0].timeout_ms < 2000
-    assert desk.log(desk.told[0].attempt, AttemptResult.OK)
+    assert desk.log(desk.told[0].attempt_name, AttemptResult.OK)
     assert desk.empty() and desk.request_table.counts["served"] == 1
 
 
@@ -123,25 +123,25 @@
     desk = Desk()
     desk.ask(kind=kind)
     first = desk.told[0]
-    desk.log(first.attempt, result)
-    desk.again(first.attempt)
+    desk.log(first.attempt_name, result)
+    desk.again(first.attempt_name)
     second = desk.told[1]
     assert second.verdict is verdict
     if kind == "keyed":  # only where repeats are dropped
         cells = {server.id: server.cell for server in SERVERS}
         assert cells[second.endpoint] == cells[first.endpoint]
     if verdict is Verdict.START_ATTEMPT:
-        desk.log(second.attempt, AttemptResult.OK)
+        desk.log(second.attempt_name, AttemptResult.OK)
     assert desk.empty()
 
 
 def test_check_ahead_of_its_log_waits_for_it():
     desk = Desk()
     desk.ask(kind="unsafe")
-    desk.again(desk.told[0].attempt)
+    desk.again(desk.told[0].attempt_name)
     assert len(desk.told) == 1
-    desk.log(desk.told[0].attempt, AttemptResult.CONNECT_FAILED)
-    assert desk.told[1].verdict is Verdict.START_ATTEMPT and desk.told[1].attempt == "life.1.1"
+    desk.log(desk.told[0].attempt_name, AttemptResult.CONNECT_FAILED)
+    assert desk.told[1].verdict is Verdict.START_ATTEMPT and desk.told[1].attempt_name == "life.1.1"
 
 
 def test_proxy_out_of_time_while_our_ok_is_on_the_wire():
@@ -152,7 +152,7 @@
     assert desk.proxied.denial_logged("r9", "p")
     desk.run(0.01)
     assert desk.empty() and desk.request_table.counts["attempts_moot"] == 1
-    assert not desk.log(desk.told[0].attempt, AttemptResult.OK)
+    assert not desk.log(desk.told[0].attempt_name, AttemptResult.OK)
 
 
 def test_unsent_is_no_proof_where_two_asked_with_one_id():
@@ -161,7 +161,7 @@
     desk.ask("r")
     assert desk.told[1].verdict is Verdict.REJECTED and desk.told[1].reason == "in-progress"
     assert not desk.proxied.denial_logged("r", "p")
-    desk.log(desk.told[0].attempt, AttemptResult.OK)
+    desk.log(desk.told[0].attempt_name, AttemptResult.OK)
     assert desk.empty() and desk.request_table.counts["attempts"] == 1
 
 
@@ -170,7 +170,7 @@
     desk.ask(kind="unsafe", due_ms=500)
     desk.run(2.5)
     assert desk.empty() and desk.request_table.counts["attempts_timeout"] == 1
-    assert not desk.log(desk.told[0].attempt, AttemptResult.OK)
+    assert not desk.log(desk.told[0].attempt_name, AttemptResult.OK)
 
 
 def test_late_log_of_a_request_that_has_its_answer_closes_the_books():
@@ -178,25 +178,25 @@
     desk.ask(kind="safe", due_ms=300)
     desk.run(0.4)  # the module's guard has answered; the proxy has not asked for it
     assert desk.request_table.counts["refused"] == 1 and not desk.empty()
-    desk.log(desk.told[0].attempt, AttemptResult.OK)
+    desk.log(desk.told[0].attempt_name, AttemptResult.OK)
     assert desk.empty() and desk.request_table.counts["served"] == 0
 
 
 def test_proxy_that_does_not_ask_again_gets_nothing_more():
     desk = Desk()
     desk.ask()
-    desk.log(desk.told[0].attempt, AttemptResult.RESET)
+    desk.log(desk.told[0].attempt_name, AttemptResult.RESET)
     assert not desk.empty()  # the next attempt waits for its check
     desk.run(0.6)
     assert desk.empty() and len(desk.told) == 1
-    desk.again(desk.told[0].attempt)
+    desk.again(desk.told[0].attempt_name)
     assert desk.told[1].verdict is Verdict.FAILED
 
 
 def test_send_that_waited_for_its_check_is_decided_anew_if_its_worker_drains():
     desk = Desk()
     desk.ask()
-    desk.log(desk.told[0].attempt, AttemptResult.RESET)
+    desk.log(desk.told[0].attempt_name, AttemptResult.RESET)
     parked = next(iter(desk.proxied.index.by_number.values())).withheld.endpoint
     desk.request_table.update_endpoints(
         EndpointList(
@@ -205,9 +205,9 @@
             )
         )
     )
-    desk.again(desk.told[0].attempt)
+    desk.again(desk.told[0].attempt_name)
     assert desk.told[1].verdict is Verdict.START_ATTEMPT and desk.told[1].endpoint != parked
-    desk.log(desk.told[1].attempt, AttemptResult.OK)
+    desk.log(desk.told[1].attempt_name, AttemptResult.OK)
     assert desk.empty()
 
 
@@ -217,7 +217,7 @@
     assert [answer.verdict for answer in desk.told] == [Verdict.START_ATTEMPT]
     desk.proxied.check_cancelled(numbers[1])
     desk.run(1.0)
-    desk.log(desk.told[0].attempt, AttemptResult.OK)
+    desk.log(desk.told[0].attempt_name, AttemptResult.OK)
     desk.run(3.0)
     assert desk.empty() and desk.request_table.counts["left"] == 1
 
@@ -225,7 +225,7 @@
 def test_client_gone_midway_ends_the_request():
     desk = Desk()
     desk.ask(kind="safe")
-    desk.log(desk.told[0].attempt, AttemptResult.CANCELLED, over=True)
+    desk.log(desk.told[0].attempt_name, AttemptResult.CANCELLED, over=True)
     assert desk.empty() and len(desk.told) == 1
 
 
@@ -267,7 +267,7 @@
     desk.ask(kind="unsafe", due_ms=1000)
     desk.clock.__class__ = Late
     desk.clock.stand_still(
-        1.5, lambda: desk.proxied.attempt_logged(desk.told[0].attempt, AttemptResult.OK, 20.0, (), False)
+        1.5, lambda: desk.proxied.attempt_logged(desk.told[0].attempt_name, AttemptResult.OK, 20.0, (), False)
     )
     assert desk.request_table.counts["served"] == 1 and desk.request_table.counts["failed"] == 0
     assert desk.request_table.counts["standstills"] == 1
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -78,11 +78,11 @@
     clock, kept = Clock(), gc.get_threshold()
     one = collector.Collector(clock, lambda: 0)
     try:
-        one.settle()
+        one.freeze_new_objects()
         assert gc.get_freeze_count() == 0  # who has not begun leaves the collector alone
         one.start()
         settings = [[number] for number in range(5000)]
-        one.settle()
+        one.freeze_new_objects()
         seen = []
         gc.callbacks.append(
             lambda phase, info: seen.append(len(gc.get_objects(2)))
--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -120,7 +120,7 @@
 
 def _take_over(data: bytes) -> object:
     record = request_records.decode_record(data, {"order": None})
-    return record and (record.job(), record.delegating_incarnation())
+    return record and (record.direct_request(), record.delegating_incarnation())
 
 
 def _relay(data: bytes) -> object:
--- a/tests/test_duplicate_requests.py
+++ b/tests/test_duplicate_requests.py
@@ -29,13 +29,15 @@
 
     def __init__(self):
         self.clock, self.sent, self.answers, self.anew = Clock(), [], [], []
-        self.returning = Deduplicator(lambda: self.clock.seconds() * 1000, self.clock)
+        self.deduplicator = Deduplicator(lambda: self.clock.seconds() * 1000, self.clock)
         self.duplicates = DuplicateRequests(
-            lambda receiver, data: self.sent.append((receiver, decode(data))), self.clock, self.returning, Counter()
+            lambda receiver, data: self.sent.append((receiver, decode(data))), self.clock, self.deduplicator, Counter()
         )
 
     def wait(self):
-        self.duplicates.wait_here(NAME, JOB, 8000.0, self.answers.append, lambda: self.anew.append(NAME), PRIMARY)
+        self.duplicates.add_waiting_request(
+            NAME, JOB, 8000.0, self.answers.append, lambda: self.anew.append(NAME), PRIMARY
+        )
         self.duplicates.wait_for(NAME, {OTHER})
 
 
@@ -94,7 +96,7 @@
 
 def test_a_request_whose_holder_knows_nothing_asks_for_its_lock_again(backup):
     # Guards against a wait until the deadline: a holder that had ended was asked for its outcome and did not know.
-    backup.returning.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, lambda: backup.anew.append(NAME))
+    backup.deduplicator.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, lambda: backup.anew.append(NAME))
     backup.duplicates.follow(NAME, (PRIMARY, OTHER))
     backup.clock.pump([0.05] * 100)
     assert backup.anew == [NAME] and backup.answers == []
@@ -103,8 +105,8 @@
 
 
 def test_a_request_whose_holder_is_gone_asks_for_its_lock_again_at_once(backup):
-    backup.duplicates.is_gone = lambda number: True
-    backup.returning.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, lambda: backup.anew.append(NAME))
+    backup.duplicates.is_unavailable = lambda number: True
+    backup.deduplicator.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, lambda: backup.anew.append(NAME))
     backup.duplicates.follow(NAME, (PRIMARY, OTHER))
     assert backup.anew == [NAME] and backup.sent == []
 
@@ -113,10 +115,10 @@
     # Guards against a loop of requests and refusals: the lock of a lost holder stands until its deadline.
     def ask():
         backup.anew.append(backup.clock.seconds())
-        backup.returning.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, ask)
+        backup.deduplicator.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, ask)
         backup.duplicates.follow(NAME, (PRIMARY,))
 
-    backup.duplicates.is_gone = lambda number: True
+    backup.duplicates.is_unavailable = lambda number: True
     ask()
     backup.clock.pump([0.05] * 100)
     assert 5 <= len(backup.anew) <= 25
@@ -125,8 +127,8 @@
 def test_a_holder_that_was_taken_for_dead_for_a_while_is_asked_again(backup):
     # Guards against seconds of waiting: only the backup was asked from then on, which knew nothing.
     dead = {PRIMARY}
-    backup.duplicates.is_gone = dead.__contains__
-    backup.returning.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, lambda: backup.anew.append(NAME))
+    backup.duplicates.is_unavailable = dead.__contains__
+    backup.deduplicator.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, lambda: backup.anew.append(NAME))
     backup.duplicates.follow(NAME, (PRIMARY, OTHER))
     assert [receiver for receiver, _ in backup.sent] == [OTHER]
     dead.clear()
@@ -143,7 +145,7 @@
 
 def test_a_client_that_waits_at_a_former_backup_asks_for_the_lock_when_the_primary_is_lost(backup):
     # Guards against a wait until the deadline: the primary had moved its request to another backup, and was killed.
-    backup.duplicates.is_gone = lambda number: number == PRIMARY
+    backup.duplicates.is_unavailable = lambda number: number == PRIMARY
     backup.wait()
     backup.clock.advance(1.0)
     assert backup.anew == [NAME]
@@ -152,7 +154,7 @@
 def test_requests_that_ask_for_a_lock_again_do_so_together_after_an_interval(backup):
     # Guards against hundreds of requests a second: each refusal led to a query, whose reply led to the next request.
     for _ in range(50):
-        backup.returning.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, lambda: backup.anew.append(NAME))
+        backup.deduplicator.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, lambda: backup.anew.append(NAME))
         backup.duplicates.on_reply(OutcomeReply(NAME, Outcome.NEVER_EXECUTED))
     assert len(backup.anew) == 1
     backup.clock.advance(1.0)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -97,7 +97,7 @@
     desk.request_table.release_attempt(number, 0)
     assert desk.told[0].verdict is Verdict.START_ATTEMPT and desk.told[0].timeout_ms < 1900
     desk.request_table.release_attempt(number, 0)  # said twice
-    desk.log(desk.told[0].attempt, AttemptResult.OK)
+    desk.log(desk.told[0].attempt_name, AttemptResult.OK)
     assert desk.empty() and guard.ended == [number] and len(desk.told) == 1
 
 
@@ -133,13 +133,15 @@
     desk.request_table.transfer_to_backup(number)
     desk.run(0.01)
     assert (
-        desk.log(desk.told[0].attempt, AttemptResult.OK) and desk.request_table.counts["served"] == 1 and desk.empty()
+        desk.log(desk.told[0].attempt_name, AttemptResult.OK)
+        and desk.request_table.counts["served"] == 1
+        and desk.empty()
     )
     other = desk.ask("r2", kind="unsafe")
     desk.request_table.release_attempt(other, 0)
     desk.request_table.transfer_to_backup(other)
-    desk.log(desk.told[1].attempt, AttemptResult.CONNECT_FAILED)
-    desk.again(desk.told[1].attempt)
+    desk.log(desk.told[1].attempt_name, AttemptResult.CONNECT_FAILED)
+    desk.again(desk.told[1].attempt_name)
     assert desk.told[-1].verdict is Verdict.FAILED and len(guard.asked) == 2
 
 
--- a/tests/test_lost_owners.py
+++ b/tests/test_lost_owners.py
@@ -22,13 +22,13 @@
 from anisefront.cluster.lock_requester import WIDEN_MS
 from anisefront.cluster.member_state import MemberStatus
 from anisefront.cluster.replication_messages import Append, Outcome, OutcomeQuery, OutcomeReply
-from anisefront.upstream.deduplication import request_key
+from anisefront.upstream.deduplication import request_identity
 
 COUNT = 6
 
 
 def ranks_of(key):
-    slot = slot_of(request_key("customer", key, b""))
+    slot = slot_of(request_identity("customer", key, b""))
     return sorted(range(COUNT), key=lambda number: placement_hash(slot, number))
 
 
@@ -380,8 +380,8 @@
 
 def test_a_holder_that_was_taken_for_dead_for_a_while_is_asked_again(backup):
     # Guards against seconds of silence: only the backup was asked from then on, which knows nothing of the end.
-    backup.duplicates.is_gone = lambda number: number == PRIMARY and backup.clock.seconds() < 0.3
-    backup.returning.wait_for_outcome(NAME, b"", DEADLINE_MS, backup.answers.append, lambda: None)
+    backup.duplicates.is_unavailable = lambda number: number == PRIMARY and backup.clock.seconds() < 0.3
+    backup.deduplicator.wait_for_outcome(NAME, b"", DEADLINE_MS, backup.answers.append, lambda: None)
     backup.duplicates.follow(NAME, (PRIMARY, OTHER))
     backup.clock.pump([0.05] * 30)
     assert (PRIMARY, OutcomeQuery(NAME)) in backup.sent
@@ -393,7 +393,7 @@
 
     def ask():
         asked.append(backup.clock.seconds())
-        backup.returning.wait_for_outcome(NAME, b"", DEADLINE_MS, backup.answers.append, ask)
+        backup.deduplicator.wait_for_outcome(NAME, b"", DEADLINE_MS, backup.answers.append, ask)
         backup.duplicates.follow(NAME, (PRIMARY,))
 
     ask()
--- a/tests/test_policy_concurrency_limit.py
+++ b/tests/test_policy_concurrency_limit.py
@@ -78,7 +78,7 @@
         desk.ask(f"first-{number}")
         for reply in desk.told[known:]:
             if reply.verdict is Verdict.START_ATTEMPT:
-                desk.log(reply.attempt, AttemptResult.OVERLOADED, True)
+                desk.log(reply.attempt_name, AttemptResult.OVERLOADED, True)
     desk.run(10)
     desk.told.clear()
     for number in range(10):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -104,11 +104,11 @@
     desk.run(0.02)
     desk.ask("r5", kind="unsafe")
     assert len(desk.told) == 5  # a larger burst is not granted at once
-    desk.log(desk.told[0].attempt, AttemptResult.RESET)
-    desk.again(desk.told[0].attempt)
+    desk.log(desk.told[0].attempt_name, AttemptResult.RESET)
+    desk.again(desk.told[0].attempt_name)
     assert desk.told[5].verdict.value == "failed"  # it arrived as unsafe
     desk.run(0.2)
     assert len(desk.told) == 7 and desk.told[6].verdict.value == "go"
-    desk.log(desk.told[6].attempt, AttemptResult.RESET)
-    desk.again(desk.told[6].attempt)
+    desk.log(desk.told[6].attempt_name, AttemptResult.RESET)
+    desk.again(desk.told[6].attempt_name)
     assert desk.told[7].verdict.value == "go"  # it arrived as safe
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize("guard", ["whole", "raised", "dropped"])
 def test_each_guard_taken_out_is_found_out(guard, monkeypatch):
     if guard == "whole":
-        monkeypatch.setattr(SettingsSource, "steps", lambda self: self._reading.steps())
+        monkeypatch.setattr(SettingsSource, "steps", lambda self: self._loader.steps())
     elif guard == "raised":
 
         def raised(self, problem):
@@ -449,17 +449,17 @@
 def test_what_became_of_a_request_is_told_by_the_class_that_it_came_with(tmp_path):
     text = GOOD.replace("repeat keyed\n    scope cell\n    window 5s", "repeat unsafe")
     made = Staged(tmp_path, text=text + "members\nkeepers lease 1s\n")
-    keepers, request_table = made.made.keepers, made.made.request_table
+    service, request_table = made.made.replication_service, made.made.request_table
     entry = PendingRequest(
         Arrival(1, "customer", "order", "stall", 2e6), None, 0.0, attempts=1, replica=ReplicaRecord("own", "try-1", {})
     )
     request_table.requests[1] = entry
-    assert keepers.try_protect(entry)
-    keepers.primary._requests.on_locked(1)
-    assert keepers.may_release_attempt(1, 0, "worker")  # so it may have run
+    assert service.try_protect(entry)
+    service.primary._requests.on_locked(1)
+    assert service.may_release_attempt(1, 0, "worker")  # so it may have run
     made.path.write_text(made.path.read_text().replace("repeat unsafe", "repeat safe"))
     assert made.change()["version"] == 2
-    name = next(iter(keepers.duplicates._request_numbers))
-    keepers.duplicates._waiting_instances[name] = {1}
-    keepers.request_completed(1)
-    assert keepers.duplicates._outcomes[name] is replication_messages.Outcome.MAY_HAVE_EXECUTED
+    name = next(iter(service.duplicates._request_numbers))
+    service.duplicates._waiting_instances[name] = {1}
+    service.request_completed(1)
+    assert service.duplicates._outcomes[name] is replication_messages.Outcome.MAY_HAVE_EXECUTED
--- a/tests/test_request_takeover.py
+++ b/tests/test_request_takeover.py
@@ -33,8 +33,8 @@
         self.clock, self.released, self.continued, self.resumed, self.given_up = Clock(), [], [], [], []
         self.has_lock = self.is_lost = False
         self.is_undecided = self.accepts = True
-        self.returning = Deduplicator(lambda: self.clock.seconds() * 1000, self.clock)
-        self.duplicates = DuplicateRequests(lambda receiver, data: None, self.clock, self.returning, Counter())
+        self.deduplicator = Deduplicator(lambda: self.clock.seconds() * 1000, self.clock)
+        self.duplicates = DuplicateRequests(lambda receiver, data: None, self.clock, self.deduplicator, Counter())
         primary = types.SimpleNamespace(
             has_lock=lambda request: self.has_lock,
             is_lost=lambda request: self.is_lost,
@@ -46,7 +46,7 @@
         )
         log = types.SimpleNamespace(info=lambda *values, **fields: None)
         self.takeover = RequestTakeover(
-            lambda: self.clock.seconds() * 1000, log, primary, locks, self.returning, self.duplicates, Counter()
+            lambda: self.clock.seconds() * 1000, log, primary, locks, self.deduplicator, self.duplicates, Counter()
         )
         self.set_class(Idempotency.NON_IDEMPOTENT)
         table = types.SimpleNamespace(transfer_to_backup=self.given_up.append)
@@ -76,9 +76,9 @@
 
     def wait(self, ask):
         """A request taken over before has yielded and waits; `ask` is called when it asks for its lock again."""
-        self.returning.add(IDENTITY, content_digest(JOB), DEADLINE_MS)
+        self.deduplicator.add(IDENTITY, content_digest(JOB), DEADLINE_MS)
         self.answers = []
-        self.returning.wait_for_outcome(IDENTITY, content_digest(JOB), DEADLINE_MS, self.answers.append, ask)
+        self.deduplicator.wait_for_outcome(IDENTITY, content_digest(JOB), DEADLINE_MS, self.answers.append, ask)
 
 
 @pytest.fixture
@@ -107,8 +107,8 @@
 
 
 def test_the_lock_of_a_request_that_was_answered_here_before_is_released(taker):
-    taker.returning.add(IDENTITY, content_digest(JOB), DEADLINE_MS)
-    taker.returning.record_response(IDENTITY, SERVED)
+    taker.deduplicator.add(IDENTITY, content_digest(JOB), DEADLINE_MS)
+    taker.deduplicator.record_response(IDENTITY, SERVED)
     taker.take_over()
     assert (taker.released, taker.resumed) == ([OWNER], [])
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -50,9 +50,9 @@
                 return steps, "it listens twice, or after its end was begun"
             if do in listens and (do is Command.LISTEN_AND_RELOAD) is not told:
                 return steps, "what changed while it started is not read"
-            if do in (Command.DRAIN, Command.RELOAD, Command.HURRY) and not any(each in done for each in listens):
+            if do in (Command.DRAIN, Command.RELOAD, Command.END_DRAIN) and not any(each in done for each in listens):
                 return steps, "a step of service before there was one"
-            if do in (Command.DRAIN, Command.STOP, Command.HURRY) and do in done:
+            if do in (Command.DRAIN, Command.STOP, Command.END_DRAIN) and do in done:
                 return steps, "done twice"
             if Command.STOP in done:
                 return steps, "something after the end"
@@ -70,7 +70,7 @@
 def test_each_row_taken_out_is_found_out(key):
     less = {each: value for each, value in TRANSITIONS.items() if each != key}
     if key == (Phase.DRAINING, Step.TERMINATE):
-        assert not any(do is Command.HURRY for _, do in less.values())  # a second signal would do nothing
+        assert not any(do is Command.END_DRAIN for _, do in less.values())  # a second signal would do nothing
     elif key == (Phase.HURRIED, Step.DRAINED):
         assert broken(less, 5) is not None
     else:
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -154,7 +154,7 @@
     # With two customers under one id a denial that names the id alone proves nothing for either.
     assert not desk.proxied.denial_logged("same", "p")
     for answer in desk.told[:2]:
-        assert desk.log(answer.attempt, AttemptResult.OK)
+        assert desk.log(answer.attempt_name, AttemptResult.OK)
     assert desk.empty() and not desk.proxied.index.by_request_id
 
 
@@ -168,7 +168,7 @@
         "p",
     )
     desk.run(0.01)
-    assert desk.log(desk.told[0].attempt, AttemptResult.OK)
+    assert desk.log(desk.told[0].attempt_name, AttemptResult.OK)
     assert desk.proxied.denial_logged("same", "p")  # only the other is left under it
     desk.run(0.01)
     assert desk.empty() and not desk.proxied.index.by_request_id
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -31,7 +31,7 @@
 from test_rules import settings
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from anisefront.upstream.deduplication import request_key
+from anisefront.upstream.deduplication import request_identity
 from anisefront.gateway.request_terms import RequestTerms
 from anisefront.upstream.delegated_checks import CheckResponse, Verdict
 from anisefront.upstream.direct_requests import DirectRequest, DirectRequests, FinalResponse
@@ -344,7 +344,7 @@
 def _taken(ask: Callable[[GatewayInstance], Any]) -> Any:
     """What a peer would be told of a request that comes in."""
     made, out = _gatekeeper(), []
-    made.keepers.primary.accept = lambda now, taken, *lock: bool(out.append(taken)) or True
+    made.replication_service.primary.accept = lambda now, taken, *lock: bool(out.append(taken)) or True
     ask(made)
     return out[0]
 
@@ -354,7 +354,7 @@
 
 
 def _ask_proxied(made: GatewayInstance) -> None:
-    made.proxied.first_check(
+    made.delegated_requests.first_check(
         "request-1",
         lambda answer: None,
         RequestTerms("stall-7", "order", "wide", 1_004_000.0, 2.5, 1, 1, False),
@@ -380,12 +380,12 @@
         record=data,
         attempts={1: (WORKER, 900.0)},
     )
-    made.keepers.takeover.take_over(1, 101, kept)
-    inherited = made.keepers.takeover._inherited.get(b"the name")
+    made.replication_service.takeover.take_over(1, 101, kept)
+    inherited = made.replication_service.takeover._inherited.get(b"the name")
     if inherited is not None:
         return [
             list(inherited.origin),
-            inherited.identity,
+            inherited.idempotency_key,
             list(dataclasses.astuple(inherited.terms))[:-1],
             plain(inherited.uncertain_attempts),
         ]
@@ -394,8 +394,8 @@
     return [
         [a.customer, a.class_name, a.plan_name, a.deadline_at_ms, a.units, a.first_gateway, a.spread],
         [past.attempts, past.uncertain, past.endpoint, past.started_ms, past.quota_debited],
-        [entry.replica.kind, entry.replica.identity, entry.replica.data],
-        b"the name" in made.keepers.returning,
+        [entry.replica.kind, entry.replica.idempotency_key, entry.replica.data],
+        b"the name" in made.replication_service.deduplicator,
     ]
 
 
@@ -431,7 +431,7 @@
         for name, answer in answers.items()
     }
     job = DirectRequest("POST", "/order", {"x": "y"}, b"body")
-    out["name"] = Sample(lambda: request_key("stall-7", "key-1", SECRET), bytes.hex)
+    out["name"] = Sample(lambda: request_identity("stall-7", "key-1", SECRET), bytes.hex)
     out["mark of what is asked"] = Sample(lambda: request_records.content_digest(job), bytes.hex)
     out["first gateways"] = Sample(
         lambda: json.dumps([first_gateway(f"customer-{n}", SECRET, 1000) for n in range(8)]).encode(), json.loads
@@ -1076,7 +1076,7 @@
         made = _gatekeeper(reactor, f'record "{folder}/trace" key "sixteen bytes at least"\n')
     life, peer = int(NOW_MS), datagrams.DatagramAuthenticator(SECRET, 1, int(NOW_MS))
     made.peer_port.transport = SimpleNamespace(write=lambda data, address: None)
-    made.members.start()
+    made.membership_service.start()
     made.request_table.update_endpoints(EndpointList((Endpoint(WORKER, "a", 0, EndpointStatus.READY),)))
     for data in (
         membership_traffic()[1],
@@ -1089,13 +1089,13 @@
             made.peer_port.datagramReceived(peer.write(0, data, NOW_MS), ("127.0.0.1", 7002))
     made.peer_port.datagramReceived(b"x", ("127.0.0.1", 7002))
     reactor.advance(0.01)
-    assert made.seal.peers[1].process_incarnation == life
+    assert made.datagram_authenticator.peers[1].process_incarnation == life
     for number in range(3):
         made.dispatcher.submit(
             CALL | {"headers": {"x-api-key": "stall-7", "x-idempotency-key": f"key-{number}"}}, lambda answer: None
         )
-    made.proxied.next_check("x", lambda answer: None)
-    made.keepers.on_member_changes([member_state.MemberChange(_row(1, life, 0, 0), None)])
+    made.delegated_requests.next_check("x", lambda answer: None)
+    made.replication_service.on_member_changes([member_state.MemberChange(_row(1, life, 0, 0), None)])
     reactor.advance(0.2)
     return made.state()
 
