--- a/anisefront/daemon/__init__.py
+++ b/anisefront/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Lifecycle of the process and wiring of a gateway instance: start, reload, drain and end, logs and state report."""
+"""Process lifecycle and wiring of a gateway instance: start, reload, drain and exit, logs and state report."""
--- a/anisefront/daemon/authenticated_datagrams.py
+++ b/anisefront/daemon/authenticated_datagrams.py
@@ -18,13 +18,13 @@
     sent_key = None
 
     def __init__(self, authenticator: DatagramAuthenticator, peers: Mapping[int, Address]) -> None:
-        """Use this authentication; `peers` holds the addresses by number."""
+        """Use this authenticator; `peers` holds the peers' addresses by number."""
         self._authenticator = authenticator
         self._peers = peers
 
     @property
     def counts(self) -> Counter[str]:
-        """Return the counters, which the authentication shares."""
+        """Return the counters, which are shared with the authenticator."""
         return self._authenticator.counts
 
     def address_of(self, receiver: int, data: bytes) -> PeerAddress | None:
--- a/anisefront/daemon/clock.py
+++ b/anisefront/daemon/clock.py
@@ -6,12 +6,12 @@
 
 
 class Clock:
-    """A monotonic clock of Unix milliseconds: steps of the wall clock after the start do not change it."""
+    """A monotonic clock in Unix milliseconds, unaffected by wall clock adjustments after the start."""
 
     def __init__(self) -> None:
         """Read the wall clock once."""
         self._base_ms = time.time() * 1000 - time.monotonic() * 1000
 
     def __call__(self) -> float:
-        """Return the time."""
+        """Return the current time."""
         return self._base_ms + time.monotonic() * 1000
--- a/anisefront/daemon/collector.py
+++ b/anisefront/daemon/collector.py
@@ -1,8 +1,9 @@
-"""Garbage collection that does not block the event loop: a full collection visits all tracked objects.
+"""Scheduling of garbage collection, so that full collections do not block the event loop under load.
 
-Objects that exist at the start are frozen, and so are those that a change of settings leaves. Young objects are
-collected frequently in small portions. Old ones, which reference counting frees almost entirely, are collected only
-while few requests are open, or after half an hour at the latest; frozen ones, after settings changed, once a day.
+A full collection visits all tracked objects. Objects that exist at the start, or that a settings change has created,
+are frozen. Young objects are collected frequently in small portions. Old ones, almost all of which reference counting
+frees, are collected only while few requests are open, or after half an hour at the latest; frozen ones once a day if
+the settings have changed.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 # Thresholds of the three generations.
 YOUNG_THRESHOLD = 5000
 MIDDLE_THRESHOLD = 4
-OLD_THRESHOLD = 1_000_000  # never reached: full collections run from here only
+OLD_THRESHOLD = 1_000_000  # never reached: only this module runs full collections
 
 CHECK_INTERVAL_S = 60.0
 MAX_COLLECTION_INTERVAL_S = 1800.0
-MAX_OPEN_REQUESTS = 500  # open requests, above which a full collection waits
-MAX_FROZEN_S = 86_400.0  # after a change of settings, until frozen objects are collected too
+MAX_OPEN_REQUESTS = 500  # number of open requests above which a full collection is postponed
+MAX_FROZEN_S = 86_400.0  # time from a settings change until frozen objects are collected too
 
 
 class Collector:
@@ -34,7 +35,7 @@
     def __init__(
         self, reactor: IReactorTime, open_requests: Callable[[], int], interval_s: float = CHECK_INTERVAL_S
     ) -> None:
-        """Prepare; `open_requests` returns how many requests are open now."""
+        """Create an inactive collector; `open_requests` returns the number of open requests."""
         self.pauses = LagHistogram()
         self._reactor = reactor
         self._open_requests = open_requests
@@ -42,10 +43,10 @@
         self._collection_began_s = 0.0
         self._last_collection_s = 0.0
         self._started = False
-        self._frozen_since_s: float | None = None  # since when objects are frozen that did not exist at the start
+        self._frozen_since_s: float | None = None  # when objects were first frozen after the start
 
     def start(self) -> None:
-        """Take over garbage collection, once in a process."""
+        """Take over the garbage collection of the process; called once."""
         gc.collect()
         gc.freeze()
         gc.enable()  # the caller may have disabled it while it loaded
@@ -56,10 +57,10 @@
         self._reactor.callLater(self._interval_s, self._check)
 
     def freeze_new_objects(self) -> None:
-        """Freeze what a change of settings has created.
+        """Freeze the objects that a settings change has created.
 
-        It creates objects for each line of the files that it affects. Without freezing, after a day of changes each
-        full collection would visit all settings.
+        There are some for each affected line of the files. Without freezing, after a day of changes each full
+        collection would visit all settings.
         """
         if not self._started:
             return
--- a/anisefront/daemon/completed_requests.py
+++ b/anisefront/daemon/completed_requests.py
@@ -1,6 +1,6 @@
-"""Requests of other instances that have completed, as far as this instance was their backup.
+"""Completed requests of other instances whose backup this instance was.
 
-Their primary releases their locks a little later. If it fails before, no other instance knows that they have ended.
+Their primary releases their locks slightly later. If it fails before that, only the backup knows that they ended.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 from anisefront.cluster.lock_messages import LockOwner
 
-MAX_REQUESTS = 10_000  # the oldest are forgotten
+MAX_REQUESTS = 10_000  # above this the oldest are evicted
 
 
 class CompletedRequest(NamedTuple):
-    """A request whose end this backup was told.
+    """A request of whose completion this backup was notified.
 
     Attributes:
         owner: The request.
@@ -35,13 +35,13 @@
         self._by_identity: OrderedDict[bytes, CompletedRequest] = OrderedDict()
 
     def add(self, identity: bytes, request: CompletedRequest) -> None:
-        """Remember a request."""
+        """Store a request, in place of an earlier one of its identity."""
         self._by_identity[identity] = request
         self._by_identity.move_to_end(identity)
         if len(self._by_identity) > MAX_REQUESTS:
             self._by_identity.popitem(last=False)
 
     def get(self, now_ms: float, identity: bytes) -> CompletedRequest | None:
-        """Return the request of an identity whose lock has not lapsed yet."""
+        """Return the request of an identity, unless its lock has lapsed."""
         request = self._by_identity.get(identity)
         return request if request is not None and request.deadline_ms > now_ms else None
--- a/anisefront/daemon/deferred_timer.py
+++ b/anisefront/daemon/deferred_timer.py
@@ -1,4 +1,4 @@
-"""Timer that is deferred after a stall of the process, until the sockets have been read."""
+"""Timer that is deferred after a process stall until the sockets have been read."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     """A one-shot timer on the event loop; times are milliseconds of the clock.
 
     After a stall the event loop runs timers before it reads sockets. A handler that ran at once would take peers for
-    unresponsive whose answers wait in our receive buffers.
+    unresponsive whose replies are still in the socket's receive buffer.
     """
 
     def __init__(
         self, reactor: IReactorTime, clock: Callable[[], float], on_timer: Callable[[], None], max_lateness_ms: float
     ) -> None:
-        """Prepare a timer; later than `max_lateness_ms` means that the process was stalled."""
+        """Create an unset timer; if it is more than `max_lateness_ms` late, the process was stalled."""
         self._reactor = reactor
         self._clock = clock
         self._on_timer = on_timer
@@ -33,7 +33,7 @@
         self._call: Any = None
 
     def schedule_by(self, due_ms: float) -> None:
-        """Fire at this time or at an earlier one that was given before; infinity cancels the timer."""
+        """Fire at this time, or earlier if it is already set to an earlier time; infinity cancels the timer."""
         if self._call is not None and self._call.active():
             if self._due_ms <= due_ms < math.inf:
                 return
@@ -45,7 +45,7 @@
             self._call = self._reactor.callLater(delay_s, self._fire)
 
     def cancel(self) -> None:
-        """Do not fire any more."""
+        """Cancel the timer."""
         self.schedule_by(math.inf)
 
     def _fire(self) -> None:
--- a/anisefront/daemon/drain.py
+++ b/anisefront/daemon/drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a gateway instance: begun once, polled until it is complete."""
+"""Graceful shutdown (drain) of a gateway instance: started once, polled until it is complete."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """The drain of one gateway instance."""
 
     def __init__(self, reactor: IReactorTime) -> None:
-        """Prepare a drain that has not begun."""
+        """Create a drain that has not begun."""
         self._reactor = reactor
         self._completed: defer.Deferred[None] | None = None
 
@@ -27,7 +27,7 @@
         return self._completed is not None and self._completed.called
 
     def begin(self, start: Callable[[], None]) -> defer.Deferred[None]:
-        """Call `start` the first time, and return what fires when the drain is complete."""
+        """Call `start` on the first call, and return a deferred that fires when the drain is complete."""
         if self._completed is None:
             self._completed = defer.Deferred()
             start()
@@ -39,7 +39,7 @@
         self._completed.callback(None)
 
     def poll(self, is_done: Callable[[], bool], then: Callable[[], None]) -> None:
-        """Call `then` as soon as `is_done`, which is checked now and at an interval."""
+        """Call `then` as soon as `is_done` returns true, which is checked now and at an interval."""
         if is_done():
             then()
             return
--- a/anisefront/daemon/duplicate_requests.py
+++ b/anisefront/daemon/duplicate_requests.py
@@ -1,7 +1,8 @@
 """Duplicates: requests of one identity that are in flight at several gateway instances.
 
-A backup that knows a request of some identity rejects another's request of it as a duplicate. The rejected one waits
-at its own instance for the outcome of the first: it gets the same response, runs after all, or fails.
+A backup that stores a request of an identity rejects a request of the same identity from another instance as a
+duplicate. The rejected one waits at its own instance for the outcome of the first: it gets the same response, is
+executed after all, or fails.
 """
 
 from __future__ import annotations
@@ -17,14 +18,14 @@
 from anisefront.upstream.deduplication import Deduplicator
 from anisefront.upstream.direct_requests import DirectRequest, FinalResponse
 
-QUERY_INTERVAL_S = 0.25  # a request that waits for an outcome queries it again, with exponential backoff
+QUERY_INTERVAL_S = 0.25  # initial interval of outcome queries, with exponential backoff
 MAX_QUERY_INTERVAL_S = 1.0
-MIN_QUERY_JITTER = 0.75  # of the interval, up to 1.25: those rejected at the same time do not query at the same time
+MIN_QUERY_JITTER = 0.75  # fraction of the interval, up to 1.25, so that simultaneous rejections query at other times
 QUERY_JITTER_DIVISOR = 512
-MAX_QUERIES = 5  # of an outcome, after which a request that has yielded asks for its lock again
-HOLDER_QUERIES = 2  # of the holder of a lock, after which its backup is queried, too
-OUTCOME_TIMEOUT_S = 0.5  # for a primary to send the response of a request that has completed
-MAX_OUTCOMES = 10_000  # remembered for those that query again; the oldest are evicted
+MAX_QUERIES = 5  # queries of an outcome, after which a request that has yielded requests its lock again
+HOLDER_QUERIES = 2  # queries of the lock holder, after which its backup is queried too
+OUTCOME_TIMEOUT_S = 0.5  # for a primary to send the response of a completed request
+MAX_OUTCOMES = 10_000  # cached for repeated queries; the oldest are evicted
 
 
 class LocalRequest(NamedTuple):
@@ -32,7 +33,7 @@
 
     Attributes:
         identity: Its identity.
-        must_not_repeat: Whether a second execution would do harm, by its class when it was accepted.
+        must_not_repeat: Whether a second execution would be harmful, by its class when it was accepted.
     """
 
     identity: bytes
@@ -41,11 +42,11 @@
 
 @dataclass(slots=True, eq=False)
 class _Following:
-    """Queries of the outcome to which a request here has yielded.
+    """Outcome queries on behalf of a local request that has yielded to another one.
 
     Attributes:
-        informed: The holder of the lock and its backup.
-        queries: How often it was queried.
+        informed: Numbers of the lock holder and its backup, which know the outcome.
+        queries: Number of queries so far.
     """
 
     informed: tuple[int, ...]
@@ -53,14 +54,14 @@
 
     @property
     def holder(self) -> int:
-        """The holder of the lock."""
+        """Return the holder of the lock."""
         return self.informed[0]
 
 
 class DuplicateRequests:
-    """Requests in flight here by identity, and the instances that wait for their outcome.
+    """Local requests by identity, and the instances that wait for their outcome.
 
-    `send(receiver, data)` sends a datagram, `counts` are the counters of the replication service.
+    `send(receiver, data)` sends a datagram; `counts` are the counters of the replication service.
     """
 
     def __init__(
@@ -74,13 +75,13 @@
         self._deduplicator = deduplicator
         self._counts = counts
         self._local: dict[int, LocalRequest] = {}
-        self._request_numbers: dict[bytes, list[int]] = {}  # the first represents its identity
+        self._request_numbers: dict[bytes, list[int]] = {}  # the first one represents the identity
         self._waiting_instances: dict[bytes, set[int]] = {}
         self._followed: dict[bytes, _Following] = {}  # holders to which requests here have yielded
-        # Identities whose requests have asked for the lock just now, and whether they are to ask again.
-        self._asked_for_lock: dict[bytes, bool] = {}
-        self._uncertain: set[bytes] = set()  # completed, and their primaries were queried for the response
-        self._outcomes: OrderedDict[bytes, Outcome] = OrderedDict()  # last sent, of identities without a response here
+        # Identities whose requests have recently requested the lock, and whether they must request it again.
+        self._recent_lock_requests: dict[bytes, bool] = {}
+        self._uncertain: set[bytes] = set()  # completed requests whose primary was queried for the response
+        self._outcomes: OrderedDict[bytes, Outcome] = OrderedDict()  # last ones, of identities without a local response
 
     # ---- requests in flight here -----------------------------------------------------------------
 
@@ -90,7 +91,7 @@
         self._request_numbers.setdefault(identity, []).append(request)
 
     def demote(self, request: int) -> None:
-        """Let any other request of its identity represent it: this one is another instance's now."""
+        """Let another request of its identity represent the identity: another instance owns this one now."""
         local = self._local.get(request)
         if local is not None:
             numbers = self._request_numbers[local.identity]
@@ -113,25 +114,25 @@
         return local
 
     def get(self, request: int) -> LocalRequest | None:
-        """Return a request in flight here; None where it has no identity or may run beside others of it."""
+        """Return a local request; None if it has no identity or may run concurrently with others of its identity."""
         return self._local.get(request)
 
     def request_number(self, identity: bytes) -> int | None:
-        """Return the number of the request in flight here that represents this identity."""
+        """Return the number of the local request that represents this identity."""
         numbers = self._request_numbers.get(identity)
         return numbers[0] if numbers else None
 
     # ---- instances that wait for an outcome ------------------------------------------------------
 
     def add_waiting_instance(self, identity: bytes, number: int) -> None:
-        """Notify an instance of the outcome of an identity, at once where the response is here already."""
+        """Notify an instance of the outcome of an identity, immediately if the response is retained here."""
         self.wait_for(identity, {number})
         response = self._deduplicator.response_of(identity)
         if response is not None:
             self.notify(identity, Outcome.RESPONDED, response)
 
     def wait_for(self, identity: bytes, numbers: set[int]) -> None:
-        """Notify some instances of the outcome of an identity."""
+        """Notify instances of the outcome of an identity once it is known."""
         self._waiting_instances.setdefault(identity, set()).update(numbers)
 
     def notify(self, identity: bytes, outcome: Outcome, response: FinalResponse | None = None) -> None:
@@ -147,7 +148,7 @@
             self._send(receiver, encode(OutcomeReply(identity, outcome, encoded_response)))
 
     def remember(self, identity: bytes, outcome: Outcome) -> None:
-        """Remember an outcome; that one request was never executed does not say so of another of its identity."""
+        """Cache an outcome. MAY_HAVE_EXECUTED stays even if another request of the identity was never executed."""
         if self._outcomes.get(identity) is not Outcome.MAY_HAVE_EXECUTED:
             self._outcomes[identity] = outcome
         self._outcomes.move_to_end(identity)
@@ -155,7 +156,7 @@
             self._outcomes.popitem(last=False)
 
     def end(self, identity: bytes, outcome: Outcome) -> None:
-        """End the wait of all requests of an identity, here and elsewhere, without a response."""
+        """End the wait for an identity, at this and other instances, without a response."""
         self.remember(identity, outcome)
         self._deduplicator.ended_elsewhere(identity, outcome is not Outcome.NEVER_EXECUTED)
         self.notify(identity, outcome)
@@ -171,11 +172,11 @@
         """Answer an outcome query, now or when the outcome is known.
 
         Args:
-            sender: Who asks.
+            sender: The instance that sent the query.
             identity: The identity.
             is_replicated_here: Whether a request of it is stored here.
-            precedes: Whether the sender comes before this instance where two yield to each other.
-            uses_locks: Whether the sender asks for locks: then it may ask for its own where nothing is known here.
+            precedes: Whether the sender takes precedence if two requests have yielded to each other.
+            uses_locks: Whether the sender uses locks: then it may request the lock itself if nothing is known here.
         """
         self.wait_for(identity, {sender})
         in_progress = is_replicated_here or identity in self._request_numbers or identity in self._uncertain
@@ -185,23 +186,23 @@
         elif identity in self._outcomes and not in_progress:
             self.notify(identity, self._outcomes[identity])
         elif self._outcomes.get(identity) is Outcome.MAY_HAVE_EXECUTED and identity not in self._request_numbers:
-            self.notify(identity, Outcome.MAY_HAVE_EXECUTED)  # what is stored here of others waits for that, too
+            self.notify(identity, Outcome.MAY_HAVE_EXECUTED)  # stored requests of others wait for it too
         elif not in_progress and uses_locks:
             self.notify(identity, Outcome.NEVER_EXECUTED)
         elif not in_progress and self._deduplicator.is_awaited(identity):
-            # Ours has yielded to another. If that is the sender's, which has yielded to ours, one has to go on.
+            # The local request has yielded. If it and the sender's have yielded to each other, one must continue.
             following = self._followed.get(identity)
             if precedes and following is not None and following.holder == sender:
                 self.notify(identity, Outcome.NEVER_EXECUTED)
         elif not in_progress and identity not in self._deduplicator:
-            del self._waiting_instances[identity]  # the outcome is not known: no reply is better than a wrong one
+            del self._waiting_instances[identity]  # the outcome is unknown: no reply is better than a wrong one
 
     # ---- requests of others that have completed --------------------------------------------------
 
     def end_uncertain(self, identity: bytes, primary: int, is_in_flight: Callable[[bytes], bool]) -> None:
-        """End the wait for a request that may have been executed, and of which the response is not known here.
+        """End the wait for a request that may have been executed and whose response is unknown here.
 
-        Its primary may still have the response, so it is queried first. Without a reply all that wait are failed,
+        Its primary may still have the response, so it is queried first. Without a reply all waiting requests fail,
         unless a request of the identity is in flight again.
         """
         if not self._deduplicator.is_awaited(identity) and identity not in self._waiting_instances:
@@ -225,23 +226,23 @@
         request: DirectRequest,
         deadline_ms: float,
         on_response: Callable[[FinalResponse], None],
-        on_released: Callable[[], None],
-        informed: int | None,
+        start_anew: Callable[[], None],
+        informed_instance: int | None,
     ) -> None:
-        """Let a request wait for the outcome of another of its identity, of which instance `informed` knows."""
-        self._deduplicator.wait_for_outcome(identity, content_digest(request), deadline_ms, on_response, on_released)
-        if informed is not None:
-            self._reactor.callLater(QUERY_INTERVAL_S, self._query, identity, informed, QUERY_INTERVAL_S)
+        """Let a request wait for another one of its identity, whose outcome `informed_instance` will know."""
+        self._deduplicator.wait_for_outcome(identity, content_digest(request), deadline_ms, on_response, start_anew)
+        if informed_instance is not None:
+            self._reactor.callLater(QUERY_INTERVAL_S, self._query, identity, informed_instance, QUERY_INTERVAL_S)
 
     def is_followed(self, identity: bytes) -> bool:
-        """Return whether a request here has yielded to the holder of the lock of an identity, and waits."""
+        """Return whether a local request has yielded to the lock holder of an identity and still waits."""
         return identity in self._followed and self._deduplicator.is_awaited(identity)
 
     def follow(self, identity: bytes, informed: tuple[int, ...]) -> None:
-        """Query the outcome to which a request here has yielded, now and again until it is known.
+        """Query the outcome of the request to which a local one has yielded, repeatedly until it is known.
 
-        The holder of the lock comes first; its backup knows the outcome only where the holder is lost. Where none is
-        left, or none has told for long, the request asks for its lock again.
+        The lock holder is queried first; its backup knows the outcome only if the holder has failed. If neither is
+        available, or neither replies after several queries, the request requests its lock again.
 
         Args:
             identity: The identity.
@@ -253,13 +254,13 @@
 
     def _query_holder(self, identity: bytes, following: _Following) -> None:
         if self._followed.get(identity) is not following:
-            return  # the request has asked for its lock since, and was refused by another holder
+            return  # the request has requested its lock since, and yielded to another holder
         if not self._deduplicator.is_awaited(identity):
             del self._followed[identity]
             return
         remaining = [number for number in following.informed if not self.is_unavailable(number)]
         if not remaining or following.queries >= MAX_QUERIES:
-            self.ask_for_lock_again(identity)
+            self.request_lock_again(identity)
             return
         for number in remaining if following.queries >= HOLDER_QUERIES else remaining[:1]:
             self._counts["asked_again"] += 1
@@ -268,47 +269,47 @@
         following.queries += 1
         self._reactor.callLater(_jittered(identity, interval_s), self._query_holder, identity, following)
 
-    def ask_for_lock_again(self, identity: bytes) -> None:
-        """Let the requests that wait for an identity ask for its lock, once an interval at most.
+    def request_lock_again(self, identity: bytes) -> None:
+        """Let the requests that wait for an identity request its lock, at most once per interval.
 
-        The voters may name the same holder each time: the lock of one that is lost stands until its deadline.
+        The voters may name the same holder each time: the lock of a failed holder stays until its deadline.
         """
-        if identity in self._asked_for_lock:
-            self._asked_for_lock[identity] = True
+        if identity in self._recent_lock_requests:
+            self._recent_lock_requests[identity] = True
             return
-        self._asked_for_lock[identity] = False
-        self._reactor.callLater(_jittered(identity, QUERY_INTERVAL_S), self._on_asking_interval_over, identity)
+        self._recent_lock_requests[identity] = False
+        self._reactor.callLater(_jittered(identity, QUERY_INTERVAL_S), self._on_lock_request_interval_elapsed, identity)
         self._deduplicator.ended_elsewhere(identity, may_have_executed=False)
 
-    def _on_asking_interval_over(self, identity: bytes) -> None:
-        if self._asked_for_lock.pop(identity):
-            self.ask_for_lock_again(identity)
+    def _on_lock_request_interval_elapsed(self, identity: bytes) -> None:
+        if self._recent_lock_requests.pop(identity):
+            self.request_lock_again(identity)
 
-    def _query(self, identity: bytes, informed: int, interval_s: float) -> None:
-        """Query an outcome while a request waits for it.
+    def _query(self, identity: bytes, informed_instance: int, interval_s: float) -> None:
+        """Query an outcome repeatedly while a request waits for it.
 
-        The reply is a single datagram. When an instance fails with thousands of requests in flight many are lost, and
-        a request would wait until its deadline.
+        The reply is a single datagram. When an instance fails with thousands of requests in flight many datagrams are
+        lost, and without further queries a request would wait until its deadline.
         """
         if not self._deduplicator.is_awaited(identity):
             return
-        if self.is_unavailable(informed) and not self.is_stored(identity):
-            self.ask_for_lock_again(identity)  # its primary had moved it to another backup
+        if self.is_unavailable(informed_instance) and not self.is_stored(identity):
+            self.request_lock_again(identity)  # the failed primary had moved it to another backup
             return
         self._counts["asked_again"] += 1
-        self._send(informed, encode(OutcomeQuery(identity)))
+        self._send(informed_instance, encode(OutcomeQuery(identity)))
         interval_s = min(MAX_QUERY_INTERVAL_S, 2 * interval_s)
-        self._reactor.callLater(_jittered(identity, interval_s), self._query, identity, informed, interval_s)
+        self._reactor.callLater(_jittered(identity, interval_s), self._query, identity, informed_instance, interval_s)
 
     def on_reply(self, reply: OutcomeReply) -> None:
-        """End the wait of the requests of an identity."""
+        """End the wait of the requests of an identity with the outcome of a reply."""
         response = decode_response(reply.response) if reply.outcome is Outcome.RESPONDED else None
         if response is not None:
             self._deduplicator.responded_elsewhere(reply.identity, response)
             self.notify(reply.identity, Outcome.RESPONDED, response)
             return
         if reply.outcome is Outcome.NEVER_EXECUTED:
-            self.ask_for_lock_again(reply.identity)
+            self.request_lock_again(reply.identity)
         else:
             self._deduplicator.ended_elsewhere(reply.identity, may_have_executed=True)
         self.notify(reply.identity, reply.outcome)
--- a/anisefront/daemon/endpoint_file.py
+++ b/anisefront/daemon/endpoint_file.py
@@ -26,8 +26,8 @@
     def __init__(
         self, reactor: IReactorTime, path: str, on_list: Callable[[EndpointList], None], log: FilteringBoundLogger
     ) -> None:
-        """Prepare; `on_list` is called with each valid list."""
-        self.fault = ""  # why the newest file is not in use
+        """Create an inactive watcher; `on_list` is called with each valid list."""
+        self.fault = ""  # why the current file is not in use
         self._reactor = reactor
         self._path = path
         self._on_list = on_list
@@ -41,13 +41,13 @@
         self._loop.start(CHECK_INTERVAL_S, now=True).addErrback(self._restart)
 
     def _restart(self, failure: Any) -> None:
-        """Continue after an unexpected exception: otherwise an old list would stay in use without notice."""
+        """Restart after an unexpected exception: otherwise an outdated list would stay in use unnoticed."""
         self.fault = failure.getErrorMessage()
         self._log.error("roster_raised", fault=self.fault, trace=failure.getTraceback()[-MAX_TRACE_CHARACTERS:])
         self._reactor.callLater(RESTART_DELAY_S, self.start)
 
     def check(self) -> None:
-        """Read the file if it has changed; an invalid one changes nothing."""
+        """Read the file if it has changed; an invalid one is ignored and logged."""
         try:
             found = os.stat(self._path)
             version = (found.st_mtime_ns, found.st_size, found.st_ino)
@@ -65,7 +65,7 @@
         self._on_list(endpoints)
 
     def _reject(self, fault: str) -> None:
-        """Log a fault once, not at each check."""
+        """Log a fault once instead of at each check."""
         if fault == self.fault:
             return
         self.fault = fault
--- a/anisefront/daemon/event_loop_monitor.py
+++ b/anisefront/daemon/event_loop_monitor.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from twisted.internet.interfaces import IReactorTime
 
-INTERVAL_MS = 50.0  # frequent enough to see what a client notices, at negligible cost
+INTERVAL_MS = 50.0  # frequent enough for delays that clients notice, at negligible cost
 
 
 def read_thread_times(pid: int | str, now_ms: float) -> SchedulerSample | None:
@@ -32,7 +32,7 @@
         on_late: Callable[[float, str], None],
         interval_ms: float = INTERVAL_MS,
     ) -> None:
-        """Prepare a monitor; `on_late(late_ms, cause)` is called for each notable lateness."""
+        """Create an inactive monitor; `on_late(late_ms, cause)` is called for each notable lateness."""
         self.lag = LagHistogram()
         self._reactor = reactor
         self._now_ms = now_ms
--- a/anisefront/daemon/gateway_instance.py
+++ b/anisefront/daemon/gateway_instance.py
@@ -1,6 +1,6 @@
 """Wiring of a gateway instance of the settings language: request table, frontends, upstreams, peers and endpoints.
 
-It decides nothing: the frontends reject what arrives while it drains, the controller decides all else.
+It makes no decisions: the frontends reject what arrives while it drains, the controller decides everything else.
 """
 
 from __future__ import annotations
@@ -45,23 +45,23 @@
 from anisefront.upstream.delegated_requests import DelegatedRequests
 from anisefront.upstream.direct_requests import DirectRequests
 
-PEER_RECEIVE_BUFFER_BYTES = 4 << 20  # requested of the system, which may grant less
-MIN_LOGGED_LATENESS_MS = 100.0  # clients notice it; less is only counted
+PEER_RECEIVE_BUFFER_BYTES = 4 << 20  # requested size; the operating system may grant less
+MIN_LOGGED_LATENESS_MS = 100.0  # noticeable to clients; less is only counted
 RECORDING_INTERVAL_S = 1.0
-FINAL_READS = 3  # event loop iterations at the end of the drain that read what clients have sent
+FINAL_READS = 3  # event loop iterations at the end of the drain that still read from clients
 FINAL_READ_INTERVAL_S = 0.01
-FINAL_WRITE_S = 0.05  # for the last answers
+FINAL_WRITE_S = 0.05  # for writing the last responses
 MEMBERSHIP_MARK = bytes((membership_messages.MARK,))
 REPLICATION_MARK = bytes((replication_codec.MARK,))
 SERVICES = ("envoy.service.auth.v3.Authorization", "envoy.service.accesslog.v3.AccessLogService")
 
 
-def _delegation_limits(config: Config) -> DelegationTimeouts:
+def _delegation_timeouts(config: Config) -> DelegationTimeouts:
     return DelegationTimeouts(config.log_ms, config.ask_again_ms, max_withheld_ms=config.park_ms)
 
 
 class GatewayInstance:
-    """One gateway instance, which is created, started, drained and ended once.
+    """One gateway instance, which is created, started and drained once.
 
     The clock returns Unix milliseconds that never decrease; `on_fault` is called if the controller raises.
     """
@@ -74,7 +74,7 @@
         on_fault: Callable[[Exception], None] | None = None,
         source: SettingsSource | None = None,
     ) -> None:
-        """Create all parts; no socket is opened yet. Without a source the settings never change."""
+        """Create all components without opening a socket. Without a source the settings never change."""
         config = version.config
         settings = config.settings
         self.reactor = reactor
@@ -139,11 +139,11 @@
             )
 
     def _create_upstreams(self, config: Config) -> None:
-        """Create both ways of carrying attempts out: delegated to the proxy, and over our own connections."""
+        """Create both attempt handlers: delegated to the proxy, and over our own connections."""
         if self.membership_service is not None:
             self.membership_service.on_unavailable = self.request_table.set_unreachable_peers
         self.delegated_requests = DelegatedRequests(
-            self.request_table, self.reactor, self.incarnation, _delegation_limits(config)
+            self.request_table, self.reactor, self.incarnation, _delegation_timeouts(config)
         )
         self.pool = ConnectionPool(self.reactor)
         self.direct_requests = DirectRequests(
@@ -193,7 +193,7 @@
         self._recording_loop.clock = self.reactor
 
     def _create_monitoring(self) -> None:
-        """Create what measures this process."""
+        """Create the monitors of this process."""
         self.event_loop_monitor = EventLoopMonitor(self.reactor, self.clock, self._on_event_loop_late)
         self.collector = Collector(self.reactor, lambda: self.request_table.open_requests)
         self.memory = memory_report(self)
@@ -215,7 +215,7 @@
         return self.version.router
 
     def gateways_of(self, customer: str) -> tuple[int, int]:
-        """Return the first gateway instance of a customer's set and their number; the same at all instances."""
+        """Return the first gateway instance of a customer's set and the set's size; the same at all instances."""
         settings = self.config.settings
         return first_gateway(customer, settings.tag_key, settings.gateways), self.config.spread
 
@@ -224,19 +224,18 @@
         self.updates.request_reload()
 
     def _apply_settings(self, before: Config) -> None:
-        """Apply a new version. A request that arrived before ends by what it was given then.
+        """Apply a new version. A request that arrived before the change ends under the previous settings.
 
-        Class and plan: the controller stores those of each request, and arrivals before the change are handed to it
-            first.
+        Class and plan: the controller stores those of each request, and receives earlier arrivals before the change.
         Deadline: it is a point in time, computed at the arrival.
         Endpoints: they can't change while running.
-        Replication: its outcome is reported by the class that the request arrived with.
-        Delegation: those that begin after the change use the new times, since no proxy is synchronized with it.
+        Replication: its outcome is reported by the class that the request had at its arrival.
+        Delegation: timeouts that start after the change use the new values, since proxies are not synchronized.
         """
         config = self.config
         self.request_table.max_open_requests = config.most_open
-        self.delegated_requests.timeouts = _delegation_limits(config)
-        # The controller visits each customer whose quota it owns, so changes of routes and keys must not reach it.
+        self.delegated_requests.timeouts = _delegation_timeouts(config)
+        # The controller visits each customer whose quota it owns, so it is not given changes of routes and keys.
         if config.settings != before.settings:
             self.request_table.change_settings(config.settings)
         if self.replication_service is not None:
@@ -275,12 +274,12 @@
         self._peer_listener = self.reactor.listenUDP(
             address.port, self.peer_port, interface=address.host, maxPacketSize=MAX_DATAGRAM_BYTES
         )
-        # If a peer ends with thousands of requests in flight, the others exchange thousands of datagrams at once.
+        # If a peer fails with thousands of requests in flight, the others exchange thousands of datagrams at once.
         self._peer_listener.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PEER_RECEIVE_BUFFER_BYTES)
         return f"{address.host}:{self._peer_listener.getHost().port}"
 
     def _on_peer_message(self, sender: int, data: bytes) -> None:
-        """Pass a peer's message on to the part that it is for."""
+        """Dispatch a peer's message by its first byte."""
         mark = data[:1]
         if mark == MEMBERSHIP_MARK:
             if self.membership_service is not None:
@@ -300,13 +299,13 @@
             self.log.warning("loop_late", late_ms=round(late_ms), cause=cause)
 
     def state(self) -> dict[str, Any]:
-        """Return what this gateway instance is and does, as a document."""
+        """Return the state report of this gateway instance as a document."""
         return to_document(report_of(self), STATE_KEYS)
 
     # ---- drain ---------------------------------------------------------------------------------
 
     def drain(self) -> defer.Deferred[None]:
-        """Reject new requests, finish those in flight; fires when all are answered or the time is up."""
+        """Reject new requests and finish those in flight; fires when all are answered or the drain times out."""
         return self._drain.begin(self._begin_drain)
 
     def end_drain(self) -> None:
@@ -331,10 +330,10 @@
         self._read_remaining(FINAL_READS)
 
     def _read_remaining(self, reads: int) -> None:
-        """Let the event loop read and reject what clients have sent before the listeners closed.
+        """Let the event loop read and reject what clients sent before the listeners closed.
 
-        Data that is unread when a socket closes resets its connection: the client would not know whether its request
-        was executed.
+        Closing a socket with unread data resets its connection: the client would not know whether its request was
+        executed.
         """
         if reads:
             self.reactor.callLater(FINAL_READ_INTERVAL_S, self._read_remaining, reads - 1)
--- a/anisefront/daemon/immutable_settings.py
+++ b/anisefront/daemon/immutable_settings.py
@@ -1,4 +1,4 @@
-"""Settings that can't change while a gateway instance runs. A function of two settings; free of I/O."""
+"""Settings that can't change while a gateway instance runs, found by comparing two versions. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 if TYPE_CHECKING:  # the RESP gateway must not load these
     from anisefront.config.types import Config
 
-# By field, the keyword that sets it. They determine sockets, what peers know of this gateway instance, or what an
-# endpoint can sustain.
+# Directives by the field that they set. The fields determine sockets, what peers know of this gateway instance, or
+# estimates of the endpoints' capacity.
 IMMUTABLE_CONFIG = {
     "grpc": "listen grpc",
     "jsonrpc": "listen jsonrpc",
@@ -45,7 +45,7 @@
     """Return a message for each difference that needs a restart; empty if the change can be applied."""
     names = [keyword for name, keyword in IMMUTABLE_CONFIG.items() if getattr(before, name) != getattr(after, name)]
     names += [IMMUTABLE_SETTINGS[name] for name in immutable_differences(before.settings, after.settings)]
-    messages = [f"{name!r} can't change while running: start the gatekeeper anew" for name in dict.fromkeys(names)]
+    messages = [f"{name!r} can't change while running: restart the gatekeeper" for name in dict.fromkeys(names)]
     return messages + reordered(before.settings, after.settings)
 
 
@@ -55,14 +55,14 @@
 
 
 def reordered(before: Settings, after: Settings) -> list[str]:
-    """Return a message if classes were removed or reordered, and one if plans were.
+    """Return a message if classes were removed or reordered, and another if plans were.
 
-    Peers that have not applied the change yet refer to them by their positions in the file.
+    Peers that have not applied the change yet refer to them by their position in the file.
     """
     messages = []
     for what in ("classes", "plans"):
         old = [each.name for each in getattr(before, what)]
         new = [each.name for each in getattr(after, what)]
         if new[: len(old)] != old:
-            messages.append(f"{what} {', '.join(old)} must stay in their order: add others after them, or start anew")
+            messages.append(f"{what} {', '.join(old)} must stay in their order: add others after them, or restart")
     return messages
--- a/anisefront/daemon/inherited_locks.py
+++ b/anisefront/daemon/inherited_locks.py
@@ -1,4 +1,4 @@
-"""Locks of failed instances' requests that are to be continued here, until a request asks for them or they lapse."""
+"""Locks of failed instances' requests, held until a request continues them here or they lapse."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class InheritedLocks:
-    """Owners of the locks, by identity."""
+    """Inherited locks by identity."""
 
     def __init__(self, now_ms: Callable[[], float]) -> None:
         """Start without locks."""
@@ -30,11 +30,11 @@
         self._locks: OrderedDict[bytes, InheritedLock] = OrderedDict()
 
     def __contains__(self, identity: object) -> bool:
-        """Whether a lock of an identity waits for a request that continues it."""
+        """Return whether there is a lock of an identity that no request has continued yet."""
         return identity in self._locks
 
     def add(self, identity: bytes, lock: InheritedLock) -> InheritedLock | None:
-        """Remember a lock until its deadline; returns the one of this identity that it replaces."""
+        """Store a lock until its deadline; returns the lock of the same identity that it replaces."""
         while self._locks and next(iter(self._locks.values())).deadline_ms <= self._now_ms():
             self._locks.popitem(last=False)
         replaced = self._locks.pop(identity, None)
--- a/anisefront/daemon/lifecycle.py
+++ b/anisefront/daemon/lifecycle.py
@@ -1,10 +1,10 @@
-"""State machine of a gateway process: what a step or a signal does in each phase. Free of I/O.
+"""State machine of a gateway process: the effect of each step or signal in each phase. Performs no I/O.
 
     starting --ready--> serving --terminate--> draining --drained--> ended
        |                                          |
        '--terminate--> ended                      '--terminate--> hurried --drained--> ended
 
-A step without a row changes nothing: no listener opens after a drain has begun, and nothing ends twice.
+A step without a transition is ignored: no listener opens after a drain has begun, and nothing ends twice.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
     STALE = auto()  # starting, with settings that were read before a SIGHUP
     SERVING = auto()
     DRAINING = auto()
-    HURRIED = auto()  # draining, and all open requests are to be answered now
+    HURRIED = auto()  # draining, with all open requests to be answered immediately
     ENDED = auto()
 
 
 class Step(Enum):
-    """What happens to the process."""
+    """An event in the life of the process."""
 
-    READY = auto()  # all is prepared except the listeners
+    READY = auto()  # everything is prepared except the listeners
     TERMINATE = auto()
     HANG_UP = auto()  # SIGHUP
     DRAINED = auto()
-    FAULT = auto()  # it can't continue, or could not start
+    FAULT = auto()  # the process can't start or continue
 
 
 class Command(Enum):
@@ -55,7 +55,7 @@
     (Phase.SERVING, Step.HANG_UP): (Phase.SERVING, Command.RELOAD),
     (Phase.SERVING, Step.TERMINATE): (Phase.DRAINING, Command.DRAIN),
     (Phase.SERVING, Step.FAULT): (Phase.ENDED, Command.STOP),
-    # Requests that are open while draining use the current endpoint list, so its source may still change.
+    # Requests that are open during a drain use the current endpoint list, so a reload must still have an effect.
     (Phase.DRAINING, Step.HANG_UP): (Phase.DRAINING, Command.RELOAD),
     (Phase.DRAINING, Step.TERMINATE): (Phase.HURRIED, Command.END_DRAIN),
     (Phase.DRAINING, Step.DRAINED): (Phase.ENDED, Command.STOP),
--- a/anisefront/daemon/listeners.py
+++ b/anisefront/daemon/listeners.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-ACCEPT_BACKLOG = 1024  # connections that the system accepts before the event loop takes them
+ACCEPT_BACKLOG = 1024  # connections that the operating system queues until the event loop accepts them
 
 
 def listen_tcp(reactor: Any, host: str, port: int, factory: Any) -> Any:
@@ -17,10 +17,10 @@
 
 
 def stop_listening(listener: Any) -> None:
-    """Accept all clients that the system has accepted, then close a listening port.
+    """Accept all connections in the backlog, then close a listening port.
 
-    Closing the socket resets the connections in its backlog. One read of Twisted accepts no more connections than the
-    read before did, so the limit is raised to the whole backlog first.
+    Closing the socket resets the connections in its backlog. Twisted adapts the number of connections that one read
+    accepts to earlier reads, so it is raised to the whole backlog first.
     """
     listener.numberAccepts = ACCEPT_BACKLOG
     listener.doRead()
--- a/anisefront/daemon/logs.py
+++ b/anisefront/daemon/logs.py
@@ -11,7 +11,7 @@
 
 
 def set_up(level: str = "info") -> None:
-    """Log entries of this level and above, one JSON object a line."""
+    """Configure logging: entries of this level and above, one JSON object per line."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -26,7 +26,7 @@
 
 
 def follow_twisted() -> None:
-    """Log exceptions that reach the event loop, which would otherwise go unnoticed."""
+    """Log exceptions that reach Twisted's event loop, which would otherwise go unnoticed."""
     from twisted.logger import globalLogPublisher
 
     globalLogPublisher.addObserver(_log_failure)
--- a/anisefront/daemon/membership_service.py
+++ b/anisefront/daemon/membership_service.py
@@ -1,4 +1,4 @@
-"""Membership on the event loop: datagrams and timers for `cluster/membership.py`, which decides."""
+"""Membership on the event loop: datagrams and timers for the protocol in `cluster/membership.py`."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from anisefront.cluster.member_state import MemberChange, MemberStatus
 from anisefront.cluster.membership import Membership
 
-STALL_FRACTION = 0.25  # of a period: a timer that is so late means a process stall
+STALL_FRACTION = 0.25  # of a period: a timer that is later than that indicates a process stall
 MAX_DEFERRALS = 3  # event loop iterations until the sockets have been read
 DEFERRAL_MS = 1.0
 
-# Names in state reports and log events, which others read.
+# Names in state reports and log events; operators' tools depend on them.
 STATUS_NAMES = {
     MemberStatus.ALIVE: "alive",
     MemberStatus.SUSPECT: "suspected",
@@ -46,7 +46,7 @@
             send: Sends a datagram to a peer.
             log: Structured log.
             number: Number of this instance.
-            process_incarnation: Greater at each of its starts.
+            process_incarnation: Incarnation of this process, greater at each start of the instance.
             peers: Numbers of all instances that may be members.
             seed: Seed of the random generator.
             period_ms: Probe period.
@@ -68,7 +68,7 @@
         self._process()
 
     def receive(self, sender: int, process_incarnation: int, data: bytes) -> None:
-        """Handle a datagram from an authenticated sender, with all others of this event loop iteration."""
+        """Queue a datagram from an authenticated sender, to be handled once per event loop iteration."""
         self._received.append((sender, process_incarnation, data))
         self._schedule(0.0)
 
@@ -80,7 +80,7 @@
         self._call = None
 
     def state(self) -> dict[str, Any]:
-        """Return the state report: its keys are read by others and keep their names."""
+        """Return the state report. Operators' tools depend on its keys."""
         rows = self.membership.rows
         members_by_status = Counter(STATUS_NAMES[row.status] for row in rows.values())
         return {
@@ -95,8 +95,8 @@
         self._call = None
         now_ms = self._clock()
         if self._is_stalled(now_ms):
-            # After a process stall the event loop runs timers first: all others would be suspected while their acks
-            # wait in our socket.
+            # After a process stall the event loop runs timers first: all members would be suspected while their acks
+            # are in the socket's receive buffer.
             self._deferrals += 1
             self._schedule(DEFERRAL_MS)
             return
@@ -129,7 +129,7 @@
             self._report_unavailable()
 
     def _report_unavailable(self) -> None:
-        """Report which members are dead or have left; a dead one may only be partitioned, and takes us for dead."""
+        """Report the members that are dead or have left; a dead one may only be partitioned from this instance."""
         previous = self._unavailable
         rows = self.membership.rows
         self._unavailable = frozenset(number for number, row in rows.items() if row.status >= MemberStatus.DEAD)
--- a/anisefront/daemon/memory.py
+++ b/anisefront/daemon/memory.py
@@ -1,7 +1,7 @@
-"""Memory by purpose: the number of entries, their approximate bytes and the limit on them.
+"""Memory use by purpose: number of entries, estimated bytes and limit.
 
-Bytes are those of a few samples, each with all objects that only it references, times the number of entries: an
-estimate whose cost does not depend on the number of entries.
+The bytes are extrapolated from a few sample entries, each with the objects that it references, so that the cost of
+the estimate does not depend on the number of entries.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Purpose:
-    """One purpose: the entries that exist for it, and their maximum (0: limited elsewhere, see the documentation)."""
+    """A purpose of memory: its entries and their maximum number (0: limited elsewhere, see the documentation)."""
 
     name: str
     entries: Callable[[], Sized]
@@ -29,10 +29,10 @@
 
 
 def size(sample: Any, shared: tuple[type, ...]) -> int:
-    """Return the bytes of a sample and all that it references.
+    """Return the bytes of a sample and all objects that it references.
 
-    Instances of the shared types are left out unless they are the sample or one of its parts; classes, enum members
-    and functions are left out always.
+    Instances of the shared types are excluded unless they are the sample or one of its parts; classes, enum members
+    and functions are always excluded.
     """
     roots = sample if isinstance(sample, tuple) else (sample,)
     root_ids = {id(each) for each in roots}
@@ -51,7 +51,7 @@
 
 
 def _referenced(value: Any) -> Iterator[Any]:
-    """Yield the objects that a value references; of containers, the first ones."""
+    """Yield the objects that a value references; of a container only the first ones."""
     if isinstance(value, dict):
         yield from itertools.islice(value.keys(), MAX_CONTAINER_OBJECTS)
         yield from itertools.islice(value.values(), MAX_CONTAINER_OBJECTS)
@@ -66,7 +66,7 @@
 
 
 def samples(entries: Any) -> Iterable[Any]:
-    """Return a few entries of a collection, with their keys if it is a mapping."""
+    """Return the first entries of a collection, with their keys if it is a mapping."""
     return itertools.islice(entries.items() if isinstance(entries, dict) else entries, SAMPLES)
 
 
@@ -87,10 +87,10 @@
 
 
 class MemoryReport:
-    """The report, refreshed once a second at most: any client may request the state, at any rate."""
+    """The memory report, refreshed at most once a second, however often clients request the state."""
 
     def __init__(self, purposes: Sequence[Purpose], shared: tuple[type, ...], clock: Callable[[], float]) -> None:
-        """Report these purposes; instances of the shared types count for none of them."""
+        """Report these purposes; instances of the shared types are attributed to none of them."""
         self._purposes = purposes
         self._shared = shared
         self._clock = clock
--- a/anisefront/daemon/memory_purposes.py
+++ b/anisefront/daemon/memory_purposes.py
@@ -1,4 +1,4 @@
-"""Purposes for which a gateway instance of the settings language uses memory, with their limits."""
+"""Memory purposes of a gateway instance of the settings language, with their limits."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from anisefront.daemon.gateway_instance import GatewayInstance
 
-# Types that many objects reference: no entry of the memory report is charged for them.
+# Types that many objects reference: not attributed to any entry of the memory report.
 _SHARED_TYPES = (
     Settings,
     Plan,
--- a/anisefront/daemon/message_bundles.py
+++ b/anisefront/daemon/message_bundles.py
@@ -1,4 +1,4 @@
-"""Datagrams of the replication messages that one round of processing sends: several to one receiver go together."""
+"""Bundling of replication messages: several messages to one receiver share a datagram."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from anisefront.cluster.replication_codec import decode, encode
 from anisefront.cluster.replication_messages import Bundle, Message, RelayedMessage, RelayRequest
 
-MAX_BUNDLE_BYTES = 1250  # of the messages in one datagram, which no network fragments
+MAX_BUNDLE_BYTES = 1250  # of all messages in one datagram, small enough to avoid IP fragmentation
 LENGTH_BYTES = 2
 
 
--- a/anisefront/daemon/message_relay.py
+++ b/anisefront/daemon/message_relay.py
@@ -1,6 +1,6 @@
-"""Replication messages between two instances that can't reach each other, passed on by a third.
+"""Relaying of replication messages between two instances that can't reach each other, through a third one.
 
-An instance that handles a relayed message replies through the instance that relayed it.
+The reply to a relayed message is sent through the same relay.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class _ReplyPath(NamedTuple):
-    """Through which instance an origin is reached."""
+    """The relay through which an origin is reached."""
 
     origin: int
     relay: int
@@ -29,10 +29,10 @@
 
 
 class MessageRelay:
-    """Passes messages on, unpacks those that were passed on to this instance, and relays its replies to them."""
+    """Forwards relay requests, unpacks relayed messages, and sends replies through the relay."""
 
     def __init__(self, send: Callable[[int, bytes], None], membership: Membership) -> None:
-        """Initialize; `send(receiver, data)` sends a datagram, `membership` knows the process incarnations."""
+        """Create a relay; `send(receiver, data)` sends a datagram, `membership` has the process incarnations."""
         self._send = send
         self._membership = membership
         self._reply_path: _ReplyPath | None = None
@@ -42,7 +42,7 @@
         self.send_encoded(receiver, encode(message))
 
     def send_encoded(self, receiver: int, data: bytes) -> None:
-        """Send encoded messages in the same way."""
+        """Send encoded messages, through the relay if they reply to a relayed one."""
         path = self._reply_path
         if path is not None and receiver == path.origin:
             self._send(path.relay, encode(RelayRequest(receiver, data)))
@@ -50,12 +50,12 @@
             self._send(receiver, data)
 
     def pass_on(self, sender: int, incarnation: int, request: RelayRequest) -> None:
-        """Pass a message on, unless it is for an unknown instance."""
+        """Forward a message to its receiver, unless the receiver is unknown."""
         if request.receiver in self._membership.rows:
             self._send(request.receiver, encode(RelayedMessage(sender, incarnation, request.data)))
 
     def unpack(self, relayed: RelayedMessage) -> ReceivedFrom | None:
-        """Return the message of a relayed one; None if it is malformed, or from an earlier process of its origin."""
+        """Return the inner message; None if it is malformed or from an earlier incarnation of its origin."""
         row = self._membership.rows.get(relayed.origin)
         if row is None or relayed.origin_incarnation < row.process_incarnation:
             return None
--- a/anisefront/daemon/peer_port.py
+++ b/anisefront/daemon/peer_port.py
@@ -1,7 +1,7 @@
 """UDP port for messages between gateway instances.
 
-How datagrams are addressed, encoded and attributed to a sender is a strategy: authenticated in
-`authenticated_datagrams`, bare in `resp_gateway.bare_datagrams`.
+Addressing, encoding and identification of the sender are a strategy: authenticated in `authenticated_datagrams`,
+plain in `resp_gateway.bare_datagrams`.
 """
 
 from __future__ import annotations
@@ -12,38 +12,38 @@
 
 from twisted.internet import protocol
 
-MAX_DATAGRAM_BYTES = 2048  # that one read takes from the socket
+MAX_DATAGRAM_BYTES = 2048  # read from the socket at once
 
 
 class PeerAddress(NamedTuple):
-    """Where the port of a peer is."""
+    """The address of a peer's port."""
 
     host: str
     port: int
 
 
 class ReceivedMessage(NamedTuple):
-    """Bytes that a peer has sent."""
+    """A message of a peer."""
 
     sender: int
     data: bytes
 
 
 class DatagramFormat(Protocol):
-    """Format of the datagrams between gateway instances, and the counters of what became of them."""
+    """Format of the datagrams between gateway instances, with counters of their outcomes."""
 
     counts: Counter[str]
     undeliverable_key: str  # counts messages that have no receiver
     sent_key: str | None  # counts messages that were sent, if they are counted
 
     def address_of(self, receiver: int, data: bytes) -> PeerAddress | None:
-        """Return where to send a message; None if it can't be delivered."""
+        """Return the address for a message; None if it can't be delivered."""
 
     def encode(self, receiver: int, data: bytes) -> bytes:
         """Return the datagram of a message."""
 
     def decode(self, datagram: bytes, address: tuple[str, int]) -> ReceivedMessage | None:
-        """Return the message of a datagram; None, counted, if it is not accepted."""
+        """Return the message of a datagram; None if it is not accepted, which is counted."""
 
 
 class PeerPort(protocol.DatagramProtocol):
@@ -52,13 +52,13 @@
     noisy = False
 
     def __init__(self, datagrams: DatagramFormat, on_message: Callable[[int, bytes], None]) -> None:
-        """Prepare a port; `on_message(sender, data)` is called for each accepted message."""
+        """Create a port; `on_message(sender, data)` is called for each accepted message."""
         self._datagrams = datagrams
         self._on_message = on_message
 
     @property
     def counts(self) -> Counter[str]:
-        """Return what became of the datagrams, by the format's keys."""
+        """Return the counters of the datagrams' outcomes, by the format's keys."""
         return self._datagrams.counts
 
     def send(self, receiver: int, data: bytes) -> None:
@@ -82,4 +82,4 @@
             self._on_message(message.sender, message.data)
 
     def connectionRefused(self) -> None:
-        """Ignore that a peer's port is closed: its messages count as lost."""
+        """Ignore a closed port of a peer: messages to it count as lost."""
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -25,8 +25,8 @@
     from anisefront.daemon.settings_source import SettingsSource
     from anisefront.gateway.request_table import RequestTable
 
-LISTEN_DELAY_S = 0.002  # between the work of the start and listening, so that the event loop waits once
-FAULT_WRITE_S = 0.2  # for the answers after a fault of the controller
+LISTEN_DELAY_S = 0.002  # between the start-up work and listening, so that the event loop polls its sockets once
+FAULT_WRITE_S = 0.2  # for writing the responses after a fault of the controller
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 
@@ -46,7 +46,7 @@
 
 
 class Instance(Protocol):
-    """What the process needs of a gateway instance."""
+    """The interface of a gateway instance to its process."""
 
     request_table: RequestTable
     collector: Collector
@@ -72,8 +72,8 @@
     Args:
         source: Where the settings are read.
         read: The valid outcome of the first read. It is removed from the list: a reference in a caller's frame would
-            keep it in memory for the duration of the process, however often the settings change.
-        log_level: Of the entries that are logged.
+            keep it in memory for the lifetime of the process, even after the settings have changed.
+        log_level: Minimum level of logged entries.
         workers: Starts embedded endpoints on the event loop and returns their list.
 
     Returns:
@@ -99,7 +99,7 @@
 
 
 def run(
-    make: Callable[[Any, Callable[[Exception], None]], Instance],
+    create_instance: Callable[[Any, Callable[[Exception], None]], Instance],
     log_level: str,
     name: str,
     prepare: Callable[[Any], None] = lambda instance: None,
@@ -108,11 +108,11 @@
     """Run a gateway instance until it ends.
 
     Args:
-        make: Creates it from the event loop and a callback for faults of its controller.
-        log_level: Of the entries that are logged.
-        name: Of the gateway instance in the log.
-        prepare: Does the work of its start that needs no socket.
-        reload: Called at each SIGHUP; an exception is logged and ends nothing.
+        create_instance: Creates it from the event loop and a callback for faults of its controller.
+        log_level: Minimum level of logged entries.
+        name: Name of the gateway instance in the log.
+        prepare: Does the start-up work that needs no socket.
+        reload: Called at each SIGHUP; an exception is logged and does not end the process.
 
     Returns:
         The exit code.
@@ -121,11 +121,11 @@
     logs.follow_twisted()
     from twisted.internet import reactor
 
-    return InstanceProcess(reactor, name, prepare, reload).run(make)
+    return InstanceProcess(reactor, name, prepare, reload).run(create_instance)
 
 
 class InstanceProcess:
-    """Carries out the commands of the lifecycle for one gateway instance."""
+    """Executes the commands of the lifecycle for one gateway instance."""
 
     def __init__(
         self, reactor: Any, name: str, prepare: Callable[[Any], None], reload: Callable[[Any], object] | None
@@ -140,14 +140,14 @@
         self._exit_code = ExitCode.DRAINED
         self._instance: Any = None
 
-    def run(self, make: Callable[[Any, Callable[[Exception], None]], Instance]) -> int:
+    def run(self, create_instance: Callable[[Any, Callable[[Exception], None]], Instance]) -> int:
         """Create the gateway instance, run it until it ends and return the exit code."""
-        # A signal must not end the process between here and the first iteration of the event loop either.
+        # A signal must not end the process before the first iteration of the event loop either.
         for number in HANDLED_SIGNALS:
             signal.signal(number, self._on_signal)
-        # Only now: a signal between these two steps would be recorded and never handled.
+        # Taken after the handlers are set: a signal between the two steps would be recorded and never handled.
         self._pending_signals += signals.take_pending()
-        self._instance = make(self._reactor, self._on_controller_fault)
+        self._instance = create_instance(self._reactor, self._on_controller_fault)
         self._reactor.callWhenRunning(self._handle_signals)
         self._reactor.callWhenRunning(self._start_step, self._prepare)
         started_s = time.monotonic()
@@ -170,7 +170,7 @@
     def _handle_signals(self) -> None:
         """Handle the signals that have arrived; equal ones in one iteration count as one.
 
-        A process and its process group may both be signalled. Counted as two, the second signal would cut short the
+        A signal may be sent to a process and to its process group. If both counted, the second would cut short the
         drain that the first began.
         """
         arrived = set()
@@ -201,9 +201,9 @@
             self._reactor.stop()
 
     def _start_step(self, call: Callable[[], None]) -> None:
-        """Take one step of the start; any exception ends the process.
+        """Execute one step of the start; any exception ends the process.
 
-        A process that stays half started would serve no client and count as alive.
+        A process that is only partly started would serve no client, yet appear to be alive.
         """
         if self._lifecycle.phase is Phase.ENDED:
             return
@@ -216,22 +216,22 @@
             self._advance(Step.FAULT)
 
     def _prepare(self) -> None:
-        """Do the work of the start, then listen once the event loop has waited.
+        """Do the start-up work, then listen after the event loop has polled its sockets.
 
-        A connection that arrives during that work is read late, while its requests' time counts from when they were
-        sent.
+        A connection that arrived during that work would be read late, while the deadlines of its requests count from
+        when they were sent.
         """
         self._prepare_instance(self._instance)
         self._instance.collector.start()
         self._reactor.callLater(LISTEN_DELAY_S, self._start_step, lambda: self._advance(Step.READY))
 
     def _listen(self) -> None:
-        """Open the listeners and print the ready line; the first endpoint list has been handed in before."""
+        """Open the listeners and print the ready line; the first endpoint list has been applied before."""
         addresses = self._instance.start()
         print(json.dumps({"ready": True, **addresses, "pid": os.getpid()}), flush=True)
 
     def _reload(self) -> None:
-        """Reload the settings; unexpected contents of a file must not end a gateway instance in service."""
+        """Reload the settings; unexpected file contents must not end a running gateway instance."""
         if self._reload_instance is None:
             return
         try:
--- a/anisefront/daemon/recorder.py
+++ b/anisefront/daemon/recorder.py
@@ -1,4 +1,4 @@
-"""Writes events and actions of a gateway instance to a rotated trace of bounded size.
+"""Recording of events and actions of a gateway instance to a rotated trace file of bounded size.
 
 It never delays a request, and a full disk stops the recording, not the service.
 """
@@ -21,7 +21,7 @@
     """The trace of one process incarnation of a gateway instance."""
 
     def __init__(self, settings: Recording, number: int, incarnation: str, started_ms: float) -> None:
-        """Begin a new file for the gateway instance of this number."""
+        """Begin a new trace file for the gateway instance with this number."""
         self.fault = ""
         self.written = 0
         self.dropped = 0
@@ -33,11 +33,11 @@
         self._open_file()
 
     def state(self) -> dict[str, int | str]:
-        """Return how many records were written and dropped, and the fault that stopped the recording."""
+        """Return the numbers of written and dropped records, and the fault that stopped the recording, if any."""
         return {"written": self.written, "dropped": self.dropped, "fault": self.fault}
 
     def _open_file(self) -> None:
-        """Begin a new file; older ones are renumbered, the oldest is removed."""
+        """Begin a new file; older files are renumbered and the oldest is removed."""
         path = self._settings.path
         try:
             for number in range(self._settings.keep - 1, 0, -1):
--- a/anisefront/daemon/reload_scheduler.py
+++ b/anisefront/daemon/reload_scheduler.py
@@ -1,11 +1,11 @@
-"""Scheduling of settings changes: one at a time, in slices between iterations of the event loop.
+"""Scheduling of settings reloads: one at a time, in slices between iterations of the event loop.
 
     idle --hang up--> reading --ended--> idle
                       reading --hang up--> due --ended--> reading
     any --stop--> over
 
-A change that has begun is completed: if each reload cancelled the one before, one a second could prevent all of them.
-Requests that arrive meanwhile, however many, cause one more read, since that finds the newest files.
+A reload that has begun is completed: if each one cancelled the previous one, a request each second could prevent all
+of them. Any number of reload requests in the meantime cause one more read, which finds the newest files.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
     from structlog.typing import FilteringBoundLogger
     from twisted.internet.interfaces import IReactorTime
 
-SLICE_S = 0.0005  # work on settings in one iteration; the step that exceeds it is the last
-# A request takes several iterations and may be delayed by a slice in each, so most of the time is left to requests.
+SLICE_S = 0.0005  # work on settings per event loop iteration; the step that exceeds it is the last
+# A request takes several iterations and may be delayed by a slice in each, so most of the time is left for requests.
 PAUSE_S = 0.002
-MAX_DEFERRALS = 3  # iterations that a slice waits for requests that are to be decided
+MAX_DEFERRALS = 3  # iterations by which a slice is deferred while requests await a decision
 
 
 class Phase(Enum):
-    """Phase of the settings change."""
+    """Phase of the reload."""
 
     IDLE = auto()
     READING = auto()
-    DUE = auto()  # reading, and files may have changed since they were read
-    OVER = auto()  # the gateway instance drains: the current settings stay
+    DUE = auto()  # reading, and another read must follow, since files may have changed
+    OVER = auto()  # the gateway instance drains: the current settings remain in use
 
 
 class Step(Enum):
-    """What happens."""
+    """An event that changes the phase."""
 
     HANG_UP = auto()  # a reload is requested
-    ENDED = auto()  # the change is applied, rejected or failed
+    ENDED = auto()  # the change was applied or rejected, or it failed
     STOP = auto()
 
 
@@ -65,7 +65,7 @@
 
 
 class ReloadScheduler:
-    """Runs settings changes beside the handling of requests."""
+    """Runs reloads interleaved with the handling of requests."""
 
     def __init__(
         self,
@@ -76,19 +76,19 @@
         on_raise: Callable[[Exception], None],
         seconds: Callable[[], float] = time.perf_counter,
     ) -> None:
-        """Prepare; nothing is read yet.
+        """Create an idle scheduler.
 
         Args:
             reactor: The event loop.
-            change: Returns the steps of one change, which applies itself.
-            has_waiting_requests: Returns whether requests wait to be decided.
+            change: Returns the steps of one reload, from reading the files to applying the settings.
+            has_waiting_requests: Returns whether requests await a decision.
             log: Where dropped and ignored reloads are logged.
             on_raise: Called with an unexpected exception of a change.
             seconds: Measures slices.
         """
         self.phase = Phase.IDLE
         self.slices = LagHistogram()
-        self.work_ms = 0.0  # processor time of all changes so far
+        self.work_ms = 0.0  # processor time of all reloads so far
         self._reactor = reactor
         self._change = change
         self._has_waiting_requests = has_waiting_requests
@@ -99,11 +99,11 @@
         self._deferrals = 0
 
     def request_reload(self) -> None:
-        """Read the files, which may have changed."""
+        """Request a read of the files, which may have changed."""
         self._advance(Step.HANG_UP)
 
     def stop(self) -> None:
-        """Change nothing any more."""
+        """Cancel a running reload and ignore further requests."""
         self._advance(Step.STOP)
 
     def _advance(self, step: Step) -> None:
@@ -146,6 +146,6 @@
                     return
         except StopIteration:
             self._steps = None
-        except Exception as error:  # unexpected contents of a file must not end a gateway instance in service
+        except Exception as error:  # unexpected file contents must not end a running gateway instance
             self._steps = None
             self._on_raise(error)
--- a/anisefront/daemon/replication.py
+++ b/anisefront/daemon/replication.py
@@ -1,6 +1,6 @@
-"""Replication of requests in flight, on the event loop: `cluster/primary.py` and `cluster/backup.py` decide.
+"""Replication of requests in flight, on the event loop; `cluster/primary.py` and `cluster/backup.py` have the protocol.
 
-The service stands between the request table (as its guard), the peers' datagrams and the upstreams.
+The service connects the request table (as its replication guard), the peers' datagrams and the upstreams.
 """
 
 from __future__ import annotations
@@ -49,8 +49,8 @@
 from anisefront.upstream.delegated_requests import DelegatedRequests
 from anisefront.upstream.direct_requests import DirectRequest, DirectRequests, FinalResponse
 
-NO_BACKUP = "no_keeper"  # end of the counter of requests for which no backup is available
-STALL_MS = 50.0  # a timer that is so late means a process stall: the sockets are read first
+NO_BACKUP = "no_keeper"  # suffix of the counter of requests for which no backup is available
+STALL_MS = 50.0  # a timer that is later than that indicates a process stall: the sockets are read first
 
 
 class ReplicationService:
@@ -73,9 +73,9 @@
             clock: Current time in milliseconds.
             send: Sends a datagram to a peer.
             log: Structured log.
-            config: Configuration in force.
+            config: Current configuration.
             incarnation: Process incarnation of this instance.
-            membership: Members that may replicate.
+            membership: Membership of the cluster, from which backups are selected.
         """
         settings = config.settings
         self._clock = clock
@@ -107,14 +107,14 @@
         self.update_config(config)
         self._timer = DeferredTimer(reactor, clock, self._on_timer, STALL_MS)
         self._is_processing = False
-        self._yielded: OrderedDict[bytes, float] = OrderedDict()  # deadlines of requests that yielded, by identity
-        self._yielding: int | None = None  # the request that yields now
-        self._informed: tuple[int, ...] = ()  # who knows of the request to which one yields now
-        # Local requests that other instances own, with those that know of them.
+        self._yielded: OrderedDict[bytes, float] = OrderedDict()  # deadlines of requests that have yielded, by identity
+        self._yielding: int | None = None  # the request that is yielding now
+        self._informed: tuple[int, ...] = ()  # instances that know of the request to which it yields
+        # Local requests that other instances own, with the instances that know of them.
         self._owned_elsewhere: dict[int, tuple[int, ...]] = {}
 
     def update_config(self, config: Config) -> None:
-        """Put another configuration in force."""
+        """Apply a changed configuration."""
         self._settings = config.settings
         self._zones = config.rooms
         self._protected_only = config.protected_only
@@ -147,7 +147,7 @@
     # ---- guard of the request table --------------------------------------------------------------
 
     def try_protect(self, request: PendingRequest) -> bool:
-        """Replicate a request that was accepted; returns False where it must not run without."""
+        """Replicate an accepted request; returns False if it must not run without a backup and has none."""
         if request.replica is None:
             return True
         now_ms = self._clock()
@@ -173,7 +173,7 @@
         return True
 
     def _has_yielded(self, now_ms: float, identity: bytes) -> bool:
-        """Return whether a request of an identity has yielded here that its client still waits for."""
+        """Return whether a request of an identity has yielded here and its deadline has not passed."""
         while self._yielded and next(iter(self._yielded.values())) <= now_ms:
             self._yielded.popitem(last=False)
         return identity in self._yielded
@@ -197,7 +197,7 @@
         has_yielded: bool,
         prior_attempts: dict[int, str],
     ) -> str | None:
-        """Return why a request is not replicated; None where it is."""
+        """Replicate a request; returns the reason if that is not possible, None otherwise."""
         if len(accepted.record) > MAX_RECORD_BYTES:
             return "too_large"
         is_accepted = self.primary.accept(now_ms, accepted, predecessor, has_yielded, prior_attempts)
@@ -227,13 +227,13 @@
         backup = self.primary.backup_of(request_number)
         self.primary.complete(self._clock(), request_number, is_uncertain, is_uncertain and is_retained)
         if local is None or not represents_identity or request_number == self._yielding:
-            return  # those who wait for one that yields are told when the outcome of the other is known
+            return  # instances that wait for a yielding request are notified of the other one's outcome
         outcome = Outcome.MAY_HAVE_EXECUTED if is_uncertain else Outcome.NEVER_EXECUTED
-        if had_lock:  # others may have been refused on its behalf and ask later
+        if had_lock:  # others may have been refused the lock and query the outcome later
             self.duplicates.remember(local.identity, outcome)
         if not is_retained:
             self.duplicates.notify(local.identity, outcome)
-        elif backup is not None:  # the response follows; its backup may have changed since it was taken over
+        elif backup is not None:  # the response follows; the backup may have changed since the takeover
             self.duplicates.wait_for(local.identity, {backup})
 
     def _may_have_executed(self, request_number: int) -> bool:
@@ -245,9 +245,9 @@
         return request.attempts > 0 if started_here is None else started_here
 
     def stop(self) -> None:
-        """Stop before the process leaves: its backups own what is in flight once they learn that it has left."""
+        """Stop before the process leaves the cluster: its backups then own the requests in flight."""
         self.process()
-        # An attempt that starts after the others were notified would run beside that of the new owner.
+        # An attempt that starts after the backups were notified would run concurrently with one of the new owner.
         self._request_table.batches.stopped = True
         self._timer.cancel()
 
@@ -263,9 +263,9 @@
         on_response: Callable[[FinalResponse], None],
         start_anew: Callable[[], None],
     ) -> bool:
-        """Return whether a client's request is in progress here or at a primary that this instance backs up.
+        """Return whether a client's request is in progress here or at a primary whose backup this instance is.
 
-        If so it waits for the response; otherwise it is a new request.
+        If so it waits for that response; otherwise it is a new request.
         """
         identity = self._identity(customer, idempotency_key)
         if self.deduplicator.try_join(identity, content_digest(request), on_response):
@@ -286,11 +286,11 @@
         on_response: Callable[[FinalResponse], None],
         start_anew: Callable[[], None],
     ) -> None:
-        """Let a request wait that yields to another of its identity."""
+        """Let a request that yields wait for the outcome of the other request of its identity."""
         identity = self._identity(customer, idempotency_key)
         self.duplicates.add_waiting_request(identity, request, deadline_at_ms, on_response, start_anew, None)
-        if identity in self.takeover.inherited_locks:  # that of the holder, which was taken over here meanwhile
-            self.duplicates.ask_for_lock_again(identity)
+        if identity in self.takeover.inherited_locks:  # the holder's lock was taken over here meanwhile
+            self.duplicates.request_lock_again(identity)
         else:
             self.duplicates.follow(identity, self._informed)
 
@@ -299,7 +299,7 @@
         yield from self.backup.known_locks(now_ms)
 
     def _is_local_duplicate(self, identity: bytes, primary: int) -> bool:
-        """Return whether a request of this identity, or its response, is here."""
+        """Return whether a request of this identity, or its response, is held at this instance."""
         if self.takeover.blocks(identity):
             return True
         request_number = self.duplicates.request_number(identity)
@@ -340,7 +340,7 @@
             self.backup.primary_terminated(now_ms, row.number, previous.process_incarnation)
         if row.status is MemberStatus.LEFT:
             self.backup.primary_terminated(now_ms, row.number, row.process_incarnation)
-        # A primary that others take for dead may be heard here all the same: its lease decides.
+        # A primary that others consider dead may still be reachable from here: its lease decides.
 
     def receive(self, sender: int, incarnation: int, data: bytes) -> None:
         """Handle a datagram from an authenticated sender."""
@@ -348,7 +348,7 @@
         if not isinstance(message, Bundle):
             self._receive_decoded(sender, incarnation, message)
             return
-        self._is_processing = True  # once for all messages of the datagram
+        self._is_processing = True  # process once, after all messages of the datagram
         try:
             for each in unbundle(message):
                 self._receive_decoded(sender, incarnation, each)
@@ -383,7 +383,7 @@
             self.duplicates.on_reply(message)
         elif isinstance(message, OutcomeQuery):
             uses_locks = self.voter.uses_locks(sender, incarnation)
-            # Who asks for locks need not wait for a request that its primary has moved to another backup.
+            # A sender that uses locks need not wait for a request that its primary has moved to another backup.
             is_replicated_here = (
                 self.backup.stores(message.identity) if uses_locks else self._is_in_flight_elsewhere(message.identity)
             )
@@ -403,7 +403,7 @@
             self.process()
 
     def _retain_response(self, reply: OutcomeReply) -> None:
-        """Retain the response of a request that is stored here: its primary may be lost, or taken for lost, later."""
+        """Retain the response of a request that is stored here, in case its primary fails or seems to fail later."""
         replica = self.backup.find_stored(reply.identity) if reply.outcome is Outcome.RESPONDED else None
         response = decode_response(reply.response) if replica is not None else None
         if response is None or response.message is None:
@@ -418,7 +418,7 @@
         return placement_hash(slot, other) < placement_hash(slot, self._settings.number)
 
     def _send_or_loop_back(self, receiver: int, data: bytes) -> None:
-        """Send a datagram, or handle it here in a later iteration of the event loop."""
+        """Send a datagram; one to this instance is handled in a later iteration of the event loop."""
         if receiver != self._settings.number:
             self._send_datagram(receiver, data)
             return
@@ -435,7 +435,7 @@
     # ---- actions ---------------------------------------------------------------------------------
 
     def process(self) -> None:
-        """Carry out what was decided, until nothing is left to do."""
+        """Carry out all pending actions, including those that they lead to."""
         if self._is_processing:
             return
         self._is_processing = True
@@ -450,7 +450,7 @@
         self._timer.schedule_by(min(part.next_timer_ms for part in parts))
 
     def _carry_out_all(self) -> bool:
-        """Carry out the pending actions; returns whether some may have led to others."""
+        """Carry out the pending actions; returns whether they may have led to further ones."""
         parts = (self.primary, self.backup, self.witness, self.voter)
         pending = [action for part in parts for action in part.take_actions()]
         ordered = actions.in_execution_order(pending)
@@ -458,14 +458,14 @@
         others = [action for action in ordered if not isinstance(action, actions.SendMessage)]
         local = [action for action in messages if action.receiver == self._settings.number]
         self._send_all([action for action in messages if action.receiver != self._settings.number])
-        for action in local:  # to the voter of this instance, or from it
+        for action in local:  # to or from the voter of this instance
             self._receive_message(action.receiver, self._incarnation, action.message)
         for action in others:
             self._carry_out(action)
         return bool(local or others)
 
     def _send_all(self, messages: list[actions.SendMessage]) -> None:
-        """Send messages, those to one receiver together where it knows bundles."""
+        """Send messages, bundled by receiver if the receiver supports bundles."""
         by_receiver: dict[int, list[Message | LockMessage]] = {}
         for action in messages:
             by_receiver.setdefault(action.receiver, []).append(action.message)
@@ -513,9 +513,9 @@
         self._request_table.transfer_to_backup(request_number)
 
     def try_follow_owner(self, request: PendingRequest) -> bool:
-        """Let the client of a request that another instance owns wait for the outcome there, as duplicates do.
+        """Let the client of a request that another instance owns wait for the outcome there, as for a duplicate.
 
-        One that may have been executed here, and must not be again, fails: the owner does not execute it either.
+        A request that may have been executed here and must not be repeated fails: its owner does not repeat it.
         """
         request_number = request.arrival.id
         informed = self._owned_elsewhere.get(request_number)
@@ -526,7 +526,7 @@
             return False
         self.counts["followed_owner"] += 1
         self._yield_to_duplicate(request_number, informed)
-        # The owner may never have stored it: then its client starts anew, and nobody else continues its lock.
+        # The owner may never have stored it: then it is started again here and must continue its lock.
         owner = LockOwner(self._settings.number, self._incarnation, request_number)
         self.takeover.inherit_lock(local.identity, InheritedLock(owner, request.arrival.deadline_at_ms))
         return True
@@ -539,30 +539,30 @@
             request.arrival.deadline_at_ms
         )
         self._yielding = request_number
-        self._informed = informed  # for `wait_for_outcome`, which the upstream calls
+        self._informed = informed  # for `wait_for_outcome`, which the attempt handler calls
         request.handler.yield_to_duplicate(request.arrival, request.replica.idempotency_key)
         self._informed = ()
         self._yielding = None
 
     def _on_released(self, owner: LockOwner, replica: ReplicatedRequest) -> None:
-        """Let the requests continue that wait for one which is not stored here any more."""
+        """Resolve the requests that wait for one which is not stored here any more."""
         if not replica.excludes_duplicates:
             return
         outcome = self.takeover.uncertain_outcome(replica) if replica.attempts else Outcome.NEVER_EXECUTED
         is_uncertain = outcome is Outcome.MAY_HAVE_EXECUTED
         self.completed.add(replica.identity, CompletedRequest(owner, replica.deadline_ms, is_uncertain))
         if is_uncertain:
-            # Other requests of the identity that are stored here wait as those do that are told.
+            # Other stored requests of the identity wait for the outcome as well.
             self.duplicates.end_uncertain(replica.identity, owner.number, lambda identity: False)
         elif not self._is_in_flight_elsewhere(replica.identity):
-            # Who has yielded to the holder of the lock is told by the holder: this one may have yielded as well.
+            # A request that yielded to the lock holder is notified by the holder: this one may have yielded too.
             if not self.duplicates.is_followed(replica.identity):
                 self.deduplicator.ended_elsewhere(replica.identity, may_have_executed=False)
             if not self.voter.uses_locks(owner.number, 1):
                 self.duplicates.notify(replica.identity, outcome)
 
     def _release_if_completed(self, identity: bytes) -> None:
-        """Release the lock of a completed request whose primary has failed since, or tell that it may have executed."""
+        """Resolve a completed request whose primary has failed since: release its lock, unless it may have executed."""
         completed = self.completed.get(self._clock(), identity)
         if completed is None or not self._is_unavailable(completed.owner.number):
             return
@@ -574,7 +574,7 @@
     # ---- state -----------------------------------------------------------------------------------
 
     def state(self) -> dict[str, Any]:
-        """Return the state report: its keys are read by others and keep their names."""
+        """Return the state report. Operators' tools depend on its keys."""
         return {
             "kept_for_others": self.backup.request_count,
             "kept_by_others": len(self.primary),
@@ -596,7 +596,7 @@
 
 
 def _placement(config: Config) -> LockPlacement:
-    """Return who votes; the zones count where all instances have one, so that all instances agree."""
+    """Return the placement of votes; zones are used only if all instances have one, so that all of them agree."""
     instances = range(config.settings.gateways)
     has_zones = all(config.rooms.get(number) for number in instances)
     return LockPlacement({number: config.rooms[number] if has_zones else "" for number in instances})
--- a/anisefront/daemon/report_document.py
+++ b/anisefront/daemon/report_document.py
@@ -1,4 +1,4 @@
-"""State reports: typed structures inside, documents with stable keys outside.
+"""Conversion of typed state reports to documents with stable keys.
 
 A key table maps each key of the document to the path of an attribute, or to the table of a nested document.
 """
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTableReport:
-    """Requests and attempts of a gateway instance now."""
+    """Current numbers of requests and attempts of a gateway instance."""
 
     open_requests: int
     queued_requests: int
@@ -27,7 +27,7 @@
 
 
 def report_of_request_table(table: RequestTable) -> RequestTableReport:
-    """Return the numbers of requests and attempts."""
+    """Return the current numbers of requests and attempts."""
     controller = table.controller
     return RequestTableReport(
         open_requests=table.open_requests,
--- a/anisefront/daemon/request_records.py
+++ b/anisefront/daemon/request_records.py
@@ -1,4 +1,4 @@
-"""Encoded forms of requests and responses that gateway instances exchange, as JSON lists by position."""
+"""Encoding of the requests and responses that gateway instances exchange, as positional JSON lists."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 RECORD_VERSION = 1
 DIGEST_BYTES = 16
-MAX_INTEGER = 2**63  # a larger one is none that an instance writes
+MAX_INTEGER = 2**63  # instances never write a larger one
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRecord:
     """What a backup needs to continue a request. The order of the fields is that of the encoded list.
 
-    `data` depends on `carrier`, the kind of upstream that executes the request.
+    The contents of `data` depend on `handler_kind`, the kind of attempt handler that executes the request.
     """
 
     handler_kind: str
@@ -38,7 +38,7 @@
 
     @classmethod
     def of(cls, request: PendingRequest) -> RequestRecord:
-        """Return the record of a request that carries its work."""
+        """Return the record of a request that has a `ReplicaRecord`."""
         arrival = request.arrival
         return cls(
             request.replica.kind,
@@ -58,7 +58,7 @@
         return json.dumps([RECORD_VERSION, *fields], separators=(",", ":")).encode()
 
     def direct_request(self) -> DirectRequest | None:
-        """Return the call of a request that our own connection pool executes; None where the data are none."""
+        """Return the HTTP request that our own connection pool executes; None if the data are malformed."""
         data = self.data
         if not all(isinstance(data.get(name), str) for name in ("method", "target", "body")):
             return None
@@ -68,7 +68,7 @@
         return DirectRequest(data["method"], data["target"], data["headers"], body)
 
     def delegating_incarnation(self) -> str | None:
-        """Return which process named the attempts of a request that a proxy executes; None where it is not said."""
+        """Return the process incarnation that named the attempts of a delegated request; None if it is missing."""
         incarnation = self.data.get("life")
         return incarnation if isinstance(incarnation, str) else None
 
@@ -79,9 +79,9 @@
 
 
 def decode_record(data: bytes, class_names: Container[str]) -> RequestRecord | None:
-    """Decode a record; None for one of another version of this program, or of a class that is not configured here.
+    """Decode a record; None if it is malformed, has another version, or its class is not configured here.
 
-    Versions run side by side during a rolling restart: one record must not prevent that others are taken over.
+    Several versions run during a rolling restart: one unreadable record must not prevent the takeover of others.
     """
     document = _load(data)
     if not isinstance(document, list) or len(document) != 1 + _RECORD_FIELDS or document[0] != RECORD_VERSION:
@@ -93,7 +93,7 @@
 
 
 def _load(data: bytes) -> Any:
-    """Return the JSON value of some bytes, None where there is none."""
+    """Return the JSON value of some bytes; None if they are malformed."""
     try:
         return json.loads(data)
     except (ValueError, RecursionError):
@@ -118,7 +118,7 @@
 
 
 def _is_finite(value: Any) -> bool:
-    """Return whether a value is a number that a float can hold; booleans are none."""
+    """Return whether a value is a finite number; booleans are not."""
     if isinstance(value, int):
         return _is_integer(value)
     return isinstance(value, float) and math.isfinite(value)
@@ -142,7 +142,7 @@
 
 
 def decode_response(data: bytes) -> FinalResponse | None:
-    """Decode a response; None where the bytes are malformed."""
+    """Decode a response; None if the bytes are malformed."""
     document = _load(data)
     if not isinstance(document, list) or len(document) != _RESPONSE_FIELDS:
         return None
@@ -170,7 +170,7 @@
 
 
 def content_digest(request: DirectRequest) -> bytes:
-    """Return a digest of what a call asks for, by which different calls of one identity are distinguished."""
+    """Return a digest of a request's content, by which different requests of one identity are distinguished."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (request.method.encode(), request.target.encode(), request.body):
         digest.update(len(part).to_bytes(4, "big") + part)
--- a/anisefront/daemon/request_table.py
+++ b/anisefront/daemon/request_table.py
@@ -1,4 +1,4 @@
-"""Creation of the request table of a gateway instance with its controller and callbacks."""
+"""Factory of a gateway instance's request table with its controller and callbacks."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
         clock: Returns Unix milliseconds that never decrease.
         log: Where exceptions of single actions are logged.
         settings: The controller's settings.
-        seed: Of the controller's random draws.
+        seed: Seed of the controller's random generator.
         peer_port: Sends messages to peers; without one they are dropped.
-        max_open: Requests that may be open at a time.
+        max_open: Maximum number of open requests.
         on_fault: Called if the controller itself raises.
     """
     return RequestTable(
--- a/anisefront/daemon/request_takeover.py
+++ b/anisefront/daemon/request_takeover.py
@@ -1,6 +1,6 @@
-"""Requests of failed primaries that continue here: the policy decides what is to be done, as for any other request.
+"""Takeover of requests of failed primaries, which continue under the controller like any other request.
 
-A request over the local connection pool is sent again; one that a proxy executes waits for the proxy to come back.
+A request over the local connection pool is sent again; a delegated one waits for its proxy to return.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class RequestTakeover:
-    """Continues requests of failed primaries, and reports the outcome of each to those that wait for it."""
+    """Continues requests of failed primaries, and reports their outcomes to the instances that wait for them."""
 
     def __init__(
         self,
@@ -52,11 +52,11 @@
         self._duplicates = duplicates
         self._counts = counts
         self._classes: dict[str, RequestClass] = {}
-        # Delegated requests taken over whose proxy has not returned, by identity.
+        # Delegated requests that were taken over and whose proxy has not returned, by identity.
         self._inherited: dict[bytes, InheritedRequest] = {}
 
     def update_classes(self, classes: dict[str, RequestClass]) -> None:
-        """Put other request classes in force."""
+        """Apply changed request classes."""
         self._classes = classes
 
     def attach(
@@ -70,8 +70,8 @@
     def uncertain_outcome(self, replica: ReplicatedRequest) -> Outcome:
         """Return the outcome of a request that may have executed.
 
-        With an idempotency key another of its identity may run where all endpoints drop a repeated execution. Where
-        only those of one zone or cell do it may not: it does not know which endpoint received the first.
+        Another request with its idempotency key may run if all endpoints drop repeated executions. It may not if only
+        the endpoints of one zone or cell do: it is unknown here which endpoint received the first.
         """
         record = decode_record(replica.record, self._classes)
         if record is not None and self._classes[record.class_name].is_repeatable_anywhere:
@@ -79,9 +79,9 @@
         return Outcome.MAY_HAVE_EXECUTED
 
     def blocks(self, identity: bytes) -> bool:
-        """Return whether a delegated request taken over blocks others of its identity; one that does not is released.
+        """Return whether a delegated request taken over blocks others of its identity; otherwise it is released.
 
-        Its proxy went to another instance then, where nothing prevents the request: it continues without us.
+        Its proxy has then gone to another instance, where the request may run: it continues there.
         """
         inherited = self._inherited.pop(identity, None)
         if inherited is None or not inherited.is_awaited:
@@ -96,7 +96,7 @@
     def take_over(self, primary: int, incarnation: int, replica: ReplicatedRequest) -> None:
         """Continue a request of a failed primary.
 
-        Its lock is continued by exactly one request here, or released: its owner does neither any more.
+        Its lock must be continued by exactly one local request or be released: its owner does neither any more.
         """
         owner = LockOwner(primary, incarnation, replica.request)
         self._counts["taken_over"] += 1
@@ -129,7 +129,7 @@
             self._release_unless_uncertain(replica, owner)
 
     def inherit_lock(self, identity: bytes, lock: InheritedLock) -> None:
-        """Let the next request of an identity that is accepted here continue a lock."""
+        """Let the next accepted request of an identity continue a lock."""
         replaced = self.inherited_locks.add(identity, lock)
         if replaced is not None and replaced.owner != lock.owner:
             self._locks.release_predecessor(identity, *replaced)
@@ -139,23 +139,23 @@
             self.inherit_lock(replica.identity, InheritedLock(owner, replica.deadline_ms))
 
     def _is_uncertain(self, replica: ReplicatedRequest) -> bool:
-        """Return whether no other request of its identity may run, since it may have been executed."""
+        """Return whether it may have been executed, so that no other request of its identity may run."""
         return bool(replica.attempts) and self.uncertain_outcome(replica) is Outcome.MAY_HAVE_EXECUTED
 
     def _release_unless_uncertain(self, replica: ReplicatedRequest, owner: LockOwner) -> None:
-        """Let any instance have the lock of a request that is not continued here, unless it may have been executed."""
+        """Release the lock of a request that is not continued here, unless it may have been executed."""
         if replica.excludes_duplicates and not self._is_uncertain(replica):
             self._locks.release_predecessor(replica.identity, owner, replica.deadline_ms)
 
     def _continue_local(self, local_request_number: int, replica: ReplicatedRequest, owner: LockOwner) -> None:
         """Let the local request of this identity continue in place of the failed primary's, or fail."""
-        if self._primary.has_lock(local_request_number):  # so no attempt of the other has left
+        if self._primary.has_lock(local_request_number):  # so the other has started no attempt
             self._locks.release_predecessor(replica.identity, owner, replica.deadline_ms)
         elif self._is_uncertain(replica):
             self._duplicates.remember(replica.identity, Outcome.MAY_HAVE_EXECUTED)
             self._request_table.transfer_to_backup(local_request_number)
         elif not self._locks.continue_predecessor(self._clock(), local_request_number, owner):
-            self._inherit_lock(replica, owner)  # it was refused its lock, and asks for it again at once
+            self._inherit_lock(replica, owner)  # it was refused its lock, and requests it again at once
 
     def _continue_own(
         self, record: RequestRecord, replica: ReplicatedRequest, owner: LockOwner, prior_attempts: PriorAttempts
@@ -187,14 +187,14 @@
             self._duplicates.wait_for(identity, set() if backup is None else {backup})
 
     def _continue_waiting(self, replica: ReplicatedRequest, owner: LockOwner) -> None:
-        """Continue by the request of this identity that was taken over before: it is answered, or has yielded."""
+        """Resolve through the request of this identity that was taken over before: it has a response or has yielded."""
         if self._deduplicator.response_of(replica.identity) is not None:
             self._release_unless_uncertain(replica, owner)
         elif self._is_uncertain(replica):
             self._duplicates.end(replica.identity, Outcome.MAY_HAVE_EXECUTED)
         else:
             self._inherit_lock(replica, owner)
-            self._duplicates.ask_for_lock_again(replica.identity)
+            self._duplicates.request_lock_again(replica.identity)
 
     def _continue_delegated(
         self, record: RequestRecord, replica: ReplicatedRequest, prior_attempts: PriorAttempts
@@ -219,7 +219,7 @@
         self._duplicates.notify(replica.identity, self.uncertain_outcome(replica))
 
     def _on_response(self, identity: bytes, response: FinalResponse) -> None:
-        """Deliver the response to all that wait for this identity."""
+        """Deliver a response to all clients and instances that wait for this identity."""
         if identity == NO_IDENTITY:
             return
         self._deduplicator.record_response(identity, response)
@@ -230,7 +230,7 @@
 
 
 def _prior_attempts(replica: ReplicatedRequest) -> PriorAttempts:
-    """Return what the policy must know of the attempts of a failed primary."""
+    """Return what the controller must know about the attempts of a failed primary."""
     attempts = sorted(replica.attempts.items())
     if not attempts:
         return PriorAttempts(0, 0, "", 0.0, False)
--- a/anisefront/daemon/settings_updates.py
+++ b/anisefront/daemon/settings_updates.py
@@ -1,4 +1,4 @@
-"""Settings changes of a running gateway instance: a new version is applied as a whole or rejected as a whole."""
+"""Settings changes of a running gateway instance: a new version is applied or rejected as a whole."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from structlog.typing import FilteringBoundLogger
     from twisted.internet.interfaces import IReactorTime
 
-MAX_LOGGED_NAMES = 5  # of what a change added, changed or removed, in one log entry
+MAX_LOGGED_NAMES = 5  # names of added, changed or removed settings in one log entry
 MAX_LOGGED_FAULTS = 20
 MAX_FAULT_CHARACTERS = 500
 MAX_TRACE_CHARACTERS = 2000
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsReport:
-    """The current settings version and what became of the reloads so far."""
+    """The current settings version and the outcomes of the reloads so far."""
 
     version: int
     digest: str
@@ -42,8 +42,8 @@
 class SettingsUpdates:
     """The current settings version of a gateway instance and its replacement on request.
 
-    Settings that were read from two places could be of two versions within one request. All code that decides on
-    requests reads `version`, which changes by one assignment.
+    Settings from two places could belong to two versions within one request. Hence all code that decides on requests
+    reads `version`, which changes by one assignment.
     """
 
     def __init__(
@@ -61,11 +61,11 @@
         Args:
             reactor: The event loop.
             clock: Returns Unix milliseconds.
-            log: Where outcomes are logged.
+            log: Logger of the outcomes.
             version: The settings at the start.
-            source: Where new versions are read; None if the settings never change.
-            has_waiting_requests: Returns whether requests wait to be decided.
-            on_change: Applies a new version, which is `version` by then; called with the previous settings.
+            source: Source of new versions; None if the settings never change.
+            has_waiting_requests: Returns whether requests await a decision.
+            on_change: Called with the previous settings after `version` was replaced, to apply the new ones.
         """
         self.version = version
         self.scheduler = ReloadScheduler(reactor, self._change, has_waiting_requests, log, self._on_raise)
@@ -78,12 +78,12 @@
         self._fault = ""
 
     def request_reload(self) -> None:
-        """Read the settings in slices and apply them between two iterations of the event loop, or reject them."""
+        """Read the settings in slices and apply or reject them between two iterations of the event loop."""
         if self._source is not None:
             self.scheduler.request_reload()
 
     def stop(self) -> None:
-        """Change nothing any more."""
+        """Stop reloading: the current settings remain in use."""
         self.scheduler.stop()
 
     def report(self) -> SettingsReport:
@@ -102,7 +102,7 @@
         )
 
     def _change(self) -> Generator[None, None, None]:
-        """Carry out one change from reading to its application or rejection."""
+        """Carry out one reload, from reading the files to applying or rejecting the settings."""
         outcome = yield from self._source.steps()
         config = self.version.config
         faults = list(outcome.errors) or immutable_settings.rejected_changes(config, outcome.config)
@@ -143,9 +143,9 @@
         )
 
     def _on_raise(self, error: Exception) -> None:
-        fault = f"unforeseen, please report it: {type(error).__name__}: {error}"
+        fault = f"unexpected error, please report it: {type(error).__name__}: {error}"
         self._record("raised", fault[:MAX_FAULT_CHARACTERS])
-        # The variables of a traceback hold settings, secrets among them, so only its lines are logged.
+        # The variables in a traceback hold settings, including secrets, so only its source lines are logged.
         trace = "".join(traceback.format_exception(error))
         self._log.error("reload_raised", fault=self._fault, trace=trace[-MAX_TRACE_CHARACTERS:])
 
@@ -155,7 +155,7 @@
 
 
 def _logged_differences(changes: Any) -> dict[str, list[str]]:
-    """Return the first names of what was added, changed and removed, by kind."""
+    """Return the first names of added, changed and removed settings, by kind."""
     fields = {}
     for kind in ("routes", "keys", "plans", "classes"):
         for how in ("added", "changed", "removed"):
@@ -166,7 +166,7 @@
 
 
 def _first_names(names: tuple[str, ...]) -> list[str]:
-    """Return the first names, and how many more there are."""
+    """Return the first names, followed by the number of the others."""
     more = len(names) - MAX_LOGGED_NAMES
     if more <= 0:
         return list(names)
--- a/anisefront/daemon/signals.py
+++ b/anisefront/daemon/signals.py
@@ -1,4 +1,4 @@
-"""Signals that arrive before a gateway instance can handle them. Imports nothing of the project."""
+"""Recording of signals that arrive before a gateway instance can handle them. Imports nothing from this project."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 def capture() -> None:
     """Record signals from now on.
 
-    Without a handler either signal ends the process as if it had crashed, and loading the modules of a gateway
-    instance takes half a second and more on a small machine.
+    Without a handler either signal would kill the process, and loading the modules of a gateway instance takes half a
+    second or more on a small machine.
     """
     for number in CAPTURED_SIGNALS:
         signal.signal(number, lambda number, frame: _pending.append(number))
 
 
 def take_pending() -> list[int]:
-    """Return the signals that were recorded, in order, and clear the record."""
+    """Return the recorded signals in order of arrival, and clear the record."""
     pending = list(_pending)
     _pending.clear()
     return pending
--- a/anisefront/daemon/state_report.py
+++ b/anisefront/daemon/state_report.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from anisefront.daemon.gateway_instance import GatewayInstance
 
-# Operators, the test bed and benchmarks read these keys.
+# Operators' tools, the test bed and the benchmarks depend on these keys.
 STATE_KEYS: KeyTable = {
     "gatekeeper": "number",
     "of": "gateways",
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StateReport:
-    """What a gateway instance is and does, in plain values."""
+    """The state of a gateway instance, in plain values."""
 
     number: int
     gateways: int
@@ -85,7 +85,7 @@
 
 
 def report_of(instance: GatewayInstance) -> StateReport:
-    """Return the state of a gateway instance now."""
+    """Return the current state of a gateway instance."""
     table = instance.request_table
     return StateReport(
         number=instance.config.settings.number,
