--- a/anisefront/cli/config.py
+++ b/anisefront/cli/config.py
@@ -11,7 +11,7 @@
 
 from anisefront.config import checker, formatter, loader, messages
 from anisefront.config import diff as differ
-from anisefront.config.checker import Checked
+from anisefront.config.checker import CheckResult
 from anisefront.config.lexer import Severity
 from anisefront.config.migrate import migrate as migrate_document
 from anisefront.config.migrate import prepare
@@ -24,7 +24,7 @@
     """Check, format, compare and explain settings: a file with all that it includes."""
 
 
-def checked(path: str) -> Checked:
+def checked(path: str) -> CheckResult:
     """A file, loaded and checked in the environment of this process."""
     return checker.check(loader.load(path), os.environ)
 
@@ -34,7 +34,7 @@
     found = checked(path)
     for problem in found.problems:
         if problem.severity is not Severity.NOTE:
-            click.echo(messages.text(found.load, problem), err=True)
+            click.echo(messages.format_problem(found.loaded, problem), err=True)
     if found.config is None:
         sys.exit(2)
     return found.config
@@ -53,13 +53,13 @@
     for path in files:
         found = checked(path)
         shown = [each for each in found.problems if notes or each.severity is not Severity.NOTE]
-        status = max(status, messages.status(found.problems, strict))
+        status = max(status, messages.exit_status(found.problems, strict))
         if form == "json":
-            rows += [messages.as_json(found.load, problem) for problem in shown]
+            rows += [messages.as_json(found.loaded, problem) for problem in shown]
             continue
         for problem in shown:
-            click.echo(messages.text(found.load, problem))
-        click.echo(f"{path}: {messages.closing(shown)}")
+            click.echo(messages.format_problem(found.loaded, problem))
+        click.echo(f"{path}: {messages.summarize(shown)}")
     if form == "json":
         click.echo(json.dumps(rows, indent=2))
     sys.exit(status)
@@ -77,10 +77,10 @@
         if any(problem.severity is Severity.ERROR for problem in problems):
             found = loader.load_text(text, path)
             for problem in problems:
-                click.echo(messages.text(found, problem), err=True)
+                click.echo(messages.format_problem(found, problem), err=True)
             status = 2
             continue
-        new = formatter.write(document)
+        new = formatter.format_document(document)
         if new != text:
             if only_check:
                 click.echo(f"{path}: not in the one style")
@@ -159,9 +159,9 @@
         )
         if directive.name.text in ("secret", "key"):
             hidden.values = []
-        text = formatter.write(type(found.sources[0].document)([hidden], [])).rstrip()
+        text = formatter.format_document(type(found.sources[0].document)([hidden], [])).rstrip()
         more = " ..." if hidden.values != directive.values else ""
-        click.echo(f"{text}{more}  # {found.where(directive.name.place)}")
+        click.echo(f"{text}{more}  # {found.format_location(directive.name.location)}")
 
 
 @config.command()
@@ -175,10 +175,10 @@
     if not problems:
         document, problems = migrate_document(document)
     for problem in problems:
-        click.echo(messages.text(found, problem), err=True)
+        click.echo(messages.format_problem(found, problem), err=True)
     if any(problem.severity is Severity.ERROR for problem in problems):
         sys.exit(2)
-    new = formatter.write(document)
+    new = formatter.format_document(document)
     if write:
         Path(file).write_text(new, encoding="utf-8")
     else:
--- a/anisefront/cli/editor.py
+++ b/anisefront/cli/editor.py
@@ -9,8 +9,8 @@
 from pygls.uris import from_fs_path, to_fs_path
 
 from anisefront.config import checker, editor, formatter, loader
-from anisefront.config.checker import Checked
-from anisefront.config.lexer import Place, Severity
+from anisefront.config.checker import CheckResult
+from anisefront.config.lexer import Location, Severity
 from anisefront.config.parser import parse
 
 _SEVERITY = {
@@ -24,7 +24,7 @@
     """A server that answers from the checker; open texts count as they stand in the editor."""
     server = LanguageServer("anisefront", "1")
 
-    def checked(uri: str) -> Checked:
+    def checked(uri: str) -> CheckResult:
         texts = {
             os.path.realpath(to_fs_path(each)): document.source.encode()
             for each, document in server.workspace.text_documents.items()
@@ -43,15 +43,15 @@
         found = checked(uri)
         rows = []
         for problem in found.problems:
-            if problem.place.file:  # in an included file: shown at the include that led there
-                asked = found.load.chain(problem.place)[-1]
-                where, text = asked, f"{found.load.where(problem.place)}: {problem.what}"
+            if problem.location.file:  # in an included file: shown at the include that led there
+                asked = found.loaded.include_chain(problem.location)[-1]
+                where, text = asked, f"{found.loaded.format_location(problem.location)}: {problem.message}"
             else:
-                where, text = problem.place, problem.what
+                where, text = problem.location, problem.message
             rows.append(
                 types.Diagnostic(
                     _range(where, problem.width),
-                    text + (f" - {problem.mend}" if problem.mend else ""),
+                    text + (f" - {problem.suggestion}" if problem.suggestion else ""),
                     _SEVERITY[problem.severity],
                     problem.code,
                     source="anisefront",
@@ -78,7 +78,7 @@
         place = editor.definition(found, 0, *_place(params.position))
         if place is None:
             return None
-        path = os.path.abspath(found.load.sources[place.file].path)
+        path = os.path.abspath(found.loaded.sources[place.file].path)
         return types.Location(from_fs_path(path), _range(place, 1))
 
     @server.feature(types.TEXT_DOCUMENT_COMPLETION)
@@ -93,12 +93,12 @@
         if any(problem.severity is Severity.ERROR for problem in problems):
             return []
         whole = types.Range(types.Position(0, 0), types.Position(source.count("\n") + 1, 0))
-        return [types.TextEdit(whole, formatter.write(document))]
+        return [types.TextEdit(whole, formatter.format_document(document))]
 
     return server
 
 
-def _range(place: Place, width: int) -> types.Range:
+def _range(place: Location, width: int) -> types.Range:
     line, column = place.line - 1, place.column - 1
     return types.Range(types.Position(line, column), types.Position(line, column + width))
 
--- a/anisefront/cli/load.py
+++ b/anisefront/cli/load.py
@@ -62,7 +62,7 @@
     if day:
         script, problems = scripts.read(Path(day).read_text())
         if problems:
-            raise click.ClickException("; ".join(f"{day}:{each.place.line}: {each.what}" for each in problems))
+            raise click.ClickException("; ".join(f"{day}:{each.location.line}: {each.message}" for each in problems))
         arrivals = scripted.arrivals(script, config, seed)
     else:
         whole = recorded.load(traces)
--- a/anisefront/cli/model.py
+++ b/anisefront/cli/model.py
@@ -135,7 +135,7 @@
 
     script, problems = scripts.read(text)
     if problems:
-        raise Unfit("; ".join(f"the day, line {each.place.line}: {each.what}" for each in problems))
+        raise Unfit("; ".join(f"the day, line {each.location.line}: {each.message}" for each in problems))
     workers = script.workers
     return {
         "gatekeepers": script.gatekeepers,
--- a/anisefront/cli/trace.py
+++ b/anisefront/cli/trace.py
@@ -100,15 +100,15 @@
     file: Any, classes: tuple[str, ...], customer_field: str, plan: str, deadline: str, key: str, out: str
 ) -> None:
     """A trace of a proxy's access log: the published HTTPAccessLogEntry message in its JSON form, a line each."""
-    from anisefront.config.lexer import Place, Word
+    from anisefront.config.lexer import Lexeme, Location
     from anisefront.config.values import TIME
     from anisefront.config.values import InvalidValueError as BadValue
     from anisefront.testbed.model import imported
 
     try:
-        left = TIME.read(Word(deadline, Place(0, 1, 1)))
+        left = TIME.read(Lexeme(deadline, Location(0, 1, 1)))
     except BadValue as problem:
-        raise click.ClickException(f"--deadline: {problem.what}") from problem
+        raise click.ClickException(f"--deadline: {problem.message}") from problem
     rules = dict(rule.rpartition("=")[::2] for rule in classes)
     whole = imported.read(file, rules, customer_field, plan, left, key.encode())
     for problem in whole.problems:
--- a/anisefront/config/cross_file_checks.py
+++ b/anisefront/config/cross_file_checks.py
@@ -12,7 +12,7 @@
 from anisefront.config import route_checks
 from anisefront.config.file_record import Section
 from anisefront.config.lexer import Problem
-from anisefront.config.model import Uses
+from anisefront.config.model import UsageCounts
 from anisefront.gateway.key_table import KeyTable, KeyTableEdit
 from anisefront.gateway.routes import Key
 
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         """Create an empty index."""
-        self.uses = Uses()
+        self.usage = UsageCounts()
         self.keys = KeyTableEdit(KeyTable())
         self.duplicate_keys: dict[str, list[Key]] = {}
         self.customers_on_two_plans: set[str] = set()
@@ -78,7 +78,7 @@
                 count += 1
                 if count % ENTRIES_PER_STEP == 0:
                     yield
-                self.uses.route(route, change)
+                self.usage.count_route(route, change)
                 self._update_route(route_checks.overlap_group(route.pattern), section, number, change)
 
     def _update_route(self, group: str, section: Section, number: int, change: int) -> None:
@@ -102,7 +102,7 @@
             (self._routes[group],) = known.values()
 
     def _update_key(self, text: str, key: Key, change: int) -> None:
-        self.uses.key(key, change)
+        self.usage.count_key(key, change)
         self._update_customer(key, change)
         if change > 0:
             self._add_key(text, key)
@@ -171,7 +171,7 @@
         for count, (section, number) in enumerate(ordered):
             if count % ENTRIES_PER_STEP == ENTRIES_PER_STEP - 1:
                 yield
-            lines.append((section.route_word(number), section.routes[number]))
+            lines.append((section.route_lexeme(number), section.routes[number]))
         found = []
         for problem in route_checks.check_overlap_group(lines, set()):
             if problem is None:
--- a/anisefront/config/definitions.py
+++ b/anisefront/config/definitions.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterable, Iterator, Mapping
 
-from anisefront.config.lexer import Problem, Severity, Word, fault
+from anisefront.config.lexer import Lexeme, Problem, Severity, problem_at
 from anisefront.config.parser import Directive, List
-from anisefront.config.values import near
+from anisefront.config.values import did_you_mean
 
 MAX_EXPANDED_LINES = 200_000  # of a load, all definitions expanded
 
 
-class Globals:
+class Declarations:
     """The values and definitions that `env` and `define` lines anywhere in a load declare.
 
     Attributes:
@@ -41,7 +41,7 @@
         words = [value.text for value in directive.values]
         if len(words) not in (1, 3) or len(words) == 3 and words[1] != "default" or directive.block is not None:
             self.problems.append(
-                fault(
+                problem_at(
                     directive.name,
                     "env: a name is due, and perhaps its default",
                     'such as env SECRET default "..."',
@@ -52,9 +52,9 @@
         value = self._environment.get(words[0], words[2] if len(words) == 3 else None)
         if value is None:
             first = directive.values[0]
-            at = first if isinstance(first, Word) else Word("[", first.place)
+            at = first if isinstance(first, Lexeme) else Lexeme("[", first.location)
             self.problems.append(
-                fault(
+                problem_at(
                     at, f"environment variable {words[0]} is not set", "set it, or give a default", code="environment"
                 )
             )
@@ -67,13 +67,13 @@
         if (
             not values
             or len(values) > 2
-            or not isinstance(values[0], Word)
+            or not isinstance(values[0], Lexeme)
             or directive.block is None
             or len(values) == 2
-            and isinstance(values[1], Word)
+            and isinstance(values[1], Lexeme)
         ):
             self.problems.append(
-                fault(
+                problem_at(
                     directive.name,
                     "define: a name, [parameters] and a block are due",
                     "such as define view [path] { ... }",
@@ -83,7 +83,7 @@
             return
         name = values[0].text
         if name in self.definitions:
-            self.problems.append(fault(values[0], f"definition {name!r} stands twice", "", code="twice"))
+            self.problems.append(problem_at(values[0], f"definition {name!r} stands twice", "", code="twice"))
             return
         self.definitions[name] = directive
 
@@ -102,7 +102,7 @@
         lines: Expanded so far.
     """
 
-    def __init__(self, known: Globals) -> None:
+    def __init__(self, known: Declarations) -> None:
         """Create an expansion by the declarations `known`."""
         self._known = known
         self.problems: list[Problem] = []
@@ -118,7 +118,7 @@
         self.lines += 1
         if self.lines == MAX_EXPANDED_LINES:
             self.problems.append(
-                fault(
+                problem_at(
                     directive.name, f"definitions come to more than {MAX_EXPANDED_LINES} lines", "", code="definition"
                 )
             )
@@ -134,9 +134,9 @@
     ) -> Iterator[Directive | None]:
         yield None
         values = directive.values
-        if not values or len(values) > 2 or not isinstance(values[0], Word) or directive.block is not None:
+        if not values or len(values) > 2 or not isinstance(values[0], Lexeme) or directive.block is not None:
             self.problems.append(
-                fault(
+                problem_at(
                     directive.name,
                     "use: a definition's name and [values] are due",
                     "such as use view [/stock]",
@@ -149,22 +149,22 @@
         self.used[name] = definition
         if definition is None:
             self.problems.append(
-                fault(
+                problem_at(
                     values[0],
                     f"there is no definition {name!r}",
-                    near(name, list(self._known.definitions)),
+                    did_you_mean(name, list(self._known.definitions)),
                     code="reference",
                 )
             )
             return
         if name in above:
-            self.problems.append(fault(values[0], f"definition {name!r} uses itself", "", code="definition"))
+            self.problems.append(problem_at(values[0], f"definition {name!r} uses itself", "", code="definition"))
             return
-        parameters = [word.text for word in definition.values[1].words] if len(definition.values) == 2 else []
+        parameters = [lexeme.text for lexeme in definition.values[1].items] if len(definition.values) == 2 else []
         words = _given_words(values)
         if len(words) != len(parameters):
             self.problems.append(
-                fault(
+                problem_at(
                     values[0],
                     f"{name} takes {len(parameters)} values, not {len(words)}",
                     f"[{' '.join(parameters)}]",
@@ -172,7 +172,7 @@
                 )
             )
             return
-        inner = dict(zip(parameters, (self._text(word, given).text for word in words), strict=True))
+        inner = dict(zip(parameters, (self._text(lexeme, given).text for lexeme in words), strict=True))
         for each in definition.block:
             yield from self.expand(each, inner, (*above, name))
 
@@ -181,8 +181,8 @@
             return directive
         values = [
             self._text(value, given)
-            if isinstance(value, Word)
-            else List([self._text(word, given) for word in value.words], value.place)
+            if isinstance(value, Lexeme)
+            else List([self._text(lexeme, given) for lexeme in value.items], value.location)
             for value in directive.values
         ]
         block = None if directive.block is None else [self._replaced(each, given) for each in directive.block]
@@ -190,18 +190,18 @@
             directive.name,
             values,
             block,
-            directive.above,
-            directive.beside,
-            directive.below,
-            directive.closing,
-            directive.broken,
+            directive.comments_above,
+            directive.trailing_comment,
+            directive.comments_below,
+            directive.closing_comment,
+            directive.has_syntax_error,
         )
 
-    def _text(self, word: Word, given: Mapping[str, str]) -> Word:
-        if "${" not in word.text:
-            return word
+    def _text(self, lexeme: Lexeme, given: Mapping[str, str]) -> Lexeme:
+        if "${" not in lexeme.text:
+            return lexeme
         out = ""
-        rest = word.text
+        rest = lexeme.text
         while "${" in rest:
             before, _, rest = rest.partition("${")
             name, closed, rest = rest.partition("}")
@@ -210,25 +210,25 @@
                 value = self._known.values.get(name)
                 self.looked_up[name] = value
             if not closed or value is None:
-                what = f"${{{name}}} is not declared" if closed else "a ${ that is not closed"
+                message = f"${{{name}}} is not declared" if closed else "a ${ that is not closed"
                 if name not in self._known.unset:
                     self.undeclared.setdefault(
                         name,
-                        fault(
-                            word,
-                            what,
+                        problem_at(
+                            lexeme,
+                            message,
                             f"write env {name}, or a parameter of the definition" if closed else "end it with }",
                             code="reference",
                         ),
                     )
                 value = ""
             out += before + value
-        return Word(out + rest, word.place, True)
+        return Lexeme(out + rest, lexeme.location, True)
 
 
 def substitute(directives: list[Directive], problems: list[Problem], environment: Mapping[str, str]) -> list[Directive]:
     """Return the directives with definitions expanded and declared environment variables replaced."""
-    known = Globals(environment)
+    known = Declarations(environment)
     known.add(each for each in directives if each.name.text in ("env", "define"))
     expansion = Expansion(known)
     out: list[Directive] = []
@@ -237,30 +237,30 @@
             out += (each for each in expansion.expand(directive) if each is not None)
     problems += [*known.problems, *expansion.problems, *expansion.undeclared.values()]
     problems += [
-        fault(definition.values[0], f"definition {name!r} is not used", "", Severity.NOTE, "unused")
+        problem_at(definition.values[0], f"definition {name!r} is not used", "", Severity.NOTE, "unused")
         for name, definition in known.definitions.items()
         if name not in expansion.used
     ]
     return out
 
 
-def _given_words(values: list[Word | List]) -> list[Word]:
+def _given_words(values: list[Lexeme | List]) -> list[Lexeme]:
     """Return the values that a `use` line gives: one word, or a list."""
     if len(values) < 2:
         return []
     given = values[1]
-    return [given] if isinstance(given, Word) else list(given.words)
+    return [given] if isinstance(given, Lexeme) else list(given.items)
 
 
 def _has_reference(directive: Directive) -> bool:
     """Return whether a line refers to a value; it is called for each line that is not plain, so without generators."""
     for value in directive.values:
-        if isinstance(value, Word):
+        if isinstance(value, Lexeme):
             if "${" in value.text:
                 return True
             continue
-        for word in value.words:
-            if "${" in word.text:
+        for lexeme in value.items:
+            if "${" in lexeme.text:
                 return True
     if directive.block is None:
         return False
--- a/anisefront/config/diff.py
+++ b/anisefront/config/diff.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from anisefront.config.types import Config
-from anisefront.config.values import write_rate, write_time
+from anisefront.config.values import format_rate, format_time
 from anisefront.gateway.patterns import Request, common, examples, shape
 from anisefront.gateway.routes import Route
 from anisefront.gateway.routing import RouteIndex
@@ -23,7 +23,7 @@
 class Change:
     """One difference: what it is about, before and after; `witness` is a request that shows a change of routes."""
 
-    what: str
+    subject: str
     before: str
     after: str
     witness: Request | None = None
@@ -31,15 +31,15 @@
     def __str__(self) -> str:
         """Return the difference as `config diff` shows it."""
         shown = f"  {self.witness}" if self.witness else ""
-        return f"{self.what}: {self.before} -> {self.after}{shown}"
+        return f"{self.subject}: {self.before} -> {self.after}{shown}"
 
 
 def diff(before: Config, after: Config) -> list[Change]:
     """All differences in meaning; none for what was only moved, renamed without effect or written otherwise."""
     return [
         *_settings(before, after),
-        *_named("class", before.settings.classes, after.settings.classes),
-        *_named("plan", before.settings.plans, after.settings.plans),
+        *_diff_named("class", before.settings.classes, after.settings.classes),
+        *_diff_named("plan", before.settings.plans, after.settings.plans),
         *_keys(before, after),
         *_others(before, after),
         *routes(before.routes, after.routes),
@@ -91,24 +91,24 @@
     )
 
 
-def _named(what: str, before: tuple, after: tuple) -> Iterator[Change]:
+def _diff_named(kind: str, before: tuple, after: tuple) -> Iterator[Change]:
     old, new = ({each.name: each for each in values} for values in (before, after))
     for name in sorted({*old, *new}):
         if name not in new or name not in old:
-            yield Change(f"{what} {name}", "there" if name in old else "not there", "there" if name in new else "gone")
+            yield Change(f"{kind} {name}", "there" if name in old else "not there", "there" if name in new else "gone")
         elif old[name] != new[name]:
             first, second = _fields(old[name]), _fields(new[name])
             for key in first:
                 if first[key] != second[key]:
-                    yield Change(f"{what} {name}: {key}", _plain(first[key], key), _plain(second[key], key))
+                    yield Change(f"{kind} {name}: {key}", _plain(first[key], key), _plain(second[key], key))
 
 
 def _plain(value: object, name: str) -> str:
     """A value as it would be written in a file."""
     if isinstance(value, float) and name.endswith("_ms"):
-        return write_time(value)
+        return format_time(value)
     if isinstance(value, float) and name.endswith("_per_s"):
-        return write_rate(value)
+        return format_rate(value)
     return f"{value:g}" if isinstance(value, float) else str(getattr(value, "value", value))
 
 
--- a/anisefront/config/explain.py
+++ b/anisefront/config/explain.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from typing import Any
 
-from anisefront.config.checker import Checked
-from anisefront.config.values import write_time
+from anisefront.config.checker import CheckResult
+from anisefront.config.values import format_time
 from anisefront.gateway.errors import AmbiguousPathError, UnroutableRequestError
 from anisefront.gateway.paths import normalize_target
 from anisefront.gateway.patterns import Request, host_rank, matches, rank, shape
@@ -15,7 +15,7 @@
 MAX_SHOWN_ROUTES = 5  # of those that the route beat
 
 
-def explain(checked: Checked, request: Request) -> list[str]:
+def explain(checked: CheckResult, request: Request) -> list[str]:
     """Return lines of text: the route and those it beat, the key, plan, quota and class, each with its place."""
     lines = [f"request {request}"]
     try:
@@ -33,7 +33,7 @@
     return lines + _explain_customer(checked, request)
 
 
-def _ranked_routes(checked: Checked, request: Request) -> list[tuple[Any, int, str]]:
+def _ranked_routes(checked: CheckResult, request: Request) -> list[tuple[Any, int, str]]:
     """Return rank, number and matched method of each route that matches, the one that wins first."""
     ranked = []
     for number, route in enumerate(checked.config.routes):
@@ -43,35 +43,37 @@
     return sorted(ranked)
 
 
-def _explain_route(checked: Checked, ranked: list[tuple[Any, int, str]]) -> list[str]:
-    where = checked.load.where
-    entries = checked.model.of("route")
+def _explain_route(checked: CheckResult, ranked: list[tuple[Any, int, str]]) -> list[str]:
+    format_location = checked.loaded.format_location
+    entries = checked.entries.all_of("route")
     routes = checked.config.routes
     _, first, method = ranked[0]
     route = routes[first]
     lines = [
-        f"route   {where(entries[first].word.place)}: {' '.join(route.pattern.methods)} {route.pattern.path} "
-        f"-> class {route.class_name}, pool {route.pool}"
+        f"route   {format_location(entries[first].lexeme.location)}: "
+        f"{' '.join(route.pattern.methods)} {route.pattern.path} -> class {route.class_name}, pool {route.pool}"
     ]
     for _, number, other_method in ranked[1 : 1 + MAX_SHOWN_ROUTES]:
         reason = _why(route.pattern, method, routes[number].pattern, other_method)
-        lines.append(f"  over  {where(entries[number].word.place)}: {routes[number].pattern.path} - {reason}")
+        lines.append(
+            f"  over  {format_location(entries[number].lexeme.location)}: {routes[number].pattern.path} - {reason}"
+        )
     return lines
 
 
-def _explain_class(checked: Checked, name: str) -> str:
-    place = checked.load.where(checked.model.named("class")[name].word.place)
+def _explain_class(checked: CheckResult, name: str) -> str:
+    location = checked.loaded.format_location(checked.entries.by_name("class")[name].lexeme.location)
     request_class = next(each for each in checked.config.settings.classes if each.name == name)
     return (
-        f"class   {place}: aim {write_time(request_class.latency_objective_ms)}, deadline "
-        f"{write_time(request_class.deadline_ms)}, {request_class.idempotency.value}"
+        f"class   {location}: aim {format_time(request_class.latency_objective_ms)}, deadline "
+        f"{format_time(request_class.deadline_ms)}, {request_class.idempotency.value}"
     )
 
 
-def _explain_customer(checked: Checked, request: Request) -> list[str]:
+def _explain_customer(checked: CheckResult, request: Request) -> list[str]:
     config = checked.config
-    model = checked.model
-    where = checked.load.where
+    model = checked.entries
+    format_location = checked.loaded.format_location
     router = Router(
         config.routes,
         {each.name: each.deadline_ms for each in config.settings.classes},
@@ -85,18 +87,18 @@
         mapped = router.map(request.method, request.host, request.path, dict(request.headers))
     except UnroutableRequestError as error:
         return [f"customer: denied with {error.status}, {error} (header {config.customer_header})"]
-    listed = model.named("key").get(dict(request.headers)[config.customer_header])
-    key_place = where((listed or model.one("customers")).word.place)
+    listed = model.by_name("key").get(dict(request.headers)[config.customer_header])
+    key_place = format_location((listed or model.single("customers")).lexeme.location)
     key_kind = "by its key" if listed else "a key that is not listed"
-    plan = model.named("plan")[mapped.plan]
-    quota = model.named("quota")[plan.options["quota"]]
-    limits = ", ".join(f"{name} {quota.places[name].text}" for name in quota.options)
+    plan = model.by_name("plan")[mapped.plan]
+    quota = model.by_name("quota")[plan.options["quota"]]
+    limits = ", ".join(f"{name} {quota.lexemes[name].text}" for name in quota.options)
     retry = ", a client's repeat" if mapped.is_retry else ""
     return [
         f"key     {key_place}: customer {mapped.customer.partition(':')[2]}, {key_kind}",
-        f"plan    {where(plan.word.place)}: {mapped.plan}",
-        f"quota   {where(quota.word.place)}: {quota.arguments['name']}: {limits}",
-        f"counts  {mapped.units:g} units, {write_time(mapped.deadline_ms)} left{retry}",
+        f"plan    {format_location(plan.lexeme.location)}: {mapped.plan}",
+        f"quota   {format_location(quota.lexeme.location)}: {quota.arguments['name']}: {limits}",
+        f"counts  {mapped.units:g} units, {format_time(mapped.deadline_ms)} left{retry}",
     ]
 
 
--- a/anisefront/config/file_record.py
+++ b/anisefront/config/file_record.py
@@ -11,9 +11,9 @@
 from collections.abc import Generator, Iterable, Iterator, Mapping
 from sys import intern
 
-from anisefront.config.checker import LineReader, Named
-from anisefront.config.definitions import Expansion, Globals
-from anisefront.config.lexer import MAX_LINE_LENGTH, Place, Problem, Severity, Token, Word, decode, take_line
+from anisefront.config.checker import DeclaredName, LineReader
+from anisefront.config.definitions import Declarations, Expansion
+from anisefront.config.lexer import MAX_LINE_LENGTH, Lexeme, Location, Problem, Severity, Token, decode, tokenize_line
 from anisefront.config.model import Entry, key, plain_route, route
 from anisefront.config.parser import Directive, Parser
 from anisefront.config.values import HOST, PATH, InvalidValueError
@@ -45,16 +45,16 @@
         "faulty_keys",
         "file",
         "first",
-        "globals",
-        "key_places",
+        "declarations",
+        "key_locations",
         "keys",
         "languages",
         "lines",
         "lost",
-        "named",
+        "declared_names",
         "number",
         "problems",
-        "route_places",
+        "route_locations",
         "routes",
         "texts",
         "undeclared",
@@ -65,29 +65,31 @@
         self.file = file
         self.number = number
         self.first: Directive | None = None  # the first line; of its values none unless it is `language`
-        self.globals: tuple[Directive, ...] = ()  # `env` and `define` lines
+        self.declarations: tuple[Directive, ...] = ()  # `env` and `define` lines
         self.languages: tuple[Problem, ...] = ()  # what each `language` line is, unless it is the first of all
         self.routes: tuple[Route, ...] = ()
-        self.route_places = array("I")
+        self.route_locations = array("I")
         self.texts: tuple[str, ...] = ()  # of keys
         self.keys: tuple[Key, ...] = ()
-        self.key_places = array("I")
+        self.key_locations = array("I")
         self.entries: tuple[Entry, ...] = ()  # of all other lines
-        self.named: tuple[Named, ...] = ()  # what they name, and lines with a fault of their own, but keys
-        self.faulty_keys: tuple[tuple[int, Word], ...] = ()  # how many keys stand before it, and its text
+        self.declared_names: tuple[
+            DeclaredName, ...
+        ] = ()  # what they name, and lines with a fault of their own, but keys
+        self.faulty_keys: tuple[tuple[int, Lexeme], ...] = ()  # how many keys stand before it, and its text
         self.problems: tuple[Problem, ...] = ()  # of lines by themselves
         self.expansion: tuple[Problem, ...] = ()
         self.undeclared: tuple[tuple[str, Problem], ...] = ()  # values that are not there, the first of each
         self.lines = 0  # that were read or put in
         self.lost = False  # a line is no directive
 
-    def route_word(self, at: int) -> Word:
+    def route_lexeme(self, at: int) -> Lexeme:
         """The first word of a route's line."""
-        return Word("route", Place(*self.route_places[3 * at : 3 * at + 3]))
+        return Lexeme("route", Location(*self.route_locations[3 * at : 3 * at + 3]))
 
-    def key_word(self, at: int) -> Word:
+    def key_lexeme(self, at: int) -> Lexeme:
         """The first word of a key's line."""
-        return Word("key", Place(*self.key_places[3 * at : 3 * at + 3]))
+        return Lexeme("key", Location(*self.key_locations[3 * at : 3 * at + 3]))
 
 
 class FileRecord:
@@ -101,7 +103,7 @@
         items: tuple[Section | Directive, ...],
         problems: tuple[Problem, ...],
         expansion: Expansion,
-        known: Globals,
+        known: Declarations,
     ) -> None:
         """Create the record of a file that was expanded by the declarations `known`."""
         self.digest = digest
@@ -112,7 +114,7 @@
         # The message on a definition that does not exist suggests similar names, so it depends on all names.
         self.names = tuple(known.definitions) if None in expansion.used.values() else None
 
-    def holds(self, known: Globals) -> bool:
+    def holds(self, known: Declarations) -> bool:
         """Return whether these definitions and values expand the file to the same lines."""
         return (
             all(known.definitions.get(name) is definition for name, definition in self.used.items())
@@ -122,13 +124,13 @@
 
 
 def build_file_record(
-    data: bytes, digest: bytes, file: int, known: Globals, before: FileRecord | None = None
+    data: bytes, digest: bytes, file: int, known: Declarations, before: FileRecord | None = None
 ) -> Generator[None, None, FileRecord]:
     """Build a file's record, in steps. Keys that are equal to those of the record before are the same objects."""
     return (yield from _RecordBuilder(file, known, before).run(data, digest))
 
 
-class Wanted:
+class EntryRequest:
     """Routes and keys of one section, by their numbers in it, of which messages need the places of all words."""
 
     def __init__(self, section: Section, routes: Iterable[int], keys: Iterable[int]) -> None:
@@ -140,7 +142,7 @@
         self.of_keys = frozenset(keys)
 
 
-def collect_entries(data: bytes, file: int, known: Globals, wanted: Wanted) -> Generator[None, None, None]:
+def collect_entries(data: bytes, file: int, known: Declarations, wanted: EntryRequest) -> Generator[None, None, None]:
     """Read a file again and put the entries that are wanted into `wanted`."""
     yield from _RecordBuilder(file, known, wanted=wanted).run(data, b"")
 
@@ -158,7 +160,7 @@
 
 class _RecordBuilder:
     def __init__(
-        self, file: int, known: Globals, before: FileRecord | None = None, wanted: Wanted | None = None
+        self, file: int, known: Declarations, before: FileRecord | None = None, wanted: EntryRequest | None = None
     ) -> None:
         self._file = file
         self._known = known
@@ -192,19 +194,19 @@
         """
         self._begin()
         problems: list[Problem] = []
-        parser, tokens, seen, work = Parser(problems), list[Token](), 0, 0
+        parser, line_tokens, seen, work = Parser(problems), list[Token](), 0, 0
         try:
             for number, line in enumerate(lines_of(data), 1):
                 if work >= LINES_PER_STEP * PLAIN_LINES_PER_LINE:
                     work = 0
                     yield
-                if not tokens and parser.at_rest and self._plain(line, number):
+                if not line_tokens and parser.at_top_level and self._plain(line, number):
                     work += 1
                     continue
                 work += PLAIN_LINES_PER_LINE
-                if take_line(line, number, self._file, tokens, problems):
-                    parser.feed(tokens)
-                    tokens.clear()
+                if tokenize_line(line, number, self._file, line_tokens, problems):
+                    parser.feed(line_tokens)
+                    line_tokens.clear()
                     if len(problems) > seen:
                         if any(problem.severity is Severity.ERROR for problem in problems):
                             return None
@@ -212,7 +214,7 @@
                     yield from self._take_all(parser.complete())
         except UnicodeDecodeError:
             return None
-        parser.feed(tokens)
+        parser.feed(line_tokens)
         document = parser.finish()
         if any(problem.severity is Severity.ERROR for problem in problems):
             return None
@@ -224,14 +226,14 @@
         self._begin()
         text, problems = decode(data, self._file)
         yield
-        parser, tokens = Parser(problems), list[Token]()
+        parser, line_tokens = Parser(problems), list[Token]()
         for number, line in enumerate(text.split("\n"), 1):
             if number % LINES_PER_STEP == 0:
                 yield
-            if take_line(line, number, self._file, tokens, problems):
-                parser.feed(tokens)
-                tokens.clear()
-        parser.feed(tokens)
+            if tokenize_line(line, number, self._file, line_tokens, problems):
+                parser.feed(line_tokens)
+                line_tokens.clear()
+        parser.feed(line_tokens)
         document = parser.finish()
         yield
         yield from self._take_all(document.directives)
@@ -260,18 +262,20 @@
             return False
         if (found := _KEY.match(line)) is not None:
             indent, text, customer, plan = found.groups()
-            word = Word("key", Place(self._file, number, len(indent) + 1))
-            self._open_section(Directive(word)).key(word, text, Key(customer, intern(plan)))
+            lexeme = Lexeme("key", Location(self._file, number, len(indent) + 1))
+            self._open_section(Directive(lexeme)).key(lexeme, text, Key(customer, intern(plan)))
         elif (found := _ROUTE.match(line)) is not None:
             indent, method, path, class_name, pool, host = found.groups()
-            word = Word("route", Place(self._file, number, len(indent) + 1))
+            lexeme = Lexeme("route", Location(self._file, number, len(indent) + 1))
             try:
-                PATH.read(Word(path, word.place))
+                PATH.read(Lexeme(path, lexeme.location))
                 if host is not None:
-                    HOST.read(Word(host, word.place))
+                    HOST.read(Lexeme(host, lexeme.location))
             except InvalidValueError:
                 return False
-            self._open_section(Directive(word)).route(word, plain_route((method,), path, host or "*", class_name, pool))
+            self._open_section(Directive(lexeme)).route(
+                lexeme, plain_route((method,), path, host or "*", class_name, pool)
+            )
         else:
             return False
         self._expansion.lines += 1
@@ -290,7 +294,7 @@
         self,
         file: int,
         number: int,
-        wanted: Wanted | None,
+        wanted: EntryRequest | None,
         first: Directive,
         expansion: Expansion,
         keys_before: Mapping[str, tuple[str, Key]],
@@ -303,20 +307,20 @@
         self._section.first = first if first.name.text == "language" else Directive(first.name)
         self._problems: list[Problem] = []
         self._reader = LineReader(self._problems)
-        self._globals: list[Directive] = []
+        self._declarations: list[Directive] = []
         self._languages: list[Problem] = []
         self._routes: list[Route] = []
         self._texts: list[str] = []
         self._keys: list[Key] = []
         self._entries: list[Entry] = []
-        self._named: list[Named] = []
-        self._faulty_keys: list[tuple[int, Word]] = []
+        self._declared_names: list[DeclaredName] = []
+        self._faulty_keys: list[tuple[int, Lexeme]] = []
 
     def take(self, directive: Directive, expansion: Expansion) -> Generator[None, None, None]:
         """Add one line."""
         name = directive.name.text
         if name in ("env", "define"):
-            self._globals.append(directive)
+            self._declarations.append(directive)
         elif name == "language":
             self._reader.read(directive)
             self._languages.append(self._problems.pop())
@@ -328,30 +332,30 @@
                     self._line(line)
 
     def _line(self, line: Directive) -> None:
-        entry, named = self._reader.read(line)
+        entry, declared = self._reader.read(line)
         if entry is None:
-            if named is not None and named.directive != "key":
-                self._named.append(named)
-            elif named is not None and named.first is not None:
-                self._faulty_keys.append((len(self._keys), named.first))
+            if declared is not None and declared.directive != "key":
+                self._declared_names.append(declared)
+            elif declared is not None and declared.first is not None:
+                self._faulty_keys.append((len(self._keys), declared.first))
         elif entry.name == "route":
             if self._wanted is not None and len(self._routes) in self._wanted.of_routes:
                 self._wanted.routes[len(self._routes)] = entry
-            self.route(entry.word, route(entry))
+            self.route(entry.lexeme, route(entry))
         elif entry.name == "key":
             if self._wanted is not None and len(self._keys) in self._wanted.of_keys:
                 self._wanted.keys[len(self._keys)] = entry
-            self.key(entry.word, entry.arguments["key"], key(entry))
+            self.key(entry.lexeme, entry.arguments["key"], key(entry))
         else:
             self._entries.append(entry)
-            self._named.append(named)
+            self._declared_names.append(declared)
 
-    def route(self, word: Word, route: Route) -> None:
+    def route(self, lexeme: Lexeme, route: Route) -> None:
         """Add a route."""
         self._routes.append(route)
-        self._section.route_places.extend(word.place)
+        self._section.route_locations.extend(lexeme.location)
 
-    def key(self, word: Word, text: str, key: Key) -> None:
+    def key(self, lexeme: Lexeme, text: str, key: Key) -> None:
         """Add a key, as the same object as in the record before.
 
         The table of keys refers to the objects of that record; equal copies would take memory twice.
@@ -361,18 +365,18 @@
             text, key = known
         self._texts.append(text)
         self._keys.append(key)
-        self._section.key_places.extend(word.place)
+        self._section.key_locations.extend(lexeme.location)
 
     def closed(self, expansion: Expansion) -> Section:
         """Return the section, with the problems of its expansion."""
         section = self._section
-        section.globals = tuple(self._globals)
+        section.declarations = tuple(self._declarations)
         section.languages = tuple(self._languages)
         section.routes = tuple(self._routes)
         section.texts = tuple(self._texts)
         section.keys = tuple(self._keys)
         section.entries = tuple(self._entries)
-        section.named = tuple(self._named)
+        section.declared_names = tuple(self._declared_names)
         section.faulty_keys = tuple(self._faulty_keys)
         section.problems = tuple(self._problems)
         section.expansion = tuple(expansion.problems)
@@ -383,6 +387,6 @@
         return section
 
 
-def where(paths: Mapping[int, str], place: Place) -> str:
+def format_location(paths: Mapping[int, str], location: Location) -> str:
     """Return file:line:column."""
-    return f"{paths.get(place.file, '?')}:{place.line}:{place.column}"
+    return f"{paths.get(location.file, '?')}:{location.line}:{location.column}"
--- a/anisefront/config/formatter.py
+++ b/anisefront/config/formatter.py
@@ -21,18 +21,18 @@
     return f'"{out}"'
 
 
-def value(each: Value) -> str:
+def format_value(each: Value) -> str:
     """A value as it is written."""
     if isinstance(each, List):
-        return "[" + " ".join(quote(word.text, word.quoted) for word in each.words) + "]"
+        return "[" + " ".join(quote(lexeme.text, lexeme.quoted) for lexeme in each.items) + "]"
     return quote(each.text, each.quoted)
 
 
-def write(document: Document) -> str:
+def format_document(document: Document) -> str:
     """The whole text of a file."""
     lines: list[str] = []
     _directives(document.directives, "", lines)
-    lines += document.below
+    lines += document.comments_below
     while lines and not lines[0]:
         del lines[0]
     while lines and not lines[-1]:
@@ -42,7 +42,7 @@
 
 def _directives(directives: list[Directive], indent: str, lines: list[str]) -> None:
     for number, directive in enumerate(directives):
-        above = directive.above
+        above = directive.comments_above
         while number == 0 and above and not above[0] and indent:
             above = above[1:]  # no empty line after an opening brace
         lines += [f"{indent}{line}" if line else "" for line in above]
@@ -50,13 +50,13 @@
 
 
 def _directive(directive: Directive, indent: str, lines: list[str]) -> None:
-    head = indent + " ".join([directive.name.text, *map(value, directive.values)])
-    beside = f"  {directive.beside}" if directive.beside else ""
+    head = indent + " ".join([directive.name.text, *map(format_value, directive.values)])
+    beside = f"  {directive.trailing_comment}" if directive.trailing_comment else ""
     if directive.block is None:
         lines.append(head + beside)
         return
-    closing = f"  {directive.closing}" if directive.closing else ""
+    closing = f"  {directive.closing_comment}" if directive.closing_comment else ""
     lines.append(f"{head} {{{beside}")
     _directives(directive.block, indent + INDENT, lines)
-    lines += [f"{indent}{INDENT}{line}" if line else "" for line in directive.below]
+    lines += [f"{indent}{INDENT}{line}" if line else "" for line in directive.comments_below]
     lines.append(f"{indent}}}{closing}")
--- a/anisefront/config/incremental_checks.py
+++ b/anisefront/config/incremental_checks.py
@@ -6,14 +6,14 @@
 from itertools import chain
 
 from anisefront.config import checker, model, semantic_checks
-from anisefront.config.checker import MAX_PROBLEMS, Names, references
+from anisefront.config.checker import MAX_PROBLEMS, NameTable, find_undefined_references
 from anisefront.config.cross_file_checks import CrossFileIndex
 from anisefront.config.definitions import MAX_EXPANDED_LINES
 from anisefront.config.file_record import Section
-from anisefront.config.lexer import Problem, Word, fault
+from anisefront.config.lexer import Lexeme, Problem, problem_at
 from anisefront.config.load_attempt import LoadAttempt
 from anisefront.config.load_steps import ends_step, find_positions
-from anisefront.config.model import Entry, Model
+from anisefront.config.model import Entry, EntryTable
 from anisefront.config.types import Config
 from anisefront.gateway.routes import Route
 
@@ -35,7 +35,7 @@
         self._attempt = attempt
         self._order = attempt.order
         self._index = index
-        self._names = Names()
+        self._names = NameTable()
         self._names_incomplete = False  # a line was unreadable: a name that is missing may be defined there
 
     def run(self, routes: tuple[tuple[Route, ...], ...]) -> Generator[None, None, Config | None]:
@@ -49,7 +49,7 @@
         """
         for file in self._attempt.files:
             self.problems += file.record.problems
-        if not checker.version(next((section.first for section in self._order), None), self.problems):
+        if not checker.check_version(next((section.first for section in self._order), None), self.problems):
             return None
         self.problems += self._attempt.definitions.problems
         yield from self._check_expansion()
@@ -58,7 +58,7 @@
         yield from self._check_references()
         self._check_missing()
         yield
-        if checker.faulty(self.problems):
+        if checker.has_errors(self.problems):
             return None
         return (yield from self._check_semantics(routes))
 
@@ -75,10 +75,10 @@
                     self.problems.append(problem)
             # A section that is over the limit by itself has its own problem.
             if lines < MAX_EXPANDED_LINES <= lines + section.lines and section.lines < MAX_EXPANDED_LINES:
-                what = f"definitions come to more than {MAX_EXPANDED_LINES} lines"
-                self.problems.append(fault(section.first.name, what, "", code="definition"))
+                message = f"definitions come to more than {MAX_EXPANDED_LINES} lines"
+                self.problems.append(problem_at(section.first.name, message, "", code="definition"))
             lines += section.lines
-        self._names_incomplete = checker.faulty(self.problems)
+        self._names_incomplete = checker.has_errors(self.problems)
 
     def _check_lines(self) -> Generator[None, None, None]:
         for number, section in enumerate(self._order):
@@ -87,73 +87,73 @@
             self.problems += section.problems
             self.problems += section.languages[1:] if number == 0 else section.languages
             self._names_incomplete = self._names_incomplete or section.lost
-            for count, named in enumerate(section.named):
+            for count, declared in enumerate(section.declared_names):
                 if ends_step(count):
                     yield
-                problem = self._names.add(named)
+                problem = self._names.add(declared)
                 if problem is not None:
                     self.problems.append(problem)
 
     def _check_missing(self) -> None:
         if self._names_incomplete:
             return
-        present = {"route": self._index.uses.classes, "key": self._index.keys}
+        present = {"route": self._index.usage.classes, "key": self._index.keys}
         self.problems += self._names.missing({directive for directive, there in present.items() if there})
 
     def _check_duplicate_keys(self) -> Generator[None, None, None]:
-        faulty_texts = (word.text for section in self._order for _, word in section.faulty_keys)
+        faulty_texts = (lexeme.text for section in self._order for _, lexeme in section.faulty_keys)
         texts = {*self._index.duplicate_keys, *faulty_texts}
         if not texts:
             return
-        first_words: dict[str, Word | None] = {}  # None for one whose place was not looked up
+        first_words: dict[str, Lexeme | None] = {}  # None for one whose place was not looked up
         reported = 0
         for section in self._order:
             occurrences = yield from self._occurrences(section, texts, reported < MAX_PROBLEMS)
-            for count, (_, text, word) in enumerate(occurrences):
+            for count, (_, text, lexeme) in enumerate(occurrences):
                 if ends_step(count):
                     yield
                 if text not in first_words:
-                    first_words[text] = word
+                    first_words[text] = lexeme
                     continue
                 first = first_words[text]
-                if word is None or first is None:
+                if lexeme is None or first is None:
                     self.uncounted += 1
                 else:
                     reported += 1
-                    self.problems.append(checker.twice("key", word, first))
+                    self.problems.append(checker.duplicate_name_problem("key", lexeme, first))
 
     def _occurrences(
         self, section: Section, texts: set[str], with_words: bool
-    ) -> Generator[None, None, list[tuple[float, str, Word | None]]]:
+    ) -> Generator[None, None, list[tuple[float, str, Lexeme | None]]]:
         """Return the keys of a section that have one of the texts: position, text and word, in order."""
         positions = yield from find_positions(section.texts, texts.__contains__)
         looked_up = positions[:MAX_PROBLEMS] if with_words else ()
         entries = yield from self._attempt.collect_entries(section, (), looked_up)
         # A faulty key stands before the valid key of its number.
-        occurrences: list[tuple[float, str, Word | None]] = [
-            (number - 0.5, word.text, word) for number, word in section.faulty_keys
+        occurrences: list[tuple[float, str, Lexeme | None]] = [
+            (number - 0.5, lexeme.text, lexeme) for number, lexeme in section.faulty_keys
         ]
         for position in positions:
             entry = entries.keys.get(position)
-            word = None if entry is None else entry.places["key"]
-            occurrences.append((position, section.texts[position], word))
+            lexeme = None if entry is None else entry.lexemes["key"]
+            occurrences.append((position, section.texts[position], lexeme))
         return sorted(occurrences, key=lambda occurrence: occurrence[0])
 
     def _check_references(self) -> Generator[None, None, None]:
         """Report references to names that are not defined."""
-        known = self._names.of
+        known = self._names.by_directive
         for number, section in enumerate(self._order):
             if ends_step(number):
                 yield
             for entry in section.entries:
-                self.problems += references(entry, known)
-        uses = self._index.uses
-        plans = {name for name in uses.plans if name not in known["plan"]}
-        classes = {name for name in uses.classes if name not in known["class"]}
-        pools = {name for name in uses.pools if name not in known["pool"]}
-        expected = sum(uses.plans[name] for name in plans)
-        expected += sum(uses.classes[name] for name in classes)
-        expected += sum(uses.pools[name] for name in pools)
+                self.problems += find_undefined_references(entry, known)
+        usage = self._index.usage
+        plans = {name for name in usage.plans if name not in known["plan"]}
+        classes = {name for name in usage.classes if name not in known["class"]}
+        pools = {name for name in usage.pools if name not in known["pool"]}
+        expected = sum(usage.plans[name] for name in plans)
+        expected += sum(usage.classes[name] for name in classes)
+        expected += sum(usage.pools[name] for name in pools)
         if expected:
             reported = yield from self._check_undefined_names(plans, classes, pools)
             self.uncounted += expected - reported
@@ -168,7 +168,7 @@
             entries = yield from self._attempt.collect_entries(section, routes[:MAX_PROBLEMS], keys[:MAX_PROBLEMS])
             for entry in chain(entries.routes.values(), entries.keys.values()):
                 yield
-                found = list(references(entry, self._names.of))
+                found = list(find_undefined_references(entry, self._names.by_directive))
                 self.problems += found
                 reported += len(found)
             if reported >= MAX_PROBLEMS:
@@ -178,34 +178,34 @@
     def _check_semantics(self, routes: tuple[tuple[Route, ...], ...]) -> Generator[None, None, Config | None]:
         """Return the settings; None where lines that are valid by themselves contradict each other."""
         index = self._index
-        entries = Model()
+        entries = EntryTable()
         for section in self._order:
             for entry in section.entries:
                 entries.add(entry)
         yield
-        second_pool = model.second_pool(index.uses)
+        second_pool = model.find_second_pool(index.usage)
         if second_pool:
             yield from self._report_second_pool(second_pool)
         all_routes = tuple(chain.from_iterable(routes))
-        config = model.build(entries, index.uses, all_routes, index.keys.table(), self.problems)
+        config = model.build_config(entries, index.usage, all_routes, index.keys.table(), self.problems)
         yield
         if config is None or second_pool:
             return None
-        self.problems += semantic_checks.check_semantics(entries, config, index.uses)
+        self.problems += semantic_checks.check_semantics(entries, config, index.usage)
         yield
         if index.customers_on_two_plans:
             yield from self._check_customer_plans()
         yield from index.check_changed_groups({section: number for number, section in enumerate(self._order)})
         self.problems += chain.from_iterable(index.problems.values())
-        return None if checker.faulty(self.problems) else config
+        return None if checker.has_errors(self.problems) else config
 
     def _report_second_pool(self, name: str) -> Generator[None, None, None]:
         for section in self._order:
             positions = yield from find_positions(section.routes, lambda route: route.pool == name)
             if positions:
                 entries = yield from self._attempt.collect_entries(section, positions[:1], ())
-                word = entries.routes[positions[0]].place("pool")
-                self.problems.append(model.pools_fault(word, self._index.uses))
+                lexeme = entries.routes[positions[0]].lexeme_of("pool")
+                self.problems.append(model.multiple_pools_problem(lexeme, self._index.usage))
                 return
 
     def _check_customer_plans(self) -> Generator[None, None, None]:
--- a/anisefront/config/incremental_loader.py
+++ b/anisefront/config/incremental_loader.py
@@ -16,9 +16,9 @@
 from anisefront.config.cross_file_checks import CrossFileIndex
 from anisefront.config.file_record import Section
 from anisefront.config.incremental_checks import IncrementalChecks
-from anisefront.config.lexer import Place, Problem, Severity
+from anisefront.config.lexer import Location, Problem, Severity
 from anisefront.config.load_attempt import FileChangedError, LoadAttempt, RecordStore
-from anisefront.config.loader import Load, Source
+from anisefront.config.loader import LoadedSources, Source
 from anisefront.config.parser import Document
 from anisefront.config.problem_texts import render_problems
 from anisefront.config.source_files import DiskFiles, Files, Find, Read
@@ -99,9 +99,9 @@
         return self._unstable(changed_path)
 
     def _unstable(self, path: str) -> LoadOutcome:
-        what = f"{path!r} changed while it was read, {MAX_ATTEMPTS} times"
-        problem = Problem(Place(0, 1, 1), what, "let writing come to its end, then ask again", code="include")
-        text = messages.text(Load([Source(self.path, "", Document([], []))]), problem)
+        message = f"{path!r} changed while it was read, {MAX_ATTEMPTS} times"
+        problem = Problem(Location(0, 1, 1), message, "let writing come to its end, then ask again", code="include")
+        text = messages.format_problem(LoadedSources([Source(self.path, "", Document([], []))]), problem)
         return LoadOutcome(None, (problem,), (text,), "")
 
     def _update_index(self, order: list[Section]) -> Generator[None, None, None]:
--- a/anisefront/config/lexer.py
+++ b/anisefront/config/lexer.py
@@ -33,7 +33,7 @@
     ERROR = 2
 
 
-class Place(NamedTuple):
+class Location(NamedTuple):
     """Where something stands: a file by its number in the load, line and column from 1."""
 
     file: int
@@ -41,11 +41,11 @@
     column: int
 
 
-class Word(NamedTuple):
+class Lexeme(NamedTuple):
     """A word or a string, with its place. Compared by text alone where that is meant."""
 
     text: str
-    place: Place
+    location: Location
     quoted: bool = False
 
 
@@ -53,66 +53,68 @@
     """One token: its kind is "word", a mark such as "{", "comment" or "end" of a line."""
 
     kind: str
-    word: Word
+    lexeme: Lexeme
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
     """One fault: where, how grave, what, and how to mend it. `width` is what the caret underlines."""
 
-    place: Place
-    what: str
-    mend: str = ""
+    location: Location
+    message: str
+    suggestion: str = ""
     severity: Severity = Severity.ERROR
     width: int = 1
     code: str = "syntax"
 
 
-def fault(word: Word, what: str, mend: str = "", severity: Severity = Severity.ERROR, code: str = "value") -> Problem:
+def problem_at(
+    lexeme: Lexeme, message: str, suggestion: str = "", severity: Severity = Severity.ERROR, code: str = "value"
+) -> Problem:
     """A problem with a word."""
-    return Problem(word.place, what, mend, severity, max(1, len(word.text) + 2 * word.quoted), code)
+    return Problem(lexeme.location, message, suggestion, severity, max(1, len(lexeme.text) + 2 * lexeme.quoted), code)
 
 
 def decode(data: bytes, file: int) -> tuple[str, list[Problem]]:
     """The text of a file. A byte-order mark is dropped; bytes that are no UTF-8 are named and stand as U+FFFD."""
     if data.startswith((b"\xff\xfe", b"\xfe\xff")):
-        return "", [Problem(Place(file, 1, 1), "the file is UTF-16", "save it as UTF-8", code="encoding")]
+        return "", [Problem(Location(file, 1, 1), "the file is UTF-16", "save it as UTF-8", code="encoding")]
     try:
         return data.removeprefix(b"\xef\xbb\xbf").decode(), []
     except UnicodeDecodeError as problem:
         before = data[: problem.start]
         line = before.count(b"\n") + 1
         column = len(before.rpartition(b"\n")[2].decode("utf-8", "replace")) + 1
-        what = f"byte 0x{data[problem.start]:02X} is no UTF-8"
+        message = f"byte 0x{data[problem.start]:02X} is no UTF-8"
         text = data.removeprefix(b"\xef\xbb\xbf").decode("utf-8", "replace")
-        return text, [Problem(Place(file, line, column), what, "save the file as UTF-8", code="encoding")]
+        return text, [Problem(Location(file, line, column), message, "save the file as UTF-8", code="encoding")]
 
 
-def tokens(text: str, file: int) -> tuple[list[Token], list[Problem]]:
+def tokenize(text: str, file: int) -> tuple[list[Token], list[Problem]]:
     """All tokens of a file, with an "end" after each logical line, and the faults in it."""
     out: list[Token] = []
     problems: list[Problem] = []
     for number, line in enumerate(text.split("\n"), 1):
-        take_line(line, number, file, out, problems)
+        tokenize_line(line, number, file, out, problems)
     return out, problems
 
 
-def take_line(line: str, number: int, file: int, out: list[Token], problems: list[Problem]) -> bool:
+def tokenize_line(line: str, number: int, file: int, out: list[Token], problems: list[Problem]) -> bool:
     """The tokens of one line are added; false where it is joined to the next, which must then be added to the same."""
     line = line.removesuffix("\r")
     if len(line) > MAX_LINE_LENGTH:
         problems.append(
             Problem(
-                Place(file, number, MAX_LINE_LENGTH + 1),
+                Location(file, number, MAX_LINE_LENGTH + 1),
                 f"a line of {len(line)} characters, at most {MAX_LINE_LENGTH}",
                 "break it up",
             )
         )
-        out.append(Token("end", Word("", Place(file, number, 1))))
+        out.append(Token("end", Lexeme("", Location(file, number, 1))))
         return True
     ended = _line(line, number, file, out, problems)
     if ended:
-        out.append(Token("end", Word("", Place(file, number, len(line) + 1))))
+        out.append(Token("end", Lexeme("", Location(file, number, len(line) + 1))))
     return ended
 
 
@@ -123,8 +125,8 @@
         found = match(line, at)
         if found is None:
             at += len(line[at:]) - len(line[at:].lstrip(" \t"))
-            what, mend = _no_token(line, at)
-            problems.append(Problem(Place(file, number, at + 1), what, mend))
+            message, suggestion = _describe_invalid_character(line, at)
+            problems.append(Problem(Location(file, number, at + 1), message, suggestion))
             while out and out[-1].kind != "end":  # half a directive would only bring faults of its own
                 out.pop()
             return True
@@ -132,13 +134,13 @@
         if kind == "blank":
             break
         text = found[kind]
-        place = Place(file, number, at - len(text) + 1)
+        location = Location(file, number, at - len(text) + 1)
         if kind == "word":
-            add(Token("word", Word(text, place)))
-            if not text.isascii() and (other := _look_alike(text)):
+            add(Token("word", Lexeme(text, location)))
+            if not text.isascii() and (other := _find_homoglyph(text)):
                 problems.append(
                     Problem(
-                        place,
+                        location,
                         f"{text!r} holds {other}, which looks like another letter",
                         "write it anew",
                         Severity.WARNING,
@@ -147,17 +149,17 @@
                     )
                 )
         elif kind == "string":
-            add(Token("word", Word(_unescape(text[1:-1], place, problems), place, True)))
+            add(Token("word", Lexeme(_unescape(text[1:-1], location, problems), location, True)))
         elif kind == "mark":
-            add(Token(text, Word(text, place)))
+            add(Token(text, Lexeme(text, location)))
         elif kind == "comment":
-            add(Token("comment", Word(text.rstrip(), place)))
+            add(Token("comment", Lexeme(text.rstrip(), location)))
         else:
             return False
     return True
 
 
-def _no_token(line: str, at: int) -> tuple[str, str]:
+def _describe_invalid_character(line: str, at: int) -> tuple[str, str]:
     if line[at] == '"':
         return "a string that is not closed", 'end it with " on the same line'
     if line[at] == "\\":
@@ -165,7 +167,7 @@
     return f"character U+{ord(line[at]):04X} can't stand here", "remove it"
 
 
-def _unescape(text: str, place: Place, problems: list[Problem]) -> str:
+def _unescape(text: str, location: Location, problems: list[Problem]) -> str:
     if "\\" not in text:
         return text
 
@@ -173,7 +175,7 @@
         if found[1] not in _ESCAPES:
             problems.append(
                 Problem(
-                    Place(place.file, place.line, place.column + 1 + found.start()),
+                    Location(location.file, location.line, location.column + 1 + found.start()),
                     f"{found[0]} is no escape",
                     'known are \\" \\\\ \\n \\t',
                     width=2,
@@ -184,7 +186,7 @@
     return _ESCAPE.sub(replace, text)
 
 
-def _look_alike(text: str) -> str:
+def _find_homoglyph(text: str) -> str:
     """The first letter of a word that is of another script than the Latin ones beside it."""
     if not any("a" <= letter.lower() <= "z" for letter in text):
         return ""
--- a/anisefront/config/load_attempt.py
+++ b/anisefront/config/load_attempt.py
@@ -6,9 +6,9 @@
 from collections.abc import Generator, Mapping, Sequence
 from dataclasses import dataclass
 
-from anisefront.config.definitions import Globals
-from anisefront.config.file_record import FileRecord, Section, Wanted, build_file_record, collect_entries
-from anisefront.config.lexer import Place, Problem, Word
+from anisefront.config.definitions import Declarations
+from anisefront.config.file_record import EntryRequest, FileRecord, Section, build_file_record, collect_entries
+from anisefront.config.lexer import Lexeme, Location, Problem
 from anisefront.config.load_steps import ends_step
 from anisefront.config.loader import IncludeWalk
 from anisefront.config.parser import Directive
@@ -33,7 +33,7 @@
     path: str
     number: int
     record: FileRecord
-    included_at: Place | None
+    included_at: Location | None
 
 
 class RecordStore:
@@ -51,7 +51,7 @@
         """Create an empty store."""
         self.environment = environment
         self.records: dict[str, FileRecord] = {}
-        self.definitions: Globals | None = None
+        self.definitions: Declarations | None = None
         self.numbers: dict[str, int] = {}
         self.last_number = 0
         self._valid: dict[str, FileRecord] = {}
@@ -100,7 +100,7 @@
         self._positions: dict[int, int] = {0: 0}  # of files in this attempt, by number
         self._digest = hashlib.sha256()
         # The definitions of the last load are the best guess until all files are read.
-        self._collected = Globals(store.environment)
+        self._collected = Declarations(store.environment)
         self._expected = store.definitions or self._collected
 
     @property
@@ -109,7 +109,7 @@
         return self._digest.hexdigest()
 
     @property
-    def definitions(self) -> Globals:
+    def definitions(self) -> Declarations:
         """Return the definitions and values of all files."""
         return self._store.definitions
 
@@ -125,11 +125,11 @@
 
     def replace_stale_records(self) -> Generator[None, None, None]:
         """Build the records anew that were built with other definitions or values than the files now have."""
-        definitions = Globals(self._store.environment)
+        definitions = Declarations(self._store.environment)
         for number, section in enumerate(self.order):
             if ends_step(number):
                 yield
-            definitions.add(section.globals)
+            definitions.add(section.declarations)
         replaced: dict[int, Section] = {}
         yield
         for number, file in enumerate(self.files):
@@ -142,7 +142,7 @@
         self._store.definitions = definitions
 
     def _rebuild(
-        self, file: LoadedFile, definitions: Globals, replaced: dict[int, Section]
+        self, file: LoadedFile, definitions: Declarations, replaced: dict[int, Section]
     ) -> Generator[None, None, None]:
         data = yield from self.read_again(file)
         record = yield from build_file_record(data, file.record.digest, file.number, definitions, file.record)
@@ -168,24 +168,24 @@
 
     def collect_entries(
         self, section: Section, routes: Sequence[int], keys: Sequence[int]
-    ) -> Generator[None, None, Wanted]:
+    ) -> Generator[None, None, EntryRequest]:
         """Return the entries of some routes and keys of a section, with the places of all their words."""
-        wanted = Wanted(section, routes, keys)
+        wanted = EntryRequest(section, routes, keys)
         if routes or keys:
             data = yield from self.read_again(self._by_number[section.file])
             yield from collect_entries(data, section.file, self.definitions, wanted)
         return wanted
 
-    def localize(self, place: Place) -> Place:
+    def localize(self, location: Location) -> Location:
         """Return a place that names its file by its position in this attempt."""
-        return Place(self._positions[place.file], place.line, place.column)
+        return Location(self._positions[location.file], location.line, location.column)
 
-    def _describe(self, place: Place) -> str:
-        file = self._by_number.get(place.file)
-        return f"{file.path if file else '?'}:{place.line}:{place.column}"
+    def _describe(self, location: Location) -> str:
+        file = self._by_number.get(location.file)
+        return f"{file.path if file else '?'}:{location.line}:{location.column}"
 
     def _add_file(
-        self, path: str, real_path: str, data: bytes, include: Word | None
+        self, path: str, real_path: str, data: bytes, include: Lexeme | None
     ) -> Generator[None, None, tuple[Section | Directive, ...]]:
         number = self._store.number_of(path)
         digest = hashlib.sha256(data).digest() if len(data) <= HASH_CHUNK_BYTES else (yield from _digest_of(data))
@@ -194,7 +194,7 @@
             yield
             record = yield from build_file_record(data, digest, number, self._expected, record)
             self._store.records[path] = record
-        file = LoadedFile(path, number, record, None if include is None else include.place)
+        file = LoadedFile(path, number, record, None if include is None else include.location)
         self._update_digest(file)
         self._positions[number] = len(self.files)
         self.files.append(file)
@@ -202,18 +202,18 @@
         if self._expected is self._collected:
             for item in record.items:
                 if isinstance(item, Section):
-                    self._collected.add(item.globals)
+                    self._collected.add(item.declarations)
         return record.items
 
     def _update_digest(self, file: LoadedFile) -> None:
-        place = file.included_at
+        location = file.included_at
         including_file = 0
         line = 0
         column = 0
-        if place is not None:
-            including_file = self._positions[place.file] + 1
-            line = place.line
-            column = place.column
+        if location is not None:
+            including_file = self._positions[location.file] + 1
+            line = location.line
+            column = location.column
         self._digest.update(b"%d %d %d " % (including_file, line, column) + file.record.digest)
 
 
--- a/anisefront/config/migrate.py
+++ b/anisefront/config/migrate.py
@@ -11,7 +11,7 @@
 
 import re
 
-from anisefront.config.lexer import Place, Problem, Word, fault
+from anisefront.config.lexer import Lexeme, Location, Problem, problem_at
 from anisefront.config.parser import Directive, Document
 
 _QUOTA = ("rate", "burst", "max-out", "ceiling", "ceiling-burst", "ceiling-slack")
@@ -32,45 +32,56 @@
     for directive in document.directives:
         out += _one(directive, servers, problems)
     if len(out) > 1:
-        out[0].above, out[1].above = out[1].above, [""]  # the comment that heads the file still does
-    return Document(out, document.below), problems
+        out[0].comments_above, out[1].comments_above = (
+            out[1].comments_above,
+            [""],
+        )  # the comment that heads the file still does
+    return Document(out, document.comments_below), problems
 
 
-def _word(text: str) -> Word:
-    return Word(text, Place(0, 1, 1))
+def _word(text: str) -> Lexeme:
+    return Lexeme(text, Location(0, 1, 1))
 
 
-def _pairs(values: list) -> list[tuple[Word, Word]]:
+def _pairs(values: list) -> list[tuple[Lexeme, Lexeme]]:
     return list(zip(values[::2], values[1::2], strict=False))
 
 
 def _one(directive: Directive, servers: Directive | None, problems: list[Problem]) -> list[Directive]:
     name, values = directive.name.text, directive.values
     if name == "servers":
-        if directive.above and any(directive.above):
+        if directive.comments_above and any(directive.comments_above):
             problems.append(
-                fault(directive.name, "the comment above this line has no place any more", "", code="migrate")
+                problem_at(directive.name, "the comment above this line has no place any more", "", code="migrate")
             )
         return []
     if name == "roster":
         if len(values) < 2:
-            problems.append(fault(directive.name, "roster: how and what are due", "", code="migrate"))
+            problems.append(problem_at(directive.name, "roster: how and what are due", "", code="migrate"))
             return [directive]
         kind = "roster" if values[0].text == "file" else "embedded"
         more = [_word("main"), _word(kind), *values[1:], *(servers.values if servers else [])]
-        return [Directive(_word("pool"), more, None, directive.above, directive.beside)]
+        return [Directive(_word("pool"), more, None, directive.comments_above, directive.trailing_comment)]
     if name == "plan" and values:
         pairs = _pairs(values[1:])
-        quota = [word for pair in pairs if pair[0].text in _QUOTA for word in pair]
-        rest = [word for pair in pairs if pair[0].text not in _QUOTA for word in pair]
+        quota = [lexeme for pair in pairs if pair[0].text in _QUOTA for lexeme in pair]
+        rest = [lexeme for pair in pairs if pair[0].text not in _QUOTA for lexeme in pair]
         return [
-            Directive(_word("quota"), [values[0], *quota], None, directive.above),
-            Directive(_word("plan"), [values[0], _word("quota"), values[0], *rest], None, [], directive.beside),
+            Directive(_word("quota"), [values[0], *quota], None, directive.comments_above),
+            Directive(
+                _word("plan"), [values[0], _word("quota"), values[0], *rest], None, [], directive.trailing_comment
+            ),
         ]
     if name == "customer":
-        return [Directive(_word("customers"), values, None, directive.above, directive.beside)]
+        return [Directive(_word("customers"), values, None, directive.comments_above, directive.trailing_comment)]
     if name == "route":
         return [
-            Directive(directive.name, [*values, _word("pool"), _word("main")], None, directive.above, directive.beside)
+            Directive(
+                directive.name,
+                [*values, _word("pool"), _word("main")],
+                None,
+                directive.comments_above,
+                directive.trailing_comment,
+            )
         ]
     return [directive]
--- a/anisefront/config/model.py
+++ b/anisefront/config/model.py
@@ -9,7 +9,7 @@
 from sys import intern  # thousands of routes and keys say the same few names
 from typing import Any
 
-from anisefront.config.lexer import Place, Problem, Severity, Word, fault
+from anisefront.config.lexer import Lexeme, Location, Problem, Severity, problem_at
 from anisefront.config.types import Address, Config, Embedded, Recording
 from anisefront.gateway.patterns import Pattern
 from anisefront.gateway.routes import Key, Route
@@ -34,10 +34,10 @@
     """One directive whose values have been read."""
 
     name: str
-    word: Word
+    lexeme: Lexeme
     arguments: dict[str, Any] = field(default_factory=dict)
     options: dict[str, Any] = field(default_factory=dict)
-    places: dict[str, Word] = field(default_factory=dict)
+    lexemes: dict[str, Lexeme] = field(default_factory=dict)
     unread: set[str] = field(default_factory=set)  # options that may be there but could not be read
     seen: set[str] = field(default_factory=set)  # options that were there
 
@@ -45,12 +45,12 @@
         """An option's value."""
         return self.options.get(name, fallback)
 
-    def place(self, name: str) -> Word:
+    def lexeme_of(self, name: str) -> Lexeme:
         """Where a value stands, or the directive where it is not given."""
-        return self.places.get(name, self.word)
+        return self.lexemes.get(name, self.lexeme)
 
 
-class Model:
+class EntryTable:
     """All entries by their directive."""
 
     def __init__(self) -> None:
@@ -61,24 +61,24 @@
         """Take an entry in."""
         self._entries.setdefault(entry.name, []).append(entry)
 
-    def of(self, name: str) -> list[Entry]:
+    def all_of(self, name: str) -> list[Entry]:
         """The entries of a directive, in their order."""
         return self._entries.get(name, [])
 
-    def one(self, name: str) -> Entry:
+    def single(self, name: str) -> Entry:
         """The entry of a directive that stands once; an empty one where it does not stand."""
-        return (self.of(name) or [Entry(name, Word("", Place(0, 1, 1)))])[0]
+        return (self.all_of(name) or [Entry(name, Lexeme("", Location(0, 1, 1)))])[0]
 
-    def named(self, name: str) -> dict[str, Entry]:
+    def by_name(self, name: str) -> dict[str, Entry]:
         """The entries of a directive by their first argument."""
-        return {next(iter(entry.arguments.values())): entry for entry in self.of(name)}
+        return {next(iter(entry.arguments.values())): entry for entry in self.all_of(name)}
 
     def all(self) -> list[Entry]:
         """Every entry."""
         return [entry for entries in self._entries.values() for entry in entries]
 
 
-class Uses:
+class UsageCounts:
     """How many routes and keys use each name, and the units that requests count: all that other lines depend on.
 
     Counts go up and down, so that adding or removing a line costs no look at the others.
@@ -90,25 +90,25 @@
         self.pools: Counter[str] = Counter()
         self.plans: Counter[str] = Counter()
         self.units: Counter[float] = Counter()
-        self.headers = 0  # routes that take the units from a header
+        self.units_headers = 0  # routes that take the units from a header
 
     @classmethod
-    def of(cls, routes: Iterable[Route], keys: Iterable[Key]) -> Uses:
+    def count(cls, routes: Iterable[Route], keys: Iterable[Key]) -> UsageCounts:
         """Those of some routes and keys."""
         out = cls()
         for each in routes:
-            out.route(each, 1)
+            out.count_route(each, 1)
         for each in keys:
-            out.key(each, 1)
+            out.count_key(each, 1)
         return out
 
-    def route(self, route: Route, by: int) -> None:
+    def count_route(self, route: Route, by: int) -> None:
         """A route more or less."""
         for counter, name in ((self.classes, route.class_name), (self.pools, route.pool), (self.units, route.units)):
             _count(counter, name, by)
-        self.headers += by if route.units_header else 0
+        self.units_headers += by if route.units_header else 0
 
-    def key(self, key: Key, by: int) -> None:
+    def count_key(self, key: Key, by: int) -> None:
         """A key more or less."""
         _count(self.plans, key.plan, by)
 
@@ -119,23 +119,23 @@
         del counter[name]
 
 
-def second_pool(uses: Uses) -> str:
+def find_second_pool(usage: UsageCounts) -> str:
     """A gatekeeper's module knows one set of workers, so there can be one only: the name of another, or ""."""
-    return sorted(uses.pools)[1] if len(uses.pools) > 1 else ""
+    return sorted(usage.pools)[1] if len(usage.pools) > 1 else ""
 
 
-def pools_fault(word: Word, uses: Uses) -> Problem:
+def multiple_pools_problem(lexeme: Lexeme, usage: UsageCounts) -> Problem:
     """What is said at the first route that reaches the second pool."""
-    return fault(
-        word,
-        f"routes reach {len(uses.pools)} pools: {', '.join(sorted(uses.pools))}",
+    return problem_at(
+        lexeme,
+        f"routes reach {len(usage.pools)} pools: {', '.join(sorted(usage.pools))}",
         "a gatekeeper serves one pool; run another for the other",
         code="range",
     )
 
 
-def build(
-    model: Model, uses: Uses, routes: tuple[Route, ...], keys: Mapping[str, Key], problems: list[Problem]
+def build_config(
+    model: EntryTable, usage: UsageCounts, routes: tuple[Route, ...], keys: Mapping[str, Key], problems: list[Problem]
 ) -> Config | None:
     """Build the settings of all entries; routes and keys are handed in.
 
@@ -143,52 +143,58 @@
         The settings; None where values are out of range, which is added to `problems`.
     """
     before = len(problems)
-    pool = _pool(model, uses, problems)
+    pool = _pool(model, usage, problems)
     _check_numbers(model, problems)
     _check_secret(model, problems)
     _check_members(model, problems)
     _check_keepers(model, problems)
-    for entry in model.of("class"):
+    for entry in model.all_of("class"):
         _check_class(entry, problems)
     _check_counts(model, problems)
     if any(problem.severity is Severity.ERROR for problem in problems[before:]):
         return None
-    secret = model.one("secret").arguments.get("text", "")
+    secret = model.single("secret").arguments.get("text", "")
     return _config(model, pool, _settings(model, pool, secret), routes, keys)
 
 
-def _check_numbers(model: Model, problems: list[Problem]) -> None:
-    own = model.one("gatekeeper")
+def _check_numbers(model: EntryTable, problems: list[Problem]) -> None:
+    own = model.single("gatekeeper")
     number = own.arguments["number"]
     count = own.options["of"]
-    mend = "numbers begin at 0 and end below the count"
+    suggestion = "numbers begin at 0 and end below the count"
     if count < 1 or number >= count:
-        problems.append(fault(own.place("number"), f"gatekeeper {number} of {count}", mend, code="range"))
+        problems.append(
+            problem_at(own.lexeme_of("number"), f"gatekeeper {number} of {count}", suggestion, code="range")
+        )
     if not count:
         return
     for other, entry in _peers(model).items():
         if other >= count:
-            problems.append(fault(entry.place("number"), f"peer {other} of {count} gatekeepers", mend, code="range"))
+            problems.append(
+                problem_at(entry.lexeme_of("number"), f"peer {other} of {count} gatekeepers", suggestion, code="range")
+            )
 
 
-def _peers(model: Model) -> dict[int, Entry]:
-    return {entry.arguments["number"]: entry for entry in model.of("peer")}
+def _peers(model: EntryTable) -> dict[int, Entry]:
+    return {entry.arguments["number"]: entry for entry in model.all_of("peer")}
 
 
-def _check_secret(model: Model, problems: list[Problem]) -> None:
-    entry = model.one("secret")
+def _check_secret(model: EntryTable, problems: list[Problem]) -> None:
+    entry = model.single("secret")
     secret = entry.arguments.get("text", "")
     size = len(secret.encode())
     if secret and size < MIN_SECRET_BYTES:
-        problems.append(fault(entry.place("text"), f"a secret of {size} bytes", "at least 16 are due", code="range"))
-    own = model.one("gatekeeper")
+        problems.append(
+            problem_at(entry.lexeme_of("text"), f"a secret of {size} bytes", "at least 16 are due", code="range")
+        )
+    own = model.single("gatekeeper")
     count = own.options["of"]
-    listens_to_peers = "peers" in model.named("listen")
+    listens_to_peers = "peers" in model.by_name("listen")
     if count > 1 and (not listens_to_peers or not secret):
         missing = "secret" if listens_to_peers else "listen peers"
         problems.append(
-            fault(
-                own.word,
+            problem_at(
+                own.lexeme,
                 f"a fleet of {count} without a {missing!r} line",
                 "gatekeepers share quotas by authenticated datagrams",
                 code="missing",
@@ -196,55 +202,57 @@
         )
 
 
-def _check_members(model: Model, problems: list[Problem]) -> None:
-    has_datagrams = "peers" in model.named("listen") and model.one("secret").arguments.get("text", "")
-    for entry in model.of("members"):
+def _check_members(model: EntryTable, problems: list[Problem]) -> None:
+    has_datagrams = "peers" in model.by_name("listen") and model.single("secret").arguments.get("text", "")
+    for entry in model.all_of("members"):
         if not has_datagrams:
             problems.append(
-                fault(
-                    entry.word,
+                problem_at(
+                    entry.lexeme,
                     "members without 'listen peers' and 'secret' lines",
                     "probes go as authenticated datagrams between gatekeepers",
                     code="missing",
                 )
             )
         if not MIN_PROBE_PERIOD_MS <= entry.get("period", 1000.0) <= MAX_PROBE_PERIOD_MS:
-            what = "a period of probes that is not within 20ms and 60s"
-            problems.append(fault(entry.place("period"), what, "1s is usual", code="range"))
+            message = "a period of probes that is not within 20ms and 60s"
+            problems.append(problem_at(entry.lexeme_of("period"), message, "1s is usual", code="range"))
 
 
-def _check_keepers(model: Model, problems: list[Problem]) -> None:
-    for entry in model.of("keepers"):
-        if not model.of("members"):
-            what = "keepers without a 'members' line"
-            problems.append(fault(entry.word, what, "who may keep is told by who is there", code="missing"))
+def _check_keepers(model: EntryTable, problems: list[Problem]) -> None:
+    for entry in model.all_of("keepers"):
+        if not model.all_of("members"):
+            message = "keepers without a 'members' line"
+            problems.append(problem_at(entry.lexeme, message, "who may keep is told by who is there", code="missing"))
         if not MIN_LEASE_MS <= entry.get("lease", 1000.0) <= MAX_LEASE_MS:
-            what = "a lease that is not within 100ms and 60s"
-            problems.append(fault(entry.place("lease"), what, "1s is usual", code="range"))
+            message = "a lease that is not within 100ms and 60s"
+            problems.append(problem_at(entry.lexeme_of("lease"), message, "1s is usual", code="range"))
 
 
-def _check_counts(model: Model, problems: list[Problem]) -> None:
-    if len(model.of("class")) > MAX_CLASSES or len(model.of("plan")) > MAX_PLANS:
-        word = model.one("gatekeeper").word
-        problems.append(fault(word, "more than 16 classes or plans", "peers' messages have room for 16", code="range"))
-    attempts = model.one("attempts")
+def _check_counts(model: EntryTable, problems: list[Problem]) -> None:
+    if len(model.all_of("class")) > MAX_CLASSES or len(model.all_of("plan")) > MAX_PLANS:
+        lexeme = model.single("gatekeeper").lexeme
+        problems.append(
+            problem_at(lexeme, "more than 16 classes or plans", "peers' messages have room for 16", code="range")
+        )
+    attempts = model.single("attempts")
     if attempts.arguments.get("most", 3) < 1:
-        problems.append(fault(attempts.place("most"), "no attempt at all", "at least 1 is due", code="range"))
+        problems.append(problem_at(attempts.lexeme_of("most"), "no attempt at all", "at least 1 is due", code="range"))
 
 
-def _settings(model: Model, pool: Entry, secret: str) -> Settings:
-    own = model.one("gatekeeper")
+def _settings(model: EntryTable, pool: Entry, secret: str) -> Settings:
+    own = model.single("gatekeeper")
     count = own.options["of"]
-    limits = model.one("limits")
-    attempts = model.one("attempts")
-    park_ms = model.one("path").get("park", 100.0)
-    report_fields = model.one("report").arguments.get("values", ())
+    limits = model.single("limits")
+    attempts = model.single("attempts")
+    park_ms = model.single("path").get("park", 100.0)
+    report_fields = model.single("report").arguments.get("values", ())
     return Settings(
         gateways=count,
         number=own.arguments["number"],
         zone=own.get("zone", ""),
-        classes=tuple(_class(entry, park_ms) for entry in model.of("class")),
-        plans=tuple(_plan(entry, model) for entry in model.of("plan")),
+        classes=tuple(_class(entry, park_ms) for entry in model.all_of("class")),
+        plans=tuple(_plan(entry, model) for entry in model.all_of("plan")),
         warm_up_ms=pool.get("warm-up", 10_000.0),
         slow_start_initial_factor=pool.get("cold-from", 0.2),
         overload_multiple=pool.get("fall-multiple", 3.0),
@@ -255,7 +263,7 @@
         max_units=limits.get("units", 1000.0),
         peer_messages_enabled=count > 1,
         max_retry_after_ms=limits.get("retry-after", 5000.0),
-        inbox_per_s=model.one("messages").arguments.get("rate", MESSAGES_PER_S) if count > 1 else 0.0,
+        inbox_per_s=model.single("messages").arguments.get("rate", MESSAGES_PER_S) if count > 1 else 0.0,
         load_report_mode="answers" if report_fields else "none",
         load_report_fields=report_fields,
         # Of the secret, so that nobody outside can tell which names fall on one tag.
@@ -264,16 +272,16 @@
 
 
 def _config(
-    model: Model, pool: Entry, settings: Settings, routes: tuple[Route, ...], keys: Mapping[str, Key]
+    model: EntryTable, pool: Entry, settings: Settings, routes: tuple[Route, ...], keys: Mapping[str, Key]
 ) -> Config:
     count = settings.gateways
     number = settings.number
     peers = _peers(model)
-    listens = model.named("listen")
-    limits = model.one("limits")
-    path = model.one("path")
-    secret = model.one("secret").arguments.get("text", "")
-    customers = model.one("customers")
+    listens = model.by_name("listen")
+    limits = model.single("limits")
+    path = model.single("path")
+    secret = model.single("secret").arguments.get("text", "")
+    customers = model.single("customers")
     address = {front: Address(*entry.arguments["address"]) for front, entry in listens.items()}
     embedded = (
         Embedded(pool.options["embedded"], pool.get("cores", 2), pool.get("service", 1.0))
@@ -286,7 +294,7 @@
         keys=keys,
         customer_header=customers.options["header"],
         default_plan=customers.get("plan", ""),
-        repeat_header=model.one("repeat-header").arguments.get("header", ""),
+        repeat_header=model.single("repeat-header").arguments.get("header", ""),
         spread=min(count, customers.get("spread", count)),
         grpc=address.get("grpc"),
         jsonrpc=address.get("jsonrpc"),
@@ -298,24 +306,24 @@
         log_ms=path.get("log", 1000.0),
         ask_again_ms=path.get("ask-again", 500.0),
         park_ms=path.get("park", 100.0),
-        drain_ms=model.one("drain").arguments.get("time", 10_000.0),
-        stop_ms=model.one("stop").arguments.get("time", 15_000.0),
+        drain_ms=model.single("drain").arguments.get("time", 10_000.0),
+        stop_ms=model.single("stop").arguments.get("time", 15_000.0),
         most_open=limits.get("open", 50_000),
         most_connections=limits.get("connections", 512),
-        seed=model.one("seed").arguments.get("number"),
+        seed=model.single("seed").arguments.get("number"),
         recording=_recording(model),
-        members_ms=model.one("members").get("period", 1000.0) if model.of("members") else 0.0,
+        members_ms=model.single("members").get("period", 1000.0) if model.all_of("members") else 0.0,
         rooms={other: entry.get("zone", "") for other, entry in peers.items()},
-        lease_ms=model.one("keepers").get("lease", 1000.0) if model.of("keepers") else 0.0,
-        most_records=model.one("keepers").get("records", 50_000),
+        lease_ms=model.single("keepers").get("lease", 1000.0) if model.all_of("keepers") else 0.0,
+        most_records=model.single("keepers").get("records", 50_000),
         protected_only=frozenset(
-            entry.arguments["name"] for entry in model.of("class") if entry.get("unprotected") == "refuse"
+            entry.arguments["name"] for entry in model.all_of("class") if entry.get("unprotected") == "refuse"
         ),
     )
 
 
-def _recording(model: Model) -> Recording | None:
-    entry = model.one("record")
+def _recording(model: EntryTable) -> Recording | None:
+    entry = model.single("record")
     if not entry.arguments:
         return None
     return Recording(
@@ -326,31 +334,37 @@
     )
 
 
-def _pool(model: Model, uses: Uses, problems: list[Problem]) -> Entry:
+def _pool(model: EntryTable, usage: UsageCounts, problems: list[Problem]) -> Entry:
     """The pool that routes reach."""
-    pools = model.named("pool")
+    pools = model.by_name("pool")
     for entry in pools.values():
         if ("roster" in entry.options) == ("embedded" in entry.options):
             problems.append(
-                fault(
-                    entry.word, f"pool {entry.arguments['name']!r}: one of roster and embedded is due", "", code="range"
+                problem_at(
+                    entry.lexeme,
+                    f"pool {entry.arguments['name']!r}: one of roster and embedded is due",
+                    "",
+                    code="range",
                 )
             )
-    return pools[min(uses.pools)] if uses.pools else model.of("pool")[0]
+    return pools[min(usage.pools)] if usage.pools else model.all_of("pool")[0]
 
 
 def _check_class(entry: Entry, problems: list[Problem]) -> None:
     if entry.options["deadline"] < entry.options["aim"]:
         problems.append(
-            fault(
-                entry.place("deadline"), "a deadline under its aim", "swap them, or lower the aim", code="contradiction"
+            problem_at(
+                entry.lexeme_of("deadline"),
+                "a deadline under its aim",
+                "swap them, or lower the aim",
+                code="contradiction",
             )
         )
     keyed = entry.options["repeat"] == "keyed"
     if keyed and "window" not in entry.options:
         problems.append(
-            fault(
-                entry.word,
+            problem_at(
+                entry.lexeme,
                 f"class {entry.arguments['name']!r} is keyed without a window",
                 "say for how long workers drop a repeat, such as window 5s",
                 code="missing",
@@ -359,8 +373,8 @@
     for name in ("window", "scope"):
         if not keyed and name in entry.options:
             problems.append(
-                fault(
-                    entry.place(name),
+                problem_at(
+                    entry.lexeme_of(name),
                     f"{name!r} of a class that is not keyed has no effect",
                     "remove it",
                     Severity.WARNING,
@@ -373,7 +387,9 @@
     """What is wrong with a route beyond its words."""
     for condition in entry.get("when", ()):
         if "=" not in condition[1:]:
-            return fault(entry.place("when"), f"condition {condition!r}", "write name=value or name=*", code="range")
+            return problem_at(
+                entry.lexeme_of("when"), f"condition {condition!r}", "write name=value or name=*", code="range"
+            )
     return None
 
 
@@ -433,8 +449,8 @@
     )
 
 
-def _plan(entry: Entry, model: Model) -> Plan:
-    quota = model.named("quota")[entry.options["quota"]]
+def _plan(entry: Entry, model: EntryTable) -> Plan:
+    quota = model.by_name("quota")[entry.options["quota"]]
     rate, ceiling = quota.get("rate", 0.0), quota.get("ceiling", 0.0)
     return Plan(
         entry.arguments["name"],
--- a/anisefront/config/problem_texts.py
+++ b/anisefront/config/problem_texts.py
@@ -7,10 +7,10 @@
 
 from anisefront.config import checker, messages
 from anisefront.config.file_record import lines_of
-from anisefront.config.lexer import Place, Problem
+from anisefront.config.lexer import Location, Problem
 from anisefront.config.load_attempt import LoadAttempt
 from anisefront.config.load_steps import ends_step
-from anisefront.config.loader import Load, Source
+from anisefront.config.loader import LoadedSources, Source
 from anisefront.config.parser import Document
 
 UTF16_MARKS = (b"\xff\xfe", b"\xfe\xff")
@@ -25,15 +25,15 @@
     Raises:
         FileChangedError: A file with a problem has changed since it was read.
     """
-    localized = (replace(problem, place=attempt.localize(problem.place)) for problem in found)
-    problems = checker.arranged(localized, False, uncounted)
+    localized = (replace(problem, location=attempt.localize(problem.location)) for problem in found)
+    problems = checker.sort_problems(localized, False, uncounted)
     if not problems:
         return (), ()
     yield
     load = _LoadOfShownLines(_sources(attempt))
     wanted: dict[int, set[int]] = {}
     for problem in problems:
-        wanted.setdefault(problem.place.file, set()).add(problem.place.line)
+        wanted.setdefault(problem.location.file, set()).add(problem.location.line)
     for number, lines in wanted.items():
         if number < len(attempt.files):
             data = yield from attempt.read_again(attempt.files[number])
@@ -41,7 +41,7 @@
     texts = []
     for problem in sorted(problems, key=lambda problem: -problem.severity):
         yield
-        texts.append(messages.text(load, problem))
+        texts.append(messages.format_problem(load, problem))
     return tuple(problems), tuple(texts)
 
 
@@ -53,16 +53,16 @@
     return sources or [Source("settings", "", Document([], []))]
 
 
-class _LoadOfShownLines(Load):
+class _LoadOfShownLines(LoadedSources):
     """A load that knows only those of its lines that are shown."""
 
     def __init__(self, sources: list[Source]) -> None:
         super().__init__(sources)
         self._lines: dict[tuple[int, int], str] = {}
 
-    def line(self, place: Place) -> str:
+    def line(self, location: Location) -> str:
         """Return the text of a line."""
-        return self._lines.get(place[:2], "")
+        return self._lines.get(location[:2], "")
 
     def look_up(self, file: int, lines: set[int], data: bytes) -> Generator[None, None, None]:
         """Find lines of a file, in steps."""
--- a/anisefront/config/reference.py
+++ b/anisefront/config/reference.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from anisefront.config.parser import GRAMMAR
-from anisefront.config.schema import FIXED, LANGUAGE, SCHEMA, Spec
-from anisefront.config.values import PERIODS, SIZES, TIMES
+from anisefront.config.schema import LANGUAGE, REQUIRES_RESTART, SCHEMA, DirectiveSpec
+from anisefront.config.values import RATE_PERIODS, SIZE_UNITS, TIME_UNITS
 
 
 def reference() -> str:
@@ -17,8 +17,8 @@
         "",
         "One directive a line; options as `name value` on the line or one a line in its block.",
         "",
-        f"- Times: {', '.join(TIMES)}. Rates: a number, perhaps `requests` or `units`, then a slash and one of "
-        f"{', '.join(PERIODS)}. Sizes: {', '.join(SIZES)}. Shares: `20%` or `0.2`.",
+        f"- Times: {', '.join(TIME_UNITS)}. Rates: a number, perhaps `requests` or `units`, then a slash and one of "
+        f"{', '.join(RATE_PERIODS)}. Sizes: {', '.join(SIZE_UNITS)}. Shares: `20%` or `0.2`.",
         "- A value with a unit needs it; a bare number is an error.",
         "",
         "## Of the language",
@@ -29,7 +29,7 @@
     out += [
         "## Of the gatekeeper",
         "",
-        f"While it runs, a gatekeeper can't change {', '.join(f'`{name}`' for name in FIXED)}; "
+        f"While it runs, a gatekeeper can't change {', '.join(f'`{name}`' for name in REQUIRES_RESTART)}; "
         "classes and plans can change their figures and be added at the end.",
         "",
     ]
@@ -38,18 +38,22 @@
     return "\n".join(out).rstrip() + "\n"
 
 
-def _one(name: str, spec: Spec) -> list[str]:
-    words = " ".join(f"[{argument.name}...]" if argument.many else argument.name.upper() for argument in spec.arguments)
-    notes = [text for text, holds in (("needed", spec.needed), ("may stand more than once", spec.many)) if holds]
-    out = [f"### `{f'{name} {words}'.strip()}`", "", spec.text + (f" ({'; '.join(notes)})" if notes else ""), ""]
+def _one(name: str, spec: DirectiveSpec) -> list[str]:
+    words = " ".join(
+        f"[{argument.name}...]" if argument.is_list else argument.name.upper() for argument in spec.arguments
+    )
+    notes = [
+        text for text, holds in (("needed", spec.required), ("may stand more than once", spec.repeatable)) if holds
+    ]
+    out = [f"### `{f'{name} {words}'.strip()}`", "", spec.description + (f" ({'; '.join(notes)})" if notes else ""), ""]
     kinds = [f"{argument.name}: {argument.type.name}" for argument in spec.arguments]
     if kinds:
         out += [f"Words: {'; '.join(kinds)}.", ""]
     if spec.options:
         out += ["| option | value | meaning | where not given |", "| --- | --- | --- | --- |"]
         out += [
-            f"| `{option}` | {each.type.name}{' list' if each.many else ''}, such as `{each.type.example}` | "
-            f"{each.text} | {'an error' if each.needed else each.default or '-'} |"
+            f"| `{option}` | {each.type.name}{' list' if each.is_list else ''}, such as `{each.type.example}` | "
+            f"{each.description} | {'an error' if each.required else each.default or '-'} |"
             for option, each in spec.options.items()
         ]
         out.append("")
--- a/anisefront/config/route_checks.py
+++ b/anisefront/config/route_checks.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Generator, Iterator
 
-from anisefront.config.lexer import Problem, Severity, Word, fault
+from anisefront.config.lexer import Lexeme, Problem, Severity, problem_at
 from anisefront.config.route_crossings import crossing_pairs, is_literal, is_parameter
 from anisefront.gateway.patterns import OTHER, OTHER_METHOD, Pattern, common, covers, rank, shape
 from anisefront.gateway.routes import Route
@@ -16,7 +16,7 @@
 MAX_OVERLAPS = 200  # reported pairs of one group, and notes of each kind; thousands of messages help no reader
 PAIRS_PER_STEP = 50  # comparisons of two routes in one step
 
-RouteLines = list[tuple[Word, Route]]  # the first word of each route's line, and the route, in order
+RouteLines = list[tuple[Lexeme, Route]]  # the first word of each route's line, and the route, in order
 
 
 def overlap_group(pattern: Pattern) -> str:
@@ -72,12 +72,12 @@
     yield from _check_spelling(lines)
 
 
-def _unreachable_route(line: tuple[Word, Route], covering: tuple[Word, Route]) -> Problem:
+def _unreachable_route(line: tuple[Lexeme, Route], covering: tuple[Lexeme, Route]) -> Problem:
     same_outcome = covering[1].outcome == line[1].outcome
     difference = "" if same_outcome else ", with another outcome"
-    return fault(
+    return problem_at(
         line[0],
-        f"this route never matches: line {covering[0].place.line} takes all of it{difference}",
+        f"this route never matches: line {covering[0].location.line} takes all of it{difference}",
         "remove it, or put it first",
         Severity.WARNING if same_outcome else Severity.ERROR,
         "unreachable",
@@ -124,7 +124,7 @@
                     yield problem
 
 
-def _overlap(first: tuple[Word, Route], second: tuple[Word, Route]) -> Problem | None:
+def _overlap(first: tuple[Lexeme, Route], second: tuple[Lexeme, Route]) -> Problem | None:
     first_route = first[1]
     second_route = second[1]
     if first_route.outcome == second_route.outcome:
@@ -134,9 +134,9 @@
     shared = common(first_route.pattern, second_route.pattern)
     if not shared:
         return None
-    return fault(
+    return problem_at(
         second[0],
-        f"overlaps line {first[0].place.line} with another outcome: {shared[0]} goes there, by order of lines",
+        f"overlaps line {first[0].location.line} with another outcome: {shared[0]} goes there, by order of lines",
         "make the conditions exclude each other",
         Severity.WARNING,
         "overlap",
@@ -159,10 +159,10 @@
             first_rank = rank(first_route.pattern, shared[0].method, first)
             second_rank = rank(second_route.pattern, shared[0].method, second)
             winner = first if first_rank <= second_rank else second
-            yield fault(
+            yield problem_at(
                 lines[max(first, second)][0],
-                f"overlaps line {lines[min(first, second)][0].place.line} with another outcome: "
-                f"{shared[0]} goes to line {lines[winner][0].place.line}, which is more particular",
+                f"overlaps line {lines[min(first, second)][0].location.line} with another outcome: "
+                f"{shared[0]} goes to line {lines[winner][0].location.line}, which is more particular",
                 "",
                 Severity.NOTE,
                 "overlap",
@@ -177,7 +177,7 @@
     """
     index = RouteIndex(tuple(route for _, route in lines))
     reported = 0
-    for word, route in lines:
+    for lexeme, route in lines:
         path = route.pattern.path
         if not is_literal(path) or path == "/" or reported >= MAX_OVERLAPS:
             continue
@@ -186,9 +186,10 @@
             continue
         reported += 1
         raw, other = found
-        yield fault(
-            word,
-            f"{raw} goes by line {lines[other][0].place.line} with another outcome, and workers may take it for {path}",
+        yield problem_at(
+            lexeme,
+            f"{raw} goes by line {lines[other][0].location.line} with another outcome, "
+            f"and workers may take it for {path}",
             "see that they do not, or give it a route of its own",
             Severity.NOTE,
             "slips",
@@ -215,7 +216,7 @@
 def _check_spelling(lines: RouteLines) -> Iterator[Problem | None]:
     """Report routes that differ in case or in a final slash only: to a request they are two."""
     first_numbers: dict[tuple, int] = {}
-    for number, (word, route) in enumerate(lines):
+    for number, (lexeme, route) in enumerate(lines):
         if number % PAIRS_PER_STEP == PAIRS_PER_STEP - 1:
             yield None
         pattern = route.pattern
@@ -225,9 +226,9 @@
         first_path = first_route.pattern.path
         if first != number and first_path != pattern.path and first_route.outcome != route.outcome:
             difference = "a final slash" if first_path.lower() != pattern.path.lower() else "case"
-            yield fault(
-                word,
-                f"differs from line {first_word.place.line} by {difference} alone, with another outcome",
+            yield problem_at(
+                lexeme,
+                f"differs from line {first_word.location.line} by {difference} alone, with another outcome",
                 "paths are compared letter by letter",
                 Severity.WARNING,
                 "twins",
--- a/anisefront/config/values.py
+++ b/anisefront/config/values.py
@@ -13,7 +13,7 @@
 from fractions import Fraction
 from typing import Any
 
-from anisefront.config.lexer import Word
+from anisefront.config.lexer import Lexeme
 from anisefront.gateway.errors import AmbiguousPathError
 from anisefront.gateway.paths import normalize_target
 
@@ -21,14 +21,14 @@
 class InvalidValueError(Exception):
     """A word that is no value of the type: what is wrong, and the mend."""
 
-    def __init__(self, what: str, mend: str = "") -> None:
+    def __init__(self, message: str, suggestion: str = "") -> None:
         """Create the error with a message and a suggestion."""
-        super().__init__(what)
-        self.what = what
-        self.mend = mend
+        super().__init__(message)
+        self.message = message
+        self.suggestion = suggestion
 
 
-def near(text: str, choices: Iterable[str]) -> str:
+def did_you_mean(text: str, choices: Iterable[str]) -> str:
     """The mend for a misspelt name, "" where nothing is near."""
     found = get_close_matches(text.lower(), {choice.lower(): choice for choice in choices}, 1, 0.6)
     return f"did you mean {next(c for c in choices if c.lower() == found[0])!r}?" if found else ""
@@ -39,12 +39,12 @@
     """A type of value."""
 
     name: str
-    read: Callable[[Word], Any]
+    read: Callable[[Lexeme], Any]
     example: str
 
 
 _QUANTITY = re.compile(r"([+-]?\d+(?:\.\d+)?)(.*)\Z", re.S)
-TIMES = {
+TIME_UNITS = {
     "us": Fraction(1, 1000),
     "ms": Fraction(1),
     "s": Fraction(1000),
@@ -52,134 +52,140 @@
     "h": Fraction(3_600_000),
     "d": Fraction(86_400_000),
 }
-PERIODS = {"s": Fraction(1), "min": Fraction(60), "h": Fraction(3600), "d": Fraction(86_400)}
-SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "kB": 10**3, "MB": 10**6, "GB": 10**9}
+RATE_PERIODS = {"s": Fraction(1), "min": Fraction(60), "h": Fraction(3600), "d": Fraction(86_400)}
+SIZE_UNITS = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "kB": 10**3, "MB": 10**6, "GB": 10**9}
 MAX_DIGITS = 24
-_COUNTED = ("", "requests", "request", "units", "unit", "datagrams", "datagram")
+_RATE_SUBJECTS = ("", "requests", "request", "units", "unit", "datagrams", "datagram")
 
 
-def _split(word: Word, what: str) -> tuple[Fraction, str]:
-    match = _QUANTITY.match(word.text)
-    if not match or not word.text.isascii():
-        raise InvalidValueError(f"{word.text[:60]!r} is no {what}")
+def _split(lexeme: Lexeme, message: str) -> tuple[Fraction, str]:
+    match = _QUANTITY.match(lexeme.text)
+    if not match or not lexeme.text.isascii():
+        raise InvalidValueError(f"{lexeme.text[:60]!r} is no {message}")
     if match[1].startswith("-"):
-        raise InvalidValueError(f"{word.text[:60]!r} is below nothing")
+        raise InvalidValueError(f"{lexeme.text[:60]!r} is below nothing")
     if len(match[1]) > MAX_DIGITS:
         # Danger: turning thousands of digits into a number takes long, and more still raises.
-        raise InvalidValueError(f"{word.text[:20]!r}... has {len(match[1])} digits, at most {MAX_DIGITS}")
+        raise InvalidValueError(f"{lexeme.text[:20]!r}... has {len(match[1])} digits, at most {MAX_DIGITS}")
     return Fraction(match[1]), match[2].strip()
 
 
-def _time(word: Word) -> float:
-    number, unit = _split(word, "time")
-    if unit not in TIMES:
-        mend = f"write {word.text}ms or {word.text}s" if not unit else near(unit, TIMES) or f"units: {', '.join(TIMES)}"
+def _time(lexeme: Lexeme) -> float:
+    number, unit = _split(lexeme, "time")
+    if unit not in TIME_UNITS:
+        suggestion = (
+            f"write {lexeme.text}ms or {lexeme.text}s"
+            if not unit
+            else did_you_mean(unit, TIME_UNITS) or f"units: {', '.join(TIME_UNITS)}"
+        )
         raise InvalidValueError(
-            f"{word.text[:60]!r} has no unit of time" if not unit else f"{unit[:20]!r} is no unit of time", mend
+            f"{lexeme.text[:60]!r} has no unit of time" if not unit else f"{unit[:20]!r} is no unit of time", suggestion
         )
-    return float(number * TIMES[unit])
+    return float(number * TIME_UNITS[unit])
 
 
-def _rate(word: Word) -> float:
-    number, rest = _split(word, "rate")
+def _rate(lexeme: Lexeme) -> float:
+    number, rest = _split(lexeme, "rate")
     counted, slash, period = rest.partition("/")
-    if not slash or counted.strip() not in _COUNTED or period.strip() not in PERIODS:
-        bare = word.text if not rest else word.text[: len(word.text) - len(rest)].strip()
-        what = "has no unit of rate" if not rest else "is no rate"
-        raise InvalidValueError(f"{word.text[:60]!r} {what}", f"write {bare}/s or {bare}/min")
-    return float(number / PERIODS[period.strip()])
-
-
-def _size(word: Word) -> int:
-    number, unit = _split(word, "size")
-    if unit not in SIZES:
-        mend = (
-            f"write {word.text}KiB or {word.text}MiB" if not unit else near(unit, SIZES) or f"units: {', '.join(SIZES)}"
+    if not slash or counted.strip() not in _RATE_SUBJECTS or period.strip() not in RATE_PERIODS:
+        bare = lexeme.text if not rest else lexeme.text[: len(lexeme.text) - len(rest)].strip()
+        message = "has no unit of rate" if not rest else "is no rate"
+        raise InvalidValueError(f"{lexeme.text[:60]!r} {message}", f"write {bare}/s or {bare}/min")
+    return float(number / RATE_PERIODS[period.strip()])
+
+
+def _size(lexeme: Lexeme) -> int:
+    number, unit = _split(lexeme, "size")
+    if unit not in SIZE_UNITS:
+        suggestion = (
+            f"write {lexeme.text}KiB or {lexeme.text}MiB"
+            if not unit
+            else did_you_mean(unit, SIZE_UNITS) or f"units: {', '.join(SIZE_UNITS)}"
         )
-        what = f"{unit[:20]!r} is no unit of size" if unit else f"{word.text[:60]!r} has no unit of size"
-        raise InvalidValueError(what, mend)
-    return int(number * SIZES[unit])
+        message = f"{unit[:20]!r} is no unit of size" if unit else f"{lexeme.text[:60]!r} has no unit of size"
+        raise InvalidValueError(message, suggestion)
+    return int(number * SIZE_UNITS[unit])
 
 
-def _share(word: Word) -> float:
-    number, unit = _split(word, "share")
+def _share(lexeme: Lexeme) -> float:
+    number, unit = _split(lexeme, "share")
     if unit not in ("", "%"):
-        raise InvalidValueError(f"{word.text[:60]!r} is no share", "write 20% or 0.2")
+        raise InvalidValueError(f"{lexeme.text[:60]!r} is no share", "write 20% or 0.2")
     share = number / 100 if unit else number
     if share > 1:
         raise InvalidValueError(
-            f"{word.text[:60]!r} is more than the whole", f"did you mean {word.text}%?" if not unit else ""
+            f"{lexeme.text[:60]!r} is more than the whole", f"did you mean {lexeme.text}%?" if not unit else ""
         )
     return float(share)
 
 
-def _number(word: Word) -> float:
-    number, unit = _split(word, "number")
+def _number(lexeme: Lexeme) -> float:
+    number, unit = _split(lexeme, "number")
     if unit:
         raise InvalidValueError(
-            f"{word.text[:60]!r} is no bare number", f"write {word.text[: len(word.text) - len(unit)].strip()}"
+            f"{lexeme.text[:60]!r} is no bare number", f"write {lexeme.text[: len(lexeme.text) - len(unit)].strip()}"
         )
     return float(number)
 
 
-def _whole(word: Word) -> int:
-    number, unit = _split(word, "whole number")
+def _whole(lexeme: Lexeme) -> int:
+    number, unit = _split(lexeme, "whole number")
     if unit or number.denominator != 1:
-        raise InvalidValueError(f"{word.text[:60]!r} is no whole number")
+        raise InvalidValueError(f"{lexeme.text[:60]!r} is no whole number")
     if number > 10**15:
-        raise InvalidValueError(f"{word.text[:60]!r} is too large")
+        raise InvalidValueError(f"{lexeme.text[:60]!r} is too large")
     return int(number)
 
 
 _NAME = re.compile(r"[A-Za-z][A-Za-z0-9._-]{0,63}\Z")
 
 
-def _name(word: Word) -> str:
-    if not _NAME.match(word.text):
-        raise InvalidValueError(f"{word.text[:60]!r} is no name", "a letter, then letters, digits, . _ -, at most 64")
-    return word.text
+def _name(lexeme: Lexeme) -> str:
+    if not _NAME.match(lexeme.text):
+        raise InvalidValueError(f"{lexeme.text[:60]!r} is no name", "a letter, then letters, digits, . _ -, at most 64")
+    return lexeme.text
 
 
-def _text(word: Word) -> str:
-    if not word.text:
+def _text(lexeme: Lexeme) -> str:
+    if not lexeme.text:
         raise InvalidValueError("an empty text")
-    if len(word.text) > 4096 or any(ord(letter) < 32 for letter in word.text):
+    if len(lexeme.text) > 4096 or any(ord(letter) < 32 for letter in lexeme.text):
         raise InvalidValueError("a text that is too long or holds control characters")
-    return word.text
+    return lexeme.text
 
 
-def _header(word: Word) -> str:
-    if not re.fullmatch(r"[a-z0-9!#$%&'*+.^_`|~-]+", word.text):
-        lower = word.text.lower()
+def _header(lexeme: Lexeme) -> str:
+    if not re.fullmatch(r"[a-z0-9!#$%&'*+.^_`|~-]+", lexeme.text):
+        lower = lexeme.text.lower()
         fits = re.fullmatch(r"[a-z0-9!#$%&'*+.^_`|~-]+", lower)
-        raise InvalidValueError(f"{word.text[:60]!r} is no header name", f"write {lower}" if fits else "")
-    return word.text
+        raise InvalidValueError(f"{lexeme.text[:60]!r} is no header name", f"write {lower}" if fits else "")
+    return lexeme.text
 
 
-def _address(word: Word) -> tuple[str, int]:
-    host, colon, port = word.text.rpartition(":")
+def _address(lexeme: Lexeme) -> tuple[str, int]:
+    host, colon, port = lexeme.text.rpartition(":")
     plain = host.removeprefix("[").removesuffix("]") if host.startswith("[") else host
     if not colon or not plain or not port.isdigit() or len(port) > 5 or int(port) > 65535:
-        raise InvalidValueError(f"{word.text[:60]!r} is no address", "write HOST:PORT, such as 127.0.0.1:9000")
+        raise InvalidValueError(f"{lexeme.text[:60]!r} is no address", "write HOST:PORT, such as 127.0.0.1:9000")
     if ":" in plain:
         try:
             ipaddress.IPv6Address(plain)
         except ValueError:
-            raise InvalidValueError(f"{word.text[:60]!r} is no address", "write [IPv6]:PORT") from None
+            raise InvalidValueError(f"{lexeme.text[:60]!r} is no address", "write [IPv6]:PORT") from None
     return plain, int(port)
 
 
-def _method(word: Word) -> str:
-    if word.text != "*" and not re.fullmatch(r"[A-Z][A-Z-]{0,31}", word.text):
+def _method(lexeme: Lexeme) -> str:
+    if lexeme.text != "*" and not re.fullmatch(r"[A-Z][A-Z-]{0,31}", lexeme.text):
         raise InvalidValueError(
-            f"{word.text[:60]!r} is no method",
-            f"write {word.text.upper()}" if word.text.isalpha() else "such as GET, or * for any",
+            f"{lexeme.text[:60]!r} is no method",
+            f"write {lexeme.text.upper()}" if lexeme.text.isalpha() else "such as GET, or * for any",
         )
-    return word.text
+    return lexeme.text
 
 
-def _path(word: Word) -> str:
-    text = word.text
+def _path(lexeme: Lexeme) -> str:
+    text = lexeme.text
     if not text.startswith("/"):
         raise InvalidValueError(f"{text[:60]!r} is no path", f"write /{text[:60]}")
     if "*" in text[:-1]:
@@ -204,8 +210,8 @@
     return text
 
 
-def _host(word: Word) -> str:
-    text = word.text
+def _host(lexeme: Lexeme) -> str:
+    text = lexeme.text
     labels = text.removeprefix("*.").split(".")
     if text != "*" and not all(re.fullmatch(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?", label) for label in labels):
         raise InvalidValueError(
@@ -218,10 +224,12 @@
 def one_of(*choices: str) -> Type:
     """A type of a few words."""
 
-    def read(word: Word) -> str:
-        if word.text not in choices:
-            raise InvalidValueError(f"{word.text[:60]!r} is none of {', '.join(choices)}", near(word.text, choices))
-        return word.text
+    def read(lexeme: Lexeme) -> str:
+        if lexeme.text not in choices:
+            raise InvalidValueError(
+                f"{lexeme.text[:60]!r} is none of {', '.join(choices)}", did_you_mean(lexeme.text, choices)
+            )
+        return lexeme.text
 
     return Type(" or ".join(choices), read, choices[0])
 
@@ -239,22 +247,22 @@
 METHOD = Type("method", _method, "GET")
 PATH = Type("path", _path, "/stalls/:stall")
 HOST = Type("host", _host, "*.example")
-YES = one_of("yes", "no")
+YES_OR_NO = one_of("yes", "no")
 
 
-def write_time(ms: float) -> str:
+def format_time(ms: float) -> str:
     """A time in the largest unit that keeps it whole, without loss."""
     value = Fraction(repr(ms))
     for unit in ("h", "min", "s", "ms", "us"):
-        if (value / TIMES[unit]).denominator == 1:
-            return f"{value / TIMES[unit]}{unit}"
+        if (value / TIME_UNITS[unit]).denominator == 1:
+            return f"{value / TIME_UNITS[unit]}{unit}"
     return f"{ms!r}ms"
 
 
-def write_rate(per_s: float) -> str:
+def format_rate(per_s: float) -> str:
     """A rate by the second, minute or hour, whichever keeps it whole, without loss."""
     value = Fraction(repr(per_s))
     for unit in ("s", "min", "h"):
-        if (value * PERIODS[unit]).denominator == 1:
-            return f"{value * PERIODS[unit]}/{unit}"
+        if (value * RATE_PERIODS[unit]).denominator == 1:
+            return f"{value * RATE_PERIODS[unit]}/{unit}"
     return f"{per_s!r}/s"
--- a/anisefront/testbed/day.py
+++ b/anisefront/testbed/day.py
@@ -91,7 +91,7 @@
         text = settings_text(template, 0, script, self._roster_file, {})
         checked = checker.check(loader.load_text(text, script.settings))
         if checked.config is None:
-            raise Unfit("\n".join(messages.text(checked.load, problem) for problem in checked.problems))
+            raise Unfit("\n".join(messages.format_problem(checked.loaded, problem) for problem in checked.problems))
         self.config: Config = checked.config
         self._records = {
             name: Record((folder / f"{name}.jsonl").open("w")) for name in ("clients", "workers", "proxies", "day")
--- a/anisefront/testbed/model/study.py
+++ b/anisefront/testbed/model/study.py
@@ -185,7 +185,9 @@
 
     found = checker.check(loader.load_text(text, name))
     if found.config is None:
-        raise Unfit("\n".join(messages.text(found.load, each) for each in found.problems if each.severity == 2))
+        raise Unfit(
+            "\n".join(messages.format_problem(found.loaded, each) for each in found.problems if each.severity == 2)
+        )
     config = found.config
     settings = replace(config.settings, peer_messages_enabled=True, inbox_per_s=config.settings.inbox_per_s or 200.0)
     return replace(config, settings=settings)
@@ -197,7 +199,7 @@
 
     script, problems = scripts.read(text)
     if problems:
-        raise Unfit("; ".join(f"line {each.place.line}: {each.what}" for each in problems))
+        raise Unfit("; ".join(f"line {each.location.line}: {each.message}" for each in problems))
     return script
 
 
--- a/anisefront/testbed/report.py
+++ b/anisefront/testbed/report.py
@@ -20,7 +20,7 @@
     text = path.read_text()
     script, problems = scripts.read(text)
     for problem in problems:
-        click.echo(messages.text(loader.load_text(text, str(path)), problem), err=True)
+        click.echo(messages.format_problem(loader.load_text(text, str(path)), problem), err=True)
     if problems:
         return 2
     if seed is not None:
--- a/anisefront/testbed/script.py
+++ b/anisefront/testbed/script.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from anisefront.config.lexer import Problem, Word, fault
+from anisefront.config.lexer import Lexeme, Problem, problem_at
 from anisefront.config.parser import Directive, parse
-from anisefront.config.values import NAME, NUMBER, TEXT, TIME, WHOLE, InvalidValueError, Type, near
+from anisefront.config.values import NAME, NUMBER, TEXT, TIME, WHOLE, InvalidValueError, Type, did_you_mean
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,13 @@
     troubles: list[Trouble] = field(default_factory=list)
 
 
-_WORKERS: dict[str, Type] = {"cores": WHOLE, "service": TIME, "queue": WHOLE, "cells": WHOLE, "drops-repeats": TIME}
+_WORKERS: dict[str, Type] = {
+    "cores": WHOLE,
+    "service": TIME,
+    "queue": WHOLE,
+    "cells": WHOLE,
+    "drops-repeats": TIME,
+}
 TROUBLES: dict[str, dict[str, Type]] = {
     "deploy": {"over": TIME, "drain": TIME},
     "errors": {"workers": WHOLE, "share": NUMBER, "for": TIME},
@@ -75,9 +81,9 @@
 
 
 class _Fault(Exception):
-    def __init__(self, word: Word, what: str, mend: str = "") -> None:
+    def __init__(self, word: Lexeme, what: str, mend: str = "") -> None:
         super().__init__(what)
-        self.problem = fault(word, what, mend)
+        self.problem = problem_at(word, what, mend)
 
 
 def read(text: str) -> tuple[Script, list[Problem]]:
@@ -92,18 +98,18 @@
     return script, problems
 
 
-def _value(word: Word, wanted: Type) -> Any:
+def _value(word: Lexeme, wanted: Type) -> Any:
     try:
         return wanted.read(word)
     except InvalidValueError as problem:
-        raise _Fault(word, problem.what, problem.mend) from problem
+        raise _Fault(word, problem.message, problem.suggestion) from problem
 
 
-def _values(row: list[Word], known: dict[str, Type]) -> dict[str, Any]:
+def _values(row: list[Lexeme], known: dict[str, Type]) -> dict[str, Any]:
     values: dict[str, Any] = {}
     for at in range(0, len(row), 2):
         if row[at].text not in known:
-            raise _Fault(row[at], f"{row[at].text!r} is not known here", near(row[at].text, list(known)))
+            raise _Fault(row[at], f"{row[at].text!r} is not known here", did_you_mean(row[at].text, list(known)))
         if at + 1 >= len(row):
             raise _Fault(row[at], f"{row[at].text!r} has no value")
         values[row[at].text] = _value(row[at + 1], known[row[at].text])
@@ -122,7 +128,7 @@
 
 def _take(script: Script, directive: Directive) -> None:
     name, rest = directive.name.text, directive.values
-    if not rest or directive.block is not None or not all(isinstance(value, Word) for value in rest):
+    if not rest or directive.block is not None or not all(isinstance(value, Lexeme) for value in rest):
         raise _Fault(directive.name, f"{name}: plain values are due")
     if name in _SINGLE:
         field_name, wanted = _SINGLE[name]
@@ -144,5 +150,5 @@
         raise _Fault(
             directive.name,
             f"{name!r} is no line of a script",
-            near(name, [*_SINGLE, "workers", "customers", "mix", "at"]),
+            did_you_mean(name, [*_SINGLE, "workers", "customers", "mix", "at"]),
         )
--- a/tests/fuzz_config.py
+++ b/tests/fuzz_config.py
@@ -100,9 +100,9 @@
     assert outcome.problems == tuple(fresh.problems) and (outcome.config is None) == (fresh.config is None)
     document, problems = parse(text)
     if not problems:
-        once = formatter.write(document)
+        once = formatter.format_document(document)
         again, more = parse(once)
-        assert not more and formatter.write(again) == once, "the formatter does not settle"
+        assert not more and formatter.format_document(again) == once, "the formatter does not settle"
 
 
 def reached(text):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -24,7 +24,7 @@
 
 
 def errors(checked):
-    return [problem.what for problem in checked.problems if problem.severity is Severity.ERROR]
+    return [problem.message for problem in checked.problems if problem.severity is Severity.ERROR]
 
 
 def files(tmp_path, **texts):
@@ -45,7 +45,7 @@
     good = checked_files(tmp_path, main=REST + 'include "tail.conf"\n', tail="drain 6s\nstop 10s\n")
     assert good.config is not None and good.config.drain_ms == 6000
     bad = checked_files(tmp_path, main=REST + 'include "tail.conf"\n', tail="drain 6\n")
-    text = messages.text(bad.load, bad.problems[0])
+    text = messages.format_problem(bad.loaded, bad.problems[0])
     assert "tail.conf:1:7: error: drain: time: '6' has no unit of time - write 6ms or 6s" in text
     assert "    drain 6\n          ^" in text and f"included at {tmp_path}/main.conf:30:9" in text
 
@@ -89,7 +89,7 @@
 
 def test_bytes_that_are_no_utf8(tmp_path):
     bad = checked_files(tmp_path, main=GOOD.replace("k-1", "k-\N{LATIN SMALL LETTER E WITH ACUTE}").encode("latin-1"))
-    assert errors(bad) == ["byte 0xE9 is no UTF-8"] and bad.problems[0].place[1:] == (23, 7)
+    assert errors(bad) == ["byte 0xE9 is no UTF-8"] and bad.problems[0].location[1:] == (23, 7)
     assert errors(checked_files(tmp_path, main=GOOD.encode("utf-16"))) == ["the file is UTF-16"]
 
 
@@ -113,7 +113,7 @@
     deep = errors(found(GOOD + "a {\n" * 10_000 + "}\n" * 10_000))
     assert len(deep) <= 2 and "nested more than 8" in " ".join(deep)
     many = found(GOOD + "nonsense here\n" * 5000)
-    assert len(many.problems) == 1001 and "4000 more" in many.problems[-1].what
+    assert len(many.problems) == 1001 and "4000 more" in many.problems[-1].message
 
 
 def test_ends_in_the_middle_of_anything():
@@ -158,12 +158,12 @@
 
 @given(st.floats(0, 1e9, allow_subnormal=False))
 def test_numbers_are_written_and_read_without_loss(value):
-    from anisefront.config.lexer import Place, Word
-    from anisefront.config.values import MAX_DIGITS, RATE, TIME, write_rate, write_time
+    from anisefront.config.lexer import Location, Lexeme
+    from anisefront.config.values import MAX_DIGITS, RATE, TIME, format_rate, format_time
 
-    for kind, text in ((TIME, write_time(value)), (RATE, write_rate(value))):
+    for kind, text in ((TIME, format_time(value)), (RATE, format_rate(value))):
         if "e" not in text and sum(each.isdigit() for each in text) < MAX_DIGITS:
-            assert kind.read(Word(text, Place(0, 1, 1))) == value, text
+            assert kind.read(Lexeme(text, Location(0, 1, 1))) == value, text
 
 
 # ---- formatter and diff -----------------------------------------------------------------------------------------
@@ -291,9 +291,9 @@
     text = written(routes, chance)
     document, problems = parse(text)
     assert not problems, text
-    once = formatter.write(document)
+    once = formatter.format_document(document)
     again, problems = parse(once)
-    assert not problems and formatter.write(again) == once
+    assert not problems and formatter.format_document(again) == once
     assert text.count("#") == once.count("#")
     before, after = found(text), found(once)
     assert len(errors(before)) == len(errors(after))  # places in their texts move
@@ -303,7 +303,7 @@
 
 def test_formatter_by_example():
     text = '# head\n\n\n\nclass   a{aim 1s ; deadline 2s}# end\n  route [ GET,POST ]  "/a b" \\\n   x y  #why\n#last'
-    assert formatter.write(parse(text)[0]) == (
+    assert formatter.format_document(parse(text)[0]) == (
         '# head\n\nclass a {\n    aim 1s\n    deadline 2s\n}  # end\nroute [GET POST] "/a b" x y  # why\n# last\n'
     )
 
@@ -398,10 +398,10 @@
 route GET /stock class view
 report util,inflight
 """
-    assert "anisefront config migrate" in found(old).problems[0].mend
+    assert "anisefront config migrate" in found(old).problems[0].suggestion
     document, problems = migrate(parse(prepare(old))[0])
     assert not problems
-    text = formatter.write(document)
+    text = formatter.format_document(document)
     assert text.startswith("# the first gatekeeper\nlanguage 2\n") and "# the list" in text and "# small" in text
     config = found(text).config
     assert config.settings.plans[0].burst == 12 and config.settings.warm_up_ms == 6000
@@ -412,7 +412,7 @@
 def test_examples_are_good_and_in_the_one_style():
     for path in (ROOT / "examples").rglob("*.conf"):
         text = path.read_text()
-        assert formatter.write(parse(text)[0]) == text, path
+        assert formatter.format_document(parse(text)[0]) == text, path
         if "gatekeeper " in text:
             assert errors(checker.check(loader.load(str(path)), os.environ)) == []
 
@@ -428,7 +428,7 @@
     for name, spec in SCHEMA.items():
         assert spec.example.startswith(name), name
         checked = found("language 2\nenv FLEET_SECRET default 0123456789abcdef\n" + spec.example + "\n")
-        mine = [problem for problem in checked.problems if problem.place.line == 3 and problem.code != "reference"]
+        mine = [problem for problem in checked.problems if problem.location.line == 3 and problem.code != "reference"]
         assert not mine, (name, mine)
     assert set(LANGUAGE) == {"language", "include", "env", "define", "use"}
 
--- a/tests/test_config_corpus.py
+++ b/tests/test_config_corpus.py
@@ -238,7 +238,7 @@
     assert GOOD.count(old) >= 1, old
     checked = found(GOOD.replace(old, new, 1))
     errors = [problem for problem in checked.problems if problem.severity is Severity.ERROR]
-    said = [f"{problem.place.line}: {problem.what} - {problem.mend}" for problem in errors]
+    said = [f"{problem.location.line}: {problem.message} - {problem.suggestion}" for problem in errors]
     assert checked.config is None
     fitting = [text for text in said if text.startswith(f"{line}: ") and any(w in text for w in words.split("|"))]
     assert fitting, said
@@ -284,7 +284,9 @@
 def test_warned_of(old, new, line, words):
     assert old in GOOD
     checked = found(GOOD.replace(old, new, 1))
-    said = [f"{p.place.line}: {p.what} - {p.mend}" for p in checked.problems if p.severity is Severity.WARNING]
+    said = [
+        f"{p.location.line}: {p.message} - {p.suggestion}" for p in checked.problems if p.severity is Severity.WARNING
+    ]
     assert [text for text in said if text.startswith(f"{line}: ") and any(w in text for w in words.split("|"))], [
-        (p.place.line, p.what) for p in checked.problems
+        (p.location.line, p.message) for p in checked.problems
     ]
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -28,9 +28,9 @@
     route_checks,
     source_files,
 )
-from anisefront.config.checker import Checked
+from anisefront.config.checker import CheckResult
 from anisefront.config.explain import explain
-from anisefront.config.model import Entry, Model
+from anisefront.config.model import Entry, EntryTable
 from anisefront.config.incremental_loader import IncrementalLoader
 from anisefront.gateway import route_table, route_trie, versions
 from anisefront.gateway.key_table import KeyTable, KeyTableEdit
@@ -236,20 +236,20 @@
 
 def kept(own):
     """What a reading keeps, in the form of a fresh check: to be explained and shown."""
-    out, paths = Model(), {number: path for path, number in own._store.numbers.items()}
+    out, paths = EntryTable(), {number: path for path, number in own._store.numbers.items()}
 
-    class Where(loader.Load):
-        def where(self, place):
-            return file_record.where(paths, place)
+    class Where(loader.LoadedSources):
+        def format_location(self, place):
+            return file_record.format_location(paths, place)
 
     def entry(name, word, arguments, options):
         return Entry(name, word, arguments, options)
 
     for part in own._order:
         for at, route in enumerate(part.routes):
-            out.add(entry("route", part.route_word(at), {"route": route}, {}))
+            out.add(entry("route", part.route_lexeme(at), {"route": route}, {}))
         for at, (text, key) in enumerate(zip(part.texts, part.keys, strict=True)):
-            out.add(entry("key", part.key_word(at), {"key": text}, {"customer": key.customer, "plan": key.plan}))
+            out.add(entry("key", part.key_lexeme(at), {"key": text}, {"customer": key.customer, "plan": key.plan}))
         for each in part.entries:
             out.add(each)
     return Where(), out
@@ -264,7 +264,7 @@
             arguments, options = {"route": model.route(entry)}, {}
         else:
             options = entry.options
-        out.append((load.where(entry.word.place), entry.name, arguments, options))
+        out.append((load.format_location(entry.lexeme.location), entry.name, arguments, options))
     return sorted(out, key=lambda each: str(each[:2]))
 
 
@@ -279,7 +279,7 @@
     fresh = checker.check(load, world.environment, notes=False)
     assert outcome.problems == tuple(fresh.problems)
     told = sorted(fresh.problems, key=lambda problem: -problem.severity)
-    assert outcome.texts == tuple(messages.text(load, problem) for problem in told)
+    assert outcome.texts == tuple(messages.format_problem(load, problem) for problem in told)
     again = run_to_end(IncrementalLoader("main.conf", world.environment, world.read, world.find).steps())
     assert (outcome.digest, outcome.texts) == (again.digest, again.texts)
     assert (outcome.config is None) == (fresh.config is None)
@@ -306,8 +306,8 @@
         )
     own_load, own_model = kept(own)
     for request in REQUESTS[::5]:
-        assert explain(Checked(own_load, own_model, outcome.config), request) == explain(fresh, request)
-    assert shown(own_load, own_model, False) == shown(load, fresh.model, True)
+        assert explain(CheckResult(own_load, own_model, outcome.config), request) == explain(fresh, request)
+    assert shown(own_load, own_model, False) == shown(load, fresh.entries, True)
     versions.append((following, found, dict(outcome.config.keys)))
     return following
 
@@ -388,8 +388,8 @@
 
 
 def only_up(patch, name):
-    whole = getattr(model.Uses, name)
-    patch.setattr(model.Uses, name, lambda self, each, by: whole(self, each, by) if by > 0 else None)
+    whole = getattr(model.UsageCounts, name)
+    patch.setattr(model.UsageCounts, name, lambda self, each, by: whole(self, each, by) if by > 0 else None)
 
 
 def findings_stay(patch):
@@ -464,8 +464,8 @@
     "parts that stand elsewhere": lambda patch: patch.setattr(versions, "changed_groups", stays_in_any_order),
     "neighbours of what goes": untouched_by_what_goes,
     "findings that are gone": findings_stay,
-    "uses of names by routes": lambda patch: only_up(patch, "route"),
-    "uses of names by keys": lambda patch: only_up(patch, "key"),
+    "uses of names by routes": lambda patch: only_up(patch, "count_route"),
+    "uses of names by keys": lambda patch: only_up(patch, "count_key"),
     "keys that stand twice": doubled_goes_whole,
     "customers' plans": lambda patch: patch.setattr(
         cross_file_checks.CrossFileIndex, "_update_customer", lambda self, key, by: None
@@ -486,7 +486,7 @@
         "_KEY",
         re.compile(r"([ \t]*)key[ \t]+(\S+)[ \t]+customer[ \t]+(\S+)[ \t]+plan[ \t]+(\S+)[ \t]*\r?\Z"),
     ),
-    "plain lines within blocks": lambda patch: patch.setattr(file_record.Parser, "at_rest", True),
+    "plain lines within blocks": lambda patch: patch.setattr(file_record.Parser, "at_top_level", True),
 }
 
 
@@ -734,8 +734,8 @@
     outcome = run_to_end(own.steps())
     fresh = checker.check(loader.load("main.conf", world.read, world.find), {}, notes=False)
     assert outcome.problems == tuple(fresh.problems) and len(outcome.texts) == 1001
-    assert f"{count - 1000} more problems" in outcome.problems[-1].what
-    assert sum(what in problem.what for problem in outcome.problems) == 1000
+    assert f"{count - 1000} more problems" in outcome.problems[-1].message
+    assert sum(what in problem.message for problem in outcome.problems) == 1000
 
 
 @pytest.mark.parametrize("end", ["\n", "\r\n"])
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -304,14 +304,16 @@
 
     def said(line):
         problems = checker.check(loader.load_text(good + line + "\n", "x.conf")).problems
-        return [problem for problem in problems if problem.place.line == good.count("\n") + 1 or "slip" in problem.code]
+        return [
+            problem for problem in problems if problem.location.line == good.count("\n") + 1 or "slip" in problem.code
+        ]
 
     (never,) = said("route GET /a/../b class stock-view pool main")
-    assert "never matches" in never.what and "write /b" in never.mend
+    assert "never matches" in never.message and "write /b" in never.suggestion
     (unclear,) = said("route GET /a%2fb class stock-view pool main")
-    assert "encoded slash" in unclear.what
+    assert "encoded slash" in unclear.message
     slips = [problem for problem in said("route POST /* class stock-view pool main") if problem.code == "slips"]
-    assert len(slips) == 1 and "/pre-order/ goes by line" in slips[0].what
+    assert len(slips) == 1 and "/pre-order/ goes by line" in slips[0].message
     assert not said("route GET /a/b class stock-view pool main")
 
 
