--- a/anisefront/config/__init__.py
+++ b/anisefront/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: a line-based format in the manner of classic daemons."""
+"""The settings language: a line-based format like those of nginx and other daemons."""
--- a/anisefront/config/checker.py
+++ b/anisefront/config/checker.py
@@ -1,7 +1,7 @@
-"""From a load to settings, in layers: form, names, types, references, and - where these hold - meaning.
+"""Checks loaded files in layers: syntax, names, types, references and, if these are valid, semantics.
 
-It goes on after a fault and says each once: what depends on a line that could not be read is not complained of.
-Free of I/O; the environment is handed in.
+The check continues after an error and reports each error once: it does not report problems that only follow from a line
+that could not be read. It does no I/O; environment variables are passed in.
 """
 
 from __future__ import annotations
@@ -35,73 +35,85 @@
 
 @dataclass(slots=True)
 class CheckResult:
-    """What a check came to. `config` is None where an error was found."""
+    """Result of a check. `config` is None if an error was found."""
 
     loaded: LoadedSources
     entries: EntryTable
     config: Config | None
     problems: list[Problem] = field(default_factory=list)
-    names: dict[str, dict[str, Lexeme]] = field(default_factory=dict)  # what is defined, by directive and name
+    names: dict[str, dict[str, Lexeme]] = field(default_factory=dict)  # defined names, by directive
 
     @property
     def severity(self) -> Severity | None:
-        """The gravest of the problems, None without any."""
+        """Severity of the most severe problem; None if there are none."""
         return max((problem.severity for problem in self.problems), default=None)
 
 
-def check(load: LoadedSources, environment: Mapping[str, str] | None = None, notes: bool = True) -> CheckResult:
-    """Check a load. `environment` holds the variables that `env` may name. Without notes less is looked for."""
-    problems = list(load.problems)
-    model, names = EntryTable(), dict[str, dict[str, Lexeme]]()
-    if check_version(load.directives[0] if load.directives else None, problems):
-        lines = substitute(load.directives[1:], problems, environment or {})
+def check(loaded: LoadedSources, environment: Mapping[str, str] | None = None, notes: bool = True) -> CheckResult:
+    """Check loaded files.
+
+    Args:
+        loaded: The files.
+        environment: The variables that `env` lines may name.
+        notes: Whether to look for notes, too, which compares each route with all others.
+    """
+    problems = list(loaded.problems)
+    entries, names = EntryTable(), dict[str, dict[str, Lexeme]]()
+    if check_version(loaded.directives[0] if loaded.directives else None, problems):
+        lines = substitute(loaded.directives[1:], problems, environment or {})
         checker = _Checker(problems)
-        model, names = checker.run(lines), checker.names
+        entries, names = checker.run(lines), checker.names
     config = None
     if not has_errors(problems):
-        config = _build_config(model, problems, notes)
-    return CheckResult(load, model, config, sort_problems(problems, notes), names)
+        config = _build_config(entries, problems, notes)
+    return CheckResult(loaded, entries, config, sort_problems(problems, notes), names)
 
 
 def has_errors(problems: Iterable[Problem]) -> bool:
-    """Whether one of them is an error."""
+    """Return whether one of the problems is an error."""
     return any(problem.severity is Severity.ERROR for problem in problems)
 
 
-def sort_problems(problems: Iterable[Problem], notes: bool = True, more: int = 0) -> list[Problem]:
-    """Problems in the order of their places, each once, at most so many; `more` are known to be and not at hand."""
-    out = sorted(
+def sort_problems(problems: Iterable[Problem], notes: bool = True, hidden_count: int = 0) -> list[Problem]:
+    """Return the problems by location, without duplicates and at most `MAX_PROBLEMS`.
+
+    Args:
+        problems: The problems found.
+        notes: Whether to include notes.
+        hidden_count: Number of further problems that were counted, but not located.
+    """
+    result = sorted(
         {problem for problem in problems if notes or problem.severity is not Severity.NOTE},
         key=lambda problem: (problem.location, -problem.severity, problem.message),
     )
-    if len(out) + more > MAX_PROBLEMS:
-        more += len(out) - MAX_PROBLEMS
-        out = out[:MAX_PROBLEMS]
-        out.append(Problem(out[-1].location, f"{more} more problems are not shown", "mend these first"))
-    return out
+    if len(result) + hidden_count > MAX_PROBLEMS:
+        hidden_count += len(result) - MAX_PROBLEMS
+        result = result[:MAX_PROBLEMS]
+        result.append(Problem(result[-1].location, f"{hidden_count} more problems are not shown", "mend these first"))
+    return result
 
 
-def _build_config(model: EntryTable, problems: list[Problem], notes: bool) -> Config | None:
-    """The settings that entries without a fault of their own come to; None where they contradict each other."""
-    routes = tuple(route(entry) for entry in model.all_of("route"))
-    keys = {entry.arguments["key"]: key(entry) for entry in model.all_of("key")}
+def _build_config(entries: EntryTable, problems: list[Problem], notes: bool) -> Config | None:
+    """Build the settings from entries that are valid by themselves; None if they contradict each other."""
+    routes = tuple(route(entry) for entry in entries.all_of("route"))
+    keys = {entry.arguments["key"]: key(entry) for entry in entries.all_of("key")}
     usage = UsageCounts.count(routes, keys.values())
     other = find_second_pool(usage)
     if other:
-        at = next(entry for entry in model.all_of("route") if entry.options["pool"] == other)
-        problems.append(multiple_pools_problem(at.lexeme_of("pool"), usage))
-    config = build_config(model, usage, routes, keys, problems)
+        conflicting_entry = next(entry for entry in entries.all_of("route") if entry.options["pool"] == other)
+        problems.append(multiple_pools_problem(conflicting_entry.lexeme_of("pool"), usage))
+    config = build_config(entries, usage, routes, keys, problems)
     if config is None or other:
         return None
-    problems += semantic_checks.check_semantics(model, config, usage)
-    problems += semantic_checks.check_customer_plans(model.all_of("key"))
-    words = [entry.lexeme for entry in model.all_of("route")]
-    problems += route_checks.check_routes(list(zip(words, routes, strict=True)), notes)
+    problems += semantic_checks.check_semantics(entries, config, usage)
+    problems += semantic_checks.check_customer_plans(entries.all_of("key"))
+    lexemes = [entry.lexeme for entry in entries.all_of("route")]
+    problems += route_checks.check_routes(list(zip(lexemes, routes, strict=True)), notes)
     return None if has_errors(problems) else config
 
 
 def check_version(first: Directive | None, problems: list[Problem]) -> bool:
-    """Whether the first line says that what follows is of the version that is read here."""
+    """Return whether the first line declares the supported version of the language; otherwise report it."""
     if first is None:
         if not problems:
             problems.append(
@@ -110,7 +122,8 @@
         return False
     words = [value.text for value in first.values]
     if first.name.text != "language":
-        problems[:] = [each for each in problems if each.code in ("include", "encoding")]  # the rest follows from it
+        # All other problems are follow-up errors.
+        problems[:] = [each for each in problems if each.code in ("include", "encoding")]
         problems.append(
             problem_at(
                 first.name,
@@ -135,50 +148,57 @@
 
 @dataclass(frozen=True, slots=True)
 class DeclaredName:
-    """A line that names something, also where it is faulty: references to it are then no fault of theirs."""
+    """A name that a line defines. It counts even if the line is invalid, so that references to it are not reported."""
 
     directive: str
     lexeme: Lexeme
-    first: Lexeme | None  # its first value
+    first_value: Lexeme | None
 
 
 class NameTable:
-    """What is named by all lines, and what stands twice."""
+    """The names that all lines define, to find duplicate and missing ones."""
 
     def __init__(self) -> None:
-        """Create the names of no lines."""
+        """Create an empty table."""
         self.by_directive: dict[str, dict[str, Lexeme]] = {name: {} for name in SCHEMA}
-        self._stood: dict[str, Lexeme] = {}
+        self._first_lexemes: dict[str, Lexeme] = {}
 
     def add(self, declared: DeclaredName) -> Problem | None:
-        """Take a line's names in; a problem where they stand already."""
+        """Add the name that a line defines.
+
+        Returns:
+            A problem if the line or the name may not occur again.
+        """
         name, spec = declared.directive, SCHEMA[declared.directive]
-        stood = self._stood.get(name)
-        if stood is None:
-            self._stood[name] = declared.lexeme
+        earlier = self._first_lexemes.get(name)
+        if earlier is None:
+            self._first_lexemes[name] = declared.lexeme
         elif not spec.repeatable:
             return problem_at(
-                declared.lexeme, f"{name!r} stands twice, first in line {stood.location.line}", "keep one", code="twice"
+                declared.lexeme,
+                f"{name!r} stands twice, first in line {earlier.location.line}",
+                "keep one",
+                code="twice",
             )
-        if not spec.repeatable or declared.first is None:
+        if not spec.repeatable or declared.first_value is None:
             return None
-        known = self.by_directive[name].get(declared.first.text)
+        known = self.by_directive[name].get(declared.first_value.text)
         if known is None:
-            self.by_directive[name][declared.first.text] = declared.first
+            self.by_directive[name][declared.first_value.text] = declared.first_value
             return None
-        return duplicate_name_problem(name, declared.first, known) if spec.unique else None
+        return duplicate_name_problem(name, declared.first_value, known) if spec.unique else None
 
-    def missing(self, stood: Container[str] = ()) -> list[Problem]:
-        """The lines that must stand and do not."""
+    def missing(self, present: Container[str] = ()) -> list[Problem]:
+        """Return a problem for each required directive that is missing; `present` has directives counted elsewhere."""
         return [
             Problem(Location(0, 1, 1), f"there is no {name!r} line", f"such as {spec.example}", code="missing")
             for name, spec in SCHEMA.items()
-            if spec.required and name not in self._stood and name not in stood
+            if spec.required and name not in self._first_lexemes and name not in present
         ]
 
 
 def duplicate_name_problem(name: str, lexeme: Lexeme, first: Lexeme) -> Problem:
-    """What is said of a name that stands already."""
+    """Return the problem of a name that is defined twice."""
     return problem_at(
         lexeme,
         f"{name} {lexeme.text!r} stands twice, first in line {first.location.line}",
@@ -188,7 +208,7 @@
 
 
 def find_undefined_references(entry: Entry, names: Mapping[str, Iterable[str]]) -> Iterator[Problem]:
-    """The names that an entry refers to and that are not there."""
+    """Find the names that an entry refers to and that are not defined."""
     for name, option in SCHEMA[entry.name].options.items():
         value = entry.options.get(name)
         if option.refers_to and value is not None and value not in names[option.refers_to]:
@@ -207,32 +227,36 @@
         self.names = self._names.by_directive
 
     def run(self, lines: list[Directive]) -> EntryTable:
-        """All entries that can be read; what is wrong goes to the problems."""
-        model, reader = EntryTable(), LineReader(self._problems)
-        lost = has_errors(self._problems)  # a warning hides no line: without an error all that must stand does
+        """Return all entries that can be read, and append to the problems."""
+        entries, reader = EntryTable(), LineReader(self._problems)
+        has_earlier_errors = has_errors(self._problems)  # an unreadable line may be the missing one
         for line in lines:
             entry, declared = reader.read(line)
             if entry is not None:
-                model.add(entry)
+                entries.add(entry)
             if declared is not None and (problem := self._names.add(declared)) is not None:
                 self._problems.append(problem)
-        for entry in model.all():
+        for entry in entries.all():
             self._problems += find_undefined_references(entry, self.names)
-        if not lost and not reader.lost:
+        if not has_earlier_errors and not reader.has_unknown_directive:
             self._problems += self._names.missing()
-        return model
+        return entries
 
 
 class LineReader:
-    """Reads lines, each by itself; what is wrong goes to `problems`."""
+    """Reads lines independently of each other and appends to `problems`."""
 
     def __init__(self, problems: list[Problem]) -> None:
         """Create a reader that reports to `problems`."""
         self._problems = problems
-        self.lost = False  # a line is no directive, so that what it was meant to be may be missed
+        self.has_unknown_directive = False  # it may be a misspelled required directive
 
     def read(self, line: Directive) -> tuple[Entry | None, DeclaredName | None]:
-        """A line's entry where all of it can be read, and what it names."""
+        """Read a line.
+
+        Returns:
+            Its entry if the whole line is valid, and the name that it defines.
+        """
         name = line.name.text
         spec = SCHEMA.get(name)
         if spec is None:
@@ -248,25 +272,25 @@
                         code="directive",
                     )
                 )
-                self.lost = True
+                self.has_unknown_directive = True
             return None, None
         first = line.values[0] if line.values and isinstance(line.values[0], Lexeme) else None
-        return None if line.has_syntax_error else self._entry(line, spec), DeclaredName(name, line.name, first)
+        return None if line.has_syntax_error else self._read_entry(line, spec), DeclaredName(name, line.name, first)
 
-    def _entry(self, line: Directive, spec: DirectiveSpec) -> Entry | None:
+    def _read_entry(self, line: Directive, spec: DirectiveSpec) -> Entry | None:
         name, before = line.name.text, len(self._problems)
         entry = Entry(name, line.name)
-        rest = self._arguments(line, spec, entry)
-        if rest is None:
+        remaining = self._read_arguments(line, spec, entry)
+        if remaining is None:
             return None
-        self._options(line, rest, spec, entry)
-        for option, wanted in spec.options.items():
-            if wanted.required and option not in entry.options and option not in entry.unread:
+        self._read_options(line, remaining, spec, entry)
+        for option, expected in spec.options.items():
+            if expected.required and option not in entry.options and option not in entry.unreadable:
                 self._problems.append(
                     problem_at(
                         line.name,
                         f"{name}: {option!r} is missing",
-                        f"such as {option} {wanted.type.example}",
+                        f"such as {option} {expected.type.example}",
                         code="missing",
                     )
                 )
@@ -274,14 +298,14 @@
             self._problems.append(problem)
         return entry if len(self._problems) == before else None
 
-    def _arguments(self, line: Directive, spec: DirectiveSpec, entry: Entry) -> list[Lexeme | List] | None:
-        rest = list(line.values)
+    def _read_arguments(self, line: Directive, spec: DirectiveSpec, entry: Entry) -> list[Lexeme | List] | None:
+        remaining = list(line.values)
         for argument in spec.arguments:
             if (
-                not rest
-                or isinstance(rest[0], Lexeme)
-                and rest[0].text in spec.options
-                and not rest[0].quoted
+                not remaining
+                or isinstance(remaining[0], Lexeme)
+                and remaining[0].text in spec.options
+                and not remaining[0].quoted
                 and argument is not spec.arguments[0]
             ):
                 self._problems.append(
@@ -293,63 +317,63 @@
                     )
                 )
                 return None
-            value, rest = self._joined(rest, argument.type, spec.options)
+            value, remaining = self._join_unit(remaining, argument.type, spec.options)
             entry.lexemes[argument.name] = value if isinstance(value, Lexeme) else Lexeme(value.text, value.location)
-            entry.arguments[argument.name] = self._value(value, argument, f"{entry.name}: {argument.name}")
-        return rest
-
-    def _joined(self, rest: list[Lexeme | List], wanted: Any, options: Mapping[str, Option]) -> tuple[Any, list[Any]]:
-        """The next value; a number and the unit after it are one."""
-        value = rest[0]
+            entry.arguments[argument.name] = self._read_value(value, argument, f"{entry.name}: {argument.name}")
+        return remaining
+
+    def _join_unit(
+        self, remaining: list[Lexeme | List], expected: Any, options: Mapping[str, Option]
+    ) -> tuple[Any, list[Any]]:
+        """Return the next value, joined with a unit that follows as a separate word, and the remaining values."""
+        value = remaining[0]
         if (
-            wanted in (TIME, RATE, SIZE)
-            and len(rest) > 1
+            expected in (TIME, RATE, SIZE)
+            and len(remaining) > 1
             and isinstance(value, Lexeme)
-            and isinstance(rest[1], Lexeme)
+            and isinstance(remaining[1], Lexeme)
             and value.text.replace(".", "", 1).isdigit()
-            and rest[1].text not in options
+            and remaining[1].text not in options
         ):
-            joined = Lexeme(value.text + rest[1].text, value.location)
+            joined = Lexeme(value.text + remaining[1].text, value.location)
             try:
-                wanted.read(joined)
+                expected.read(joined)
             except InvalidValueError:
-                return value, rest[1:]
-            return joined, rest[2:]
-        return value, rest[1:]
+                return value, remaining[1:]
+            return joined, remaining[2:]
+        return value, remaining[1:]
 
-    def _value(self, value: Lexeme | List, wanted: Argument | Option, label: str) -> Any:
-        if isinstance(value, List) and not wanted.is_list:
+    def _read_value(self, value: Lexeme | List, expected: Argument | Option, label: str) -> Any:
+        if isinstance(value, List) and not expected.is_list:
             self._problems.append(
                 problem_at(Lexeme("[", value.location), f"{label}: one value is due, not a list", "", code="value")
             )
             return None
-        words = [value] if isinstance(value, Lexeme) else value.items
-        if wanted.is_list and not words:
+        lexemes = [value] if isinstance(value, Lexeme) else value.items
+        if expected.is_list and not lexemes:
             self._problems.append(
                 problem_at(Lexeme("[", value.location), f"{label}: the list is empty", "", code="value")
             )
-        out = []
-        for lexeme in words:
+        result = []
+        for lexeme in lexemes:
             try:
-                out.append(wanted.type.read(lexeme))
-            except InvalidValueError as problem:
-                self._problems.append(
-                    problem_at(lexeme, f"{label}: {problem.message}", problem.suggestion, code="value")
-                )
-        return tuple(out) if wanted.is_list else out[0] if out else None
-
-    def _options(self, line: Directive, rest: list[Lexeme | List], spec: DirectiveSpec, entry: Entry) -> None:
-        while rest:
-            name = rest[0]
+                result.append(expected.type.read(lexeme))
+            except InvalidValueError as error:
+                self._problems.append(problem_at(lexeme, f"{label}: {error.message}", error.suggestion, code="value"))
+        return tuple(result) if expected.is_list else result[0] if result else None
+
+    def _read_options(self, line: Directive, remaining: list[Lexeme | List], spec: DirectiveSpec, entry: Entry) -> None:
+        while remaining:
+            name = remaining[0]
             if isinstance(name, List):
                 self._problems.append(
                     problem_at(Lexeme("[", name.location), f"{entry.name}: a list can't stand here", "", code="option")
                 )
                 return
-            option = self._option(name, spec, entry)
+            option = self._find_option(name, spec, entry)
             if option is None:
-                return  # what follows can't be told apart any more
-            if len(rest) < 2:
+                return  # what follows cannot be assigned to options
+            if len(remaining) < 2:
                 self._problems.append(
                     problem_at(
                         name,
@@ -358,12 +382,12 @@
                         code="option",
                     )
                 )
-                entry.unread.add(name.text)
+                entry.unreadable.add(name.text)
                 return
-            value, rest = self._joined(rest[1:], option.type, spec.options)
-            self._take(entry, name, option, value)
+            value, remaining = self._join_unit(remaining[1:], option.type, spec.options)
+            self._read_option(entry, name, option, value)
         for inner in line.block or ():
-            option = self._option(inner.name, spec, entry)
+            option = self._find_option(inner.name, spec, entry)
             if option is None:
                 continue
             values = list(inner.values)
@@ -376,11 +400,11 @@
                         code="option",
                     )
                 )
-                entry.unread.add(inner.name.text)
+                entry.unreadable.add(inner.name.text)
                 continue
-            value, more = self._joined(values, option.type, {})
-            if more:
-                lexeme = more[0] if isinstance(more[0], Lexeme) else Lexeme("[", more[0].location)
+            value, extra = self._join_unit(values, option.type, {})
+            if extra:
+                lexeme = extra[0] if isinstance(extra[0], Lexeme) else Lexeme("[", extra[0].location)
                 self._problems.append(
                     problem_at(
                         lexeme,
@@ -389,11 +413,11 @@
                         code="option",
                     )
                 )
-                entry.unread.add(inner.name.text)
+                entry.unreadable.add(inner.name.text)
                 continue
-            self._take(entry, inner.name, option, value)
+            self._read_option(entry, inner.name, option, value)
 
-    def _option(self, name: Lexeme, spec: DirectiveSpec, entry: Entry) -> Option | None:
+    def _find_option(self, name: Lexeme, spec: DirectiveSpec, entry: Entry) -> Option | None:
         option = spec.options.get(name.text)
         if option is None:
             known = ", ".join(spec.options)
@@ -403,7 +427,7 @@
             self._problems.append(
                 problem_at(name, f"{entry.name}: {name.text[:60]!r} is not known here", suggestion, code="option")
             )
-            entry.unread.update(spec.options)  # what is missing below may be what this was meant to be
+            entry.unreadable.update(spec.options)  # this may be the misspelled name of a required option
             return None
         if name.text in entry.seen:
             self._problems.append(
@@ -412,11 +436,11 @@
         entry.seen.add(name.text)
         return option
 
-    def _take(self, entry: Entry, name: Lexeme, option: Option, value: Lexeme | List) -> None:
+    def _read_option(self, entry: Entry, name: Lexeme, option: Option, value: Lexeme | List) -> None:
         before = len(self._problems)
-        read = self._value(value, option, f"{entry.name}: {name.text}")
+        read = self._read_value(value, option, f"{entry.name}: {name.text}")
         if len(self._problems) > before:
-            entry.unread.add(name.text)
+            entry.unreadable.add(name.text)
             return
         entry.options.setdefault(name.text, read)
         entry.lexemes.setdefault(name.text, value if isinstance(value, Lexeme) else Lexeme(value.text, value.location))
--- a/anisefront/config/cross_file_checks.py
+++ b/anisefront/config/cross_file_checks.py
@@ -1,8 +1,8 @@
-"""Checks that span files, kept from one load to the next.
+"""Checks that span files, retained from one load to the next.
 
-The index knows duplicate keys, customers on two plans, how often each name is used, and which routes can contradict
-each other. Adding or removing a section costs in proportion to that section alone. The state follows from the
-sections that were added, valid or not. Free of I/O.
+The index has duplicate keys, customers on two plans, the usage count of each name, and the routes that can contradict
+each other. The cost of adding or removing a section depends on the size of that section only. The state is a function
+of the sections that were added, valid or not. Free of I/O.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from anisefront.gateway.routes import Key
 
 ENTRIES_PER_STEP = 32  # routes or keys that are added or removed in one step
-COMPARED_KEYS_MULTIPLIER = 4  # of ENTRIES_PER_STEP: comparing a key costs a fraction of adding it
+COMPARED_KEYS_MULTIPLIER = 4  # of ENTRIES_PER_STEP: comparing a key is much cheaper than adding it
 
 RoutePosition = tuple[Section, int]  # a route: its section, and its number in it
 RoutePositions = dict[tuple[int, int], RoutePosition]  # several, by the section's id and the number
@@ -27,11 +27,11 @@
     """The state of all checks that span files.
 
     Attributes:
-        uses: How often routes and keys use each name.
+        usage: Counts of the routes and keys that use each name.
         keys: All keys by their text.
         duplicate_keys: All keys of each text that occurs more than once.
         customers_on_two_plans: Customers with keys on more than one plan.
-        problems: What was found of each overlap group of routes with a finding.
+        problems: Problems of each overlap group of routes that has any.
     """
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
             if count % ENTRIES_PER_STEP == 0:
                 yield
             known = removed_keys.get(text)
-            if known and key in known:  # one that stays, or moves to another section, costs nothing
+            if known and key in known:  # unchanged, or moved to another section
                 known.remove(key)
             else:
                 self._update_key(text, key, 1)
@@ -82,7 +82,7 @@
                 self._update_route(route_checks.overlap_group(route.pattern), section, number, change)
 
     def _update_route(self, group: str, section: Section, number: int, change: int) -> None:
-        """Add or remove one route; a group of one route, by far the most common, has no dict of its own."""
+        """Add or remove one route. A group of one route, by far the most common case, is stored without a dict."""
         self._changed_groups.add(group)
         known = self._routes.get(group)
         if known is None:
@@ -127,7 +127,7 @@
             del self.duplicate_keys[text]
 
     def _update_customer(self, key: Key, change: int) -> None:
-        """Count a customer's keys by plan; a customer with one key, by far the most common, has no dict of its own."""
+        """Count a customer's keys by plan. A customer with one key, the most common case, is stored without a dict."""
         customer = key.customer
         known = self._plans.get(customer)
         if known is None:
@@ -183,4 +183,4 @@
 
 def _keys_of(sections: Iterable[Section]) -> Iterable[tuple[str, Key]]:
     for section in sections:
-        yield from zip(section.texts, section.keys, strict=True)
+        yield from zip(section.key_texts, section.keys, strict=True)
--- a/anisefront/config/definitions.py
+++ b/anisefront/config/definitions.py
@@ -1,4 +1,4 @@
-"""Definitions and environment variables, and their expansion into lines. Free of I/O."""
+"""Definitions and environment variables, and their expansion into lines, without I/O."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from anisefront.config.parser import Directive, List
 from anisefront.config.values import did_you_mean
 
-MAX_EXPANDED_LINES = 200_000  # of a load, all definitions expanded
+MAX_EXPANDED_LINES = 200_000  # of one load, after expansion
 
 
 class Declarations:
-    """The values and definitions that `env` and `define` lines anywhere in a load declare.
+    """Values and definitions declared by the `env` and `define` lines of all files of a load.
 
     Attributes:
-        values: Of environment variables and their defaults.
-        definitions: By name.
+        values: Values of the declared variables, or their defaults.
+        definitions: `define` directives by name.
         unset: Variables with neither a value nor a default.
-        problems: What is wrong with these lines.
+        problems: Problems of these lines.
     """
 
     def __init__(self, environment: Mapping[str, str]) -> None:
@@ -30,14 +30,14 @@
         self.problems: list[Problem] = []
 
     def add(self, lines: Iterable[Directive]) -> None:
-        """Add lines, in the order in which they count."""
+        """Add `env` and `define` lines, in the order in which they take effect."""
         for line in lines:
             if line.name.text == "env":
-                self._env(line)
+                self._add_environment_variable(line)
             else:
-                self._define(line)
+                self._add_definition(line)
 
-    def _env(self, directive: Directive) -> None:
+    def _add_environment_variable(self, directive: Directive) -> None:
         words = [value.text for value in directive.values]
         if len(words) not in (1, 3) or len(words) == 3 and words[1] != "default" or directive.block is not None:
             self.problems.append(
@@ -52,17 +52,20 @@
         value = self._environment.get(words[0], words[2] if len(words) == 3 else None)
         if value is None:
             first = directive.values[0]
-            at = first if isinstance(first, Lexeme) else Lexeme("[", first.location)
+            lexeme = first if isinstance(first, Lexeme) else Lexeme("[", first.location)
             self.problems.append(
                 problem_at(
-                    at, f"environment variable {words[0]} is not set", "set it, or give a default", code="environment"
+                    lexeme,
+                    f"environment variable {words[0]} is not set",
+                    "set it, or give a default",
+                    code="environment",
                 )
             )
             value = ""
             self.unset.add(words[0])
         self.values[words[0]] = value
 
-    def _define(self, directive: Directive) -> None:
+    def _add_definition(self, directive: Directive) -> None:
         values = directive.values
         if (
             not values
@@ -91,46 +94,46 @@
 class Expansion:
     """Expands definitions and values in lines.
 
-    It records what it looked up, so that a later load can decide whether other definitions and values would have given
-    another result.
+    It records all look-ups, so that a later load can decide whether its definitions and values would give the same
+    result.
 
     Attributes:
-        problems: What is wrong with uses of definitions.
-        undeclared: The first problem of each undeclared value; the others follow from it.
+        problems: Problems of `use` lines.
+        undeclared: The first problem of each undeclared value; later ones are not reported.
         used: The definitions that were looked up; None for one that does not exist.
-        looked_up: The values that were looked up outside a definition's own parameters.
-        lines: Expanded so far.
+        looked_up: Values that were looked up and are no parameters of a definition.
+        line_count: Number of lines expanded so far.
     """
 
-    def __init__(self, known: Declarations) -> None:
-        """Create an expansion by the declarations `known`."""
-        self._known = known
+    def __init__(self, declarations: Declarations) -> None:
+        """Create an expansion that uses these declarations."""
+        self._declarations = declarations
         self.problems: list[Problem] = []
         self.undeclared: dict[str, Problem] = {}
         self.used: dict[str, Directive | None] = {}
         self.looked_up: dict[str, str | None] = {}
-        self.lines = 0
+        self.line_count = 0
 
     def expand(
-        self, directive: Directive, given: Mapping[str, str] | None = None, above: tuple[str, ...] = ()
+        self, directive: Directive, arguments: Mapping[str, str] | None = None, enclosing: tuple[str, ...] = ()
     ) -> Iterator[Directive | None]:
-        """Yield the lines that a line expands to; None stands for a step of work without a line."""
-        self.lines += 1
-        if self.lines == MAX_EXPANDED_LINES:
+        """Yield the lines that a line expands to; None marks a step of work without a line."""
+        self.line_count += 1
+        if self.line_count == MAX_EXPANDED_LINES:
             self.problems.append(
                 problem_at(
                     directive.name, f"definitions come to more than {MAX_EXPANDED_LINES} lines", "", code="definition"
                 )
             )
-        if self.lines >= MAX_EXPANDED_LINES:
+        if self.line_count >= MAX_EXPANDED_LINES:
             return
         if directive.name.text != "use":
-            yield self._replaced(directive, given or {})
+            yield self._substitute_values(directive, arguments or {})
         else:
-            yield from self._use(directive, given or {}, above)
+            yield from self._expand_use(directive, arguments or {}, enclosing)
 
-    def _use(
-        self, directive: Directive, given: Mapping[str, str], above: tuple[str, ...]
+    def _expand_use(
+        self, directive: Directive, arguments: Mapping[str, str], enclosing: tuple[str, ...]
     ) -> Iterator[Directive | None]:
         yield None
         values = directive.values
@@ -145,23 +148,23 @@
             )
             return
         name = values[0].text
-        definition = self._known.definitions.get(name)
+        definition = self._declarations.definitions.get(name)
         self.used[name] = definition
         if definition is None:
             self.problems.append(
                 problem_at(
                     values[0],
                     f"there is no definition {name!r}",
-                    did_you_mean(name, list(self._known.definitions)),
+                    did_you_mean(name, list(self._declarations.definitions)),
                     code="reference",
                 )
             )
             return
-        if name in above:
+        if name in enclosing:
             self.problems.append(problem_at(values[0], f"definition {name!r} uses itself", "", code="definition"))
             return
         parameters = [lexeme.text for lexeme in definition.values[1].items] if len(definition.values) == 2 else []
-        words = _given_words(values)
+        words = _use_arguments(values)
         if len(words) != len(parameters):
             self.problems.append(
                 problem_at(
@@ -172,20 +175,24 @@
                 )
             )
             return
-        inner = dict(zip(parameters, (self._text(lexeme, given).text for lexeme in words), strict=True))
-        for each in definition.block:
-            yield from self.expand(each, inner, (*above, name))
+        inner_arguments = dict(
+            zip(parameters, (self._substitute_text(lexeme, arguments).text for lexeme in words), strict=True)
+        )
+        for line in definition.block:
+            yield from self.expand(line, inner_arguments, (*enclosing, name))
 
-    def _replaced(self, directive: Directive, given: Mapping[str, str]) -> Directive:
+    def _substitute_values(self, directive: Directive, arguments: Mapping[str, str]) -> Directive:
         if not _has_reference(directive):
             return directive
         values = [
-            self._text(value, given)
+            self._substitute_text(value, arguments)
             if isinstance(value, Lexeme)
-            else List([self._text(lexeme, given) for lexeme in value.items], value.location)
+            else List([self._substitute_text(lexeme, arguments) for lexeme in value.items], value.location)
             for value in directive.values
         ]
-        block = None if directive.block is None else [self._replaced(each, given) for each in directive.block]
+        block = (
+            None if directive.block is None else [self._substitute_values(line, arguments) for line in directive.block]
+        )
         return Directive(
             directive.name,
             values,
@@ -197,21 +204,21 @@
             directive.has_syntax_error,
         )
 
-    def _text(self, lexeme: Lexeme, given: Mapping[str, str]) -> Lexeme:
+    def _substitute_text(self, lexeme: Lexeme, arguments: Mapping[str, str]) -> Lexeme:
         if "${" not in lexeme.text:
             return lexeme
-        out = ""
+        result = ""
         rest = lexeme.text
         while "${" in rest:
             before, _, rest = rest.partition("${")
             name, closed, rest = rest.partition("}")
-            value = given.get(name)
+            value = arguments.get(name)
             if value is None:
-                value = self._known.values.get(name)
+                value = self._declarations.values.get(name)
                 self.looked_up[name] = value
             if not closed or value is None:
                 message = f"${{{name}}} is not declared" if closed else "a ${ that is not closed"
-                if name not in self._known.unset:
+                if name not in self._declarations.unset:
                     self.undeclared.setdefault(
                         name,
                         problem_at(
@@ -222,38 +229,41 @@
                         ),
                     )
                 value = ""
-            out += before + value
-        return Lexeme(out + rest, lexeme.location, True)
+            result += before + value
+        return Lexeme(result + rest, lexeme.location, True)
 
 
 def substitute(directives: list[Directive], problems: list[Problem], environment: Mapping[str, str]) -> list[Directive]:
     """Return the directives with definitions expanded and declared environment variables replaced."""
-    known = Declarations(environment)
-    known.add(each for each in directives if each.name.text in ("env", "define"))
-    expansion = Expansion(known)
-    out: list[Directive] = []
+    declarations = Declarations(environment)
+    declarations.add(line for line in directives if line.name.text in ("env", "define"))
+    expansion = Expansion(declarations)
+    result: list[Directive] = []
     for directive in directives:
         if directive.name.text not in ("env", "define"):
-            out += (each for each in expansion.expand(directive) if each is not None)
-    problems += [*known.problems, *expansion.problems, *expansion.undeclared.values()]
+            result += (line for line in expansion.expand(directive) if line is not None)
+    problems += [*declarations.problems, *expansion.problems, *expansion.undeclared.values()]
     problems += [
         problem_at(definition.values[0], f"definition {name!r} is not used", "", Severity.NOTE, "unused")
-        for name, definition in known.definitions.items()
+        for name, definition in declarations.definitions.items()
         if name not in expansion.used
     ]
-    return out
+    return result
 
 
-def _given_words(values: list[Lexeme | List]) -> list[Lexeme]:
-    """Return the values that a `use` line gives: one word, or a list."""
+def _use_arguments(values: list[Lexeme | List]) -> list[Lexeme]:
+    """Return the arguments of a `use` line, given as one value or as a list."""
     if len(values) < 2:
         return []
-    given = values[1]
-    return [given] if isinstance(given, Lexeme) else list(given.items)
+    arguments = values[1]
+    return [arguments] if isinstance(arguments, Lexeme) else list(arguments.items)
 
 
 def _has_reference(directive: Directive) -> bool:
-    """Return whether a line refers to a value; it is called for each line that is not plain, so without generators."""
+    """Return whether a line contains `${name}`.
+
+    This runs for each line that the fast path of `file_record.py` does not read, so it avoids generators.
+    """
     for value in directive.values:
         if isinstance(value, Lexeme):
             if "${" in value.text:
@@ -264,4 +274,4 @@
                 return True
     if directive.block is None:
         return False
-    return any(_has_reference(each) for each in directive.block)
+    return any(_has_reference(line) for line in directive.block)
--- a/anisefront/config/diff.py
+++ b/anisefront/config/diff.py
@@ -1,7 +1,7 @@
-"""What differs between two settings for requests, plans and fleets, each routing change with a request that shows it.
+"""Semantic differences between two settings; each routing change has a request that demonstrates it.
 
-Whether two sets of routes treat some request differently is found exactly: the most general request of each pattern,
-and of each pair of patterns of which one is new, gone or in another order, stands for all that it is like.
+Whether two sets of routes treat some request differently is determined exactly: the most general request of each
+pattern, and of each pair of patterns of which one was added, removed or reordered, represents all similar requests.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One difference: what it is about, before and after; `witness` is a request that shows a change of routes."""
+    """One difference: its subject and the values before and after; `witness` is a request routed differently."""
 
     subject: str
     before: str
@@ -35,18 +35,18 @@
 
 
 def diff(before: Config, after: Config) -> list[Change]:
-    """All differences in meaning; none for what was only moved, renamed without effect or written otherwise."""
+    """Return all semantic differences, ignoring lines that were only moved or reformatted, and names without effect."""
     return [
-        *_settings(before, after),
+        *_diff_settings(before, after),
         *_diff_named("class", before.settings.classes, after.settings.classes),
         *_diff_named("plan", before.settings.plans, after.settings.plans),
-        *_keys(before, after),
-        *_others(before, after),
-        *routes(before.routes, after.routes),
+        *_diff_keys(before, after),
+        *_diff_other_fields(before, after),
+        *diff_routes(before.routes, after.routes),
     ]
 
 
-# The names under which the command has always printed these fields; others read its output.
+# The names of these fields in the output of `config diff`, which other programs parse.
 _PRINTED_NAMES = {
     "latency_objective_ms": "aim_ms",
     "priority_weight": "worth",
@@ -76,18 +76,20 @@
 }
 
 
-def _fields(value: object, left_out: tuple[str, ...] = ()) -> dict[str, object]:
+def _fields(value: object, excluded: tuple[str, ...] = ()) -> dict[str, object]:
     return {
         _PRINTED_NAMES.get(each.name, each.name): getattr(value, each.name)
         for each in dataclasses.fields(value)
-        if each.name not in left_out
+        if each.name not in excluded
     }
 
 
-def _settings(before: Config, after: Config) -> Iterator[Change]:
+def _diff_settings(before: Config, after: Config) -> Iterator[Change]:
     old, new = (_fields(config.settings, ("classes", "plans", "tag_key")) for config in (before, after))
     yield from (
-        Change(name, _plain(old[name], name), _plain(new[name], name)) for name in old if old[name] != new[name]
+        Change(name, _format_field(old[name], name), _format_field(new[name], name))
+        for name in old
+        if old[name] != new[name]
     )
 
 
@@ -100,11 +102,13 @@
             first, second = _fields(old[name]), _fields(new[name])
             for key in first:
                 if first[key] != second[key]:
-                    yield Change(f"{kind} {name}: {key}", _plain(first[key], key), _plain(second[key], key))
+                    yield Change(
+                        f"{kind} {name}: {key}", _format_field(first[key], key), _format_field(second[key], key)
+                    )
 
 
-def _plain(value: object, name: str) -> str:
-    """A value as it would be written in a file."""
+def _format_field(value: object, name: str) -> str:
+    """Format a value in the syntax of the settings language."""
     if isinstance(value, float) and name.endswith("_ms"):
         return format_time(value)
     if isinstance(value, float) and name.endswith("_per_s"):
@@ -112,11 +116,11 @@
     return f"{value:g}" if isinstance(value, float) else str(getattr(value, "value", value))
 
 
-def _keys(before: Config, after: Config) -> Iterator[Change]:
+def _diff_keys(before: Config, after: Config) -> Iterator[Change]:
     for key in sorted({*before.keys, *after.keys}):
         old, new = before.keys.get(key), after.keys.get(key)
         if old != new:
-            # Danger: this goes to logs and reviews, and a key is a secret.
+            # The output goes to logs and reviews, and keys are secrets.
             shown = key[:2] + "..." if len(key) > 4 else "..."
             yield Change(
                 f"key {shown}",
@@ -124,37 +128,40 @@
             )
 
 
-def _others(before: Config, after: Config) -> Iterator[Change]:
-    left_out = ("settings", "routes", "keys", "secret")
-    old, new = _fields(before, left_out), _fields(after, left_out)
+def _diff_other_fields(before: Config, after: Config) -> Iterator[Change]:
+    excluded = ("settings", "routes", "keys", "secret")
+    old, new = _fields(before, excluded), _fields(after, excluded)
     yield from (
-        Change(name, _plain(old[name], name), _plain(new[name], name)) for name in old if old[name] != new[name]
+        Change(name, _format_field(old[name], name), _format_field(new[name], name))
+        for name in old
+        if old[name] != new[name]
     )
     if before.secret != after.secret:
         yield Change("secret", "one", "another")
 
 
-def _kind(route: Route) -> tuple:
+def _route_identity(route: Route) -> tuple:
+    """Return all that determines which requests a route matches, and its outcome."""
     pattern = route.pattern
     return pattern.host, shape(pattern.path), pattern.methods, pattern.when, route.outcome
 
 
-def routes(before: tuple[Route, ...], after: tuple[Route, ...]) -> Iterator[Change]:
-    """Requests that go elsewhere, one for each pair of routes that changes places."""
+def diff_routes(before: tuple[Route, ...], after: tuple[Route, ...]) -> Iterator[Change]:
+    """Find requests that are routed differently, one for each pair of old and new routes."""
     old, new = RouteIndex(before), RouteIndex(after)
-    told: set[tuple] = set()
+    reported: set[tuple] = set()
     for request in _candidates(before, after):
         headers = dict(request.headers)
         first = old.find(request.method, request.host, request.path, headers)
         second = new.find(request.method, request.host, request.path, headers)
-        was = before[first].outcome if first >= 0 else None
-        now = after[second].outcome if second >= 0 else None
-        if was != now and (first, second) not in told:
-            told.add((first, second))
-            yield Change("route", _outcome(was), _outcome(now), request)
+        outcome_before = before[first].outcome if first >= 0 else None
+        outcome_after = after[second].outcome if second >= 0 else None
+        if outcome_before != outcome_after and (first, second) not in reported:
+            reported.add((first, second))
+            yield Change("route", _format_outcome(outcome_before), _format_outcome(outcome_after), request)
 
 
-def _outcome(outcome: tuple | None) -> str:
+def _format_outcome(outcome: tuple | None) -> str:
     if outcome is None:
         return "no route"
     name, pool, units, header = outcome
@@ -162,37 +169,37 @@
 
 
 def _candidates(before: tuple[Route, ...], after: tuple[Route, ...]) -> Iterator[Request]:
-    old, new = [_kind(route) for route in before], [_kind(route) for route in after]
+    old, new = [_route_identity(route) for route in before], [_route_identity(route) for route in after]
     changed = _reordered(old, new) | set(old) ^ set(new)
     if not changed:
         return
-    every: dict[tuple, Route] = {}
-    for kind, route in zip([*old, *new], [*before, *after], strict=True):
-        every.setdefault(kind, route)
-    moved = [route for kind, route in every.items() if kind in changed]
-    for route in moved:
+    routes_by_identity: dict[tuple, Route] = {}
+    for identity, route in zip([*old, *new], [*before, *after], strict=True):
+        routes_by_identity.setdefault(identity, route)
+    changed_routes = [route for identity, route in routes_by_identity.items() if identity in changed]
+    for route in changed_routes:
         yield from examples(route.pattern)
-    for number, first in enumerate(moved):
-        if number * len(every) > MAX_COMPARED_PAIRS:
+    for number, first in enumerate(changed_routes):
+        if number * len(routes_by_identity) > MAX_COMPARED_PAIRS:
             return
-        for second in every.values():
+        for second in routes_by_identity.values():
             yield from common(first.pattern, second.pattern)
 
 
 def _reordered(old: list[tuple], new: list[tuple]) -> set[tuple]:
-    """Kinds whose order among those of one host and shape is another: there, lines decide."""
+    """Return the routes whose order among those of one host and shape changed: the order of lines decides there."""
 
-    def groups(kinds: list[tuple]) -> dict[tuple, list[tuple]]:
+    def groups(identities: list[tuple]) -> dict[tuple, list[tuple]]:
         out: dict[tuple, list[tuple]] = {}
-        for kind in dict.fromkeys(kinds):
-            out.setdefault(kind[:2], []).append(kind)
+        for identity in dict.fromkeys(identities):
+            out.setdefault(identity[:2], []).append(identity)
         return out
 
     first, second = groups(old), groups(new)
     out: set[tuple] = set()
-    for key, kinds in first.items():
+    for key, identities in first.items():
         others = second.get(key, [])
-        shared = [kind for kind in kinds if kind in set(others)]
-        if shared != [kind for kind in others if kind in set(kinds)]:
+        shared = [identity for identity in identities if identity in set(others)]
+        if shared != [identity for identity in others if identity in set(identities)]:
             out.update(shared)
     return out
--- a/anisefront/config/editor.py
+++ b/anisefront/config/editor.py
@@ -1,6 +1,6 @@
-"""What an editor asks of settings: problems, meaning of a word, where a name is defined, what may stand here.
+"""Editor support: hover texts, go to definition and completion, derived from the checker and the table of directives.
 
-All answers come from the checker and its table; this adds none of its own. Free of I/O.
+Free of I/O.
 """
 
 from __future__ import annotations
@@ -15,57 +15,59 @@
 
 @dataclass(frozen=True, slots=True)
 class CursorTarget:
-    """What stands under the cursor: a word, the directive that it belongs to, and the option that it is or sets."""
+    """The lexeme under the cursor, the directive it belongs to, and the option whose name or value it is."""
 
     lexeme: Lexeme
     directive: Directive
     spec: DirectiveSpec | None
-    option: str = ""  # the option's name, where the word is an option or its value
+    option: str = ""  # name of the option, if the lexeme is its name or value
     is_option: bool = False
 
 
 def spec_of(name: str) -> DirectiveSpec | None:
-    """A directive's row of the table."""
+    """Return the specification of a directive; None if there is no such directive."""
     return SCHEMA.get(name) or LANGUAGE.get(name)
 
 
 def find_target(checked: CheckResult, file: int, line: int, column: int) -> CursorTarget | None:
-    """What stands at a place of a file of the load; line and column count from 1."""
+    """Return what is at a position of a file; line and column are counted from 1."""
     for directive in checked.loaded.sources[file].document.directives:
-        found = _within(directive, directive, line, column)
+        found = _find_in_directive(directive, directive, line, column)
         if found is not None:
             return found
     return None
 
 
-def _covers(lexeme: Lexeme, line: int, column: int) -> bool:
+def _contains(lexeme: Lexeme, line: int, column: int) -> bool:
     width = len(lexeme.text) + 2 * lexeme.quoted
     return lexeme.location.line == line and lexeme.location.column <= column <= lexeme.location.column + width
 
 
-def _within(directive: Directive, outer: Directive, line: int, column: int) -> CursorTarget | None:
+def _find_in_directive(directive: Directive, outer: Directive, line: int, column: int) -> CursorTarget | None:
     spec = spec_of(outer.name.text)
-    inner = directive is not outer
-    if _covers(directive.name, line, column):
-        return CursorTarget(directive.name, outer, spec, directive.name.text if inner else "", inner)
-    option = directive.name.text if inner else ""
+    in_block = directive is not outer
+    if _contains(directive.name, line, column):
+        return CursorTarget(directive.name, outer, spec, directive.name.text if in_block else "", in_block)
+    option = directive.name.text if in_block else ""
     for value in directive.values:
-        words = value.items if isinstance(value, List) else [value]
-        for lexeme in words:
-            plain = isinstance(value, Lexeme) and not inner and spec is not None and lexeme.text in spec.options
-            if _covers(lexeme, line, column):
-                return CursorTarget(lexeme, outer, spec, lexeme.text if plain else option, plain)
-            if plain:
+        lexemes = value.items if isinstance(value, List) else [value]
+        for lexeme in lexemes:
+            is_option_name = (
+                isinstance(value, Lexeme) and not in_block and spec is not None and lexeme.text in spec.options
+            )
+            if _contains(lexeme, line, column):
+                return CursorTarget(lexeme, outer, spec, lexeme.text if is_option_name else option, is_option_name)
+            if is_option_name:
                 option = lexeme.text
-    for each in directive.block or ():
-        found = _within(each, outer, line, column)
+    for inner in directive.block or ():
+        found = _find_in_directive(inner, outer, line, column)
         if found is not None:
             return found
     return None
 
 
 def hover(checked: CheckResult, file: int, line: int, column: int) -> str:
-    """What the word under the cursor means, in Markdown; "" where nothing is known."""
+    """Return the meaning of the lexeme under the cursor, in Markdown; "" if there is none."""
     found = find_target(checked, file, line, column)
     if found is None or found.spec is None:
         return ""
@@ -77,7 +79,7 @@
 
 
 def definition(checked: CheckResult, file: int, line: int, column: int) -> Location | None:
-    """Where the name under the cursor is defined; None where it is no reference."""
+    """Return where the name under the cursor is defined; None if it is no reference."""
     found = find_target(checked, file, line, column)
     if found is None or found.spec is None or found.is_option:
         return None
@@ -107,7 +109,7 @@
 
 
 def complete(checked: CheckResult, file: int, line: int, column: int) -> list[tuple[str, str]]:
-    """Words that may stand at a place, each with what it means."""
+    """Return the words that may be inserted at a position, each with its meaning."""
     before = checked.loaded.line(Location(file, line, column))[: column - 1]
     words = before.split()
     if before.endswith((" ", "\t")):
@@ -129,7 +131,7 @@
 
 
 def _block_at(checked: CheckResult, file: int, line: int) -> Directive | None:
-    """The directive in whose block a line stands."""
+    """Return the directive whose block contains a line; None if there is none."""
     last = None
     for directive in checked.loaded.sources[file].document.directives:
         if directive.name.location.line < line:
--- a/anisefront/config/explain.py
+++ b/anisefront/config/explain.py
@@ -1,4 +1,4 @@
-"""Why a request is judged as it is: the lines that decide, and those that lost. Free of I/O."""
+"""Explains the handling of a request: the lines that apply, and the routes of lower precedence. Free of I/O."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from anisefront.gateway.patterns import Request, host_rank, matches, rank, shape
 from anisefront.gateway.routing import Router
 
-MAX_SHOWN_ROUTES = 5  # of those that the route beat
+MAX_SHOWN_ROUTES = 5  # of those with lower precedence
 
 
 def explain(checked: CheckResult, request: Request) -> list[str]:
-    """Return lines of text: the route and those it beat, the key, plan, quota and class, each with its place."""
+    """Return the route and those of lower precedence, the key, plan, quota and class, each with its location."""
     lines = [f"request {request}"]
     try:
         target = normalize_target(request.path)
@@ -34,7 +34,7 @@
 
 
 def _ranked_routes(checked: CheckResult, request: Request) -> list[tuple[Any, int, str]]:
-    """Return rank, number and matched method of each route that matches, the one that wins first."""
+    """Return rank, number and matched method of each matching route, in order of precedence."""
     ranked = []
     for number, route in enumerate(checked.config.routes):
         if matches(route.pattern, request):
@@ -45,18 +45,19 @@
 
 def _explain_route(checked: CheckResult, ranked: list[tuple[Any, int, str]]) -> list[str]:
     format_location = checked.loaded.format_location
-    entries = checked.entries.all_of("route")
+    route_entries = checked.entries.all_of("route")
     routes = checked.config.routes
     _, first, method = ranked[0]
     route = routes[first]
     lines = [
-        f"route   {format_location(entries[first].lexeme.location)}: "
+        f"route   {format_location(route_entries[first].lexeme.location)}: "
         f"{' '.join(route.pattern.methods)} {route.pattern.path} -> class {route.class_name}, pool {route.pool}"
     ]
     for _, number, other_method in ranked[1 : 1 + MAX_SHOWN_ROUTES]:
-        reason = _why(route.pattern, method, routes[number].pattern, other_method)
+        reason = _explain_precedence(route.pattern, method, routes[number].pattern, other_method)
         lines.append(
-            f"  over  {format_location(entries[number].lexeme.location)}: {routes[number].pattern.path} - {reason}"
+            f"  over  {format_location(route_entries[number].lexeme.location)}: "
+            f"{routes[number].pattern.path} - {reason}"
         )
     return lines
 
@@ -72,7 +73,7 @@
 
 def _explain_customer(checked: CheckResult, request: Request) -> list[str]:
     config = checked.config
-    model = checked.entries
+    entries = checked.entries
     format_location = checked.loaded.format_location
     router = Router(
         config.routes,
@@ -87,27 +88,28 @@
         mapped = router.map(request.method, request.host, request.path, dict(request.headers))
     except UnroutableRequestError as error:
         return [f"customer: denied with {error.status}, {error} (header {config.customer_header})"]
-    listed = model.by_name("key").get(dict(request.headers)[config.customer_header])
-    key_place = format_location((listed or model.single("customers")).lexeme.location)
+    listed = entries.by_name("key").get(dict(request.headers)[config.customer_header])
+    key_location = format_location((listed or entries.single("customers")).lexeme.location)
     key_kind = "by its key" if listed else "a key that is not listed"
-    plan = model.by_name("plan")[mapped.plan]
-    quota = model.by_name("quota")[plan.options["quota"]]
+    plan = entries.by_name("plan")[mapped.plan]
+    quota = entries.by_name("quota")[plan.options["quota"]]
     limits = ", ".join(f"{name} {quota.lexemes[name].text}" for name in quota.options)
     retry = ", a client's repeat" if mapped.is_retry else ""
     return [
-        f"key     {key_place}: customer {mapped.customer.partition(':')[2]}, {key_kind}",
+        f"key     {key_location}: customer {mapped.customer.partition(':')[2]}, {key_kind}",
         f"plan    {format_location(plan.lexeme.location)}: {mapped.plan}",
         f"quota   {format_location(quota.lexeme.location)}: {quota.arguments['name']}: {limits}",
         f"counts  {mapped.units:g} units, {format_time(mapped.deadline_ms)} left{retry}",
     ]
 
 
-def _why(winner: object, method: str, loser: object, other: str) -> str:
+def _explain_precedence(winner: object, method: str, loser: object, other_method: str) -> str:
+    """Return why one pattern has precedence over another."""
     if host_rank(winner.host) != host_rank(loser.host):
         return f"host {winner.host} is more particular than {loser.host}"
     if shape(winner.path) != shape(loser.path):
         return "the path is more particular"
-    if (method == "*") != (other == "*"):
+    if (method == "*") != (other_method == "*"):
         return f"method {method} is named"
     if len(winner.when) != len(loser.when):
         return "it has more conditions"
--- a/anisefront/config/formatter.py
+++ b/anisefront/config/formatter.py
@@ -1,6 +1,6 @@
-"""One style for settings: four blanks a level, one blank between words, comments kept in place. Free of I/O.
+"""Formats settings: four spaces per level, one space between words, comments in place. Free of I/O.
 
-It works on the tree and never looks at meaning, so it changes none; what it wrote it writes the same again.
+The formatter works on the syntax tree alone, so it does not change the meaning. It is idempotent.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 
 
 def quote(text: str, quoted: bool = False) -> str:
-    """A word as it is written: bare where it can be, unless it stood in quotes and needs them to mean the same."""
+    """Return a word in source form: without quotes if possible, unless it was quoted."""
     if _PLAIN.match(text) and not quoted:
         return text
     out = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n").replace("\t", "\\t")
     return f'"{out}"'
 
 
-def format_value(each: Value) -> str:
-    """A value as it is written."""
-    if isinstance(each, List):
-        return "[" + " ".join(quote(lexeme.text, lexeme.quoted) for lexeme in each.items) + "]"
-    return quote(each.text, each.quoted)
+def format_value(value: Value) -> str:
+    """Return a value in source form."""
+    if isinstance(value, List):
+        return "[" + " ".join(quote(lexeme.text, lexeme.quoted) for lexeme in value.items) + "]"
+    return quote(value.text, value.quoted)
 
 
 def format_document(document: Document) -> str:
-    """The whole text of a file."""
+    """Return the formatted text of a file."""
     lines: list[str] = []
-    _directives(document.directives, "", lines)
+    _format_directives(document.directives, "", lines)
     lines += document.comments_below
     while lines and not lines[0]:
         del lines[0]
@@ -40,16 +40,16 @@
     return "\n".join(lines) + "\n" if lines else ""
 
 
-def _directives(directives: list[Directive], indent: str, lines: list[str]) -> None:
+def _format_directives(directives: list[Directive], indent: str, lines: list[str]) -> None:
     for number, directive in enumerate(directives):
         above = directive.comments_above
         while number == 0 and above and not above[0] and indent:
             above = above[1:]  # no empty line after an opening brace
         lines += [f"{indent}{line}" if line else "" for line in above]
-        _directive(directive, indent, lines)
+        _format_directive(directive, indent, lines)
 
 
-def _directive(directive: Directive, indent: str, lines: list[str]) -> None:
+def _format_directive(directive: Directive, indent: str, lines: list[str]) -> None:
     head = indent + " ".join([directive.name.text, *map(format_value, directive.values)])
     beside = f"  {directive.trailing_comment}" if directive.trailing_comment else ""
     if directive.block is None:
@@ -57,6 +57,6 @@
         return
     closing = f"  {directive.closing_comment}" if directive.closing_comment else ""
     lines.append(f"{head} {{{beside}")
-    _directives(directive.block, indent + INDENT, lines)
+    _format_directives(directive.block, indent + INDENT, lines)
     lines += [f"{indent}{INDENT}{line}" if line else "" for line in directive.comments_below]
     lines.append(f"{indent}}}{closing}")
--- a/anisefront/config/incremental_checks.py
+++ b/anisefront/config/incremental_checks.py
@@ -1,4 +1,7 @@
-"""Checks of all files of an incremental load: what `checker.check` finds, without another look at unchanged lines."""
+"""Checks of all files of an incremental load.
+
+They find the same problems as `checker.check`, without checking unchanged lines again.
+"""
 
 from __future__ import annotations
 
@@ -17,26 +20,26 @@
 from anisefront.config.types import Config
 from anisefront.gateway.routes import Route
 
-MAX_PLAN_CONFLICT_KEYS = 2 * MAX_PROBLEMS  # whose lines are looked up; problems beyond them are not counted
+MAX_PLAN_CONFLICT_KEYS = 2 * MAX_PROBLEMS  # keys whose lines are looked up; problems beyond them are not counted
 
 
 class IncrementalChecks:
-    """The checks of one load, in layers: each line, names, references and, where these hold, semantics.
+    """The checks of one load, in layers: single lines, names, references and, if these are valid, semantics.
 
     Attributes:
-        problems: What was found. Places name files by their lasting numbers.
-        uncounted: Problems that are known of, but whose places were not looked up.
+        problems: The problems found. Locations have the numbers of files in the record store.
+        hidden_count: Number of problems that were counted, but not located.
     """
 
     def __init__(self, attempt: LoadAttempt, index: CrossFileIndex) -> None:
         """Prepare the checks of an attempt whose sections are in the index."""
         self.problems: list[Problem] = list(attempt.problems)
-        self.uncounted = 0
+        self.hidden_count = 0
         self._attempt = attempt
         self._order = attempt.order
         self._index = index
         self._names = NameTable()
-        self._names_incomplete = False  # a line was unreadable: a name that is missing may be defined there
+        self._names_incomplete = False  # a line could not be read and may define a missing name
 
     def run(self, routes: tuple[tuple[Route, ...], ...]) -> Generator[None, None, Config | None]:
         """Run all checks.
@@ -45,11 +48,11 @@
             routes: The routes of each section that has any.
 
         Returns:
-            The settings; None where an error was found.
+            The settings; None if an error was found.
         """
         for file in self._attempt.files:
             self.problems += file.record.problems
-        if not checker.check_version(next((section.first for section in self._order), None), self.problems):
+        if not checker.check_version(next((section.first_line for section in self._order), None), self.problems):
             return None
         self.problems += self._attempt.definitions.problems
         yield from self._check_expansion()
@@ -68,16 +71,16 @@
         for number, section in enumerate(self._order):
             if ends_step(number):
                 yield
-            self.problems += section.expansion
+            self.problems += section.expansion_problems
             for name, problem in section.undeclared:
                 if name not in undeclared:
                     undeclared.add(name)
                     self.problems.append(problem)
-            # A section that is over the limit by itself has its own problem.
-            if lines < MAX_EXPANDED_LINES <= lines + section.lines and section.lines < MAX_EXPANDED_LINES:
+            # A section that exceeds the limit by itself has reported that already.
+            if lines < MAX_EXPANDED_LINES <= lines + section.line_count and section.line_count < MAX_EXPANDED_LINES:
                 message = f"definitions come to more than {MAX_EXPANDED_LINES} lines"
-                self.problems.append(problem_at(section.first.name, message, "", code="definition"))
-            lines += section.lines
+                self.problems.append(problem_at(section.first_line.name, message, "", code="definition"))
+            lines += section.line_count
         self._names_incomplete = checker.has_errors(self.problems)
 
     def _check_lines(self) -> Generator[None, None, None]:
@@ -85,8 +88,8 @@
             if ends_step(number):
                 yield
             self.problems += section.problems
-            self.problems += section.languages[1:] if number == 0 else section.languages
-            self._names_incomplete = self._names_incomplete or section.lost
+            self.problems += section.language_problems[1:] if number == 0 else section.language_problems
+            self._names_incomplete = self._names_incomplete or section.has_unknown_directive
             for count, declared in enumerate(section.declared_names):
                 if ends_step(count):
                     yield
@@ -98,45 +101,45 @@
         if self._names_incomplete:
             return
         present = {"route": self._index.usage.classes, "key": self._index.keys}
-        self.problems += self._names.missing({directive for directive, there in present.items() if there})
+        self.problems += self._names.missing({directive for directive, is_present in present.items() if is_present})
 
     def _check_duplicate_keys(self) -> Generator[None, None, None]:
-        faulty_texts = (lexeme.text for section in self._order for _, lexeme in section.faulty_keys)
-        texts = {*self._index.duplicate_keys, *faulty_texts}
+        invalid_texts = (lexeme.text for section in self._order for _, lexeme in section.invalid_keys)
+        texts = {*self._index.duplicate_keys, *invalid_texts}
         if not texts:
             return
-        first_words: dict[str, Lexeme | None] = {}  # None for one whose place was not looked up
+        first_lexemes: dict[str, Lexeme | None] = {}  # None for a key that was not located
         reported = 0
         for section in self._order:
             occurrences = yield from self._occurrences(section, texts, reported < MAX_PROBLEMS)
             for count, (_, text, lexeme) in enumerate(occurrences):
                 if ends_step(count):
                     yield
-                if text not in first_words:
-                    first_words[text] = lexeme
+                if text not in first_lexemes:
+                    first_lexemes[text] = lexeme
                     continue
-                first = first_words[text]
+                first = first_lexemes[text]
                 if lexeme is None or first is None:
-                    self.uncounted += 1
+                    self.hidden_count += 1
                 else:
                     reported += 1
                     self.problems.append(checker.duplicate_name_problem("key", lexeme, first))
 
     def _occurrences(
-        self, section: Section, texts: set[str], with_words: bool
+        self, section: Section, texts: set[str], with_lexemes: bool
     ) -> Generator[None, None, list[tuple[float, str, Lexeme | None]]]:
-        """Return the keys of a section that have one of the texts: position, text and word, in order."""
-        positions = yield from find_positions(section.texts, texts.__contains__)
-        looked_up = positions[:MAX_PROBLEMS] if with_words else ()
+        """Return position, text and lexeme of the keys of a section that have one of the texts, in order."""
+        positions = yield from find_positions(section.key_texts, texts.__contains__)
+        looked_up = positions[:MAX_PROBLEMS] if with_lexemes else ()
         entries = yield from self._attempt.collect_entries(section, (), looked_up)
-        # A faulty key stands before the valid key of its number.
+        # An invalid key precedes the valid key of its number.
         occurrences: list[tuple[float, str, Lexeme | None]] = [
-            (number - 0.5, lexeme.text, lexeme) for number, lexeme in section.faulty_keys
+            (number - 0.5, lexeme.text, lexeme) for number, lexeme in section.invalid_keys
         ]
         for position in positions:
             entry = entries.keys.get(position)
             lexeme = None if entry is None else entry.lexemes["key"]
-            occurrences.append((position, section.texts[position], lexeme))
+            occurrences.append((position, section.key_texts[position], lexeme))
         return sorted(occurrences, key=lambda occurrence: occurrence[0])
 
     def _check_references(self) -> Generator[None, None, None]:
@@ -156,7 +159,7 @@
         expected += sum(usage.pools[name] for name in pools)
         if expected:
             reported = yield from self._check_undefined_names(plans, classes, pools)
-            self.uncounted += expected - reported
+            self.hidden_count += expected - reported
 
     def _check_undefined_names(self, plans: set[str], classes: set[str], pools: set[str]) -> Generator[None, None, int]:
         reported = 0
@@ -176,7 +179,7 @@
         return reported
 
     def _check_semantics(self, routes: tuple[tuple[Route, ...], ...]) -> Generator[None, None, Config | None]:
-        """Return the settings; None where lines that are valid by themselves contradict each other."""
+        """Return the settings; None if lines that are valid by themselves contradict each other."""
         index = self._index
         entries = EntryTable()
         for section in self._order:
--- a/anisefront/config/incremental_loader.py
+++ b/anisefront/config/incremental_loader.py
@@ -1,8 +1,8 @@
 """Incremental load of the settings file and of all files that it includes.
 
 A gateway instance has one IncrementalLoader while it runs. Each load reads all files, since a time stamp does not
-prove that a file is unchanged. Files with the same bytes as before are not lexed, parsed, expanded or checked again
-(`file_record.py`); checks that span several files are repeated only where a change can affect them
+prove that a file is unchanged. Files with unchanged content are not lexed, parsed, expanded or checked again
+(`file_record.py`); checks that span several files are repeated only if a change can affect them
 (`cross_file_checks.py`). The result equals `checker.check(loader.load(path), environment, notes=False)`. A load runs
 in short steps between other work and applies nothing.
 """
@@ -26,28 +26,28 @@
 from anisefront.gateway.route_groups import changed_groups
 from anisefront.gateway.routes import Route
 
-MAX_ATTEMPTS = 3  # of one load, while files change under it
+MAX_ATTEMPTS = 3  # attempts of one load if files change while they are read
 
 
 @dataclass(frozen=True, slots=True)
 class LoadOutcome:
-    """Result of one load. Notes are left out: they are for a person, by `config check --notes`."""
+    """Result of one load. Notes are omitted; `config check --notes` shows them."""
 
-    config: Config | None  # None where an error was found
-    problems: tuple[Problem, ...]  # errors and warnings, in the order of their places
-    texts: tuple[str, ...]  # the same as a person reads them, errors first
-    digest: str  # of the bytes of all files in the order in which they count, and of where each was included
-    parts: tuple[tuple[Route, ...], ...] = ()  # config.routes in pieces, for gateway/versions.py
+    config: Config | None  # None if an error was found
+    problems: tuple[Problem, ...]  # errors and warnings, by location
+    texts: tuple[str, ...]  # the same problems as formatted text, errors first
+    digest: str  # of the content of all files in effective order, and of the locations of their includes
+    parts: tuple[tuple[Route, ...], ...] = ()  # config.routes by section, for gateway/versions.py
 
     @property
     def errors(self) -> tuple[str, ...]:
-        """Return the texts of the errors; empty where the settings are valid."""
+        """Return the texts of the errors; empty if the settings are valid."""
         count = sum(problem.severity is Severity.ERROR for problem in self.problems)
         return self.texts[:count]
 
 
 class IncrementalLoader:
-    """Loads one settings file again and again, at the cost of what changed.
+    """Loads one settings file repeatedly, at a cost in proportion to what changed.
 
     Attributes:
         path: The settings file.
@@ -65,19 +65,19 @@
         Args:
             path: The settings file.
             environment: The variables that `env` lines may name.
-            read: Reads a file by its path, for texts that are in no file; by default from disk.
-            find: Finds the files of a glob, with `read`.
+            read: Reads a file by its path; by default from disk.
+            find: Finds the files that match a glob; used only with `read`.
         """
         self.path = path
         self._open_files: Callable[[], Files] = DiskFiles if read is None else lambda: Files(read, find)
         self._store = RecordStore({} if environment is None else environment)
         self._running: Generator[None, None, LoadOutcome] | None = None
         self._index = CrossFileIndex()
-        self._order: list[Section] = []  # of the sections in the index
-        self._half_done = False  # an update of the index was abandoned
+        self._order: list[Section] = []  # the sections in the index
+        self._index_is_inconsistent = False  # because an update was abandoned
 
     def steps(self) -> Generator[None, None, LoadOutcome]:
-        """Load all files, in steps; the generator returns the outcome. A load that still runs is abandoned."""
+        """Load all files, in steps; the generator returns the outcome. A load that is still running is abandoned."""
         if self._running is not None:
             self._running.close()
         self._running = self._steps()
@@ -105,21 +105,21 @@
         return LoadOutcome(None, (problem,), (text,), "")
 
     def _update_index(self, order: list[Section]) -> Generator[None, None, None]:
-        """Update the checks that span files to the sections of this load."""
-        if self._half_done:
+        """Update the checks that span files with the sections of this load."""
+        if self._index_is_inconsistent:
             self._index = CrossFileIndex()
             self._order = []
-        self._half_done = True
+        self._index_is_inconsistent = True
         removed, added = changed_groups(self._order, order)
         yield
         yield from self._index.update(removed, added)
         self._order = order
-        self._half_done = False
+        self._index_is_inconsistent = False
 
     def _check(self, attempt: LoadAttempt) -> Generator[None, None, LoadOutcome]:
         routes = tuple(section.routes for section in attempt.order if section.routes)
         checks = IncrementalChecks(attempt, self._index)
         config = yield from checks.run(routes)
         self._store.retain(attempt.files, config is not None)
-        problems, texts = yield from render_problems(attempt, checks.problems, checks.uncounted)
+        problems, texts = yield from render_problems(attempt, checks.problems, checks.hidden_count)
         return LoadOutcome(config, problems, texts, attempt.digest, () if config is None else routes)
--- a/anisefront/config/lexer.py
+++ b/anisefront/config/lexer.py
@@ -1,4 +1,6 @@
-r"""Split text into tokens with their places. Free of I/O; it continues after an error, and reports each one once.
+r"""Splits text into tokens with their locations.
+
+The lexer does no I/O. It continues after an error and reports each error once.
 
 word      blanks, quotes, braces, brackets, commas, #, ; and \ end it; ${name} may stand in it
 string    "..." on one line, with \" \\ \n \t
@@ -26,7 +28,7 @@
 
 
 class Severity(IntEnum):
-    """How grave a problem is; the exit status of a check follows the gravest."""
+    """Severity of a problem. The most severe one determines the exit status of a check."""
 
     NOTE = 0
     WARNING = 1
@@ -34,7 +36,7 @@
 
 
 class Location(NamedTuple):
-    """Where something stands: a file by its number in the load, line and column from 1."""
+    """A position in the source: the file by its number in the load, line and column from 1."""
 
     file: int
     line: int
@@ -42,7 +44,7 @@
 
 
 class Lexeme(NamedTuple):
-    """A word or a string, with its place. Compared by text alone where that is meant."""
+    """The text of a token and its location; of a string without quotes and escapes."""
 
     text: str
     location: Location
@@ -50,7 +52,7 @@
 
 
 class Token(NamedTuple):
-    """One token: its kind is "word", a mark such as "{", "comment" or "end" of a line."""
+    """One token. Its kind is "word", a punctuation mark such as "{", "comment", or "end" (of a logical line)."""
 
     kind: str
     lexeme: Lexeme
@@ -58,7 +60,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One fault: where, how grave, what, and how to mend it. `width` is what the caret underlines."""
+    """A diagnostic message.
+
+    Attributes:
+        location: Where the problem was found.
+        message: What is wrong.
+        suggestion: How to correct it; may be empty.
+        severity: How severe it is.
+        width: Number of characters that the caret underlines.
+        code: Machine-readable kind of the problem.
+    """
 
     location: Location
     message: str
@@ -71,27 +82,30 @@
 def problem_at(
     lexeme: Lexeme, message: str, suggestion: str = "", severity: Severity = Severity.ERROR, code: str = "value"
 ) -> Problem:
-    """A problem with a word."""
+    """Return a problem that underlines a lexeme."""
     return Problem(lexeme.location, message, suggestion, severity, max(1, len(lexeme.text) + 2 * lexeme.quoted), code)
 
 
 def decode(data: bytes, file: int) -> tuple[str, list[Problem]]:
-    """The text of a file. A byte-order mark is dropped; bytes that are no UTF-8 are named and stand as U+FFFD."""
+    """Decode the bytes of a file as UTF-8.
+
+    A byte-order mark is dropped. The first invalid byte is reported; invalid bytes are replaced by U+FFFD.
+    """
     if data.startswith((b"\xff\xfe", b"\xfe\xff")):
         return "", [Problem(Location(file, 1, 1), "the file is UTF-16", "save it as UTF-8", code="encoding")]
     try:
         return data.removeprefix(b"\xef\xbb\xbf").decode(), []
-    except UnicodeDecodeError as problem:
-        before = data[: problem.start]
+    except UnicodeDecodeError as error:
+        before = data[: error.start]
         line = before.count(b"\n") + 1
         column = len(before.rpartition(b"\n")[2].decode("utf-8", "replace")) + 1
-        message = f"byte 0x{data[problem.start]:02X} is no UTF-8"
+        message = f"byte 0x{data[error.start]:02X} is no UTF-8"
         text = data.removeprefix(b"\xef\xbb\xbf").decode("utf-8", "replace")
         return text, [Problem(Location(file, line, column), message, "save the file as UTF-8", code="encoding")]
 
 
 def tokenize(text: str, file: int) -> tuple[list[Token], list[Problem]]:
-    """All tokens of a file, with an "end" after each logical line, and the faults in it."""
+    """Return all tokens of a file, with an "end" token after each logical line, and the problems found."""
     out: list[Token] = []
     problems: list[Problem] = []
     for number, line in enumerate(text.split("\n"), 1):
@@ -100,7 +114,11 @@
 
 
 def tokenize_line(line: str, number: int, file: int, out: list[Token], problems: list[Problem]) -> bool:
-    """The tokens of one line are added; false where it is joined to the next, which must then be added to the same."""
+    """Append the tokens of one physical line to `out`.
+
+    Returns:
+        Whether the logical line ends here; False if it is joined to the next physical line.
+    """
     line = line.removesuffix("\r")
     if len(line) > MAX_LINE_LENGTH:
         problems.append(
@@ -112,36 +130,36 @@
         )
         out.append(Token("end", Lexeme("", Location(file, number, 1))))
         return True
-    ended = _line(line, number, file, out, problems)
+    ended = _scan_line(line, number, file, out, problems)
     if ended:
         out.append(Token("end", Lexeme("", Location(file, number, len(line) + 1))))
     return ended
 
 
-def _line(line: str, number: int, file: int, out: list[Token], problems: list[Problem]) -> bool:
-    """The tokens of one line; false where it is joined to the next."""
-    at, end, match, add = 0, len(line), _TOKEN.match, out.append
-    while at < end:
-        found = match(line, at)
-        if found is None:
-            at += len(line[at:]) - len(line[at:].lstrip(" \t"))
-            message, suggestion = _describe_invalid_character(line, at)
-            problems.append(Problem(Location(file, number, at + 1), message, suggestion))
-            while out and out[-1].kind != "end":  # half a directive would only bring faults of its own
+def _scan_line(line: str, number: int, file: int, out: list[Token], problems: list[Problem]) -> bool:
+    """Append the tokens of one line; return False if a backslash joins it to the next."""
+    offset, end, match, append = 0, len(line), _TOKEN.match, out.append
+    while offset < end:
+        token_match = match(line, offset)
+        if token_match is None:
+            offset += len(line[offset:]) - len(line[offset:].lstrip(" \t"))
+            message, suggestion = _describe_invalid_character(line, offset)
+            problems.append(Problem(Location(file, number, offset + 1), message, suggestion))
+            while out and out[-1].kind != "end":  # the rest of this logical line would only cause follow-up errors
                 out.pop()
             return True
-        kind, at = found.lastgroup, found.end()
+        kind, offset = token_match.lastgroup, token_match.end()
         if kind == "blank":
             break
-        text = found[kind]
-        location = Location(file, number, at - len(text) + 1)
+        text = token_match[kind]
+        location = Location(file, number, offset - len(text) + 1)
         if kind == "word":
-            add(Token("word", Lexeme(text, location)))
-            if not text.isascii() and (other := _find_homoglyph(text)):
+            append(Token("word", Lexeme(text, location)))
+            if not text.isascii() and (homoglyph := _find_homoglyph(text)):
                 problems.append(
                     Problem(
                         location,
-                        f"{text!r} holds {other}, which looks like another letter",
+                        f"{text!r} holds {homoglyph}, which looks like another letter",
                         "write it anew",
                         Severity.WARNING,
                         len(text),
@@ -149,22 +167,23 @@
                     )
                 )
         elif kind == "string":
-            add(Token("word", Lexeme(_unescape(text[1:-1], location, problems), location, True)))
+            append(Token("word", Lexeme(_unescape(text[1:-1], location, problems), location, True)))
         elif kind == "mark":
-            add(Token(text, Lexeme(text, location)))
+            append(Token(text, Lexeme(text, location)))
         elif kind == "comment":
-            add(Token("comment", Lexeme(text.rstrip(), location)))
+            append(Token("comment", Lexeme(text.rstrip(), location)))
         else:
             return False
     return True
 
 
-def _describe_invalid_character(line: str, at: int) -> tuple[str, str]:
-    if line[at] == '"':
+def _describe_invalid_character(line: str, offset: int) -> tuple[str, str]:
+    """Return message and suggestion for a character that begins no token."""
+    if line[offset] == '"':
         return "a string that is not closed", 'end it with " on the same line'
-    if line[at] == "\\":
+    if line[offset] == "\\":
         return "a \\ in the middle of a line", "quote the word, or let the \\ end the line"
-    return f"character U+{ord(line[at]):04X} can't stand here", "remove it"
+    return f"character U+{ord(line[offset]):04X} can't stand here", "remove it"
 
 
 def _unescape(text: str, location: Location, problems: list[Problem]) -> str:
@@ -187,7 +206,7 @@
 
 
 def _find_homoglyph(text: str) -> str:
-    """The first letter of a word that is of another script than the Latin ones beside it."""
+    """Return the name of the first non-Latin letter in a word that also has Latin letters; "" if there is none."""
     if not any("a" <= letter.lower() <= "z" for letter in text):
         return ""
     for letter in text:
--- a/anisefront/config/load_attempt.py
+++ b/anisefront/config/load_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to read all files of the settings, with the records of files that did not change."""
+"""One attempt to read all files of the settings, which reuses the records of unchanged files."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FileChangedError(Exception):
-    """A file no longer has the bytes that this attempt read."""
+    """A file no longer has the content that this attempt read."""
 
     def __init__(self, path: str) -> None:
         """Create the error for the file at `path`."""
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class LoadedFile:
-    """A file of one attempt; its number names it in places for as long as its path is known."""
+    """A file of one attempt. Locations refer to it by `number`, which stays the same while its path is in the store."""
 
     path: str
     number: int
@@ -37,13 +37,13 @@
 
 
 class RecordStore:
-    """Records of files, kept from one load to the next.
+    """Records of files, retained from one load to the next.
 
     Attributes:
         environment: The variables that `env` lines may name.
-        records: By path, of the files of the last load and of the last valid one.
+        records: Records of the files of the last load and of the last valid one, by path.
         definitions: Definitions and values of the last load.
-        numbers: Of paths, from 1. No number is assigned twice, since places in kept records refer to it.
+        numbers: Numbers of files by path, from 1. None is reused, since locations in retained records refer to them.
         last_number: The highest number so far.
     """
 
@@ -66,7 +66,7 @@
     def retain(self, files: Sequence[LoadedFile], is_valid: bool) -> None:
         """Evict the records of files that are neither in this load nor in the last valid one.
 
-        An error in the first file hides all others until it is corrected: without the records of the last valid load
+        An error in the main file can hide all others until it is corrected: without the records of the last valid load,
         all files would then have to be parsed again.
         """
         current = {file.path: file.record for file in files}
@@ -80,13 +80,13 @@
 class LoadAttempt:
     """One attempt to read all files.
 
-    The bytes of files are not kept. A file is read once more for a message, or where definitions have changed, and
-    must then have the same digest as before.
+    The content of files is not retained. A file is read again for a message, or if definitions have changed, and must
+    then have the same digest as before.
 
     Attributes:
-        files: The files in the order in which they count.
+        files: The files in effective order.
         order: The sections of all files in that order.
-        problems: What was wrong with includes. Places name files by their lasting numbers.
+        problems: Problems of includes. Locations have the numbers of files in the store.
     """
 
     def __init__(self, store: RecordStore, disk: Files) -> None:
@@ -97,15 +97,15 @@
         self._store = store
         self._disk = disk
         self._by_number: dict[int, LoadedFile] = {}
-        self._positions: dict[int, int] = {0: 0}  # of files in this attempt, by number
+        self._positions: dict[int, int] = {0: 0}  # of files in this attempt, by their numbers in the store
         self._digest = hashlib.sha256()
-        # The definitions of the last load are the best guess until all files are read.
-        self._collected = Declarations(store.environment)
-        self._expected = store.definitions or self._collected
+        # Until all files are read, the definitions of the last load are assumed.
+        self._collected_declarations = Declarations(store.environment)
+        self._assumed_declarations = store.definitions or self._collected_declarations
 
     @property
     def digest(self) -> str:
-        """Return the digest of all files and of the places where they were included."""
+        """Return the digest of the content of all files and of the locations of their includes."""
         return self._digest.hexdigest()
 
     @property
@@ -114,17 +114,17 @@
         return self._store.definitions
 
     def read(self, path: str) -> Generator[None, None, None]:
-        """Read the file at `path` and all that it includes, and build the records of those that changed."""
-        walk = IncludeWalk(self._disk, self._add_file, self._describe, self.problems)
-        yield from walk.file(path, None, ())
-        self.order = walk.out
+        """Read the file at `path` and all files that it includes, and build the records of those that changed."""
+        walk = IncludeWalk(self._disk, self._add_file, self._format_location, self.problems)
+        yield from walk.walk_file(path, None, ())
+        self.order = walk.items
 
     def find_changed(self) -> Generator[None, None, str]:
         """Return the path of a file that changed since it was read; empty without one."""
         return (yield from self._disk.changed())
 
     def replace_stale_records(self) -> Generator[None, None, None]:
-        """Build the records anew that were built with other definitions or values than the files now have."""
+        """Rebuild the records that depend on definitions or values that have changed."""
         definitions = Declarations(self._store.environment)
         for number, section in enumerate(self.order):
             if ends_step(number):
@@ -135,7 +135,7 @@
         for number, file in enumerate(self.files):
             if ends_step(number):
                 yield
-            if not file.record.holds(definitions):
+            if not file.record.is_current(definitions):
                 yield from self._rebuild(file, definitions, replaced)
         if replaced:
             self.order = [replaced.get(id(section), section) for section in self.order]
@@ -153,10 +153,10 @@
         self._store.records[file.path] = record
 
     def read_again(self, file: LoadedFile) -> Generator[None, None, bytes]:
-        """Return the bytes of a file once more.
+        """Read a file again and return its content.
 
         Raises:
-            FileChangedError: The file can no longer be read, or has other bytes.
+            FileChangedError: The file can no longer be read, or its content has changed.
         """
         try:
             data = yield from self._disk.read(file.path)
@@ -169,18 +169,18 @@
     def collect_entries(
         self, section: Section, routes: Sequence[int], keys: Sequence[int]
     ) -> Generator[None, None, EntryRequest]:
-        """Return the entries of some routes and keys of a section, with the places of all their words."""
-        wanted = EntryRequest(section, routes, keys)
+        """Return the entries of some routes and keys of a section, with the locations of all their values."""
+        request = EntryRequest(section, routes, keys)
         if routes or keys:
             data = yield from self.read_again(self._by_number[section.file])
-            yield from collect_entries(data, section.file, self.definitions, wanted)
-        return wanted
+            yield from collect_entries(data, section.file, self.definitions, request)
+        return request
 
     def localize(self, location: Location) -> Location:
-        """Return a place that names its file by its position in this attempt."""
+        """Return a location that refers to its file by the position in this attempt."""
         return Location(self._positions[location.file], location.line, location.column)
 
-    def _describe(self, location: Location) -> str:
+    def _format_location(self, location: Location) -> str:
         file = self._by_number.get(location.file)
         return f"{file.path if file else '?'}:{location.line}:{location.column}"
 
@@ -192,17 +192,17 @@
         record = self._store.records.get(path)
         if record is None or record.digest != digest:
             yield
-            record = yield from build_file_record(data, digest, number, self._expected, record)
+            record = yield from build_file_record(data, digest, number, self._assumed_declarations, record)
             self._store.records[path] = record
         file = LoadedFile(path, number, record, None if include is None else include.location)
         self._update_digest(file)
         self._positions[number] = len(self.files)
         self.files.append(file)
         self._by_number[number] = file
-        if self._expected is self._collected:
+        if self._assumed_declarations is self._collected_declarations:
             for item in record.items:
                 if isinstance(item, Section):
-                    self._collected.add(item.declarations)
+                    self._collected_declarations.add(item.declarations)
         return record.items
 
     def _update_digest(self, file: LoadedFile) -> None:
@@ -218,7 +218,7 @@
 
 
 def _digest_of(data: bytes) -> Generator[None, None, bytes]:
-    """Return the digest of a file's bytes, in steps."""
+    """Return the digest of a file's content, in steps."""
     digest = hashlib.sha256(data[:HASH_CHUNK_BYTES])
     for offset in range(HASH_CHUNK_BYTES, len(data), HASH_CHUNK_BYTES):
         yield
--- a/anisefront/config/load_steps.py
+++ b/anisefront/config/load_steps.py
@@ -1,4 +1,4 @@
-"""Sizes of the steps of an incremental load, between which the event loop does other work."""
+"""Sizes of the steps of an incremental load. The event loop does other work between steps."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any
 
 SECTIONS_PER_STEP = 64
-VALUES_PER_SECTION = 4  # routes or keys that cost as much as a section when they are compared only
+VALUES_PER_SECTION = 4  # routes or keys whose comparison costs as much as processing a section
 
 
 def ends_step(number: int) -> bool:
@@ -15,7 +15,7 @@
 
 
 def find_positions(values: Sequence[Any], is_wanted: Callable[[Any], bool]) -> Generator[None, None, list[int]]:
-    """Return the positions of the values that are wanted, in steps."""
+    """Return the positions of the values for which `is_wanted` is true, in steps."""
     positions = []
     for position, value in enumerate(values):
         if position % (VALUES_PER_SECTION * SECTIONS_PER_STEP) == 0:
--- a/anisefront/config/loader.py
+++ b/anisefront/config/loader.py
@@ -1,7 +1,7 @@
-"""Loads a settings file and all that it includes.
+"""Loads a settings file and all files that it includes.
 
-A file is identified by its real path, so that a loop is detected through links and globs too. Every failure to read is
-a problem at the include that asked for the file; nothing is raised.
+A file is identified by its real path, so that include loops through links and globs are detected, too. A file that
+cannot be read is a problem at its include; no exception is raised.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
     path: str
     text: str
     document: Document
-    included_at: Location | None = None  # the include that took it in
+    included_at: Location | None = None  # location of its include
 
 
 @dataclass(slots=True)
 class LoadedSources:
-    """All files of a load, the directives in the order in which they count, and what was wrong so far."""
+    """All files of a load, their directives in effective order, and the problems so far."""
 
     sources: list[Source] = field(default_factory=list)
     directives: list[Directive] = field(default_factory=list)
@@ -46,13 +46,13 @@
         return lines[location.line - 1].removesuffix("\r") if 0 < location.line <= len(lines) else ""
 
     def include_chain(self, location: Location) -> list[Location]:
-        """Return the includes through which a place was reached, the nearest first."""
-        out: list[Location] = []
-        asked = self.sources[location.file].included_at if location.file < len(self.sources) else None
-        while asked is not None:
-            out.append(asked)
-            asked = self.sources[asked.file].included_at
-        return out
+        """Return the includes that lead to a location, the innermost first."""
+        chain: list[Location] = []
+        include = self.sources[location.file].included_at if location.file < len(self.sources) else None
+        while include is not None:
+            chain.append(include)
+            include = self.sources[include.file].included_at
+        return chain
 
     def format_location(self, location: Location) -> str:
         """Return file:line:column."""
@@ -61,100 +61,111 @@
 
 
 def load(path: str, read: Read = read_file, find: Find | None = None) -> LoadedSources:
-    """Load a file. `read` and `find` (a glob) may be others, for texts that are in no file."""
-    out = LoadedSources()
+    """Load a file. `read` and `find` (a glob) can be replaced for texts that are not in files."""
+    loaded = LoadedSources()
 
-    def take(path: str, real: str, data: bytes, asked: Lexeme | None) -> Generator[None, None, list[Directive]]:
+    def process_file(
+        path: str, real_path: str, data: bytes, include: Lexeme | None
+    ) -> Generator[None, None, list[Directive]]:
         yield
-        number = len(out.sources)
-        text, problems = decode(data, number)
-        document, more = parse(text, number)
-        out.sources.append(Source(path, text, document, None if asked is None else asked.location))
-        out.problems += problems + more
+        number = len(loaded.sources)
+        text, decoding_problems = decode(data, number)
+        document, syntax_problems = parse(text, number)
+        loaded.sources.append(Source(path, text, document, None if include is None else include.location))
+        loaded.problems += decoding_problems + syntax_problems
         return document.directives
 
-    walk = IncludeWalk(Files(read, find), take, out.format_location, out.problems)
-    run_to_end(walk.file(path, None, ()))
-    out.directives = walk.out
-    if not out.sources:
-        out.sources.append(Source("settings", "", Document([], [])))
-    return out
+    walk = IncludeWalk(Files(read, find), process_file, loaded.format_location, loaded.problems)
+    run_to_end(walk.walk_file(path, None, ()))
+    loaded.directives = walk.items
+    if not loaded.sources:
+        loaded.sources.append(Source("settings", "", Document([], [])))
+    return loaded
 
 
 def load_text(text: str, path: str = "settings") -> LoadedSources:
-    """Load a text that includes nothing but files."""
-    own = text.encode()
-    return load(path, lambda asked: own if asked == path else read_file(asked))
+    """Load a text as if it were the file at `path`; its includes are read from disk."""
+    data = text.encode()
+    return load(path, lambda asked_path: data if asked_path == path else read_file(asked_path))
 
 
 class IncludeWalk:
-    """Walks through a file and all that it includes.
+    """Walks through a file and all files that it includes.
 
     Attributes:
-        out: The items of all files, except the includes, in the order in which they count.
+        items: The items of all files, except the includes, in effective order.
     """
 
     def __init__(
         self,
         files: Files,
-        take: Callable[..., Generator[None, None, list[Any]]],
-        where: Callable[[Location], str],
+        process_file: Callable[..., Generator[None, None, list[Any]]],
+        format_location: Callable[[Location], str],
         problems: list[Problem],
     ) -> None:
         """Create a walk.
 
         Args:
-            files: What is read.
-            take: Called as `take(path, real, data, asked)` for each file; returns its items, in steps.
-            where: Describes a place for a message.
-            problems: Receives what is wrong with includes.
+            files: Access to the files.
+            process_file: Called as `process_file(path, real_path, data, include)` for each file; returns its items, in
+                steps.
+            format_location: Formats a location for a message.
+            problems: Receives the problems of includes.
         """
         self._files = files
-        self._take = take
-        self._where = where
+        self._process_file = process_file
+        self._format_location = format_location
         self._problems = problems
-        self.out: list[Any] = []
+        self.items: list[Any] = []
         self._bytes = 0
         self._seen: dict[str, Location | None] = {}
 
-    def file(self, path: str, asked: Lexeme | None, above: tuple[str, ...]) -> Generator[None, None, None]:
-        """Add a file and all that it includes; `asked` is the include, `above` the files around it."""
-        real = self._files.real(path)
-        if real in above:
-            loop = " -> ".join(os.path.basename(each) for each in (*above[above.index(real) :], real))
-            self._report(asked, f"an include loop: {loop}", "remove one of these includes")
+    def walk_file(self, path: str, include: Lexeme | None, enclosing: tuple[str, ...]) -> Generator[None, None, None]:
+        """Add a file and all files that it includes.
+
+        Args:
+            path: The file.
+            include: The pattern of the include that led here; None for the main file.
+            enclosing: Real paths of the files through which it is included.
+        """
+        real_path = self._files.real_path(path)
+        if real_path in enclosing:
+            loop = " -> ".join(
+                os.path.basename(file_path) for file_path in (*enclosing[enclosing.index(real_path) :], real_path)
+            )
+            self._report(include, f"an include loop: {loop}", "remove one of these includes")
             return
-        if real in self._seen:
-            first = self._seen[real]
-            where = "" if first is None else f", first by {self._where(first)}"
-            self._report(asked, f"{path!r} is included twice{where}", "include it once")
+        if real_path in self._seen:
+            first = self._seen[real_path]
+            where = "" if first is None else f", first by {self._format_location(first)}"
+            self._report(include, f"{path!r} is included twice{where}", "include it once")
             return
-        if len(self._seen) >= MAX_FILES or len(above) >= MAX_INCLUDE_DEPTH:
-            self._report(asked, f"more than {MAX_FILES} files, or includes nested more than {MAX_INCLUDE_DEPTH} deep")
+        if len(self._seen) >= MAX_FILES or len(enclosing) >= MAX_INCLUDE_DEPTH:
+            self._report(include, f"more than {MAX_FILES} files, or includes nested more than {MAX_INCLUDE_DEPTH} deep")
             return
         try:
             data = yield from self._files.read(path)
-        except OSError as problem:
+        except OSError as error:
             self._report(
-                asked,
-                f"{path!r} can't be read: {problem.strerror or problem}",
-                "" if asked is None else "mend the path, or the file's rights",
+                include,
+                f"{path!r} can't be read: {error.strerror or error}",
+                "" if include is None else "mend the path, or the file's rights",
             )
             return
         self._bytes += len(data)
         if self._bytes > source_files.MAX_TOTAL_BYTES:
-            self._report(asked, f"more than {source_files.MAX_TOTAL_BYTES >> 20} MiB of settings")
+            self._report(include, f"more than {source_files.MAX_TOTAL_BYTES >> 20} MiB of settings")
             return
-        self._seen[real] = None if asked is None else asked.location
-        for each in (yield from self._take(path, real, data, asked)):
-            if isinstance(each, Directive) and each.name.text == "include":
-                yield from self._include(each, path, (*above, real))
+        self._seen[real_path] = None if include is None else include.location
+        for item in (yield from self._process_file(path, real_path, data, include)):
+            if isinstance(item, Directive) and item.name.text == "include":
+                yield from self._walk_include(item, path, (*enclosing, real_path))
             else:
-                self.out.append(each)
+                self.items.append(item)
 
-    def _include(self, directive: Directive, path: str, above: tuple[str, ...]) -> Generator[None, None, None]:
-        words = [value for value in directive.values if isinstance(value, Lexeme)]
-        if len(directive.values) != 1 or not words or directive.block is not None or not words[0].text:
+    def _walk_include(self, directive: Directive, path: str, enclosing: tuple[str, ...]) -> Generator[None, None, None]:
+        lexemes = [value for value in directive.values if isinstance(value, Lexeme)]
+        if len(directive.values) != 1 or not lexemes or directive.block is not None or not lexemes[0].text:
             self._problems.append(
                 problem_at(
                     directive.name,
@@ -164,31 +175,32 @@
                 )
             )
             return
-        pattern = os.path.join(os.path.dirname(path), words[0].text)
+        pattern = os.path.join(os.path.dirname(path), lexemes[0].text)
         yield
         try:
             found = self._files.find(pattern)
-        except OSError as problem:
+        except OSError as error:
             self._report(
-                words[0],
-                f"folder {str(problem.filename or pattern)!r} can't be read: {problem.strerror or problem}",
+                lexemes[0],
+                f"folder {str(error.filename or pattern)!r} can't be read: {error.strerror or error}",
                 "mend the folder's rights",
             )
             return
         if not found and glob.has_magic(pattern):
             self._problems.append(
-                problem_at(words[0], f"no file matches {words[0].text!r}", "", Severity.WARNING, "include")
+                problem_at(lexemes[0], f"no file matches {lexemes[0].text!r}", "", Severity.WARNING, "include")
             )
             return
-        for number, each in enumerate(found or [pattern]):
+        for number, found_path in enumerate(found or [pattern]):
             if number % source_files.FILES_PER_STEP == 0:
                 yield
-            if not self._files.is_folder(each):
-                yield from self.file(each, words[0], above)
+            if not self._files.is_directory(found_path):
+                yield from self.walk_file(found_path, lexemes[0], enclosing)
 
-    def _report(self, asked: Lexeme | None, message: str, suggestion: str = "") -> None:
+    def _report(self, include: Lexeme | None, message: str, suggestion: str = "") -> None:
+        """Report a problem at an include; at the beginning of the main file without one."""
         self._problems.append(
             Problem(Location(0, 1, 1), message, suggestion, code="include")
-            if asked is None
-            else problem_at(asked, message, suggestion, code="include")
+            if include is None
+            else problem_at(include, message, suggestion, code="include")
         )
--- a/anisefront/config/migrate.py
+++ b/anisefront/config/migrate.py
@@ -1,4 +1,4 @@
-"""Version 1 of the language, the format of the first gatekeeper, to version 2. Works on the tree; comments stay.
+"""Converts version 1 of the language to version 2. Works on the syntax tree, so comments are preserved.
 
 roster HOW WHAT ...      pool main roster|embedded WHAT ..., with the figures of a servers line
 plan N rate R ...        quota N rate R ... and plan N quota N ...
@@ -14,32 +14,34 @@
 from anisefront.config.lexer import Lexeme, Location, Problem, problem_at
 from anisefront.config.parser import Directive, Document
 
-_QUOTA = ("rate", "burst", "max-out", "ceiling", "ceiling-burst", "ceiling-slack")
+_QUOTA_OPTIONS = ("rate", "burst", "max-out", "ceiling", "ceiling-burst", "ceiling-slack")
 
 
 def prepare(text: str) -> str:
-    """The text with what version 2 can't parse written its way: commas, which were parts of words."""
-    return re.sub(r"(?m)^(\s*report\s+)(\S+)", lambda found: found[1] + "[" + found[2].replace(",", " ") + "]", text)
+    """Return the text with lists in the syntax of version 2; in version 1, commas were parts of words."""
+    return re.sub(r"(?m)^(\s*report\s+)(\S+)", lambda match: match[1] + "[" + match[2].replace(",", " ") + "]", text)
 
 
 def migrate(document: Document) -> tuple[Document, list[Problem]]:
-    """The document as version 2, and what could not be carried over. One that is version 2 stays as it is."""
+    """Convert a document to version 2. A document of version 2 is returned as it is.
+
+    Returns:
+        The converted document, and problems for what could not be converted.
+    """
     if document.directives and document.directives[0].name.text == "language":
         return document, []
     problems: list[Problem] = []
     servers = next((each for each in document.directives if each.name.text == "servers"), None)
-    out = [Directive(_word("language"), [_word("2")])]
+    out = [Directive(_synthetic_lexeme("language"), [_synthetic_lexeme("2")])]
     for directive in document.directives:
-        out += _one(directive, servers, problems)
+        out += _convert_directive(directive, servers, problems)
     if len(out) > 1:
-        out[0].comments_above, out[1].comments_above = (
-            out[1].comments_above,
-            [""],
-        )  # the comment that heads the file still does
+        # The comment at the head of the file stays there.
+        out[0].comments_above, out[1].comments_above = out[1].comments_above, [""]
     return Document(out, document.comments_below), problems
 
 
-def _word(text: str) -> Lexeme:
+def _synthetic_lexeme(text: str) -> Lexeme:
     return Lexeme(text, Location(0, 1, 1))
 
 
@@ -47,7 +49,7 @@
     return list(zip(values[::2], values[1::2], strict=False))
 
 
-def _one(directive: Directive, servers: Directive | None, problems: list[Problem]) -> list[Directive]:
+def _convert_directive(directive: Directive, servers: Directive | None, problems: list[Problem]) -> list[Directive]:
     name, values = directive.name.text, directive.values
     if name == "servers":
         if directive.comments_above and any(directive.comments_above):
@@ -60,25 +62,33 @@
             problems.append(problem_at(directive.name, "roster: how and what are due", "", code="migrate"))
             return [directive]
         kind = "roster" if values[0].text == "file" else "embedded"
-        more = [_word("main"), _word(kind), *values[1:], *(servers.values if servers else [])]
-        return [Directive(_word("pool"), more, None, directive.comments_above, directive.trailing_comment)]
+        more = [_synthetic_lexeme("main"), _synthetic_lexeme(kind), *values[1:], *(servers.values if servers else [])]
+        return [Directive(_synthetic_lexeme("pool"), more, None, directive.comments_above, directive.trailing_comment)]
     if name == "plan" and values:
         pairs = _pairs(values[1:])
-        quota = [lexeme for pair in pairs if pair[0].text in _QUOTA for lexeme in pair]
-        rest = [lexeme for pair in pairs if pair[0].text not in _QUOTA for lexeme in pair]
+        quota = [lexeme for pair in pairs if pair[0].text in _QUOTA_OPTIONS for lexeme in pair]
+        rest = [lexeme for pair in pairs if pair[0].text not in _QUOTA_OPTIONS for lexeme in pair]
         return [
-            Directive(_word("quota"), [values[0], *quota], None, directive.comments_above),
+            Directive(_synthetic_lexeme("quota"), [values[0], *quota], None, directive.comments_above),
             Directive(
-                _word("plan"), [values[0], _word("quota"), values[0], *rest], None, [], directive.trailing_comment
+                _synthetic_lexeme("plan"),
+                [values[0], _synthetic_lexeme("quota"), values[0], *rest],
+                None,
+                [],
+                directive.trailing_comment,
             ),
         ]
     if name == "customer":
-        return [Directive(_word("customers"), values, None, directive.comments_above, directive.trailing_comment)]
+        return [
+            Directive(
+                _synthetic_lexeme("customers"), values, None, directive.comments_above, directive.trailing_comment
+            )
+        ]
     if name == "route":
         return [
             Directive(
                 directive.name,
-                [*values, _word("pool"), _word("main")],
+                [*values, _synthetic_lexeme("pool"), _synthetic_lexeme("main")],
                 None,
                 directive.comments_above,
                 directive.trailing_comment,
--- a/anisefront/config/model.py
+++ b/anisefront/config/model.py
@@ -1,4 +1,4 @@
-"""Checked entries, and the settings that they come to. Every entry knows where each of its values stands."""
+"""Entries read from directives, and the settings built from them. An entry has the location of each of its values."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
-from sys import intern  # thousands of routes and keys say the same few names
+from sys import intern  # thousands of routes and keys share a few names
 from typing import Any
 
 from anisefront.config.lexer import Lexeme, Location, Problem, Severity, problem_at
@@ -26,106 +26,119 @@
 MAX_PROBE_PERIOD_MS = 60_000.0
 MIN_LEASE_MS = 100.0
 MAX_LEASE_MS = 60_000.0
-TICK_MS = 5.0  # the grain of the module's turns here; its guards leave twice this
+TICK_MS = 5.0  # interval between timer ticks of the policy; its safety margins are twice this
 
 
 @dataclass(slots=True)
 class Entry:
-    """One directive whose values have been read."""
+    """One directive with its parsed values.
+
+    Attributes:
+        name: Name of the directive.
+        lexeme: That name in the source.
+        arguments: Values of the arguments.
+        options: Values of the options that are given.
+        lexemes: The source of each argument and option.
+        unreadable: Options that may be given, but could not be read.
+        seen: Options that are given, valid or not.
+    """
 
     name: str
     lexeme: Lexeme
     arguments: dict[str, Any] = field(default_factory=dict)
     options: dict[str, Any] = field(default_factory=dict)
     lexemes: dict[str, Lexeme] = field(default_factory=dict)
-    unread: set[str] = field(default_factory=set)  # options that may be there but could not be read
-    seen: set[str] = field(default_factory=set)  # options that were there
+    unreadable: set[str] = field(default_factory=set)
+    seen: set[str] = field(default_factory=set)
 
-    def get(self, name: str, fallback: Any = None) -> Any:
-        """An option's value."""
-        return self.options.get(name, fallback)
+    def get(self, name: str, default: Any = None) -> Any:
+        """Return the value of an option."""
+        return self.options.get(name, default)
 
     def lexeme_of(self, name: str) -> Lexeme:
-        """Where a value stands, or the directive where it is not given."""
+        """Return the source of a value, or the directive's name if the value is not given."""
         return self.lexemes.get(name, self.lexeme)
 
 
 class EntryTable:
-    """All entries by their directive."""
+    """All entries, by directive."""
 
     def __init__(self) -> None:
-        """Create a model without entries."""
+        """Create an empty table."""
         self._entries: dict[str, list[Entry]] = {}
 
     def add(self, entry: Entry) -> None:
-        """Take an entry in."""
+        """Add an entry."""
         self._entries.setdefault(entry.name, []).append(entry)
 
     def all_of(self, name: str) -> list[Entry]:
-        """The entries of a directive, in their order."""
+        """Return the entries of a directive, in the order of their lines."""
         return self._entries.get(name, [])
 
     def single(self, name: str) -> Entry:
-        """The entry of a directive that stands once; an empty one where it does not stand."""
+        """Return the entry of a directive that may occur once; an empty one if it is missing."""
         return (self.all_of(name) or [Entry(name, Lexeme("", Location(0, 1, 1)))])[0]
 
     def by_name(self, name: str) -> dict[str, Entry]:
-        """The entries of a directive by their first argument."""
+        """Return the entries of a directive by their first argument."""
         return {next(iter(entry.arguments.values())): entry for entry in self.all_of(name)}
 
     def all(self) -> list[Entry]:
-        """Every entry."""
+        """Return all entries."""
         return [entry for entries in self._entries.values() for entry in entries]
 
 
 class UsageCounts:
-    """How many routes and keys use each name, and the units that requests count: all that other lines depend on.
+    """Counts of the routes and keys that use each name, and of the units per request of routes.
 
-    Counts go up and down, so that adding or removing a line costs no look at the others.
+    The checks of other lines need only these counts, which can be updated when a line is added or removed.
     """
 
     def __init__(self) -> None:
-        """Create counts of nothing."""
+        """Create counts of zero."""
         self.classes: Counter[str] = Counter()
         self.pools: Counter[str] = Counter()
         self.plans: Counter[str] = Counter()
         self.units: Counter[float] = Counter()
-        self.units_headers = 0  # routes that take the units from a header
+        self.units_headers = 0  # routes that read the units of a request from a header
 
     @classmethod
     def count(cls, routes: Iterable[Route], keys: Iterable[Key]) -> UsageCounts:
-        """Those of some routes and keys."""
+        """Return the counts of the given routes and keys."""
         out = cls()
-        for each in routes:
-            out.count_route(each, 1)
-        for each in keys:
-            out.count_key(each, 1)
+        for item in routes:
+            out.count_route(item, 1)
+        for item in keys:
+            out.count_key(item, 1)
         return out
 
-    def count_route(self, route: Route, by: int) -> None:
-        """A route more or less."""
+    def count_route(self, route: Route, change: int) -> None:
+        """Add (`change` 1) or remove (-1) a route."""
         for counter, name in ((self.classes, route.class_name), (self.pools, route.pool), (self.units, route.units)):
-            _count(counter, name, by)
-        self.units_headers += by if route.units_header else 0
+            _count(counter, name, change)
+        self.units_headers += change if route.units_header else 0
 
-    def count_key(self, key: Key, by: int) -> None:
-        """A key more or less."""
-        _count(self.plans, key.plan, by)
+    def count_key(self, key: Key, change: int) -> None:
+        """Add (`change` 1) or remove (-1) a key."""
+        _count(self.plans, key.plan, change)
 
 
-def _count(counter: Counter, name: Any, by: int) -> None:
-    counter[name] += by
+def _count(counter: Counter, name: Any, change: int) -> None:
+    counter[name] += change
     if not counter[name]:
         del counter[name]
 
 
 def find_second_pool(usage: UsageCounts) -> str:
-    """A gatekeeper's module knows one set of workers, so there can be one only: the name of another, or ""."""
+    """Return the name of a second pool that routes use; "" if there is none.
+
+    An instance has one policy controller with one set of endpoints, so all routes must use the same pool.
+    """
     return sorted(usage.pools)[1] if len(usage.pools) > 1 else ""
 
 
 def multiple_pools_problem(lexeme: Lexeme, usage: UsageCounts) -> Problem:
-    """What is said at the first route that reaches the second pool."""
+    """Return the problem reported at the first route that uses a second pool."""
     return problem_at(
         lexeme,
         f"routes reach {len(usage.pools)} pools: {', '.join(sorted(usage.pools))}",
@@ -135,66 +148,66 @@
 
 
 def build_config(
-    model: EntryTable, usage: UsageCounts, routes: tuple[Route, ...], keys: Mapping[str, Key], problems: list[Problem]
+    entries: EntryTable, usage: UsageCounts, routes: tuple[Route, ...], keys: Mapping[str, Key], problems: list[Problem]
 ) -> Config | None:
-    """Build the settings of all entries; routes and keys are handed in.
+    """Build the settings from all entries and from the given routes and keys.
 
     Returns:
         The settings; None where values are out of range, which is added to `problems`.
     """
     before = len(problems)
-    pool = _pool(model, usage, problems)
-    _check_numbers(model, problems)
-    _check_secret(model, problems)
-    _check_members(model, problems)
-    _check_keepers(model, problems)
-    for entry in model.all_of("class"):
+    pool = _select_pool(entries, usage, problems)
+    _check_numbers(entries, problems)
+    _check_secret(entries, problems)
+    _check_members(entries, problems)
+    _check_keepers(entries, problems)
+    for entry in entries.all_of("class"):
         _check_class(entry, problems)
-    _check_counts(model, problems)
+    _check_counts(entries, problems)
     if any(problem.severity is Severity.ERROR for problem in problems[before:]):
         return None
-    secret = model.single("secret").arguments.get("text", "")
-    return _config(model, pool, _settings(model, pool, secret), routes, keys)
+    secret = entries.single("secret").arguments.get("text", "")
+    return _build_config(entries, pool, _build_settings(entries, pool, secret), routes, keys)
 
 
-def _check_numbers(model: EntryTable, problems: list[Problem]) -> None:
-    own = model.single("gatekeeper")
-    number = own.arguments["number"]
-    count = own.options["of"]
+def _check_numbers(entries: EntryTable, problems: list[Problem]) -> None:
+    gatekeeper = entries.single("gatekeeper")
+    number = gatekeeper.arguments["number"]
+    count = gatekeeper.options["of"]
     suggestion = "numbers begin at 0 and end below the count"
     if count < 1 or number >= count:
         problems.append(
-            problem_at(own.lexeme_of("number"), f"gatekeeper {number} of {count}", suggestion, code="range")
+            problem_at(gatekeeper.lexeme_of("number"), f"gatekeeper {number} of {count}", suggestion, code="range")
         )
     if not count:
         return
-    for other, entry in _peers(model).items():
+    for other, entry in _peers(entries).items():
         if other >= count:
             problems.append(
                 problem_at(entry.lexeme_of("number"), f"peer {other} of {count} gatekeepers", suggestion, code="range")
             )
 
 
-def _peers(model: EntryTable) -> dict[int, Entry]:
-    return {entry.arguments["number"]: entry for entry in model.all_of("peer")}
+def _peers(entries: EntryTable) -> dict[int, Entry]:
+    return {entry.arguments["number"]: entry for entry in entries.all_of("peer")}
 
 
-def _check_secret(model: EntryTable, problems: list[Problem]) -> None:
-    entry = model.single("secret")
+def _check_secret(entries: EntryTable, problems: list[Problem]) -> None:
+    entry = entries.single("secret")
     secret = entry.arguments.get("text", "")
     size = len(secret.encode())
     if secret and size < MIN_SECRET_BYTES:
         problems.append(
             problem_at(entry.lexeme_of("text"), f"a secret of {size} bytes", "at least 16 are due", code="range")
         )
-    own = model.single("gatekeeper")
-    count = own.options["of"]
-    listens_to_peers = "peers" in model.by_name("listen")
+    gatekeeper = entries.single("gatekeeper")
+    count = gatekeeper.options["of"]
+    listens_to_peers = "peers" in entries.by_name("listen")
     if count > 1 and (not listens_to_peers or not secret):
         missing = "secret" if listens_to_peers else "listen peers"
         problems.append(
             problem_at(
-                own.lexeme,
+                gatekeeper.lexeme,
                 f"a fleet of {count} without a {missing!r} line",
                 "gatekeepers share quotas by authenticated datagrams",
                 code="missing",
@@ -202,9 +215,9 @@
         )
 
 
-def _check_members(model: EntryTable, problems: list[Problem]) -> None:
-    has_datagrams = "peers" in model.by_name("listen") and model.single("secret").arguments.get("text", "")
-    for entry in model.all_of("members"):
+def _check_members(entries: EntryTable, problems: list[Problem]) -> None:
+    has_datagrams = "peers" in entries.by_name("listen") and entries.single("secret").arguments.get("text", "")
+    for entry in entries.all_of("members"):
         if not has_datagrams:
             problems.append(
                 problem_at(
@@ -219,9 +232,9 @@
             problems.append(problem_at(entry.lexeme_of("period"), message, "1s is usual", code="range"))
 
 
-def _check_keepers(model: EntryTable, problems: list[Problem]) -> None:
-    for entry in model.all_of("keepers"):
-        if not model.all_of("members"):
+def _check_keepers(entries: EntryTable, problems: list[Problem]) -> None:
+    for entry in entries.all_of("keepers"):
+        if not entries.all_of("members"):
             message = "keepers without a 'members' line"
             problems.append(problem_at(entry.lexeme, message, "who may keep is told by who is there", code="missing"))
         if not MIN_LEASE_MS <= entry.get("lease", 1000.0) <= MAX_LEASE_MS:
@@ -229,30 +242,30 @@
             problems.append(problem_at(entry.lexeme_of("lease"), message, "1s is usual", code="range"))
 
 
-def _check_counts(model: EntryTable, problems: list[Problem]) -> None:
-    if len(model.all_of("class")) > MAX_CLASSES or len(model.all_of("plan")) > MAX_PLANS:
-        lexeme = model.single("gatekeeper").lexeme
+def _check_counts(entries: EntryTable, problems: list[Problem]) -> None:
+    if len(entries.all_of("class")) > MAX_CLASSES or len(entries.all_of("plan")) > MAX_PLANS:
+        lexeme = entries.single("gatekeeper").lexeme
         problems.append(
             problem_at(lexeme, "more than 16 classes or plans", "peers' messages have room for 16", code="range")
         )
-    attempts = model.single("attempts")
+    attempts = entries.single("attempts")
     if attempts.arguments.get("most", 3) < 1:
         problems.append(problem_at(attempts.lexeme_of("most"), "no attempt at all", "at least 1 is due", code="range"))
 
 
-def _settings(model: EntryTable, pool: Entry, secret: str) -> Settings:
-    own = model.single("gatekeeper")
-    count = own.options["of"]
-    limits = model.single("limits")
-    attempts = model.single("attempts")
-    park_ms = model.single("path").get("park", 100.0)
-    report_fields = model.single("report").arguments.get("values", ())
+def _build_settings(entries: EntryTable, pool: Entry, secret: str) -> Settings:
+    gatekeeper = entries.single("gatekeeper")
+    count = gatekeeper.options["of"]
+    limits = entries.single("limits")
+    attempts = entries.single("attempts")
+    park_ms = entries.single("path").get("park", 100.0)
+    report_fields = entries.single("report").arguments.get("values", ())
     return Settings(
         gateways=count,
-        number=own.arguments["number"],
-        zone=own.get("zone", ""),
-        classes=tuple(_class(entry, park_ms) for entry in model.all_of("class")),
-        plans=tuple(_plan(entry, model) for entry in model.all_of("plan")),
+        number=gatekeeper.arguments["number"],
+        zone=gatekeeper.get("zone", ""),
+        classes=tuple(_build_class(entry, park_ms) for entry in entries.all_of("class")),
+        plans=tuple(_build_plan(entry, entries) for entry in entries.all_of("plan")),
         warm_up_ms=pool.get("warm-up", 10_000.0),
         slow_start_initial_factor=pool.get("cold-from", 0.2),
         overload_multiple=pool.get("fall-multiple", 3.0),
@@ -263,25 +276,25 @@
         max_units=limits.get("units", 1000.0),
         peer_messages_enabled=count > 1,
         max_retry_after_ms=limits.get("retry-after", 5000.0),
-        inbox_per_s=model.single("messages").arguments.get("rate", MESSAGES_PER_S) if count > 1 else 0.0,
+        inbox_per_s=entries.single("messages").arguments.get("rate", MESSAGES_PER_S) if count > 1 else 0.0,
         load_report_mode="answers" if report_fields else "none",
         load_report_fields=report_fields,
-        # Of the secret, so that nobody outside can tell which names fall on one tag.
+        # Derived from the secret, so that outsiders cannot predict which names share a tag.
         tag_key=hashlib.blake2b(secret.encode(), digest_size=32, person=b"anisefront tags").digest() if secret else b"",
     )
 
 
-def _config(
-    model: EntryTable, pool: Entry, settings: Settings, routes: tuple[Route, ...], keys: Mapping[str, Key]
+def _build_config(
+    entries: EntryTable, pool: Entry, settings: Settings, routes: tuple[Route, ...], keys: Mapping[str, Key]
 ) -> Config:
     count = settings.gateways
     number = settings.number
-    peers = _peers(model)
-    listens = model.by_name("listen")
-    limits = model.single("limits")
-    path = model.single("path")
-    secret = model.single("secret").arguments.get("text", "")
-    customers = model.single("customers")
+    peers = _peers(entries)
+    listens = entries.by_name("listen")
+    limits = entries.single("limits")
+    path = entries.single("path")
+    secret = entries.single("secret").arguments.get("text", "")
+    customers = entries.single("customers")
     address = {front: Address(*entry.arguments["address"]) for front, entry in listens.items()}
     embedded = (
         Embedded(pool.options["embedded"], pool.get("cores", 2), pool.get("service", 1.0))
@@ -294,7 +307,7 @@
         keys=keys,
         customer_header=customers.options["header"],
         default_plan=customers.get("plan", ""),
-        repeat_header=model.single("repeat-header").arguments.get("header", ""),
+        repeat_header=entries.single("repeat-header").arguments.get("header", ""),
         spread=min(count, customers.get("spread", count)),
         grpc=address.get("grpc"),
         jsonrpc=address.get("jsonrpc"),
@@ -306,24 +319,24 @@
         log_ms=path.get("log", 1000.0),
         ask_again_ms=path.get("ask-again", 500.0),
         park_ms=path.get("park", 100.0),
-        drain_ms=model.single("drain").arguments.get("time", 10_000.0),
-        stop_ms=model.single("stop").arguments.get("time", 15_000.0),
+        drain_ms=entries.single("drain").arguments.get("time", 10_000.0),
+        stop_ms=entries.single("stop").arguments.get("time", 15_000.0),
         most_open=limits.get("open", 50_000),
         most_connections=limits.get("connections", 512),
-        seed=model.single("seed").arguments.get("number"),
-        recording=_recording(model),
-        members_ms=model.single("members").get("period", 1000.0) if model.all_of("members") else 0.0,
+        seed=entries.single("seed").arguments.get("number"),
+        recording=_build_recording(entries),
+        members_ms=entries.single("members").get("period", 1000.0) if entries.all_of("members") else 0.0,
         rooms={other: entry.get("zone", "") for other, entry in peers.items()},
-        lease_ms=model.single("keepers").get("lease", 1000.0) if model.all_of("keepers") else 0.0,
-        most_records=model.single("keepers").get("records", 50_000),
+        lease_ms=entries.single("keepers").get("lease", 1000.0) if entries.all_of("keepers") else 0.0,
+        most_records=entries.single("keepers").get("records", 50_000),
         protected_only=frozenset(
-            entry.arguments["name"] for entry in model.all_of("class") if entry.get("unprotected") == "refuse"
+            entry.arguments["name"] for entry in entries.all_of("class") if entry.get("unprotected") == "refuse"
         ),
     )
 
 
-def _recording(model: EntryTable) -> Recording | None:
-    entry = model.single("record")
+def _build_recording(entries: EntryTable) -> Recording | None:
+    entry = entries.single("record")
     if not entry.arguments:
         return None
     return Recording(
@@ -334,9 +347,9 @@
     )
 
 
-def _pool(model: EntryTable, usage: UsageCounts, problems: list[Problem]) -> Entry:
-    """The pool that routes reach."""
-    pools = model.by_name("pool")
+def _select_pool(entries: EntryTable, usage: UsageCounts, problems: list[Problem]) -> Entry:
+    """Return the pool that routes use."""
+    pools = entries.by_name("pool")
     for entry in pools.values():
         if ("roster" in entry.options) == ("embedded" in entry.options):
             problems.append(
@@ -347,7 +360,7 @@
                     code="range",
                 )
             )
-    return pools[min(usage.pools)] if usage.pools else model.all_of("pool")[0]
+    return pools[min(usage.pools)] if usage.pools else entries.all_of("pool")[0]
 
 
 def _check_class(entry: Entry, problems: list[Problem]) -> None:
@@ -384,7 +397,7 @@
 
 
 def check_route(entry: Entry) -> Problem | None:
-    """What is wrong with a route beyond its words."""
+    """Return a problem of a route that the types of its values do not exclude."""
     for condition in entry.get("when", ()):
         if "=" not in condition[1:]:
             return problem_at(
@@ -394,12 +407,12 @@
 
 
 def key(entry: Entry) -> Key:
-    """What a key's entry stands for."""
+    """Return the key that an entry describes."""
     return Key(entry.options["customer"], intern(entry.options["plan"]))
 
 
 def route(entry: Entry) -> Route:
-    """A route's entry as the program knows it."""
+    """Return the route that an entry describes."""
     when = tuple(sorted(tuple(condition.split("=", 1)) for condition in entry.get("when", ())))
     methods = tuple(dict.fromkeys(map(intern, entry.arguments["method"])))
     return plain_route(
@@ -424,7 +437,7 @@
     units: float = 1.0,
     units_header: str = "",
 ) -> Route:
-    """A route, sharing the few names that thousands have."""
+    """Return a route whose names are interned, since thousands of routes share them."""
     return Route(
         Pattern(_METHODS.get(methods, methods), path, intern(host), when),
         intern(class_name),
@@ -434,8 +447,9 @@
     )
 
 
-def _class(entry: Entry, park_ms: float) -> RequestClass:
-    # What leaves here may wait for its check, and then for its proxy: a repeat must still be in time there.
+def _build_class(entry: Entry, park_ms: float) -> RequestClass:
+    # A dispatched request may wait for its authorization check and then for its proxy, up to park_ms each: a repeat
+    # must still reach the worker within the window.
     window = max(0.0, entry.get("window", 0.0) - 2 * park_ms)
     return RequestClass(
         entry.arguments["name"],
@@ -449,8 +463,8 @@
     )
 
 
-def _plan(entry: Entry, model: EntryTable) -> Plan:
-    quota = model.by_name("quota")[entry.options["quota"]]
+def _build_plan(entry: Entry, entries: EntryTable) -> Plan:
+    quota = entries.by_name("quota")[entry.options["quota"]]
     rate, ceiling = quota.get("rate", 0.0), quota.get("ceiling", 0.0)
     return Plan(
         entry.arguments["name"],
--- a/anisefront/config/problem_texts.py
+++ b/anisefront/config/problem_texts.py
@@ -1,4 +1,7 @@
-"""Texts of the problems of an incremental load, which keeps no lines: those that are shown are read once more."""
+"""Texts of the problems of an incremental load.
+
+An incremental load does not keep the text of files, so the lines shown in messages are read again.
+"""
 
 from __future__ import annotations
 
@@ -13,35 +16,35 @@
 from anisefront.config.loader import LoadedSources, Source
 from anisefront.config.parser import Document
 
-UTF16_MARKS = (b"\xff\xfe", b"\xfe\xff")
-UTF8_MARK = b"\xef\xbb\xbf"
+UTF16_BYTE_ORDER_MARKS = (b"\xff\xfe", b"\xfe\xff")
+UTF8_BYTE_ORDER_MARK = b"\xef\xbb\xbf"
 
 
 def render_problems(
-    attempt: LoadAttempt, found: Iterable[Problem], uncounted: int
+    attempt: LoadAttempt, found: Iterable[Problem], hidden_count: int
 ) -> Generator[None, None, tuple[tuple[Problem, ...], tuple[str, ...]]]:
-    """Return the problems in the order of their places, and their texts, errors first.
+    """Return the problems by location, and their texts, errors first.
 
     Raises:
         FileChangedError: A file with a problem has changed since it was read.
     """
     localized = (replace(problem, location=attempt.localize(problem.location)) for problem in found)
-    problems = checker.sort_problems(localized, False, uncounted)
+    problems = checker.sort_problems(localized, False, hidden_count)
     if not problems:
         return (), ()
     yield
-    load = _LoadOfShownLines(_sources(attempt))
-    wanted: dict[int, set[int]] = {}
+    loaded = _ShownLines(_sources(attempt))
+    line_numbers: dict[int, set[int]] = {}
     for problem in problems:
-        wanted.setdefault(problem.location.file, set()).add(problem.location.line)
-    for number, lines in wanted.items():
+        line_numbers.setdefault(problem.location.file, set()).add(problem.location.line)
+    for number, lines in line_numbers.items():
         if number < len(attempt.files):
             data = yield from attempt.read_again(attempt.files[number])
-            yield from load.look_up(number, lines, data)
+            yield from loaded.look_up(number, lines, data)
     texts = []
     for problem in sorted(problems, key=lambda problem: -problem.severity):
         yield
-        texts.append(messages.format_problem(load, problem))
+        texts.append(messages.format_problem(loaded, problem))
     return tuple(problems), tuple(texts)
 
 
@@ -53,8 +56,8 @@
     return sources or [Source("settings", "", Document([], []))]
 
 
-class _LoadOfShownLines(LoadedSources):
-    """A load that knows only those of its lines that are shown."""
+class _ShownLines(LoadedSources):
+    """Loaded sources that hold only the lines that messages show."""
 
     def __init__(self, sources: list[Source]) -> None:
         super().__init__(sources)
@@ -65,7 +68,7 @@
         return self._lines.get(location[:2], "")
 
     def look_up(self, file: int, lines: set[int], data: bytes) -> Generator[None, None, None]:
-        """Find lines of a file, in steps."""
+        """Store the given lines of a file, in steps."""
         last = max(lines)
         for number, line in enumerate(_decoded_lines(data), 1):
             if ends_step(number - 1):
@@ -77,9 +80,9 @@
 
 
 def _decoded_lines(data: bytes) -> Iterator[str]:
-    if data.startswith(UTF16_MARKS):
+    if data.startswith(UTF16_BYTE_ORDER_MARKS):
         return
     try:
         yield from lines_of(data)
     except UnicodeDecodeError:
-        yield from data.removeprefix(UTF8_MARK).decode("utf-8", "replace").split("\n")
+        yield from data.removeprefix(UTF8_BYTE_ORDER_MARK).decode("utf-8", "replace").split("\n")
--- a/anisefront/config/reference.py
+++ b/anisefront/config/reference.py
@@ -1,4 +1,4 @@
-"""The reference page, from the table that the checker uses. docs/operators/settings.md is held to it by a test."""
+"""Generates the reference page from the table of directives. A test compares docs/operators/settings.md with it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def reference() -> str:
-    """The whole page in Markdown."""
+    """Return the reference page in Markdown."""
     out = [
         "# Settings: every directive",
         "",
@@ -25,7 +25,7 @@
         "",
     ]
     for name, spec in LANGUAGE.items():
-        out += _one(name, spec)
+        out += _describe_directive(name, spec)
     out += [
         "## Of the gatekeeper",
         "",
@@ -34,16 +34,16 @@
         "",
     ]
     for name, spec in SCHEMA.items():
-        out += _one(name, spec)
+        out += _describe_directive(name, spec)
     return "\n".join(out).rstrip() + "\n"
 
 
-def _one(name: str, spec: DirectiveSpec) -> list[str]:
+def _describe_directive(name: str, spec: DirectiveSpec) -> list[str]:
     words = " ".join(
         f"[{argument.name}...]" if argument.is_list else argument.name.upper() for argument in spec.arguments
     )
     notes = [
-        text for text, holds in (("needed", spec.required), ("may stand more than once", spec.repeatable)) if holds
+        text for text, applies in (("needed", spec.required), ("may stand more than once", spec.repeatable)) if applies
     ]
     out = [f"### `{f'{name} {words}'.strip()}`", "", spec.description + (f" ({'; '.join(notes)})" if notes else ""), ""]
     kinds = [f"{argument.name}: {argument.type.name}" for argument in spec.arguments]
@@ -63,5 +63,5 @@
 
 
 def grammar() -> str:
-    """The grammar's productions, as the parser's own page has them."""
+    """Return the productions of the grammar, as docs/config-grammar.md has them."""
     return "\n".join(f"    {line}" for line in GRAMMAR) + "\n"
--- a/anisefront/config/route_checks.py
+++ b/anisefront/config/route_checks.py
@@ -1,6 +1,6 @@
-"""Checks of routes against each other: routes that never match, overlaps, and paths that are easily confused.
+"""Checks of routes against each other: unreachable routes, overlaps, and paths that are easily confused.
 
-Each finding on precedence names a request that shows it. Free of I/O.
+A problem about precedence includes an example request. Free of I/O.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from anisefront.gateway.routes import Route
 from anisefront.gateway.routing import RouteIndex
 
-MAX_OVERLAPS = 200  # reported pairs of one group, and notes of each kind; thousands of messages help no reader
+MAX_OVERLAPS = 200  # reported pairs of one group, and notes of each kind; thousands of messages would not help
 PAIRS_PER_STEP = 50  # comparisons of two routes in one step
 
-RouteLines = list[tuple[Lexeme, Route]]  # the first word of each route's line, and the route, in order
+RouteLines = list[tuple[Lexeme, Route]]  # the name lexeme of each route's line, and the route, in order
 
 
 def overlap_group(pattern: Pattern) -> str:
     """Return the key of the routes that can contradict each other or be confused.
 
-    They have the same host and the same shape of path, whatever the case and a final slash.
+    They have the same host, and the same shape of path apart from letter case and a final slash.
     """
     path = "/".join(":" if is_parameter(segment) else segment for segment in pattern.path.split("/"))
     return f"{pattern.host} {path.lower().rstrip('/')}"
@@ -40,7 +40,7 @@
                 yield problem
     if notes:
         yield from _check_crossings([line for line in lines if id(line) not in unreachable])
-        yield from _check_raw_forms(lines)
+        yield from _check_path_variants(lines)
 
 
 def check_overlap_group(lines: RouteLines, unreachable: set[int]) -> Iterator[Problem | None]:
@@ -51,7 +51,7 @@
         unreachable: Receives the `id` of each line whose route never matches.
 
     Yields:
-        Each problem; None after a step of work without one.
+        Each problem; None marks a step of work without one.
     """
     if len(lines) == 1:
         return
@@ -85,7 +85,7 @@
 
 
 def _find_covering(lines: RouteLines, numbers: list[int], number: int) -> Generator[None, None, int | None]:
-    """Return the last of the routes that together take all of a route's requests; None where some are left to it."""
+    """Return the last of the routes that together cover all requests of a route; None if they do not cover it."""
     pattern = lines[number][1].pattern
     uncovered_methods = set(pattern.methods)
     last = None
@@ -108,7 +108,7 @@
 def _check_overlaps(lines: RouteLines, groups: list[list[int]], unreachable: set[int]) -> Iterator[Problem | None]:
     """Report pairs of one shape with requests in common and different outcomes.
 
-    The order of lines decides between them, which is easily overlooked.
+    The order of lines decides between them, which is easy to overlook.
     """
     reported = 0
     for numbers in groups:
@@ -169,11 +169,11 @@
             )
 
 
-def _check_raw_forms(lines: RouteLines) -> Iterator[Problem]:
-    """Note routes of which a raw form of the path goes by another route with another outcome.
+def _check_path_variants(lines: RouteLines) -> Iterator[Problem]:
+    """Note routes for which a variant of the path matches another route with another outcome.
 
-    The raw forms are a final slash, letters of the other case, and a parameter behind a semicolon: many endpoints
-    take them for the same path. All other raw forms are normalized or rejected.
+    The variants are a final slash, swapped letter case, and a parameter after a semicolon: many endpoints treat them as
+    the same path. All other variants are normalized or rejected.
     """
     index = RouteIndex(tuple(route for _, route in lines))
     reported = 0
@@ -181,14 +181,14 @@
         path = route.pattern.path
         if not is_literal(path) or path == "/" or reported >= MAX_OVERLAPS:
             continue
-        found = _diverging_raw_form(index, lines, route)
+        found = _find_diverging_variant(index, lines, route)
         if found is None:
             continue
         reported += 1
-        raw, other = found
+        variant, other = found
         yield problem_at(
             lexeme,
-            f"{raw} goes by line {lines[other][0].location.line} with another outcome, "
+            f"{variant} goes by line {lines[other][0].location.line} with another outcome, "
             f"and workers may take it for {path}",
             "see that they do not, or give it a route of its own",
             Severity.NOTE,
@@ -196,25 +196,25 @@
         )
 
 
-def _diverging_raw_form(index: RouteIndex, lines: RouteLines, route: Route) -> tuple[str, int] | None:
-    """Return the first raw form that another route takes with another outcome, and that route's number."""
+def _find_diverging_variant(index: RouteIndex, lines: RouteLines, route: Route) -> tuple[str, int] | None:
+    """Return the first variant that another route matches with another outcome, and the number of that route."""
     pattern = route.pattern
     path = pattern.path
     host = "other-host" + pattern.host[1:] if pattern.host.startswith("*.") else pattern.host
     headers = {name: OTHER if value == "*" else value for name, value in pattern.when}
     method = OTHER_METHOD if pattern.methods[0] == "*" else pattern.methods[0]
-    for raw in (path + "/", path.swapcase(), path + ";x"):
-        other = index.find(method, host, raw, headers)
+    for variant in (path + "/", path.swapcase(), path + ";x"):
+        other = index.find(method, host, variant, headers)
         if other < 0:
             continue
         other_route = lines[other][1]
-        if other_route.outcome != route.outcome and other_route.pattern.path != raw:
-            return raw, other
+        if other_route.outcome != route.outcome and other_route.pattern.path != variant:
+            return variant, other
     return None
 
 
 def _check_spelling(lines: RouteLines) -> Iterator[Problem | None]:
-    """Report routes that differ in case or in a final slash only: to a request they are two."""
+    """Report routes that differ only in letter case or a final slash, since requests distinguish them."""
     first_numbers: dict[tuple, int] = {}
     for number, (lexeme, route) in enumerate(lines):
         if number % PAIRS_PER_STEP == PAIRS_PER_STEP - 1:
--- a/anisefront/config/route_crossings.py
+++ b/anisefront/config/route_crossings.py
@@ -1,4 +1,4 @@
-"""Search for pairs of routes of which each is wider than the other at some place of its path.
+"""Search for pairs of routes of which each is wider than the other in some segment of its path.
 
 All path patterns are put into a trie, and each pattern with a parameter or a wildcard is walked through it.
 """
@@ -11,7 +11,7 @@
 from anisefront.gateway.patterns import segments
 from anisefront.gateway.routes import Route
 
-MAX_STEPS = 20_000  # of one pattern's walk; a file that needs more gets fewer notes
+MAX_STEPS = 20_000  # of the walk of one pattern; beyond it, notes may be missing
 
 
 def is_parameter(segment: str) -> bool:
@@ -40,9 +40,9 @@
 
 
 def crossing_pairs(routes: Iterable[Route]) -> Iterator[tuple[int, int]]:
-    """Find the pairs of routes, by number, of which each is wider than the other at some place.
+    """Find the pairs of routes, by number, of which each is wider than the other in some segment.
 
-    Where one is a special case of the other its precedence is expected, so such branches are not followed.
+    If one is a special case of the other, its precedence is expected, so such branches are not followed.
     """
     paths = [segments(route.pattern.path) for route in routes]
     root = _TrieNode()
@@ -70,7 +70,7 @@
 
 
 def _crossing_routes(root: _TrieNode, path: list[str]) -> Iterator[int]:
-    """Find the routes that are wider than `path` at one place and narrower at another."""
+    """Find the routes that are wider than `path` in one segment and narrower in another."""
     stack: list[_Position] = [(root, 0, False, False)]
     steps = 0
     while stack and steps < MAX_STEPS:
@@ -90,7 +90,7 @@
 
 
 def _crossing_wildcards(node: _TrieNode, segment: str, narrower: bool) -> Iterator[int]:
-    """Find the wildcards here: wider in what follows, and narrower than a parameter where they have a prefix."""
+    """Find the wildcards of this node: wider in what follows, and narrower than a parameter if they have a prefix."""
     parameter = is_parameter(segment)
     for prefix, routes in node.wildcards.items():
         narrower_here = narrower or (parameter and prefix)
@@ -111,7 +111,7 @@
 
 
 def _crossing_below(node: _TrieNode, prefix: str, wider: bool, narrower: bool) -> Iterator[int]:
-    """Find the routes that have paths in common with a final `prefix*` and are wider at some other place."""
+    """Find the routes that have paths in common with a final `prefix*` and are wider in some other segment."""
     for other_prefix, routes in node.wildcards.items():
         inside = other_prefix.startswith(prefix) and wider
         outside = prefix.startswith(other_prefix) and narrower
--- a/anisefront/config/schema.py
+++ b/anisefront/config/schema.py
@@ -1,6 +1,6 @@
-"""Every directive of the language in one table: the checker, the reference page, completion and hover read it.
+"""The table of all directives, from which the checker, the reference page, completion and hover are derived.
 
-A directive has fixed words, then options as `name value`, either on its line or one a line in its block.
+A directive has positional arguments, followed by options as `name value`, on its line or one per line in its block.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Argument:
-    """A fixed word, or with `is_list` a list of them."""
+    """A positional argument: a single value, or with `is_list` a list of values."""
 
     name: str
     type: Type
     is_list: bool = False
-    refers_to: str = ""  # the directive whose first word this names
+    refers_to: str = ""  # the directive whose first argument this value refers to
 
 
 @dataclass(frozen=True, slots=True)
 class Option:
-    """An option: its type, what it means, and what holds where it is not given."""
+    """An option of a directive: its type, its meaning, and its default as shown in the reference."""
 
     type: Type
     description: str
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectiveSpec:
-    """One directive."""
+    """Specification of one directive."""
 
     description: str
     arguments: tuple[Argument, ...] = ()
     options: dict[str, Option] = field(default_factory=dict)
-    repeatable: bool = False  # it may stand more than once
+    repeatable: bool = False  # it may occur more than once
     required: bool = False
-    unique: tuple[int, ...] = ()  # the arguments that tell one from another
+    unique: tuple[int, ...] = ()  # positions of the arguments that identify one occurrence
     example: str = ""
 
 
@@ -283,7 +283,7 @@
         example="seed 7",
     ),
 }
-# Directives of the language itself, which the loader and the expansion carry out.
+# Directives of the language itself, processed by the loader and by the expansion of definitions.
 LANGUAGE: dict[str, DirectiveSpec] = {
     "language": DirectiveSpec(
         "The version of the language; must come first.", (Argument("version", WHOLE),), example="language 2"
@@ -316,7 +316,7 @@
         example="use view [/stock-view stock-view]",
     ),
 }
-# What a running gatekeeper can't change: it must be started anew.
+# Directives whose changes take effect only after a restart.
 REQUIRES_RESTART = (
     "gatekeeper",
     "listen",
--- a/anisefront/config/types.py
+++ b/anisefront/config/types.py
@@ -1,4 +1,4 @@
-"""What a settings file comes to. Plain records; nothing is decided or read here."""
+"""Values that a valid settings file yields. Plain records without logic."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where to listen or whom to reach; port 0 takes a free one."""
+    """Address to listen on or to connect to; port 0 means any free port."""
 
     host: str
     port: int
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Embedded:
-    """Workers inside this process, for a first try and for benchmarks."""
+    """Simulated workers inside this process, for first trials and benchmarks."""
 
     count: int
     cores: int
@@ -28,7 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Recording:
-    """Where traffic is recorded, when a new file begins (bytes), how many are kept, the key of pseudonyms."""
+    """Settings of traffic recording.
+
+    Attributes:
+        path: The file that records are appended to.
+        rotate: Size in bytes beyond which a new file is begun.
+        keep: Number of files that are retained.
+        key: Key from which pseudonyms of customers are derived.
+    """
 
     path: str
     rotate: int
@@ -38,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One gatekeeper's settings. Times in milliseconds."""
+    """Settings of one gateway instance. Times are in milliseconds."""
 
     settings: Settings
     routes: tuple[Route, ...]
@@ -46,7 +53,7 @@
     customer_header: str
     default_plan: str = ""
     repeat_header: str = ""
-    spread: int = 1  # gateways that a customer's requests come through
+    spread: int = 1  # number of gateway instances that receive the requests of one customer
     grpc: Address | None = None
     jsonrpc: Address | None = None
     peers_listen: Address | None = None
@@ -63,8 +70,8 @@
     most_connections: int = 512
     seed: int | None = None
     recording: Recording | None = None
-    members_ms: float = 0.0  # the period of probes between gatekeepers; 0: who is there is not watched
-    rooms: dict[int, str] = field(default_factory=dict)  # zones of other gatekeepers, where they are told
-    lease_ms: float = 0.0  # after which a gatekeeper not heard is taken for lost; 0: nobody keeps
-    most_records: int = 50_000  # requests kept for others
-    protected_only: frozenset[str] = frozenset()  # classes that are refused where no keeper can be told
+    members_ms: float = 0.0  # period of membership probes between instances; 0 disables failure detection
+    rooms: dict[int, str] = field(default_factory=dict)  # zone of each gateway instance by number; "" if not configured
+    lease_ms: float = 0.0  # silence after which an instance is considered lost; 0 disables replication
+    most_records: int = 50_000  # maximum number of requests replicated for other instances
+    protected_only: frozenset[str] = frozenset()  # classes whose requests are rejected if no backup is reachable
--- a/anisefront/config/values.py
+++ b/anisefront/config/values.py
@@ -1,6 +1,7 @@
-"""Types of values and their units. A value reads to what the program works with and writes back without loss.
+"""Types of values and their units.
 
-Each type has a name for messages, reads a word or says what is wrong with it, and gives examples for the pages.
+Each type has a name for messages, a function that parses a lexeme or raises `InvalidValueError`, and an example for the
+reference page. Times and rates are formatted without loss, so that parsing the result gives the same value.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class InvalidValueError(Exception):
-    """A word that is no value of the type: what is wrong, and the mend."""
+    """A lexeme is not a valid value of the type."""
 
     def __init__(self, message: str, suggestion: str = "") -> None:
         """Create the error with a message and a suggestion."""
@@ -29,14 +30,14 @@
 
 
 def did_you_mean(text: str, choices: Iterable[str]) -> str:
-    """The mend for a misspelt name, "" where nothing is near."""
+    """Return a suggestion for a misspelled name; "" if no choice is similar."""
     found = get_close_matches(text.lower(), {choice.lower(): choice for choice in choices}, 1, 0.6)
     return f"did you mean {next(c for c in choices if c.lower() == found[0])!r}?" if found else ""
 
 
 @dataclass(frozen=True, slots=True)
 class Type:
-    """A type of value."""
+    """A type of values."""
 
     name: str
     read: Callable[[Lexeme], Any]
@@ -58,20 +59,21 @@
 _RATE_SUBJECTS = ("", "requests", "request", "units", "unit", "datagrams", "datagram")
 
 
-def _split(lexeme: Lexeme, message: str) -> tuple[Fraction, str]:
+def _split_number(lexeme: Lexeme, type_name: str) -> tuple[Fraction, str]:
+    """Split a quantity into its number and its unit, which may be empty."""
     match = _QUANTITY.match(lexeme.text)
     if not match or not lexeme.text.isascii():
-        raise InvalidValueError(f"{lexeme.text[:60]!r} is no {message}")
+        raise InvalidValueError(f"{lexeme.text[:60]!r} is no {type_name}")
     if match[1].startswith("-"):
         raise InvalidValueError(f"{lexeme.text[:60]!r} is below nothing")
     if len(match[1]) > MAX_DIGITS:
-        # Danger: turning thousands of digits into a number takes long, and more still raises.
+        # Converting thousands of digits takes long, and Python raises an exception for still more.
         raise InvalidValueError(f"{lexeme.text[:20]!r}... has {len(match[1])} digits, at most {MAX_DIGITS}")
     return Fraction(match[1]), match[2].strip()
 
 
-def _time(lexeme: Lexeme) -> float:
-    number, unit = _split(lexeme, "time")
+def _read_time(lexeme: Lexeme) -> float:
+    number, unit = _split_number(lexeme, "time")
     if unit not in TIME_UNITS:
         suggestion = (
             f"write {lexeme.text}ms or {lexeme.text}s"
@@ -84,18 +86,18 @@
     return float(number * TIME_UNITS[unit])
 
 
-def _rate(lexeme: Lexeme) -> float:
-    number, rest = _split(lexeme, "rate")
+def _read_rate(lexeme: Lexeme) -> float:
+    number, rest = _split_number(lexeme, "rate")
     counted, slash, period = rest.partition("/")
     if not slash or counted.strip() not in _RATE_SUBJECTS or period.strip() not in RATE_PERIODS:
-        bare = lexeme.text if not rest else lexeme.text[: len(lexeme.text) - len(rest)].strip()
+        number_text = lexeme.text if not rest else lexeme.text[: len(lexeme.text) - len(rest)].strip()
         message = "has no unit of rate" if not rest else "is no rate"
-        raise InvalidValueError(f"{lexeme.text[:60]!r} {message}", f"write {bare}/s or {bare}/min")
+        raise InvalidValueError(f"{lexeme.text[:60]!r} {message}", f"write {number_text}/s or {number_text}/min")
     return float(number / RATE_PERIODS[period.strip()])
 
 
-def _size(lexeme: Lexeme) -> int:
-    number, unit = _split(lexeme, "size")
+def _read_size(lexeme: Lexeme) -> int:
+    number, unit = _split_number(lexeme, "size")
     if unit not in SIZE_UNITS:
         suggestion = (
             f"write {lexeme.text}KiB or {lexeme.text}MiB"
@@ -107,8 +109,8 @@
     return int(number * SIZE_UNITS[unit])
 
 
-def _share(lexeme: Lexeme) -> float:
-    number, unit = _split(lexeme, "share")
+def _read_share(lexeme: Lexeme) -> float:
+    number, unit = _split_number(lexeme, "share")
     if unit not in ("", "%"):
         raise InvalidValueError(f"{lexeme.text[:60]!r} is no share", "write 20% or 0.2")
     share = number / 100 if unit else number
@@ -119,8 +121,8 @@
     return float(share)
 
 
-def _number(lexeme: Lexeme) -> float:
-    number, unit = _split(lexeme, "number")
+def _read_number(lexeme: Lexeme) -> float:
+    number, unit = _split_number(lexeme, "number")
     if unit:
         raise InvalidValueError(
             f"{lexeme.text[:60]!r} is no bare number", f"write {lexeme.text[: len(lexeme.text) - len(unit)].strip()}"
@@ -128,8 +130,8 @@
     return float(number)
 
 
-def _whole(lexeme: Lexeme) -> int:
-    number, unit = _split(lexeme, "whole number")
+def _read_whole_number(lexeme: Lexeme) -> int:
+    number, unit = _split_number(lexeme, "whole number")
     if unit or number.denominator != 1:
         raise InvalidValueError(f"{lexeme.text[:60]!r} is no whole number")
     if number > 10**15:
@@ -140,13 +142,13 @@
 _NAME = re.compile(r"[A-Za-z][A-Za-z0-9._-]{0,63}\Z")
 
 
-def _name(lexeme: Lexeme) -> str:
+def _read_name(lexeme: Lexeme) -> str:
     if not _NAME.match(lexeme.text):
         raise InvalidValueError(f"{lexeme.text[:60]!r} is no name", "a letter, then letters, digits, . _ -, at most 64")
     return lexeme.text
 
 
-def _text(lexeme: Lexeme) -> str:
+def _read_text(lexeme: Lexeme) -> str:
     if not lexeme.text:
         raise InvalidValueError("an empty text")
     if len(lexeme.text) > 4096 or any(ord(letter) < 32 for letter in lexeme.text):
@@ -154,28 +156,28 @@
     return lexeme.text
 
 
-def _header(lexeme: Lexeme) -> str:
+def _read_header(lexeme: Lexeme) -> str:
     if not re.fullmatch(r"[a-z0-9!#$%&'*+.^_`|~-]+", lexeme.text):
         lower = lexeme.text.lower()
-        fits = re.fullmatch(r"[a-z0-9!#$%&'*+.^_`|~-]+", lower)
-        raise InvalidValueError(f"{lexeme.text[:60]!r} is no header name", f"write {lower}" if fits else "")
+        is_valid = re.fullmatch(r"[a-z0-9!#$%&'*+.^_`|~-]+", lower)
+        raise InvalidValueError(f"{lexeme.text[:60]!r} is no header name", f"write {lower}" if is_valid else "")
     return lexeme.text
 
 
-def _address(lexeme: Lexeme) -> tuple[str, int]:
+def _read_address(lexeme: Lexeme) -> tuple[str, int]:
     host, colon, port = lexeme.text.rpartition(":")
-    plain = host.removeprefix("[").removesuffix("]") if host.startswith("[") else host
-    if not colon or not plain or not port.isdigit() or len(port) > 5 or int(port) > 65535:
+    bare_host = host.removeprefix("[").removesuffix("]") if host.startswith("[") else host
+    if not colon or not bare_host or not port.isdigit() or len(port) > 5 or int(port) > 65535:
         raise InvalidValueError(f"{lexeme.text[:60]!r} is no address", "write HOST:PORT, such as 127.0.0.1:9000")
-    if ":" in plain:
+    if ":" in bare_host:
         try:
-            ipaddress.IPv6Address(plain)
+            ipaddress.IPv6Address(bare_host)
         except ValueError:
             raise InvalidValueError(f"{lexeme.text[:60]!r} is no address", "write [IPv6]:PORT") from None
-    return plain, int(port)
+    return bare_host, int(port)
 
 
-def _method(lexeme: Lexeme) -> str:
+def _read_method(lexeme: Lexeme) -> str:
     if lexeme.text != "*" and not re.fullmatch(r"[A-Z][A-Z-]{0,31}", lexeme.text):
         raise InvalidValueError(
             f"{lexeme.text[:60]!r} is no method",
@@ -184,7 +186,7 @@
     return lexeme.text
 
 
-def _path(lexeme: Lexeme) -> str:
+def _read_path(lexeme: Lexeme) -> str:
     text = lexeme.text
     if not text.startswith("/"):
         raise InvalidValueError(f"{text[:60]!r} is no path", f"write /{text[:60]}")
@@ -196,8 +198,8 @@
     example = text[:-1] + "x" if text.endswith("*") else text
     try:
         matched = normalize_target(example)
-    except AmbiguousPathError as problem:
-        raise InvalidValueError(f"{text[:60]!r}: {problem}; such requests are refused") from problem
+    except AmbiguousPathError as error:
+        raise InvalidValueError(f"{text[:60]!r}: {error}; such requests are refused") from error
     if matched != example:
         raise InvalidValueError(
             f"{text[:60]!r} never matches: requests are matched in normal form",
@@ -210,7 +212,7 @@
     return text
 
 
-def _host(lexeme: Lexeme) -> str:
+def _read_host(lexeme: Lexeme) -> str:
     text = lexeme.text
     labels = text.removeprefix("*.").split(".")
     if text != "*" and not all(re.fullmatch(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?", label) for label in labels):
@@ -222,7 +224,7 @@
 
 
 def one_of(*choices: str) -> Type:
-    """A type of a few words."""
+    """Return the type whose values are the given words."""
 
     def read(lexeme: Lexeme) -> str:
         if lexeme.text not in choices:
@@ -234,24 +236,24 @@
     return Type(" or ".join(choices), read, choices[0])
 
 
-TIME = Type("time", _time, "1500ms")
-RATE = Type("rate", _rate, "12/min")
-SIZE = Type("size", _size, "64KiB")
-SHARE = Type("share", _share, "20%")
-NUMBER = Type("number", _number, "1.5")
-WHOLE = Type("whole number", _whole, "3")
-NAME = Type("name", _name, "stock-view")
-TEXT = Type("text", _text, '"a text"')
-HEADER = Type("header", _header, "x-key")
-ADDRESS = Type("address", _address, "127.0.0.1:9000")
-METHOD = Type("method", _method, "GET")
-PATH = Type("path", _path, "/stalls/:stall")
-HOST = Type("host", _host, "*.example")
+TIME = Type("time", _read_time, "1500ms")
+RATE = Type("rate", _read_rate, "12/min")
+SIZE = Type("size", _read_size, "64KiB")
+SHARE = Type("share", _read_share, "20%")
+NUMBER = Type("number", _read_number, "1.5")
+WHOLE = Type("whole number", _read_whole_number, "3")
+NAME = Type("name", _read_name, "stock-view")
+TEXT = Type("text", _read_text, '"a text"')
+HEADER = Type("header", _read_header, "x-key")
+ADDRESS = Type("address", _read_address, "127.0.0.1:9000")
+METHOD = Type("method", _read_method, "GET")
+PATH = Type("path", _read_path, "/stalls/:stall")
+HOST = Type("host", _read_host, "*.example")
 YES_OR_NO = one_of("yes", "no")
 
 
 def format_time(ms: float) -> str:
-    """A time in the largest unit that keeps it whole, without loss."""
+    """Format a time without loss, in the largest unit that gives a whole number."""
     value = Fraction(repr(ms))
     for unit in ("h", "min", "s", "ms", "us"):
         if (value / TIME_UNITS[unit]).denominator == 1:
@@ -260,7 +262,7 @@
 
 
 def format_rate(per_s: float) -> str:
-    """A rate by the second, minute or hour, whichever keeps it whole, without loss."""
+    """Format a rate without loss, per second, minute or hour, whichever gives a whole number first."""
     value = Fraction(repr(per_s))
     for unit in ("s", "min", "h"):
         if (value * RATE_PERIODS[unit]).denominator == 1:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -228,7 +228,7 @@
         number = look_up(routes, request)
         return routes[number].outcome if number >= 0 else None
 
-    changes = list(diff.routes(before, after))
+    changes = list(diff.diff_routes(before, after))
     for change in changes:
         assert outcome(before, change.witness) != outcome(after, change.witness)
     if not changes:
@@ -244,7 +244,7 @@
     number = chance.randrange(len(routes))
     changed = (*routes[:number], Route(routes[number].pattern, "other", "p"), *routes[number + 1 :])
     reached = any(look_up(routes, request) == number for request in examples(routes[number].pattern))
-    assert list(diff.routes(routes, changed)) or not reached
+    assert list(diff.diff_routes(routes, changed)) or not reached
 
 
 @settings(max_examples=300, deadline=None)
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -248,7 +248,7 @@
     for part in own._order:
         for at, route in enumerate(part.routes):
             out.add(entry("route", part.route_lexeme(at), {"route": route}, {}))
-        for at, (text, key) in enumerate(zip(part.texts, part.keys, strict=True)):
+        for at, (text, key) in enumerate(zip(part.key_texts, part.keys, strict=True)):
             out.add(entry("key", part.key_lexeme(at), {"key": text}, {"customer": key.customer, "plan": key.plan}))
         for each in part.entries:
             out.add(each)
@@ -450,7 +450,9 @@
 
 GUARDS = {
     "bytes as before": same_digest,
-    "definitions and values": lambda patch: patch.setattr(file_record.FileRecord, "holds", lambda self, known: True),
+    "definitions and values": lambda patch: patch.setattr(
+        file_record.FileRecord, "is_current", lambda self, known: True
+    ),
     "definitions": lambda patch: patch.setattr(
         file_record.FileRecord, "used", property(lambda self: {}, lambda self, each: 0)
     ),
@@ -458,7 +460,7 @@
         file_record.FileRecord, "looked_up", property(lambda self: {}, lambda self, each: 0)
     ),
     "names that are near": lambda patch: patch.setattr(
-        file_record.FileRecord, "names", property(lambda self: None, lambda self, each: 0)
+        file_record.FileRecord, "definition_names", property(lambda self: None, lambda self, each: 0)
     ),
     "files that stand elsewhere": lambda patch: patch.setattr(incremental_loader, "changed_groups", stays_in_any_order),
     "parts that stand elsewhere": lambda patch: patch.setattr(versions, "changed_groups", stays_in_any_order),
@@ -476,7 +478,10 @@
     "routes that go": lambda patch: patch.setattr(route_table, "removal", lambda part: lambda here, methods: here),
     "keys that differ": lambda patch: patch.setattr(KeyTable, "differing", lambda self, other: iter(())),
     "readings given up": lambda patch: patch.setattr(
-        IncrementalLoader, "_half_done", property(lambda self: False, lambda self, each: None), raising=False
+        IncrementalLoader,
+        "_index_is_inconsistent",
+        property(lambda self: False, lambda self, each: None),
+        raising=False,
     ),
     "files by lasting numbers": numbers_of_one_reading,
     "trees of faulty files": lambda patch: patch.setattr(file_record, "Severity", SimpleNamespace(ERROR=None)),
