--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts over connections of our own: what each end proves, and what may still begin at the last moment."""
+"""Attempts over the connection pool: what each result proves about execution, and checks right before the write."""
 
 import math
 
@@ -14,7 +14,7 @@
 from anisefront.policy.actions import StartAttempt
 from anisefront.policy.events import AttemptEnded, AttemptResult, Endpoint, EndpointList, EndpointStatus
 
-NEVER = (AttemptResult.CONNECT_FAILED, AttemptResult.OVERLOADED, AttemptResult.DISCARDED)
+NEVER_EXECUTED = (AttemptResult.CONNECT_FAILED, AttemptResult.OVERLOADED, AttemptResult.DISCARDED)
 
 
 @pytest.fixture
@@ -28,17 +28,17 @@
     return [each.result for each in module.ends if isinstance(each, AttemptEnded)]
 
 
-def test_the_ends_that_prove_that_nothing_ran_are_these_and_no_others():
+def test_the_results_that_prove_that_nothing_was_executed_are_these_and_no_others():
     assert tuple(each for each in AttemptResult if each.never_executed) == tuple(
-        each for each in AttemptResult if each in NEVER
+        each for each in AttemptResult if each in NEVER_EXECUTED
     )
 
 
-# ---- before, at and after the last byte ------------------------------------------------------------
+# ---- before, at and after the write of the last byte ------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    ("full", "reason", "end"),
+    ("full", "reason", "result"),
     [
         (True, error.ConnectionLost(), AttemptResult.CONNECT_FAILED),
         (True, error.ConnectionDone(), AttemptResult.CONNECT_FAILED),
@@ -46,17 +46,17 @@
         (False, error.ConnectionDone(), AttemptResult.RESET),
     ],
 )
-def test_a_break_before_the_last_byte_is_with_the_system_proves_that_it_never_ran(full, reason, end):
+def test_a_disconnection_before_the_last_byte_is_written_proves_that_nothing_was_executed(full, reason, result):
     house = House()
     house.say(house.client(), ASK)
     house.turn(StartAttempt(1, "s1", 400.0))
     worker = house.worker(full)
     worker.protocol.connectionLost(Failure(reason))
     house.turn()
-    assert results(house.module) == [end]
+    assert results(house.module) == [result]
 
 
-def test_a_time_out_before_the_last_byte_is_with_the_system_proves_that_it_never_ran():
+def test_a_timeout_before_the_last_byte_is_written_proves_that_nothing_was_executed():
     house = House()
     house.say(house.client(), ASK)
     house.turn(StartAttempt(1, "s1", 400.0))
@@ -67,8 +67,8 @@
 
 
 @pytest.mark.parametrize("early", [SERVED, b"-BUSY\r\n", b"*3\r\n$2"])
-def test_what_comes_before_the_last_byte_is_with_the_system_is_no_answer(early):
-    """Half a line on a resting connection, a second copy that is late, a refusal in the middle of a body."""
+def test_bytes_that_arrive_before_the_last_byte_is_written_are_no_response(early):
+    """They belong to an earlier attempt: part of a response, a late duplicate, or an overload response."""
     house = House()
     client = house.client()
     house.say(client, ASK)
@@ -79,13 +79,13 @@
     assert worker.aborted and results(house.module) == [AttemptResult.CONNECT_FAILED] and client.take() == b""
 
 
-def test_half_a_line_between_the_look_at_a_resting_connection_and_the_write_serves_nobody(stage):
+def test_a_stray_response_on_an_idle_connection_at_the_time_of_the_write_is_sent_to_nobody(stage):
     client, worker = stage.served()
     stage.time += 0.02
     client.sendall(resp_codec.encode_command(other(2)))
     stage.turns()
-    stage.decide(StartAttempt(2, "s1", 400.0))  # the connection is chosen and written to
-    worker.sendall(SERVED)  # a second copy
+    stage.decide(StartAttempt(2, "s1", 400.0))  # the connection is chosen and written to in this iteration
+    worker.sendall(SERVED)  # a late duplicate response
     stage.turns()
     assert results(stage.module) == [AttemptResult.OK, AttemptResult.CONNECT_FAILED]
     client.setblocking(False)
@@ -93,7 +93,7 @@
         client.recv(1000)
 
 
-def test_a_connection_closed_by_its_worker_in_the_turn_in_which_we_write_never_ran(stage):
+def test_a_connection_closed_by_its_worker_in_the_iteration_of_the_write_executed_nothing(stage):
     client, worker = stage.served()
     stage.time += 0.02
     client.sendall(resp_codec.encode_command(other(2)))
@@ -104,21 +104,21 @@
     assert results(stage.module) == [AttemptResult.OK, AttemptResult.CONNECT_FAILED]
 
 
-@pytest.mark.parametrize("leave", [lambda link: link.close(), reset])
-@pytest.mark.parametrize("said", [b"", b"*3\r\n$5\r\nva"])
-def test_a_break_after_the_last_byte_may_have_run(stage, leave, said):
+@pytest.mark.parametrize("disconnect", [lambda link: link.close(), reset])
+@pytest.mark.parametrize("received", [b"", b"*3\r\n$5\r\nva"])
+def test_a_disconnection_after_the_last_byte_leaves_open_whether_it_was_executed(stage, disconnect, received):
     stage.client(ASK)
     stage.say(StartAttempt(1, "s1", 400.0))
     worker = stage.accept()
     worker.recv(1000)
-    worker.sendall(said)
+    worker.sendall(received)
     stage.turns()
-    leave(worker)
+    disconnect(worker)
     stage.turns()
     assert results(stage.module) == [AttemptResult.RESET]
 
 
-def test_an_answer_in_single_bytes_is_whole_and_one_after_our_time_out_is_nobodys():
+def test_a_response_in_single_bytes_is_complete_and_one_after_the_timeout_is_dropped():
     house = House()
     client, worker = sent(house)
     for byte in SERVED:
@@ -134,20 +134,20 @@
     )
 
 
-# ---- what may still begin --------------------------------------------------------------------------
+# ---- checks right before the write --------------------------------------------------------------------------
 
 
-def test_a_worker_that_moved_while_the_connection_was_made_is_not_written_to_at_its_old_address():
+def test_a_worker_whose_address_changed_while_connecting_is_not_written_to_at_its_old_address():
     house = House()
     house.say(house.client(), ASK)
     house.turn(StartAttempt(1, "s1", 400.0))
-    house.address["s1"] = ("127.0.0.1", 7009)  # and another worker is at the old one now
+    house.address["s1"] = ("127.0.0.1", 7009)  # another worker may have the old address now
     worker = house.worker()
     house.turn()
     assert worker.take() == b"" and worker.disconnecting and results(house.module) == [AttemptResult.DISCARDED]
 
 
-def test_an_attempt_whose_window_is_over_before_its_connection_is_up_is_not_begun():
+def test_an_attempt_whose_window_ends_before_its_connection_is_made_is_not_started():
     house = House()
     house.say(house.client(), ASK)
     house.turn(StartAttempt(1, "s1", 1400.0, start_within_ms=200.0))
@@ -162,7 +162,7 @@
     assert late.take() == b"" and results(house.module) == [AttemptResult.DISCARDED]
 
 
-def test_an_attempt_of_what_another_gatekeeper_has_taken_over_is_not_begun():
+def test_an_attempt_of_a_request_that_was_transferred_to_a_backup_is_not_started():
     house = House()
     house.say(house.client(), ASK)
     house.turn(StartAttempt(1, "s1", 400.0))
@@ -172,10 +172,10 @@
     assert late.take() == b"" and results(house.module) == [AttemptResult.DISCARDED]
 
 
-def test_a_connection_that_is_given_up_and_comes_up_after_all_is_not_written_to_and_counts_once(stage):
+def test_a_connection_that_is_made_after_its_attempt_was_cancelled_is_not_written_to_and_counts_once(stage):
     stage.client(ASK)
     stage.decide(StartAttempt(1, "s1", 400.0))
-    stage.reactor.runUntilCurrent()  # the system has made the connection, the loop has not seen it
+    stage.reactor.runUntilCurrent()  # the kernel has made the connection, but the event loop has not seen it
     assert stage.pool.connections == 1
     stage.carrier.cancel_attempt(1, 0)
     stage.turns()
@@ -186,35 +186,43 @@
         pass
 
 
-def sends(actions):
+def attempts_of(actions):
     return [each for each in actions if isinstance(each, StartAttempt)]
 
 
-@pytest.mark.parametrize("kind", ["look", "book"])
-def test_a_further_attempt_has_to_begin_inside_the_window_that_the_first_has_begun(kind):
-    """The window counts from the first that may have run; a connection may come up long after the decision."""
-    c = new_controller()
-    c.handle(1000, [ENDPOINT_LIST])
-    (first,) = sends(c.handle(1100, [new_arrival(1, kind)]))
+@pytest.mark.parametrize("class_name", ["look", "book"])
+def test_a_retry_must_start_within_the_deduplication_window_of_the_first_attempt(class_name):
+    """The window counts from the first attempt that may have been executed, and connecting may take long."""
+    controller = new_controller()
+    controller.handle(1000, [ENDPOINT_LIST])
+    (first,) = attempts_of(controller.handle(1100, [new_arrival(1, class_name)]))
     assert first.start_within_ms == math.inf
-    window = c.classes[kind].deduplication_window_ms
-    (again,) = sends(c.handle(1300, [AttemptEnded(1, 0, first.endpoint, 200.0, AttemptResult.RESET, False)]))
-    assert again.start_within_ms == (math.inf if kind == "look" else window - 200.0 - c.settings.tick_ms)
-    more = sends(c.handle(1350, [AttemptEnded(1, 1, again.endpoint, 50.0, AttemptResult.CONNECT_FAILED, False)]))
-    assert [each.start_within_ms for each in more] == (
-        [math.inf] if kind == "look" else [window - 250.0 - c.settings.tick_ms]
-    ) * len(more)
+    window_ms = controller.classes[class_name].deduplication_window_ms
+    (retry,) = attempts_of(
+        controller.handle(1300, [AttemptEnded(1, 0, first.endpoint, 200.0, AttemptResult.RESET, False)])
+    )
+    assert retry.start_within_ms == (
+        math.inf if class_name == "look" else window_ms - 200.0 - controller.settings.tick_ms
+    )
+    later = attempts_of(
+        controller.handle(1350, [AttemptEnded(1, 1, retry.endpoint, 50.0, AttemptResult.CONNECT_FAILED, False)])
+    )
+    assert [each.start_within_ms for each in later] == (
+        [math.inf] if class_name == "look" else [window_ms - 250.0 - controller.settings.tick_ms]
+    ) * len(later)
 
 
-def test_after_what_never_ran_the_window_begins_anew():
-    c = new_controller()
-    c.handle(1000, [ENDPOINT_LIST])
-    (first,) = sends(c.handle(1100, [new_arrival(1, "book")]))
-    (again,) = sends(c.handle(1300, [AttemptEnded(1, 0, first.endpoint, 200.0, AttemptResult.CONNECT_FAILED, False)]))
-    assert again.start_within_ms == math.inf
+def test_after_an_attempt_that_was_never_executed_the_window_starts_anew():
+    controller = new_controller()
+    controller.handle(1000, [ENDPOINT_LIST])
+    (first,) = attempts_of(controller.handle(1100, [new_arrival(1, "book")]))
+    (retry,) = attempts_of(
+        controller.handle(1300, [AttemptEnded(1, 0, first.endpoint, 200.0, AttemptResult.CONNECT_FAILED, False)])
+    )
+    assert retry.start_within_ms == math.inf
 
 
-def test_a_list_between_the_choice_and_the_write_keeps_the_drain(stage):
+def test_an_attempt_is_discarded_if_its_endpoint_drains_between_the_choice_and_the_write(stage):
     stage.client(ASK)
     stage.module.next = [StartAttempt(1, "s1", 400.0)]
     stage.request_table.batches.schedule_iteration()
--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -120,6 +120,82 @@
     "test_cold_server_gets_no_more_than_its_warmth_allows": (
         "test_an_endpoint_that_is_warming_up_gets_no_more_than_its_capacity_allows"
     ),
+    "test_held_work_leaves_in_the_order_of_the_plain_way": (
+        "test_queued_requests_are_dispatched_in_the_order_of_a_reference_queue"
+    ),
+    "test_what_left_held_work_is_thrown_away": "test_entries_of_removed_requests_are_dropped",
+    "test_tries_at_home_are_served_in_the_order_of_the_plain_way": (
+        "test_quota_requests_are_granted_in_the_order_of_a_reference_queue"
+    ),
+    "test_a_turn_costs_what_it_changes_and_not_what_is_held": (
+        "test_the_cost_of_a_batch_does_not_depend_on_the_number_of_queued_requests"
+    ),
+    "test_all_clients_leaving_and_a_refill_let_everything_go": (
+        "test_after_all_clients_have_disconnected_no_request_is_left"
+    ),
+    "test_quiet_customers_are_let_go_and_those_that_owe_are_kept": (
+        "test_idle_accounts_are_evicted_and_those_in_use_are_kept"
+    ),
+    "test_a_home_keeps_a_store_with_a_lease_out_a_try_waiting_or_a_level_that_is_not_full": (
+        "test_a_bucket_with_a_lease_or_a_low_level_is_not_evicted"
+    ),
+    "test_a_flood_of_names_is_refused_at_the_cap_and_pushes_out_nobody": (
+        "test_a_flood_of_customers_is_rejected_at_the_limit_and_evicts_nobody"
+    ),
+    "test_a_server_that_leaves_is_looked_up_by_its_own_attempts": (
+        "test_each_endpoint_knows_the_requests_with_an_attempt_at_it"
+    ),
+    "test_a_refill_lets_many_go_at_once_and_each_turn_stays_small": (
+        "test_after_a_refill_many_requests_are_dispatched_in_small_batches"
+    ),
+    "test_all_due_in_one_millisecond_are_all_answered_in_that_turn": (
+        "test_requests_with_the_same_deadline_are_all_answered_by_it"
+    ),
+    "test_the_ends_that_prove_that_nothing_ran_are_these_and_no_others": (
+        "test_the_results_that_prove_that_nothing_was_executed_are_these_and_no_others"
+    ),
+    "test_a_break_before_the_last_byte_is_with_the_system_proves_that_it_never_ran": (
+        "test_a_disconnection_before_the_last_byte_is_written_proves_that_nothing_was_executed"
+    ),
+    "test_a_time_out_before_the_last_byte_is_with_the_system_proves_that_it_never_ran": (
+        "test_a_timeout_before_the_last_byte_is_written_proves_that_nothing_was_executed"
+    ),
+    "test_what_comes_before_the_last_byte_is_with_the_system_is_no_answer": (
+        "test_bytes_that_arrive_before_the_last_byte_is_written_are_no_response"
+    ),
+    "test_half_a_line_between_the_look_at_a_resting_connection_and_the_write_serves_nobody": (
+        "test_a_stray_response_on_an_idle_connection_at_the_time_of_the_write_is_sent_to_nobody"
+    ),
+    "test_a_connection_closed_by_its_worker_in_the_turn_in_which_we_write_never_ran": (
+        "test_a_connection_closed_by_its_worker_in_the_iteration_of_the_write_executed_nothing"
+    ),
+    "test_a_break_after_the_last_byte_may_have_run": (
+        "test_a_disconnection_after_the_last_byte_leaves_open_whether_it_was_executed"
+    ),
+    "test_an_answer_in_single_bytes_is_whole_and_one_after_our_time_out_is_nobodys": (
+        "test_a_response_in_single_bytes_is_complete_and_one_after_the_timeout_is_dropped"
+    ),
+    "test_a_worker_that_moved_while_the_connection_was_made_is_not_written_to_at_its_old_address": (
+        "test_a_worker_whose_address_changed_while_connecting_is_not_written_to_at_its_old_address"
+    ),
+    "test_an_attempt_whose_window_is_over_before_its_connection_is_up_is_not_begun": (
+        "test_an_attempt_whose_window_ends_before_its_connection_is_made_is_not_started"
+    ),
+    "test_an_attempt_of_what_another_gatekeeper_has_taken_over_is_not_begun": (
+        "test_an_attempt_of_a_request_that_was_transferred_to_a_backup_is_not_started"
+    ),
+    "test_a_connection_that_is_given_up_and_comes_up_after_all_is_not_written_to_and_counts_once": (
+        "test_a_connection_that_is_made_after_its_attempt_was_cancelled_is_not_written_to_and_counts_once"
+    ),
+    "test_a_further_attempt_has_to_begin_inside_the_window_that_the_first_has_begun": (
+        "test_a_retry_must_start_within_the_deduplication_window_of_the_first_attempt"
+    ),
+    "test_after_what_never_ran_the_window_begins_anew": (
+        "test_after_an_attempt_that_was_never_executed_the_window_starts_anew"
+    ),
+    "test_a_list_between_the_choice_and_the_write_keeps_the_drain": (
+        "test_an_attempt_is_discarded_if_its_endpoint_drains_between_the_choice_and_the_write"
+    ),
 }
 # Files that came for the sake of the rename; they must not make up for tests that are lost.
 NEW = {
