--- a/tests/decision_schedule.py
+++ b/tests/decision_schedule.py
@@ -1,8 +1,9 @@
-"""Schedules of events for the decision module, each drawn from one seed, and the decisions as stable lines of text.
+"""Schedules of events for the controller, each drawn from one seed, and its decisions as stable lines of text.
 
-Three instances run against simulated endpoints and send each other their peer bytes. The driver knows events and
-actions as plain tuples only, a tag and its values; ADAPTER is the one place that knows the names of the module.
-The lines hold floats by repr, so they depend on the sum() and the mathematical library of the Python in use.
+Three instances run against simulated endpoints and send each other peer messages. Events and actions are plain tuples
+of a tag and its values, whose texts are recorded. So the tags and the keys of the settings stay as they were recorded,
+and only the adapter below uses names of the package. The lines contain floats by `repr`, so they depend on `sum` and on
+the mathematical library of the Python in use.
 """
 
 from __future__ import annotations
@@ -19,9 +20,9 @@
 from anisefront.policy.controller import Controller
 from anisefront.policy.peer_codec import QuotaMessageKind, decode
 
-# ---- ADAPTER: the only code here that uses names of the module ------------------------------------------------------
+# ---- adapter: the only code here that uses names of the package ------------------------------------------------------
 
-REPEATS = {
+IDEMPOTENCIES = {
     "safe": policy_settings.Idempotency.IDEMPOTENT,
     "keyed": policy_settings.Idempotency.KEYED,
     "unsafe": policy_settings.Idempotency.NON_IDEMPOTENT,
@@ -31,7 +32,7 @@
     "zone": policy_settings.DeduplicationScope.ZONE,
     "cell": policy_settings.DeduplicationScope.CELL,
 }
-STATES = {
+STATUSES = {
     "ready": policy_events.EndpointStatus.READY,
     "draining": policy_events.EndpointStatus.DRAINING,
     "gone": policy_events.EndpointStatus.REMOVED,
@@ -52,243 +53,273 @@
     policy_actions.RejectionReason.ATTEMPTS: "attempts",
     policy_actions.RejectionReason.INVALID: "unfit",
 }
-PEER_KINDS = {
-    QuotaMessageKind.REQUEST: "ask",
+QUOTA_MESSAGE_KINDS = {
+    QuotaMessageKind.REQUEST: "request",
     QuotaMessageKind.GRANT: "grant",
-    QuotaMessageKind.QUEUED: "wait",
-    QuotaMessageKind.DEBIT: "spent",
-    QuotaMessageKind.REFUND: "back",
-    QuotaMessageKind.RETRY: "again",
+    QuotaMessageKind.QUEUED: "queued",
+    QuotaMessageKind.DEBIT: "debit",
+    QuotaMessageKind.REFUND: "refund",
+    QuotaMessageKind.RETRY: "retry",
 }
 
 
-def make_class(name, aim_ms, deadline_ms, worth, repeat, late_worth, scope, window_ms, streamed, aim_stretch):
-    """A class of requests."""
+def make_class(
+    name,
+    latency_objective_ms,
+    deadline_ms,
+    priority_weight,
+    idempotency,
+    late_priority_weight,
+    scope,
+    window_ms,
+    streamed,
+    latency_objective_stretch,
+):
+    """Return a request class."""
     return policy_settings.RequestClass(
         name=name,
-        latency_objective_ms=aim_ms,
+        latency_objective_ms=latency_objective_ms,
         deadline_ms=deadline_ms,
-        priority_weight=worth,
-        idempotency=REPEATS[repeat],
-        late_priority_weight=late_worth,
+        priority_weight=priority_weight,
+        idempotency=IDEMPOTENCIES[idempotency],
+        late_priority_weight=late_priority_weight,
         deduplication_scope=SCOPES[scope],
         deduplication_window_ms=window_ms,
         streamed=streamed,
-        latency_objective_stretch=aim_stretch,
+        latency_objective_stretch=latency_objective_stretch,
     )
 
 
-def make_plan(name, rate, burst, max_out, value, over_worth, over_cost, ceiling, ceiling_burst, ceiling_slack):
-    """A plan of customers."""
+def make_plan(
+    name,
+    rate_per_s,
+    burst,
+    max_in_flight,
+    priority_multiplier,
+    over_quota_multiplier,
+    over_quota_cost,
+    ceiling_per_s,
+    ceiling_burst,
+    ceiling_slack,
+):
+    """Return a plan."""
     return policy_settings.Plan(
         name=name,
-        rate_per_s=rate,
+        rate_per_s=rate_per_s,
         burst=burst,
-        max_in_flight=max_out,
-        priority_multiplier=value,
-        over_quota_multiplier=over_worth,
-        over_quota_cost=over_cost,
-        ceiling_per_s=ceiling,
+        max_in_flight=max_in_flight,
+        priority_multiplier=priority_multiplier,
+        over_quota_multiplier=over_quota_multiplier,
+        over_quota_cost=over_quota_cost,
+        ceiling_per_s=ceiling_per_s,
         ceiling_burst=ceiling_burst,
         ceiling_slack=ceiling_slack,
     )
 
 
-def make_settings(figures):
-    """The settings of one instance, from a plain dictionary."""
+def make_settings(values):
+    """Return the settings of one instance, from a dictionary with the recorded keys."""
     return policy_settings.Settings(
-        gateways=figures["instances"],
-        number=figures["number"],
-        zone=figures["zone"],
-        classes=tuple(make_class(*row) for row in figures["classes"]),
-        plans=tuple(make_plan(*row) for row in figures["plans"]),
-        warm_up_ms=figures["warm_up_ms"],
-        slow_start_initial_factor=figures["cold_from"],
-        overload_multiple=figures["fall_multiple"],
-        overload_window_ms=figures["fall_window_ms"],
-        max_attempts=figures["max_attempts"],
-        tick_ms=figures["tick_ms"],
-        max_units=figures["max_units"],
-        cancellation_enabled=figures["may_cancel"],
-        peer_messages_enabled=figures["may_tell"],
-        probing_enabled=figures["may_probe"],
-        hedging_enabled=figures["second_copies"],
-        subscription_required=figures["must_subscribe"],
-        postpaid=figures["settles"],
-        max_retry_after_ms=figures["max_retry_after_ms"],
-        inbox_per_s=figures["inbox_per_s"],
-        poll_within_ms=figures["ask_within_ms"],
-        load_report_mode=figures["report_how"],
-        load_report_fields=figures["report_fields"],
-        cross_zone_price=figures["cross_zone_price"],
-        peer_message_price=figures["peer_price"],
-        max_customers=figures["most_customers"],
-        tag_key=figures["tag_key"],
+        gateways=values["instances"],
+        number=values["number"],
+        zone=values["zone"],
+        classes=tuple(make_class(*row) for row in values["classes"]),
+        plans=tuple(make_plan(*row) for row in values["plans"]),
+        warm_up_ms=values["warm_up_ms"],
+        slow_start_initial_factor=values["cold_from"],
+        overload_multiple=values["fall_multiple"],
+        overload_window_ms=values["fall_window_ms"],
+        max_attempts=values["max_attempts"],
+        tick_ms=values["tick_ms"],
+        max_units=values["max_units"],
+        cancellation_enabled=values["may_cancel"],
+        peer_messages_enabled=values["may_tell"],
+        probing_enabled=values["may_probe"],
+        hedging_enabled=values["second_copies"],
+        subscription_required=values["must_subscribe"],
+        postpaid=values["settles"],
+        max_retry_after_ms=values["max_retry_after_ms"],
+        inbox_per_s=values["inbox_per_s"],
+        poll_within_ms=values["ask_within_ms"],
+        load_report_mode=values["report_how"],
+        load_report_fields=values["report_fields"],
+        cross_zone_price=values["cross_zone_price"],
+        peer_message_price=values["peer_price"],
+        max_customers=values["most_customers"],
+        tag_key=values["tag_key"],
     )
 
 
-def make_fleet(endpoints, complete, failed):
-    """A list of endpoints from discovery; each is (id, zone, cell, state, weight, started_ms)."""
+def make_endpoint_list(endpoints, complete, failed):
+    """Return an endpoint list; each endpoint is (id, zone, cell, status, weight, started_ms)."""
     rows = tuple(
         policy_events.Endpoint(
-            id=name, zone=zone, cell=cell, status=STATES[state], weight=weight, started_ms=started_ms
+            id=name, zone=zone, cell=cell, status=STATUSES[status], weight=weight, started_ms=started_ms
         )
-        for name, zone, cell, state, weight, started_ms in endpoints
+        for name, zone, cell, status, weight, started_ms in endpoints
     )
     return policy_events.EndpointList(endpoints=rows, complete=complete, failed=failed)
 
 
-def make_arrival(number, customer, class_name, plan_name, due_ms, units, first, spread, is_repeat, copies, past):
-    """A request of a client; `past` is None or (attempts, uncertain, endpoint, sent_ms, paid)."""
-    inherited = None
-    if past is not None:
-        inherited = policy_events.PriorAttempts(
-            attempts=past[0],
-            uncertain=past[1],
-            endpoint=past[2],
-            started_ms=past[3],
-            quota_debited=past[4],
+def make_arrival(
+    request_id, customer, class_name, plan_name, deadline_at_ms, units, first, spread, is_retry, allows_hedging, prior
+):
+    """A request of a client; `prior` is None or (attempts, uncertain, endpoint, started_ms, quota_debited)."""
+    prior_attempts = None
+    if prior is not None:
+        prior_attempts = policy_events.PriorAttempts(
+            attempts=prior[0],
+            uncertain=prior[1],
+            endpoint=prior[2],
+            started_ms=prior[3],
+            quota_debited=prior[4],
         )
     return policy_events.Arrival(
-        id=number,
+        id=request_id,
         customer=customer,
         class_name=class_name,
         plan_name=plan_name,
-        deadline_at_ms=due_ms,
+        deadline_at_ms=deadline_at_ms,
         units=units,
         first_gateway=first,
         spread=spread,
-        is_retry=is_repeat,
-        allows_hedging=copies,
-        prior_attempts=inherited,
+        is_retry=is_retry,
+        allows_hedging=allows_hedging,
+        prior_attempts=prior_attempts,
     )
 
 
-def make_started(number, attempt, endpoint):
-    """A streamed answer has begun."""
-    return policy_events.ResponseStarted(id=number, attempt=attempt, endpoint=endpoint)
+def make_response_started(request_id, attempt, endpoint):
+    """Return the event that a streamed response has started."""
+    return policy_events.ResponseStarted(id=request_id, attempt=attempt, endpoint=endpoint)
 
 
-def make_outcome(number, attempt, endpoint, took_ms, result, final, true_units, used_percent, load):
-    """An attempt has ended."""
+def make_attempt_ended(request_id, attempt, endpoint, duration_ms, result, final, actual_units, quota_use, load):
+    """Return the event that an attempt has ended."""
     return policy_events.AttemptEnded(
-        id=number,
+        id=request_id,
         attempt=attempt,
         endpoint=endpoint,
-        duration_ms=took_ms,
+        duration_ms=duration_ms,
         result=RESULTS[result],
         final=final,
-        actual_units=true_units,
-        quota_use=used_percent,
+        actual_units=actual_units,
+        quota_use=quota_use,
         load=load,
     )
 
 
-def make_client_gone(number):
-    """The client has left."""
-    return policy_events.ClientDisconnected(id=number)
+def make_client_disconnected(request_id):
+    """Return the event that a client has disconnected."""
+    return policy_events.ClientDisconnected(id=request_id)
 
 
-def make_woken(name):
-    """A timer has fired."""
+def make_timer_fired(name):
+    """Return the event that a timer has fired."""
     return policy_events.TimerFired(name=name)
 
 
-def make_heard(sender, data):
-    """Peer bytes have come in."""
+def make_peer_message(sender, data):
+    """Return the event that a peer message has arrived."""
     return policy_events.PeerMessage(sender=sender, data=data)
 
 
-def make_away(numbers):
-    """These instances are known to be gone."""
+def make_peers_unreachable(numbers):
+    """Return the event that these instances have failed or left."""
     return policy_events.PeersUnreachable(gateways=frozenset(numbers))
 
 
-def make_probed(endpoint, took_ms, result, load):
-    """The answer to a probe."""
-    return policy_events.ProbeEnded(endpoint=endpoint, duration_ms=took_ms, result=RESULTS[result], load=load)
+def make_probe_ended(endpoint, duration_ms, result, load):
+    """Return the response to a probe."""
+    return policy_events.ProbeEnded(endpoint=endpoint, duration_ms=duration_ms, result=RESULTS[result], load=load)
 
 
-def make_counted(name):
-    """The answer of the shared counter."""
+def make_counter_reply(name):
+    """Return the response of the shared counter."""
     return policy_events.CounterReply(name=name)
 
 
 EVENT_MAKERS = {
     "SETTINGS": make_settings,
-    "FLEET": make_fleet,
+    "FLEET": make_endpoint_list,
     "ARRIVAL": make_arrival,
-    "STARTED": make_started,
-    "OUTCOME": make_outcome,
-    "CLIENT_GONE": make_client_gone,
-    "TIMER": make_woken,
-    "PEER": make_heard,
-    "AWAY": make_away,
-    "PROBED": make_probed,
-    "COUNTED": make_counted,
+    "STARTED": make_response_started,
+    "OUTCOME": make_attempt_ended,
+    "CLIENT_GONE": make_client_disconnected,
+    "TIMER": make_timer_fired,
+    "PEER": make_peer_message,
+    "AWAY": make_peers_unreachable,
+    "PROBED": make_probe_ended,
+    "COUNTED": make_counter_reply,
 }
 ACTION_READERS = {
-    policy_actions.StartAttempt: lambda it: ("ATTEMPT", it.id, it.endpoint, it.timeout_ms, it.start_within_ms),
-    policy_actions.Reject: lambda it: ("REJECT", it.id, it.retry_after_ms, REASONS[it.reason]),
-    policy_actions.Fail: lambda it: ("FAIL", it.id),
-    policy_actions.CancelAttempt: lambda it: ("CANCEL", it.id, it.attempt),
-    policy_actions.SetTimer: lambda it: ("SET_TIMER", it.delay_ms, it.name),
-    policy_actions.SendToPeer: lambda it: ("PEER_MESSAGE", it.receiver, it.data),
-    policy_actions.Subscribe: lambda it: ("SUBSCRIBE",),
+    policy_actions.StartAttempt: lambda action: (
+        "ATTEMPT",
+        action.id,
+        action.endpoint,
+        action.timeout_ms,
+        action.start_within_ms,
+    ),
+    policy_actions.Reject: lambda action: ("REJECT", action.id, action.retry_after_ms, REASONS[action.reason]),
+    policy_actions.Fail: lambda action: ("FAIL", action.id),
+    policy_actions.CancelAttempt: lambda action: ("CANCEL", action.id, action.attempt),
+    policy_actions.SetTimer: lambda action: ("SET_TIMER", action.delay_ms, action.name),
+    policy_actions.SendToPeer: lambda action: ("PEER_MESSAGE", action.receiver, action.data),
+    policy_actions.Subscribe: lambda action: ("SUBSCRIBE",),
 }
 
 
-def make_instance(figures, seed):
-    """One instance of the decision module."""
-    return Controller(make_settings(figures), seed)
+def make_instance(values, seed):
+    """Return the controller of one instance."""
+    return Controller(make_settings(values), seed)
 
 
 def decide(instance, now_ms, events):
-    """One turn: plain events in, plain actions out."""
+    """Process one batch of plain events and return plain actions."""
     actions = instance.handle(now_ms, [EVENT_MAKERS[event[0]](*event[1:]) for event in events])
     return [ACTION_READERS[type(action)](action) for action in actions]
 
 
-def peer_item_kinds(data):
-    """The kinds of the items in peer bytes."""
-    return [PEER_KINDS[item.kind] for item in decode(data).quota_messages]
+def quota_message_kinds(data):
+    """Return the kinds of the quota messages in a peer message."""
+    return [QUOTA_MESSAGE_KINDS[message.kind] for message in decode(data).quota_messages]
 
 
-# ---- the lines ------------------------------------------------------------------------------------------------------
+# ---- recorded lines ------------------------------------------------------------------------------------------------
 
-NAMED = ("TIMER", "SET_TIMER")  # the last value is the timer's name, which is the module's own affair
+TIMER_TAGS = ("TIMER", "SET_TIMER")  # their last value, the name of the timer, is opaque and not recorded
 
 
-def text_of(value) -> str:
-    """A value in a form that does not change."""
+def format_value(value) -> str:
+    """Return a value in a stable form."""
     if isinstance(value, bytes):
         return value.hex() or "-"
     if isinstance(value, str):
         return value or "-"
     if isinstance(value, dict):
-        return "{" + " ".join(f"{key}={text_of(each)}" for key, each in value.items()) + "}"
+        return "{" + " ".join(f"{key}={format_value(each)}" for key, each in value.items()) + "}"
     if isinstance(value, tuple):
-        return "(" + " ".join(text_of(each) for each in value) + ")"
+        return "(" + " ".join(format_value(each) for each in value) + ")"
     return repr(value)
 
 
-def line_of(item) -> str:
-    """The line of a plain event or action; a timer's name is left out."""
-    values = item[:-1] if item[0] in NAMED else item
-    return " ".join(text_of(value) for value in values)
+def format_line(item) -> str:
+    """Return the line of a plain event or action, without the name of a timer."""
+    values = item[:-1] if item[0] in TIMER_TAGS else item
+    return " ".join(format_value(value) for value in values)
 
 
 # ---- the schedule ---------------------------------------------------------------------------------------------------
 
 SEEDS = tuple(range(1, 29))
-CLEAR_SEED = 7
-CLEAR_LINES = 1000
-PLAYED = 3
+READABLE_SEED = 7
+READABLE_LINES = 1000
+SIMULATED_INSTANCES = 3
 RUN_MS = 30_000.0
-LEAP_MS = 72_000.0  # in some schedules nobody calls for so long, and quiet customers are let go
-QUIET_SEEDS = (5, 11, 17)
-PRESSED_SEEDS = (25, 26, 27, 28)  # so many calls of few classes that the shares and the window decide
-PRESSED_MS = 12_000.0  # for so long
+IDLE_GAP_MS = 72_000.0  # time without requests in some schedules, so that idle customers are evicted
+IDLE_GAP_SEEDS = (5, 11, 17)
+OVERLOAD_SEEDS = (25, 26, 27, 28)  # overload by few classes, so that shares and concurrency limit apply
+OVERLOAD_MS = 12_000.0  # duration of the arrivals in these schedules
 
 CLASSES = (
     ("look", 300.0, 900.0, 1.0, "safe", 0.0, "all", 0.0, False, 0.0),
@@ -328,26 +359,26 @@
     cell: int
     weight: float
     started_ms: float
-    answer_ms: float
-    places: int
+    response_ms: float
+    capacity: int
     state: str = "ready"
     listed: bool = True
     fault: str = ""
-    busy: int = 0
+    in_flight: int = 0
 
 
 @dataclass
 class Run:
-    """What one schedule gave."""
+    """Result of one schedule."""
 
     digest: str
     lines: int
-    clear: list[str]
-    seen: Counter
+    readable_lines: list[str]
+    counts: Counter
 
 
 class Schedule:
-    """One schedule, from its seed."""
+    """One schedule of events, drawn from its seed."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
@@ -355,28 +386,28 @@
         self.heap = []
         self.serial = 0
         self.next_id = 1
-        self.now = 0.0
-        self.grid_ms = (0.0, 1.0, 4.0)[seed % 3]
-        self.live = {}  # arrival and instance of each open request, by id
-        self.sent = {}  # attempts sent of each open request: (endpoint, at)
-        self.out = {}  # endpoint and time of each attempt out, by (instance, epoch, id, attempt)
-        self.epoch = [0] * PLAYED
-        self.alive = [True] * PLAYED
-        self.stall_until = [0.0] * PLAYED
-        self.mute_until = [0.0] * PLAYED
+        self.now_ms = 0.0
+        self.time_step_ms = (0.0, 1.0, 4.0)[seed % 3]
+        self.open_requests = {}  # (arrival, instance), by request id
+        self.attempts = {}  # (endpoint, start time) of each attempt, by request id
+        self.in_flight = {}  # (endpoint, start time), by (instance, incarnation, request id, attempt)
+        self.incarnations = [0] * SIMULATED_INSTANCES
+        self.alive = [True] * SIMULATED_INSTANCES
+        self.stalled_until_ms = [0.0] * SIMULATED_INSTANCES
+        self.muted_until_ms = [0.0] * SIMULATED_INSTANCES
         self.hash = hashlib.sha256()
         self.lines = 0
-        self.clear = []
-        self.seen = Counter()
-        self.end_ms = RUN_MS + (LEAP_MS if seed in QUIET_SEEDS else 0.0)
-        self.draw_world()
+        self.readable_lines = []
+        self.counts = Counter()
+        self.end_ms = RUN_MS + (IDLE_GAP_MS if seed in IDLE_GAP_SEEDS else 0.0)
+        self.draw_parameters()
 
     # -- drawing
 
-    def draw_world(self) -> None:
-        """Endpoints, customers and settings."""
+    def draw_parameters(self) -> None:
+        """Draw endpoints, customers and settings."""
         rng, seed = self.rng, self.seed
-        self.instances = 5 if seed % 6 == 2 else PLAYED
+        self.instances = 5 if seed % 6 == 2 else SIMULATED_INSTANCES
         zones = ("z0", "z1", "z2")[: 1 + seed % 3]
         self.zones = zones
         count = rng.choice((4, 6, 9, 14))
@@ -387,8 +418,8 @@
                 cell=number % 3,
                 weight=rng.choice((1.0, 1.0, 2.0, 0.5, 0.0)),
                 started_ms=rng.choice((0.0, 0.0, 0.0, 1.0)),
-                answer_ms=rng.uniform(25.0, 120.0),
-                places=rng.choice((3, 5, 8, 30)),
+                response_ms=rng.uniform(25.0, 120.0),
+                capacity=rng.choice((3, 5, 8, 30)),
             )
             for number in range(count)
         ]
@@ -398,17 +429,17 @@
             for number in range(rng.choice((12, 40, 150)))
         ]
         self.rate_per_s = rng.choice((30.0, 45.0, 60.0))
-        self.used_classes = CLASSES
-        if seed in PRESSED_SEEDS:
-            self.press()
-        self.loss = rng.choice((0.0, 0.03, 0.2))
-        self.repetition = rng.choice((0.0, 0.05))
+        self.request_classes = CLASSES
+        if seed in OVERLOAD_SEEDS:
+            self.draw_overload()
+        self.loss_rate = rng.choice((0.0, 0.03, 0.2))
+        self.duplicate_rate = rng.choice((0.0, 0.05))
         self.delay_ms = rng.choice((2.0, 10.0, 60.0))
-        self.figures = {
+        self.values = {
             "instances": self.instances,
             "number": 0,
             "zone": zones[0],
-            "classes": self.used_classes,
+            "classes": self.request_classes,
             "plans": PLANS,
             "warm_up_ms": rng.choice((0.0, 4000.0, 15000.0)),
             "cold_from": rng.choice((0.1, 0.3)),
@@ -433,249 +464,264 @@
             "most_customers": 20 if seed % 7 == 3 else 200_000,
             "tag_key": b"" if seed % 2 else b"key of the fleet",
         }
-        self.current = [self.figures_of(number) for number in range(PLAYED)]
-        self.modules = [make_instance(self.current[number], seed + number) for number in range(PLAYED)]
+        self.current = [self.values_of(number) for number in range(SIMULATED_INSTANCES)]
+        self.controllers = [make_instance(self.current[number], seed + number) for number in range(SIMULATED_INSTANCES)]
 
-    def press(self) -> None:
-        """Few classes and endpoints, many calls, most of them without a quota."""
+    def draw_overload(self) -> None:
+        """Draw few classes and endpoints, and many requests, most of them without a quota."""
         rng = self.rng
-        self.used_classes = (*CLASSES[:3], CLASSES[5])
+        self.request_classes = (*CLASSES[:3], CLASSES[5])
         self.rate_per_s = 130.0 + 30.0 * (self.seed % 4)
         del self.endpoints[5 + self.seed % 3 :]
         for endpoint in self.endpoints:
-            endpoint.places = 30
-            endpoint.answer_ms = rng.uniform(40.0, 90.0)
+            endpoint.capacity = 30
+            endpoint.response_ms = rng.uniform(40.0, 90.0)
             endpoint.weight = rng.choice((1.0, 2.0))
         self.by_name = {endpoint.name: endpoint for endpoint in self.endpoints}
         self.customers = [(name, rng.choice(("open", "open", plan)), *rest) for name, plan, *rest in self.customers]
 
-    def figures_of(self, number: int) -> dict:
-        """The settings of one instance."""
-        return {**self.figures, "number": number, "zone": self.zones[number % len(self.zones)]}
+    def values_of(self, number: int) -> dict:
+        """Return the settings of one instance."""
+        return {**self.values, "number": number, "zone": self.zones[number % len(self.zones)]}
 
     # -- the clock
 
-    def push(self, at_ms: float, instance: int, item) -> None:
-        """A plain event for an instance, or with instance -1 a function to call."""
-        if self.grid_ms and instance >= 0:
-            at_ms = -(-at_ms // self.grid_ms) * self.grid_ms
+    def schedule_event(self, at_ms: float, instance: int, item) -> None:
+        """Schedule a plain event of an instance, or a function call for instance -1."""
+        if self.time_step_ms and instance >= 0:
+            at_ms = -(-at_ms // self.time_step_ms) * self.time_step_ms
         self.serial += 1
-        epoch = self.epoch[instance] if instance >= 0 else 0
-        heapq.heappush(self.heap, (max(at_ms, self.now), instance, self.serial, epoch, item))
+        incarnation = self.incarnations[instance] if instance >= 0 else 0
+        heapq.heappush(self.heap, (max(at_ms, self.now_ms), instance, self.serial, incarnation, item))
 
-    def call(self, at_ms: float, function, *values) -> None:
-        """Call a function of this driver at a time."""
-        self.push(at_ms, -1, (function, values))
+    def schedule_call(self, at_ms: float, function, *values) -> None:
+        """Schedule a call of a function."""
+        self.schedule_event(at_ms, -1, (function, values))
 
-    def note(self, line: str) -> None:
-        """One line of the record."""
+    def record_line(self, line: str) -> None:
+        """Record one line."""
         self.hash.update(line.encode() + b"\n")
         self.lines += 1
-        if self.seed == CLEAR_SEED and len(self.clear) < CLEAR_LINES:
-            self.clear.append(line)
+        if self.seed == READABLE_SEED and len(self.readable_lines) < READABLE_LINES:
+            self.readable_lines.append(line)
 
     def run(self) -> Run:
-        """Play all of it."""
-        self.plan_all()
+        """Play the schedule."""
+        self.schedule_all()
         while self.heap and self.heap[0][0] <= self.end_ms:
-            at_ms, instance, _, epoch, item = heapq.heappop(self.heap)
-            self.now = at_ms
+            at_ms, instance, _, incarnation, item = heapq.heappop(self.heap)
+            self.now_ms = at_ms
             if instance < 0:
                 item[0](*item[1])
                 continue
-            taken = [(epoch, item)]
+            due = [(incarnation, item)]
             while self.heap and self.heap[0][:2] == (at_ms, instance):
                 entry = heapq.heappop(self.heap)
-                taken.append(entry[3:])
-            if at_ms < self.stall_until[instance]:
-                for _, late in taken:
-                    self.push(self.stall_until[instance], instance, late)
+                due.append(entry[3:])
+            if at_ms < self.stalled_until_ms[instance]:
+                for _, delayed_event in due:
+                    self.schedule_event(self.stalled_until_ms[instance], instance, delayed_event)
                 continue
-            events = [event for epoch, item in taken for event in self.events_of(instance, epoch, item)]
+            events = [
+                event for incarnation, item in due for event in self.deliverable_events(instance, incarnation, item)
+            ]
             if events:
-                self.turn(instance, events)
-        return Run(self.hash.hexdigest(), self.lines, self.clear, self.seen)
+                self.process_batch(instance, events)
+        return Run(self.hash.hexdigest(), self.lines, self.readable_lines, self.counts)
 
-    def turn(self, instance: int, events: list) -> None:
-        """Hand events to an instance and do what it says."""
-        self.note(f"TURN {self.now!r} {instance}")
+    def process_batch(self, instance: int, events: list) -> None:
+        """Pass events to an instance and carry out its actions."""
+        self.record_line(f"TURN {self.now_ms!r} {instance}")
         for event in events:
-            self.seen[event[0]] += 1
-            self.note("  > " + line_of(event))
-        for action in decide(self.modules[instance], self.now, events):
-            self.seen[action[0]] += 1
-            self.note("  < " + line_of(action))
+            self.counts[event[0]] += 1
+            self.record_line("  > " + format_line(event))
+        for action in decide(self.controllers[instance], self.now_ms, events):
+            self.counts[action[0]] += 1
+            self.record_line("  < " + format_line(action))
             getattr(self, "do_" + action[0].lower())(instance, *action[1:])
 
-    def events_of(self, instance: int, epoch: int, item) -> list:
-        """What of an entry is handed to the instance now."""
+    def deliverable_events(self, instance: int, incarnation: int, item) -> list:
+        """Return the events that an entry delivers to the instance now."""
         tag = item[0]
         if tag == "OUTCOME":
-            return self.ended(instance, epoch, item)
-        if not self.alive[instance] or epoch != self.epoch[instance]:
+            return self.end_attempt(instance, incarnation, item)
+        if not self.alive[instance] or incarnation != self.incarnations[instance]:
             return []
         if tag == "ARRIVAL":
-            self.live.setdefault(item[1], (item, instance))
-            self.sent.setdefault(item[1], [])
-        elif tag in ("STARTED", "CLIENT_GONE") and item[1] not in self.live:
+            self.open_requests.setdefault(item[1], (item, instance))
+            self.attempts.setdefault(item[1], [])
+        elif tag in ("STARTED", "CLIENT_GONE") and item[1] not in self.open_requests:
             return []
         elif tag == "CLIENT_GONE":
-            del self.live[item[1]]
+            del self.open_requests[item[1]]
         return [item]
 
-    def ended(self, instance: int, epoch: int, item) -> list:
-        """The outcome of an attempt, if that has not ended before."""
-        _, number, attempt, name, _, result, may_end = item
-        place = self.out.pop((instance, epoch, number, attempt), None)
-        if place is None:
-            stale = epoch == self.epoch[instance] and self.alive[instance] and self.rng.random() < 0.05
-            return [("OUTCOME", number, attempt, name, 1.0, result, False, 0.0, 0, ())] if stale else []
-        endpoint, sent_ms = place
-        endpoint.busy -= 1
-        if not self.alive[instance] or epoch != self.epoch[instance]:
+    def end_attempt(self, instance: int, incarnation: int, item) -> list:
+        """Return the end of an attempt, if it has not ended before."""
+        _, request_id, attempt, name, _, result, may_be_final = item
+        started = self.in_flight.pop((instance, incarnation, request_id, attempt), None)
+        if started is None:
+            is_duplicate = (
+                incarnation == self.incarnations[instance] and self.alive[instance] and self.rng.random() < 0.05
+            )
+            return [("OUTCOME", request_id, attempt, name, 1.0, result, False, 0.0, 0, ())] if is_duplicate else []
+        endpoint, started_ms = started
+        endpoint.in_flight -= 1
+        if not self.alive[instance] or incarnation != self.incarnations[instance]:
             return []
-        final = may_end and number in self.live and self.live[number][1] == instance
+        final = may_be_final and request_id in self.open_requests and self.open_requests[request_id][1] == instance
         if final:
-            del self.live[number]
-        load = self.load_of(endpoint, instance)
+            del self.open_requests[request_id]
+        load = self.load_report(endpoint, instance)
         units = self.rng.choice((0.0, 1.0, 2.5))
-        return [("OUTCOME", number, attempt, name, self.now - sent_ms, result, final, units, 0, load)]
+        return [("OUTCOME", request_id, attempt, name, self.now_ms - started_ms, result, final, units, 0, load)]
 
-    def load_of(self, endpoint: Endpoint, instance: int) -> tuple:
-        """The load report that goes along with an answer, if there is one."""
+    def load_report(self, endpoint: Endpoint, instance: int) -> tuple:
+        """Return the load report in a response, which may be empty."""
         fields = self.current[instance]["report_fields"]
         if not fields or self.rng.random() < 0.3:
             return ()
-        figures = {"util": min(1.2, endpoint.busy / endpoint.places), "inflight": float(endpoint.busy)}
-        return tuple(figures[name] for name in fields)
+        loads = {"util": min(1.2, endpoint.in_flight / endpoint.capacity), "inflight": float(endpoint.in_flight)}
+        return tuple(loads[name] for name in fields)
 
     # -- actions
 
-    def do_attempt(self, instance: int, number: int, name: str, allow_ms: float, begin_ms: float) -> None:
-        """An attempt goes out."""
+    def do_attempt(self, instance: int, request_id: int, name: str, timeout_ms: float, start_within_ms: float) -> None:
+        """Start an attempt."""
         rng, endpoint = self.rng, self.by_name[name]
-        key = (instance, self.epoch[instance], number)
+        key = (instance, self.incarnations[instance], request_id)
         attempt = self.next_attempt.get(key, 0)
-        if not attempt and number in self.live and self.live[number][0][11]:
-            attempt = self.live[number][0][11][0]
+        if not attempt and request_id in self.open_requests and self.open_requests[request_id][0][11]:
+            attempt = self.open_requests[request_id][0][11][0]
         self.next_attempt[key] = attempt + 1
-        self.out[(*key, attempt)] = (endpoint, self.now)
-        self.sent.setdefault(number, []).append((name, self.now))
-        endpoint.busy += 1
-        arrival = self.live[number][0] if number in self.live else None
+        self.in_flight[(*key, attempt)] = (endpoint, self.now_ms)
+        self.attempts.setdefault(request_id, []).append((name, self.now_ms))
+        endpoint.in_flight += 1
+        arrival = self.open_requests[request_id][0] if request_id in self.open_requests else None
         units = arrival[6] if arrival else 1.0
-        crowd = 1 + endpoint.busy / endpoint.places
-        took_ms = endpoint.answer_ms * (0.5 + units / 2) * crowd * rng.choice((0.5, 0.8, 1.0, 1.0, 1.3, 4.0))
+        load_factor = 1 + endpoint.in_flight / endpoint.capacity
+        duration_ms = (
+            endpoint.response_ms * (0.5 + units / 2) * load_factor * rng.choice((0.5, 0.8, 1.0, 1.0, 1.3, 4.0))
+        )
         result, fault = "ok", endpoint.fault
         if fault == "slow":
-            took_ms *= 8
+            duration_ms *= 8
         elif fault == "hang":
-            took_ms = 1e9
+            duration_ms = 1e9
         elif fault and rng.random() < 0.85:
             result = fault
-            took_ms = 3.0 if fault in ("full", "connect_failed") else took_ms * 0.6
-        elif endpoint.busy > endpoint.places:
-            result, took_ms = "full", 2.0
+            duration_ms = 3.0 if fault in ("full", "connect_failed") else duration_ms * 0.6
+        elif endpoint.in_flight > endpoint.capacity:
+            result, duration_ms = "full", 2.0
         elif rng.random() < 0.02:
             result = "error"
-        if begin_ms < 2.0 and rng.random() < 0.8:
-            result, took_ms = "moot", 1.0
-        if took_ms > allow_ms:
-            result, took_ms = "timeout", allow_ms
+        if start_within_ms < 2.0 and rng.random() < 0.8:
+            result, duration_ms = "moot", 1.0
+        if duration_ms > timeout_ms:
+            result, duration_ms = "timeout", timeout_ms
         streamed = arrival is not None and arrival[3].startswith("stream")
         if streamed and result in ("ok", "reset") and rng.random() < 0.9:
-            self.push(self.now + took_ms * 0.6, instance, ("STARTED", number, attempt, name))
-            took_ms *= rng.choice((1.0, 2.0, 6.0))
-        may_end = result == "ok" or (result == "error" and rng.random() < 0.3)
-        item = ("OUTCOME", number, attempt, name, took_ms, result, may_end)
-        self.push(self.now + took_ms, instance, item)
+            self.schedule_event(self.now_ms + duration_ms * 0.6, instance, ("STARTED", request_id, attempt, name))
+            duration_ms *= rng.choice((1.0, 2.0, 6.0))
+        may_be_final = result == "ok" or (result == "error" and rng.random() < 0.3)
+        item = ("OUTCOME", request_id, attempt, name, duration_ms, result, may_be_final)
+        self.schedule_event(self.now_ms + duration_ms, instance, item)
         if rng.random() < 0.02:
-            self.push(self.now + took_ms + 5, instance, item)
+            self.schedule_event(self.now_ms + duration_ms + 5, instance, item)
 
-    def do_reject(self, instance: int, number: int, retry_in_ms: float, reason: str) -> None:
-        """A client is told to come again; some do."""
-        found = self.live.pop(number, None)
+    def do_reject(self, instance: int, request_id: int, retry_after_ms: float, reason: str) -> None:
+        """Reject a request; some clients retry."""
+        found = self.open_requests.pop(request_id, None)
         if found is None or reason == "unfit" or self.rng.random() < 0.6:
             return
-        _, _, customer, class_name, plan_name, _, units, first, spread, _, copies, _ = found[0]
-        at_ms = self.now + retry_in_ms + self.rng.uniform(1.0, 200.0)
-        self.arrive(at_ms, customer, class_name, plan_name, units, first, spread, True, copies)
-
-    def do_fail(self, instance: int, number: int) -> None:
-        """The client has its answer."""
-        self.live.pop(number, None)
-
-    def do_cancel(self, instance: int, number: int, attempt: int) -> None:
-        """An attempt is called off."""
-        place = self.out.get((instance, self.epoch[instance], number, attempt))
-        if place:
-            result = "moot" if self.now - place[1] < 3 else "cancelled"
-            item = ("OUTCOME", number, attempt, place[0].name, 0.0, result, False)
-            self.push(self.now + self.rng.choice((0.0, 0.7)), instance, item)
-
-    def do_set_timer(self, instance: int, after_ms: float, name: str) -> None:
-        """The instance wants to be called."""
-        self.push(self.now + after_ms, instance, ("TIMER", name))
+        _, _, customer, class_name, plan_name, _, units, first, spread, _, allows_hedging, _ = found[0]
+        at_ms = self.now_ms + retry_after_ms + self.rng.uniform(1.0, 200.0)
+        self.add_arrival(at_ms, customer, class_name, plan_name, units, first, spread, True, allows_hedging)
+
+    def do_fail(self, instance: int, request_id: int) -> None:
+        """Fail a request."""
+        self.open_requests.pop(request_id, None)
+
+    def do_cancel(self, instance: int, request_id: int, attempt: int) -> None:
+        """Cancel an attempt."""
+        started = self.in_flight.get((instance, self.incarnations[instance], request_id, attempt))
+        if started:
+            result = "moot" if self.now_ms - started[1] < 3 else "cancelled"
+            item = ("OUTCOME", request_id, attempt, started[0].name, 0.0, result, False)
+            self.schedule_event(self.now_ms + self.rng.choice((0.0, 0.7)), instance, item)
+
+    def do_set_timer(self, instance: int, delay_ms: float, name: str) -> None:
+        """Set a timer."""
+        self.schedule_event(self.now_ms + delay_ms, instance, ("TIMER", name))
 
     def do_peer_message(self, instance: int, receiver: int, data: bytes) -> None:
-        """Peer bytes, with delay, loss and repetition."""
+        """Deliver a peer message with delay, loss and duplication."""
         rng = self.rng
-        self.seen.update("item " + kind for kind in peer_item_kinds(data))
-        muted = self.now < max(self.mute_until[instance], self.mute_until[receiver] if receiver < PLAYED else 0.0)
-        if receiver >= PLAYED or muted or rng.random() < self.loss:
+        self.counts.update("quota message " + kind for kind in quota_message_kinds(data))
+        muted = self.now_ms < max(
+            self.muted_until_ms[instance], self.muted_until_ms[receiver] if receiver < SIMULATED_INSTANCES else 0.0
+        )
+        if receiver >= SIMULATED_INSTANCES or muted or rng.random() < self.loss_rate:
             return
-        for _ in range(1 + (rng.random() < self.repetition)):
-            self.push(self.now + self.delay_ms * rng.uniform(0.2, 2.0), receiver, ("PEER", instance, data))
+        for _ in range(1 + (rng.random() < self.duplicate_rate)):
+            self.schedule_event(self.now_ms + self.delay_ms * rng.uniform(0.2, 2.0), receiver, ("PEER", instance, data))
         if rng.random() < 0.01:
-            bad = rng.choice((b"", data[:-1], data[:9], b"\x07" + data[1:], data[:8] + b"\xee" + data[9:], data * 9))
-            self.push(self.now + 1, receiver, ("PEER", instance, bad))
-            self.push(self.now + 2, receiver, ("PEER", rng.choice((receiver, 77)), data))
+            malformed = rng.choice(
+                (b"", data[:-1], data[:9], b"\x07" + data[1:], data[:8] + b"\xee" + data[9:], data * 9)
+            )
+            self.schedule_event(self.now_ms + 1, receiver, ("PEER", instance, malformed))
+            self.schedule_event(self.now_ms + 2, receiver, ("PEER", rng.choice((receiver, 77)), data))
 
     def do_subscribe(self, instance: int) -> None:
-        """Discovery answers with a list, or fails."""
+        """Let service discovery send a list, or fail."""
         if self.rng.random() < 0.3:
-            self.push(self.now + 5, instance, ("FLEET", (), True, True))
+            self.schedule_event(self.now_ms + 5, instance, ("FLEET", (), True, True))
         else:
-            self.call(self.now + 20, self.send_list, instance)
+            self.schedule_call(self.now_ms + 20, self.send_list, instance)
 
-    # -- what happens to the world
+    # -- scheduled events
 
-    def plan_all(self) -> None:
-        """All that is drawn in advance."""
+    def schedule_all(self) -> None:
+        """Schedule all events that are drawn in advance."""
         rng = self.rng
         self.next_attempt = {}
-        for instance in range(PLAYED):
-            self.call(rng.uniform(0.0, 40.0), self.send_list, instance)
-        self.plan_arrivals()
+        for instance in range(SIMULATED_INSTANCES):
+            self.schedule_call(rng.uniform(0.0, 40.0), self.send_list, instance)
+        self.schedule_arrivals()
         if self.seed % 6 == 1:
-            self.plan_surge()
-        self.plan_faults()
+            self.schedule_surge()
+        self.schedule_faults()
         for start in range(1500, 29000, 2500):
-            self.call(start + rng.uniform(0, 2000), self.change_lists)
-        for instance in range(PLAYED):
-            self.call(9000 + rng.uniform(0, 800), self.change_settings, instance, 1)
-            self.call(19000 + rng.uniform(0, 800), self.change_settings, instance, 2)
+            self.schedule_call(start + rng.uniform(0, 2000), self.change_endpoints)
+        for instance in range(SIMULATED_INSTANCES):
+            self.schedule_call(9000 + rng.uniform(0, 800), self.change_settings, instance, 1)
+            self.schedule_call(19000 + rng.uniform(0, 800), self.change_settings, instance, 2)
         for _ in range(2):
-            self.call(rng.uniform(3000, 27000), self.stall, rng.randrange(PLAYED))
-            self.call(rng.uniform(3000, 27000), self.mute, rng.randrange(PLAYED), rng.choice((400.0, 4000.0)))
+            self.schedule_call(rng.uniform(3000, 27000), self.stall, rng.randrange(SIMULATED_INSTANCES))
+            self.schedule_call(
+                rng.uniform(3000, 27000),
+                self.drop_peer_messages,
+                rng.randrange(SIMULATED_INSTANCES),
+                rng.choice((400.0, 4000.0)),
+            )
         if self.seed % 4 != 0:
-            self.call(rng.uniform(8000, 16000), self.kill, rng.randrange(PLAYED))
+            self.schedule_call(rng.uniform(8000, 16000), self.fail_instance, rng.randrange(SIMULATED_INSTANCES))
         for _ in range(3):
             item = ("PROBED", self.endpoints[0].name, 3.0, "ok", ())
-            self.push(rng.uniform(0, 25000), rng.randrange(PLAYED), item)
-            self.push(rng.uniform(0, 25000), rng.randrange(PLAYED), ("COUNTED", "count"))
+            self.schedule_event(rng.uniform(0, 25000), rng.randrange(SIMULATED_INSTANCES), item)
+            self.schedule_event(rng.uniform(0, 25000), rng.randrange(SIMULATED_INSTANCES), ("COUNTED", "count"))
 
-    def plan_arrivals(self) -> None:
-        """Requests in calm and pressed spells."""
+    def schedule_arrivals(self) -> None:
+        """Schedule requests in alternating periods of low and high load."""
         rng, at_ms = self.rng, 1.0
-        last_ms = PRESSED_MS if self.seed in PRESSED_SEEDS else RUN_MS - 2500
+        last_ms = OVERLOAD_MS if self.seed in OVERLOAD_SEEDS else RUN_MS - 2500
         while at_ms < last_ms:
-            pressed = int(at_ms / 1000) % 7 in (2, 3)
-            at_ms += rng.expovariate(self.rate_per_s * (2.0 if pressed else 0.6)) * 1000
-            shifted = at_ms + (LEAP_MS if self.seed in QUIET_SEEDS and at_ms > 14_000 else 0.0)
+            overloaded = int(at_ms / 1000) % 7 in (2, 3)
+            at_ms += rng.expovariate(self.rate_per_s * (2.0 if overloaded else 0.6)) * 1000
+            arrival_ms = at_ms + (IDLE_GAP_MS if self.seed in IDLE_GAP_SEEDS and at_ms > 14_000 else 0.0)
             number = int(len(self.customers) * rng.random() ** 3)
             customer, plan_name, first, spread = self.customers[number]
-            class_name = rng.choice(self.used_classes)[0]
+            class_name = rng.choice(self.request_classes)[0]
             if at_ms > 19_900 and rng.random() < 0.1:
                 class_name = "added"
             if at_ms > 19_900 and rng.random() < 0.1:
@@ -683,141 +729,145 @@
             if rng.random() < 0.004:
                 class_name, plan_name = rng.choice((("none", plan_name), (class_name, "none")))
             units = rng.choice((0.0, 0.25, 1.0, 1.0, 1.0, 1.0, 1.5, 2.0, 3.7, 7.0, 20.0))
-            self.arrive(shifted, customer, class_name, plan_name, units, first, spread, False, rng.random() < 0.8)
+            self.add_arrival(
+                arrival_ms, customer, class_name, plan_name, units, first, spread, False, rng.random() < 0.8
+            )
 
-    def plan_surge(self) -> None:
-        """So many requests of one class at one instance that most are refused while they are held."""
-        at_ms, instance = self.rng.uniform(4000.0, 12000.0), self.rng.randrange(PLAYED)
+    def schedule_surge(self) -> None:
+        """Schedule so many requests of one class at one instance that most are rejected while they are queued."""
+        at_ms, instance = self.rng.uniform(4000.0, 12000.0), self.rng.randrange(SIMULATED_INSTANCES)
         for number in range(260):
-            due_ms, first = at_ms + 2000.0, instance
-            values = (f"surge{number % 3}", "look", "open", due_ms, 1.0, first, 1, False, True, None)
-            self.push(at_ms, instance, ("ARRIVAL", self.next_id, *values))
+            deadline_at_ms, first = at_ms + 2000.0, instance
+            values = (f"surge{number % 3}", "look", "open", deadline_at_ms, 1.0, first, 1, False, True, None)
+            self.schedule_event(at_ms, instance, ("ARRIVAL", self.next_id, *values))
             self.next_id += 1
             at_ms += 0.9
 
-    def arrive(self, at_ms, customer, class_name, plan_name, units, first, spread, is_repeat, copies) -> None:
-        """One request of a client."""
-        rng, number = self.rng, self.next_id
+    def add_arrival(
+        self, at_ms, customer, class_name, plan_name, units, first, spread, is_retry, allows_hedging
+    ) -> None:
+        """Schedule one request of a client."""
+        rng, request_id = self.rng, self.next_id
         self.next_id += 1
-        instance = rng.randrange(PLAYED)
+        instance = rng.randrange(SIMULATED_INSTANCES)
         deadline_ms = next((row[2] for row in (*CLASSES, ADDED_CLASS) if row[0] == class_name), 500.0)
-        due_ms = at_ms + deadline_ms * rng.choice((1.0, 1.0, 1.0, 0.4)) * (rng.random() > 0.003)
-        past = None
+        deadline_at_ms = at_ms + deadline_ms * rng.choice((1.0, 1.0, 1.0, 0.4)) * (rng.random() > 0.003)
+        prior = None
         if rng.random() < 0.01:
-            past = self.draw_past(at_ms)
+            prior = self.draw_prior_attempts(at_ms)
         item = (
             "ARRIVAL",
-            number,
+            request_id,
             customer,
             class_name,
             plan_name,
-            due_ms,
+            deadline_at_ms,
             units,
             first,
             spread,
-            is_repeat,
-            copies,
-            past,
+            is_retry,
+            allows_hedging,
+            prior,
         )
-        self.push(at_ms, instance, item)
+        self.schedule_event(at_ms, instance, item)
         if rng.random() < 0.003:
-            self.push(at_ms + 20, instance, item)
+            self.schedule_event(at_ms + 20, instance, item)
         if rng.random() < 0.04:
-            self.push(at_ms + rng.uniform(1, 300), instance, ("CLIENT_GONE", number))
+            self.schedule_event(at_ms + rng.uniform(1, 300), instance, ("CLIENT_GONE", request_id))
 
-    def draw_past(self, at_ms: float) -> tuple:
-        """What another instance knew of a request."""
+    def draw_prior_attempts(self, at_ms: float) -> tuple:
+        """Draw the prior attempts of a request at another instance."""
         rng = self.rng
         name = rng.choice((*self.by_name, "unlisted", ""))
         attempts = rng.choice((0, 1, 1, 2))
-        sent_ms = rng.choice((-float("inf"), at_ms - 100.0, at_ms - 900.0))
-        return (attempts, rng.randint(0, attempts), name, sent_ms, rng.random() < 0.5)
+        started_ms = rng.choice((-float("inf"), at_ms - 100.0, at_ms - 900.0))
+        return (attempts, rng.randint(0, attempts), name, started_ms, rng.random() < 0.5)
 
-    def plan_faults(self) -> None:
-        """Spells in which endpoints do not behave."""
+    def schedule_faults(self) -> None:
+        """Schedule periods in which endpoints have faults."""
         rng = self.rng
         for number in range(9):
             fault = FAULTS[(self.seed + number) % len(FAULTS)]
-            start_ms, long_ms = rng.uniform(1000, 26000), rng.choice((300.0, 1500.0, 4000.0))
+            start_ms, duration_ms = rng.uniform(1000, 26000), rng.choice((300.0, 1500.0, 4000.0))
             chosen = rng.sample(self.endpoints, rng.choice((1, 1, 2, len(self.endpoints))))
             for endpoint in chosen:
-                self.call(start_ms, setattr, endpoint, "fault", fault)
-                self.call(start_ms + long_ms, setattr, endpoint, "fault", "")
+                self.schedule_call(start_ms, setattr, endpoint, "fault", fault)
+                self.schedule_call(start_ms + duration_ms, setattr, endpoint, "fault", "")
 
     def send_list(self, instance: int) -> None:
-        """Discovery tells one instance."""
+        """Send the endpoint list to one instance."""
         rows = tuple(
             (each.name, each.zone, each.cell, each.state, each.weight, each.started_ms)
             for each in self.endpoints
             if each.listed
         )
         if self.rng.random() < 0.2:
-            self.push(self.now, instance, ("FLEET", rows[::2], False, False))
-            self.push(self.now + 30, instance, ("FLEET", (), True, True))
-        self.push(self.now + self.rng.uniform(0, 50), instance, ("FLEET", rows, True, False))
+            self.schedule_event(self.now_ms, instance, ("FLEET", rows[::2], False, False))
+            self.schedule_event(self.now_ms + 30, instance, ("FLEET", (), True, True))
+        self.schedule_event(self.now_ms + self.rng.uniform(0, 50), instance, ("FLEET", rows, True, False))
 
-    def change_lists(self) -> None:
-        """Some endpoints come back, one or more leave or restart."""
+    def change_endpoints(self) -> None:
+        """Make all endpoints ready, except for one or more that leave, drain or restart."""
         rng = self.rng
         for endpoint in self.endpoints:
             endpoint.state, endpoint.listed = "ready", True
         for endpoint in rng.sample(self.endpoints, rng.choice((1, 2, 3, len(self.endpoints) // 2))):
-            what = rng.choice(LIST_FAULTS)
-            if what == "restarted":
-                endpoint.started_ms = self.now
-            elif what == "lost":
+            change = rng.choice(LIST_FAULTS)
+            if change == "restarted":
+                endpoint.started_ms = self.now_ms
+            elif change == "lost":
                 endpoint.listed = False
             else:
-                endpoint.state = what
-        for instance in range(PLAYED):
-            self.call(self.now + rng.uniform(0, 100), self.send_list, instance)
+                endpoint.state = change
+        for instance in range(SIMULATED_INSTANCES):
+            self.schedule_call(self.now_ms + rng.uniform(0, 100), self.send_list, instance)
 
     def change_settings(self, instance: int, step: int) -> None:
-        """First other figures, then a class and a plan more."""
-        figures = self.figures_of(instance)
+        """Change values in the first step, and add a class and a plan in the second."""
+        values = self.values_of(instance)
         classes = tuple(
-            (*row[:1], row[1] * 1.25, *row[2:]) if row[0] in ("look", "write") else row for row in self.used_classes
+            (*row[:1], row[1] * 1.25, *row[2:]) if row[0] in ("look", "write") else row for row in self.request_classes
         )
         plans = tuple((*row[:1], row[1] * 0.5, row[2] * 0.75, *row[3:]) if row[0] != "wide" else row for row in PLANS)
         if step == 2:
             classes, plans = (*classes, ADDED_CLASS), (*plans, ADDED_PLAN)
-        self.current[instance] = {**figures, "classes": classes, "plans": plans, "max_attempts": 1 + step}
-        self.push(self.now, instance, ("SETTINGS", self.current[instance]))
+        self.current[instance] = {**values, "classes": classes, "plans": plans, "max_attempts": 1 + step}
+        self.schedule_event(self.now_ms, instance, ("SETTINGS", self.current[instance]))
 
     def stall(self, instance: int) -> None:
-        """An instance has no turn for more than a second."""
-        self.stall_until[instance] = self.now + 1100.0
+        """Let an instance process no events for more than a second."""
+        self.stalled_until_ms[instance] = self.now_ms + 1100.0
 
-    def mute(self, instance: int, long_ms: float) -> None:
-        """What an instance and its peers tell each other is lost."""
-        self.mute_until[instance] = self.now + long_ms
+    def drop_peer_messages(self, instance: int, duration_ms: float) -> None:
+        """Drop all messages between an instance and its peers."""
+        self.muted_until_ms[instance] = self.now_ms + duration_ms
 
-    def kill(self, instance: int) -> None:
-        """An instance is lost; its open requests go on at another."""
+    def fail_instance(self, instance: int) -> None:
+        """Let an instance fail; others take over its open requests."""
         rng = self.rng
         self.alive[instance] = False
-        self.epoch[instance] += 1
-        others = [other for other in range(PLAYED) if other != instance]
-        for number, (item, owner) in list(self.live.items()):
+        self.incarnations[instance] += 1
+        others = [other for other in range(SIMULATED_INSTANCES) if other != instance]
+        for request_id, (item, owner) in list(self.open_requests.items()):
             if owner == instance:
-                del self.live[number]
-                sent = self.sent.get(number) or []
-                name, sent_ms = sent[0] if sent else ("", -float("inf"))
-                past = (len(sent), rng.randint(0, len(sent)), name, sent_ms, rng.random() < 0.5)
-                self.push(self.now + 50, rng.choice(others), (*item[:11], past))
-        back_ms = self.now + rng.choice((500.0, 4000.0, 9000.0))
+                del self.open_requests[request_id]
+                attempts = self.attempts.get(request_id) or []
+                name, started_ms = attempts[0] if attempts else ("", -float("inf"))
+                prior = (len(attempts), rng.randint(0, len(attempts)), name, started_ms, rng.random() < 0.5)
+                self.schedule_event(self.now_ms + 50, rng.choice(others), (*item[:11], prior))
+        restart_ms = self.now_ms + rng.choice((500.0, 4000.0, 9000.0))
         for other in others:
-            self.push(self.now + 300, other, ("AWAY", (instance,)))
-            self.push(back_ms + 300, other, ("AWAY", ()))
-        self.call(back_ms, self.restart, instance)
+            self.schedule_event(self.now_ms + 300, other, ("AWAY", (instance,)))
+            self.schedule_event(restart_ms + 300, other, ("AWAY", ()))
+        self.schedule_call(restart_ms, self.restart, instance)
 
     def restart(self, instance: int) -> None:
-        """The lost instance comes back, with another seed."""
+        """Restart a failed instance with another seed."""
         self.alive[instance] = True
-        self.modules[instance] = make_instance(self.current[instance], self.seed + 1000 + instance)
+        self.controllers[instance] = make_instance(self.current[instance], self.seed + 1000 + instance)
         self.send_list(instance)
 
 
 def play(seed: int) -> Run:
-    """Play the schedule of one seed."""
+    """Play the schedule of one seed and return its result."""
     return Schedule(seed).run()
