--- a/tests/test_attempt_accounting.py
+++ b/tests/test_attempt_accounting.py
@@ -1,4 +1,4 @@
-"""Each attempt that the controller starts ends exactly once, whatever becomes of its request before it can leave."""
+"""Each attempt that the controller starts ends exactly once, even if its request ends before the attempt is sent."""
 
 from collections import Counter
 from dataclasses import replace
@@ -24,7 +24,7 @@
 
 
 def attempts_in_flight(controller):
-    """Every count of attempts in flight that the controller keeps and that is not 0, by its name."""
+    """Return all counts of attempts in flight in the controller that are not 0, by name."""
     counts = {
         "limit": controller.concurrency_limit.in_flight,
         "tracked": len(controller.attempts.in_flight),
@@ -40,11 +40,12 @@
 
 
 def attempts_ended(counts):
+    """Return the number of ended attempts in the counters of a request table."""
     return sum(counts[f"attempts_{result.value}"] for result in AttemptResult)
 
 
-def test_attempts_of_clients_that_left_in_the_same_iteration_take_no_capacity():
-    # Guards against capacity lost for good: the ends of attempts went to the controller before the disconnections.
+def test_attempts_of_clients_that_disconnected_in_the_same_iteration_take_no_capacity():
+    # Guards against a permanent loss of capacity: the controller got the ends of attempts before the disconnections.
     desk = Desk()
     numbers = [
         desk.proxied.first_check(f"r{n}", desk.told.append, terms(desk.request_table, 2000.0)) for n in range(200)
@@ -65,30 +66,34 @@
     assert counts["attempts"] == attempts_ended(counts) and counts["attempts_moot"] > 0
 
 
-def terms(table, due_ms, kind="safe"):
-    return RequestTerms("c", kind, "wide", table.now_ms() + due_ms, 1.0, 0, 1, False)
+def terms(table, remaining_ms, class_name="safe"):
+    """Return the terms of a request with this time left until its deadline."""
+    return RequestTerms("c", class_name, "wide", table.now_ms() + remaining_ms, 1.0, 0, 1, False)
 
 
 @pytest.mark.parametrize(("uncertain", "response"), [(0, "reject"), (1, "fail")])
-def test_an_unprotected_request_is_told_as_never_executed_only_if_no_attempt_may_have_been(uncertain, response):
-    # Guards against a second effect: a request that a failed instance had started was said to be safe to retry.
+def test_an_unprotected_request_is_rejected_as_safe_to_retry_only_if_no_attempt_may_have_been_executed(
+    uncertain, response
+):
+    # Guards against a second execution: a request that a failed instance had started was rejected as safe to retry.
     desk = Desk()
-    told = []
+    answers = []
     handler = SimpleNamespace(
-        reject=lambda number, retry_after_ms, reason: told.append("reject"), fail=lambda number: told.append("fail")
+        reject=lambda number, retry_after_ms, reason: answers.append("reject"),
+        fail=lambda number: answers.append("fail"),
     )
     prior_attempts = PriorAttempts(1, uncertain, SERVERS[0].id)
     number = desk.request_table.accept(
         handler, terms(desk.request_table, 2000.0, "keyed"), prior_attempts=prior_attempts
     )
     desk.request_table.reject_unprotected(number)
-    assert told == [response]
+    assert answers == [response]
     desk.run(0.01)
     assert not desk.request_table.requests
 
 
 class Handler:
-    """An attempt handler that can be made to raise at its next call, before or after it has done its work."""
+    """An attempt handler whose next call can be made to raise, before or after its work."""
 
     def __init__(self):
         self.table = None
@@ -127,7 +132,7 @@
 
 
 class Guard:
-    """A replication guard that withholds attempts and rejections while `withholding`."""
+    """A replication guard that withholds attempts and rejections while `withholding` is set."""
 
     def __init__(self):
         self.withholding = False
@@ -158,7 +163,7 @@
 
 
 class AttemptAccounting(RuleBasedStateMachine):
-    """Requests, their ends and faults in any order, with several of them in one iteration of the event loop."""
+    """Requests, their ends and errors in any order, several of them in one iteration of the event loop."""
 
     def __init__(self):
         super().__init__()
@@ -198,13 +203,15 @@
 
     @rule(
         count=st.integers(1, 30),
-        kind=st.sampled_from([each.name for each in CLASSES]),
-        due_ms=st.sampled_from([40.0, 300.0, 2000.0]),
+        class_name=st.sampled_from([each.name for each in CLASSES]),
+        remaining_ms=st.sampled_from([40.0, 300.0, 2000.0]),
         prior=st.sampled_from([None, PriorAttempts(1, 0, SERVERS[0].id), PriorAttempts(2, 1, SERVERS[1].id)]),
     )
-    def accept(self, count, kind, due_ms, prior):
+    def accept(self, count, class_name, remaining_ms, prior):
         for _ in range(count):
-            self.numbers.append(self.table.accept(self.handler, terms(self.table, due_ms, kind), prior_attempts=prior))
+            self.numbers.append(
+                self.table.accept(self.handler, terms(self.table, remaining_ms, class_name), prior_attempts=prior)
+            )
 
     @precondition(lambda self: self.handler.in_flight)
     @rule(data=st.data(), count=st.integers(1, 20), result=st.sampled_from(ENDINGS))
@@ -220,9 +227,9 @@
             self.table.client_disconnected(number)
 
     @precondition(lambda self: self.numbers)
-    @rule(data=st.data(), way=st.sampled_from(["transfer_to_backup", "reject_unprotected", "release_rejection"]))
-    def replicate(self, data, way):
-        getattr(self.table, way)(data.draw(st.sampled_from(self.numbers)))
+    @rule(data=st.data(), method=st.sampled_from(["transfer_to_backup", "reject_unprotected", "release_rejection"]))
+    def replicate(self, data, method):
+        getattr(self.table, method)(data.draw(st.sampled_from(self.numbers)))
 
     @precondition(lambda self: self.numbers)
     @rule(data=st.data())
@@ -257,7 +264,7 @@
         self.handler.raising = when
 
     def teardown(self):
-        """End everything that is open: then every count of attempts in flight is back at 0."""
+        """End all open requests and attempts, after which every count of attempts in flight must be 0."""
         self.handler.raising = ""
         self.guard.withholding = False
         self.run(0.0)
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -1,4 +1,4 @@
-"""Order of dispatch, shares at the limit, and how long a request may be queued."""
+"""Order of dispatch, class shares at the concurrency limit, and dispatch deadlines."""
 
 from dataclasses import replace
 
@@ -18,7 +18,7 @@
 
 
 class Dispatcher:
-    """An admission with a limit, and the ids of the requests that it dispatched."""
+    """An admission with a concurrency limit, which records the ids of dispatched requests."""
 
     def __init__(self, capacity):
         self.limit = ConcurrencyLimit(1)
@@ -37,7 +37,7 @@
         self.admission.enqueue(request)
 
     def start(self, request):
-        """Start an attempt, unless no endpoint may take it."""
+        """Start an attempt, unless the request is blocked."""
         if request.arrival.id in self.blocked:
             return False
         self.dispatched.append(request.arrival.id)
@@ -51,70 +51,70 @@
 
 
 def test_below_the_limit_all_requests_are_dispatched_by_priority_and_the_newest_first():
-    side = Dispatcher(capacity=10.0)
-    side.queue(1, priority_weight=1.0)
-    side.queue(2, priority_weight=5.0, arrived_ms=1.0)
-    side.queue(3, priority_weight=5.0, arrived_ms=2.0)
-    assert side.dispatch() == [3, 2, 1]
-    assert not side.admission.queue
+    dispatcher = Dispatcher(capacity=10.0)
+    dispatcher.queue(1, priority_weight=1.0)
+    dispatcher.queue(2, priority_weight=5.0, arrived_ms=1.0)
+    dispatcher.queue(3, priority_weight=5.0, arrived_ms=2.0)
+    assert dispatcher.dispatch() == [3, 2, 1]
+    assert not dispatcher.admission.queue
 
 
-def test_at_the_limit_each_class_has_its_share_whatever_its_priority():
-    side = Dispatcher(capacity=1.0)  # 12 attempts, and 1 as allowance for bursts
+def test_at_the_limit_each_class_has_its_share_regardless_of_its_priority():
+    dispatcher = Dispatcher(capacity=1.0)  # 12 attempts, and 1 as allowance for bursts
     for number in range(40):
-        side.queue(number, BOOK, priority_weight=9.0)
-        side.queue(100 + number, LOOK, priority_weight=1.0)
-    dispatched = side.dispatch()
+        dispatcher.queue(number, BOOK, priority_weight=9.0)
+        dispatcher.queue(100 + number, LOOK, priority_weight=1.0)
+    dispatched = dispatcher.dispatch()
     assert sum(number >= 100 for number in dispatched) == 6
     assert len(dispatched) == 13
 
 
-def test_what_other_classes_leave_of_their_shares_is_dispatched_by_priority():
-    side = Dispatcher(capacity=1.0)
+def test_capacity_that_other_classes_leave_of_their_shares_is_used_by_priority():
+    dispatcher = Dispatcher(capacity=1.0)
     for number in range(40):
-        side.queue(number, BOOK)
-    assert len(side.dispatch()) == 13
+        dispatcher.queue(number, BOOK)
+    assert len(dispatcher.dispatch()) == 13
 
 
-def test_a_blocked_request_stays_queued_and_holds_up_no_other():
-    side = Dispatcher(capacity=10.0)
-    side.blocked = {1}
-    side.queue(1, priority_weight=9.0)
-    side.queue(2)
-    assert side.dispatch() == [2]
-    assert len(side.admission.queue) == 1
-    side.blocked = set()
-    assert side.dispatch() == [2, 1]
+def test_a_blocked_request_stays_queued_and_delays_no_other():
+    dispatcher = Dispatcher(capacity=10.0)
+    dispatcher.blocked = {1}
+    dispatcher.queue(1, priority_weight=9.0)
+    dispatcher.queue(2)
+    assert dispatcher.dispatch() == [2]
+    assert len(dispatcher.admission.queue) == 1
+    dispatcher.blocked = set()
+    assert dispatcher.dispatch() == [2, 1]
 
 
 def test_requests_beyond_their_quota_are_dispatched_after_the_others_and_only_below_half_the_limit():
-    side = Dispatcher(capacity=1.0)
-    side.queue(1, priority_weight=9.0, over_quota=True)
-    side.queue(2)
-    assert side.dispatch() == [2, 1]
-    busy = Dispatcher(capacity=1.0)
+    dispatcher = Dispatcher(capacity=1.0)
+    dispatcher.queue(1, priority_weight=9.0, over_quota=True)
+    dispatcher.queue(2)
+    assert dispatcher.dispatch() == [2, 1]
+    loaded = Dispatcher(capacity=1.0)
     for _ in range(7):
-        busy.limit.record_attempt_started(0.0)
-    busy.limit.record_attempt_ended(60_000.0, overloaded=False)
-    busy.queue(1, over_quota=True)
-    assert busy.dispatch() == []
+        loaded.limit.record_attempt_started(0.0)
+    loaded.limit.record_attempt_ended(60_000.0, overloaded=False)
+    loaded.queue(1, over_quota=True)
+    assert loaded.dispatch() == []
 
 
-def test_a_class_whose_requests_wait_longer_than_its_target_gains_share():
-    side = Dispatcher(capacity=0.0)
-    side.queue(1, LOOK)
-    before = {name: share.share for name, share in side.admission.shares.items()}
+def test_a_class_whose_queueing_delay_exceeds_its_target_gains_share():
+    dispatcher = Dispatcher(capacity=0.0)
+    dispatcher.queue(1, LOOK)
+    before = {name: share.share for name, share in dispatcher.admission.shares.items()}
     for period in range(1, 30):
-        side.admission.end_period(10_000.0 + 100.0 * period)
-    assert side.admission.shares["look"].share > before["look"]
-    assert side.admission.shares["book"].share == before["book"]
+        dispatcher.admission.end_period(10_000.0 + 100.0 * period)
+    assert dispatcher.admission.shares["look"].share > before["look"]
+    assert dispatcher.admission.shares["book"].share == before["book"]
 
 
 @pytest.mark.parametrize(
     ("multiplier", "cost", "ceiling", "admitted"),
     [(0.5, 0.1, 0.0, True), (0.1, 0.5, 0.0, False), (0.5, 0.1, 8.0, False)],
 )
-def test_beyond_its_quota_a_request_is_admitted_if_that_pays_and_no_ceiling_forbids_it(
+def test_a_request_beyond_its_quota_is_admitted_if_its_multiplier_exceeds_the_cost_and_there_is_no_ceiling(
     multiplier, cost, ceiling, admitted
 ):
     plan = Plan("p", 4, 12, over_quota_multiplier=multiplier, over_quota_cost=cost, ceiling_per_s=ceiling)
--- a/tests/test_policy_concurrency_limit.py
+++ b/tests/test_policy_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Limit on the attempts in flight."""
+"""Concurrency limit: completion rate, backoff and recovery."""
 
 import pytest
 from test_core import SERVERS, Desk
@@ -11,7 +11,7 @@
 
 
 def limit_after(periods, ended=20, overloaded=0):
-    """A limit after periods with so many ended attempts, some of them overloaded."""
+    """A limit after control periods with so many ended attempts each, some of them overloaded."""
     limit = ConcurrencyLimit(1)
     for period in range(periods):
         for number in range(ended):
@@ -53,7 +53,8 @@
 
 
 def test_the_backoff_recovers_while_the_instance_is_idle():
-    # Guards against a limit that stayed at three tenths for ever: the counts of ended attempts decay alike.
+    # Guards against a limit that stayed at 0.3 of its value for good: both counts of ended attempts decay at the same
+    # rate, so their ratio never changed.
     limit = limit_after(50, overloaded=10)
     for period in range(100):
         limit.end_period(6000.0 + period * 100.0, CAPACITY)
@@ -69,8 +70,8 @@
 
 
 @pytest.mark.parametrize("overloaded", [0, 60])
-def test_after_an_idle_time_requests_find_the_limit_of_an_instance_without_a_past(overloaded):
-    # Guards against refusals of capacity at endpoints that have long been free again.
+def test_after_an_idle_period_the_limit_is_that_of_a_new_instance(overloaded):
+    # Guards against requests rejected for lack of capacity long after the endpoints were idle again.
     desk = Desk()
     desk.request_table.update_endpoints(EndpointList(SERVERS[:1]))
     for number in range(overloaded):
--- a/tests/test_policy_endpoints.py
+++ b/tests/test_policy_endpoints.py
@@ -29,7 +29,7 @@
 
 
 class FixedRandom(random.Random):
-    """A generator that draws one value."""
+    """A generator that always draws the same value."""
 
     def __init__(self, value):
         super().__init__()
@@ -48,17 +48,17 @@
     ("age_ms", "factor"),
     [(0.0, INITIAL), (WARM_UP_MS / 2, (1 + INITIAL) / 2), (WARM_UP_MS, 1.0), (2 * WARM_UP_MS, 1.0), (-5.0, INITIAL)],
 )
-def test_capacity_grows_from_the_initial_factor_to_all(age_ms, factor):
+def test_capacity_grows_from_the_initial_factor_to_the_full_one(age_ms, factor):
     slow_start = SlowStart(settings(), random.Random(1))
     assert slow_start.factor(50_000.0 + age_ms, endpoint(started_ms=50_000.0)) == pytest.approx(factor)
 
 
-def test_an_endpoint_that_started_long_ago_has_all_its_capacity():
+def test_an_endpoint_that_started_long_ago_has_its_full_capacity():
     assert SlowStart(settings(), random.Random(1)).factor(1.0, endpoint(started_ms=0.0)) == 1.0
 
 
 @pytest.mark.parametrize(("draw", "is_chosen"), [(0.0, True), (0.049, True), (0.051, False), (0.9, False)])
-def test_an_endpoint_is_drawn_by_its_part_of_the_capacity(draw, is_chosen):
+def test_an_endpoint_is_drawn_with_the_probability_of_its_fraction_of_the_capacity(draw, is_chosen):
     state = EndpointState(endpoint(started_ms=50_000.0))
     slow_start = SlowStart(settings(), FixedRandom(draw))
     drawn = slow_start.draw(50_000.0, request(), [state], INITIAL / 0.05, None)
@@ -76,7 +76,7 @@
     assert rng.draws == 2
 
 
-def test_an_attempted_an_ineligible_or_a_failing_endpoint_is_not_taken():
+def test_an_attempted_an_ineligible_or_a_failing_endpoint_is_not_selected():
     state = EndpointState(endpoint(started_ms=50_000.0))
     slow_start = SlowStart(settings(), FixedRandom(0.0))
     attempted = request()
@@ -108,14 +108,14 @@
     assert health.failure_fraction(0.0, "book") < 0.2 < health.failure_fraction(0.0, "look")
 
 
-def test_a_late_response_takes_back_that_the_attempt_counted_as_unresponsive():
+def test_a_late_response_cancels_the_failure_of_the_unresponsive_attempt():
     health = EndpointHealth()
     health.record(0.0, "look", math.inf, math.inf, 0.6)
     health.record(0.0, "look", 4.0, 4.0, 1.0)
     assert health.failure_counts["look"] == 0.0
 
 
-def test_the_latency_ratio_is_bounded_and_returns_to_one():
+def test_the_latency_ratio_is_bounded_and_decays_to_one():
     health = EndpointHealth()
     for _ in range(100):
         health.record(0.0, "look", 1e6, 1e6, 1.0)
@@ -135,20 +135,20 @@
     assert ratios[0] > ratios[1] > 1
 
 
-def test_a_slow_response_of_a_loaded_endpoint_does_not_make_it_slow():
+def test_a_slow_response_of_a_loaded_endpoint_is_normalized():
     reports = LoadReports(("inflight",))
     idle, loaded = EndpointState(endpoint()), EndpointState(endpoint("s1"))
     for _ in range(200):
         reports.record(0.0, idle, (0.0,))
     reports.record(0.0, loaded, (12.0,))
     assert reports.latency_normalization(0.0, loaded) < 0.4
-    assert reports.latency_normalization(1.0, loaded) == 1.0  # the report is not of that response
+    assert reports.latency_normalization(1.0, loaded) == 1.0  # the report did not come with that response
 
 
 # ---- response times ----------------------------------------------------------------------------------
 
 
-def test_sizes_are_learned_apart_and_unknown_ones_are_as_the_class():
+def test_response_times_are_learned_per_size_and_unknown_sizes_use_the_mean_of_the_class():
     times = ResponseTimes()
     times.add_classes((LOOK,))
     for _ in range(300):
--- a/tests/test_policy_quotas.py
+++ b/tests/test_policy_quotas.py
@@ -27,12 +27,12 @@
 
 
 def pending(timers):
-    """The kinds of the timers that are set."""
+    """Return the kinds of the pending timers."""
     return [kind for _, _, kind, _ in timers.pending]
 
 
 class OwnerSide:
-    """A quota owner with what it sends."""
+    """A quota owner that records the messages it sends."""
 
     def __init__(self, plan, **more):
         self.sent = []
@@ -41,7 +41,7 @@
         self.owner = QuotaOwner(self.settings, self.timers, lambda now_ms, gateway, sent: self.sent.append(sent))
 
     def receive(self, now_ms, *args, gateway=1, **more):
-        """Hand over a message and return the kinds of the replies."""
+        """Pass a message to the owner and return the kinds of its replies."""
         self.sent.clear()
         received = message(*args, **more)
         self.owner.receive(now_ms, QuotaRequestKey(gateway, 7, received.serial), received)
@@ -94,7 +94,7 @@
     assert side.bucket.level == -3.0
 
 
-def test_a_refund_puts_units_back_that_were_granted_and_no_others():
+def test_a_refund_puts_back_granted_units_and_no_others():
     side = OwnerSide(Plan("p", 0.001, 3.0))
     side.receive(0.0, REQUEST, 1, units=2.0)
     side.receive(0.0, REFUND, 2, units=2.0)
@@ -104,18 +104,18 @@
 
 
 def test_a_repeated_refund_puts_its_units_back_once():
-    # Guards against a quota that grows: each repeat of a refund added the units of one debit again.
+    # Guards against a quota that grows: each duplicate of a refund added the units of the debit again.
     side = OwnerSide(Plan("p", 0.001, 6.0))
     for serial in (1, 2, 3):
         side.receive(0.0, REQUEST, serial, units=2.0)
-    for units in (0.0, 2.0, 2.0):  # none for a repeated grant, which takes nothing from the others
+    for units in (0.0, 2.0, 2.0):  # 0 for a repeated grant, which must not affect the refund of the others
         side.receive(0.0, REFUND, 1, units=units)
     assert side.bucket.level == 2.0
     side.receive(0.0, REFUND, 2, units=2.0)
     assert side.bucket.level == 4.0
 
 
-def test_a_lease_is_free_again_after_its_refund_or_its_expiry():
+def test_a_lease_ends_with_its_refund_or_its_expiry():
     side = OwnerSide(Plan("p", max_in_flight=1))
     assert side.receive(0.0, REQUEST, 1) == [GRANT]
     assert side.receive(0.0, REQUEST, 2) == [QUEUED]
@@ -124,7 +124,7 @@
     assert side.receive(LEASE_MULTIPLE * BOOK.latency_objective_ms + 2.0, REQUEST, 3) == [GRANT]
 
 
-def test_requests_of_less_priority_and_retries_leave_a_reserve():
+def test_requests_of_lower_priority_and_retries_leave_a_reserve():
     granted = []
     for kind, class_index in ((REQUEST, 1), (REQUEST, 0), (RETRY, 1)):
         side = OwnerSide(Plan("p", 0.001, 12.0))
@@ -142,14 +142,14 @@
     assert [each.serial for each in side.sent] == [3]
 
 
-def test_at_the_limit_of_customers_a_request_has_a_reply_and_no_bucket():
+def test_at_the_limit_of_customers_a_request_gets_a_reply_but_no_bucket():
     side = OwnerSide(Plan("p", 1.0, 3.0), max_customers=0)
     assert side.receive(0.0, REQUEST) == [QUEUED]
     assert side.receive(0.0, DEBIT) == []
     assert not side.owner.buckets
 
 
-def test_a_change_of_plans_grants_no_burst_again():
+def test_a_change_of_plans_does_not_refill_the_bucket():
     side = OwnerSide(Plan("p", 1.0, 3.0))
     for serial in (1, 2, 3):
         side.receive(0.0, REQUEST, serial)
@@ -170,7 +170,7 @@
 
 
 class BorrowerSide:
-    """A quota borrower that is not the owner, with what it sends and decides."""
+    """A quota borrower that is not the owner, which records the messages it sends and its decisions."""
 
     def __init__(self, plan=None, **more):
         self.plan = plan or settings().plans[0]
@@ -211,7 +211,7 @@
     assert one.claim.debited_units == 1.0
 
 
-def test_a_reply_of_another_gateway_decides_nothing_and_its_grant_is_refunded():
+def test_a_reply_of_another_gateway_is_ignored_and_its_grant_is_refunded():
     side = BorrowerSide()
     side.borrower.request_units(0.0, side.request())
     other = side.settings.number
@@ -230,7 +230,7 @@
     assert side.kinds() == [DEBIT]
 
 
-def test_an_owner_without_a_reply_is_sent_the_request_twice_and_then_one_overdraft_is_granted():
+def test_an_unresponsive_owner_is_sent_the_request_twice_and_then_one_overdraft_is_granted():
     side = BorrowerSide()
     first, second = side.request(number=1), side.request(number=2)
     for one in (first, second):
@@ -263,7 +263,7 @@
     assert side.decisions == [QuotaDecision.GRANTED]
 
 
-def test_for_a_dead_owner_the_next_instance_grants_and_a_unit_costs_more():
+def test_in_place_of_a_failed_owner_the_next_instance_grants_units_at_a_higher_cost():
     side = BorrowerSide(gateways=3)
     one = side.request()
     assert side.borrower.lender_of(one) == Lender(side.owner, 1.0)
@@ -272,7 +272,7 @@
 
 
 @pytest.mark.parametrize("plan", [Plan("p", 4, 12, ceiling_per_s=8, ceiling_burst=8), Plan("p", max_in_flight=2)])
-def test_ceilings_and_leases_stay_with_a_dead_owner(plan):
+def test_only_the_owner_grants_ceilings_and_leases_even_if_it_has_failed(plan):
     side = BorrowerSide(plan)
     side.borrower.set_unreachable(frozenset({side.owner}))
     assert side.borrower.lender_of(side.request()).gateway == side.owner
@@ -287,7 +287,7 @@
     assert side.kinds() == [DEBIT, REFUND]
 
 
-def test_a_second_customer_of_one_tag_and_one_beyond_the_limit_have_no_account(monkeypatch):
+def test_a_customer_with_another_ones_tag_and_one_beyond_the_limit_get_no_account(monkeypatch):
     side = BorrowerSide(max_customers=1)
     assert side.request().claim.account.tag == TAG
     arrival = Arrival(2, "other", "look", "rated", 1e6)
@@ -328,7 +328,7 @@
 
 
 def test_hundreds_of_grants_that_are_refunded_at_once_do_not_nest():
-    """Local requests that have ended refund their grant within the call that grants it."""
+    """Local requests that have ended refund their grant within the granting call, which must not recurse."""
     side = OwnerSide(Plan("p", 10.0, 1.0))
     side.receive(0.0, REQUEST, 1)
     for serial in range(2, 502):
@@ -347,16 +347,16 @@
 
 
 def test_a_grant_that_comes_after_its_request_has_ended_is_refunded_once():
-    # Guards against the same without any repeated message: the request's end and the late grant each refund it.
+    # Guards against a quota that grows: both the end of the request and the late grant refund its units.
     borrower, owner = BorrowerSide(), OwnerSide(Plan("p", 0.001, 12.0))
     owner.receive(0.0, DEBIT, 99, units=5.0)
     one = borrower.request()
     borrower.borrower.request_units(0.0, one)
-    ((_, asked),) = borrower.sent
-    key = QuotaRequestKey(1, 7, asked.serial)
-    owner.owner.receive(10.0, key, asked)
+    ((_, quota_request),) = borrower.sent
+    key = QuotaRequestKey(1, 7, quota_request.serial)
+    owner.owner.receive(10.0, key, quota_request)
     grant = owner.sent[-1]
-    for now_ms in (100.0, 200.0):  # the reply is overdue twice: the units are taken here
+    for now_ms in (100.0, 200.0):  # overdue twice, after which the units are taken from the local bucket
         borrower.borrower.reply_overdue(now_ms, one)
     borrower.borrower.request_ended(300.0, one)
     borrower.borrower.receive(400.0, borrower.owner, grant)
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -55,16 +55,16 @@
 # ---- idempotency -------------------------------------------------------------------------------------
 
 
-def test_a_first_attempt_may_go_anywhere(policy):
+def test_a_first_attempt_may_be_sent_to_any_endpoint(policy):
     for name in CLASSES:
         assert policy.constraint(0.0, request(name)) is UNCONSTRAINED
 
 
-def test_an_idempotent_request_may_go_anywhere_again(policy, registry):
+def test_an_idempotent_request_may_be_retried_at_any_endpoint(policy, registry):
     assert policy.constraint(10.0, attempted(registry, "look")) is UNCONSTRAINED
 
 
-def test_a_request_that_is_not_idempotent_may_go_nowhere_again(policy, registry):
+def test_a_non_idempotent_request_may_not_be_retried(policy, registry):
     one = attempted(registry, "debit")
     assert policy.constraint(10.0, one).forbids_all
     assert not policy.allows_attempts(10.0, one)
@@ -74,7 +74,7 @@
     ("class_name", "eligible"),
     [("book", {"s0", "s4"}), ("hold", {"s0", "s2", "s4", "s6"}), ("seat", None)],
 )
-def test_a_keyed_request_may_go_to_those_that_drop_its_repeated_execution(policy, registry, class_name, eligible):
+def test_a_keyed_request_may_be_retried_at_the_endpoints_that_deduplicate_it(policy, registry, class_name, eligible):
     found = policy.constraint(100.0, attempted(registry, class_name)).eligible
     assert (found and {state.endpoint.id for state in found}) == eligible
 
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("result", [each for each in AttemptResult if each.never_executed])
-def test_an_attempt_that_was_never_executed_constrains_nothing(policy, registry, result):
+def test_an_attempt_that_was_never_executed_does_not_constrain_the_next(policy, registry, result):
     one = attempted(registry, "debit")
     one.record_attempt_ended(0, result)
     assert policy.constraint(10.0, one) is UNCONSTRAINED
@@ -96,12 +96,12 @@
 @pytest.mark.parametrize(
     ("class_name", "answer"), [("look", Reject), ("seat", Reject), ("hold", Fail), ("book", Fail), ("debit", Fail)]
 )
-def test_only_where_a_retry_is_safe_is_an_attempted_request_rejected(registry, class_name, answer):
+def test_an_attempted_request_is_rejected_only_if_a_retry_is_safe(registry, class_name, answer):
     assert isinstance(final_answer(attempted(registry, class_name), 1000.0), answer)
     assert isinstance(final_answer(request(class_name), 1000.0), Reject)
 
 
-def test_the_rejection_says_what_was_lacking(registry):
+def test_the_rejection_names_its_reason(registry):
     waiting, queued, failed = request(), request(), attempted(registry, "look")
     queued.record_admitted()
     failed.record_admitted()
@@ -110,7 +110,7 @@
 
 
 def test_the_rejection_of_a_request_taken_over_without_an_attempt_left_names_the_attempts():
-    # Guards against a search for a quota that was never short: its units were debited by the failed instance.
+    # Guards against the reason `quota` for a request whose units the failed instance had already debited.
     controller = Controller(settings(), 1)
     prior_attempts = PriorAttempts(settings().max_attempts, 1, "s0", 0.0, True)
     actions = controller.handle(0.0, [Arrival(1, "c", "look", "rated", 1400.0, prior_attempts=prior_attempts)])
@@ -127,7 +127,7 @@
 # ---- budget and time ---------------------------------------------------------------------------------
 
 
-def test_retries_end_with_the_budget_and_first_attempts_fill_it(policy, registry):
+def test_retries_use_up_the_budget_and_first_attempts_refill_it(policy, registry):
     one = attempted(registry, "look")
     for _ in range(int(INITIAL_BUDGET)):
         assert policy.allows_retry(0.0, one)
@@ -174,7 +174,7 @@
     assert not policy.allows_hedging(attempted(registry, "look"))
 
 
-def test_two_attempts_in_flight_or_a_transport_for_one_are_not_hedged(policy, registry):
+def test_a_request_with_two_attempts_in_flight_or_without_support_for_them_is_not_hedged(policy, registry):
     twice = attempted(registry, "look")
     twice.record_attempt_started(1.0, registry.known["s1"])
     assert not policy.allows_hedging(twice)
@@ -184,7 +184,7 @@
 
 
 @pytest.mark.parametrize(("class_name", "allowed"), [("look", True), ("seat", False), ("debit", False)])
-def test_only_idempotent_requests_are_attempted_again_when_their_endpoint_leaves(policy, registry, class_name, allowed):
+def test_only_idempotent_requests_are_hedged_when_their_endpoint_leaves_service(policy, registry, class_name, allowed):
     left = [registry.known["s0"]]
     assert policy.allows_hedging_on_removal(attempted(registry, class_name), left) is allowed
     assert not policy.allows_hedging_on_removal(attempted(registry, class_name), [EndpointState(ENDPOINTS[1])])
--- a/tests/test_policy_timers.py
+++ b/tests/test_policy_timers.py
@@ -5,7 +5,7 @@
 
 
 def expired(timers):
-    """The kinds and subjects of the timers that expire now."""
+    """Return the kinds and subjects of the timers that expire now."""
     found = []
     timers.expire(lambda kind, subject: found.append((kind, subject)))
     return found
@@ -17,19 +17,19 @@
     return timers, actions
 
 
-def test_setting_a_timer_requests_one_of_the_host():
+def test_setting_a_timer_returns_an_action():
     timers, actions = queue_at(100.0)
     timers.set(TimerKind.HEDGE_DELAY, 150.0, 7)
     assert actions == [SetTimer(50.0, "agenda")]
 
 
-def test_a_timer_in_the_past_is_requested_at_once():
+def test_a_timer_in_the_past_has_no_delay():
     timers, actions = queue_at(100.0)
     timers.set(TimerKind.SUBSCRIBE, 90.0)
     assert actions == [SetTimer(0.0, "agenda")]
 
 
-def test_timers_of_one_time_expire_in_the_order_in_which_they_were_set():
+def test_timers_with_the_same_expiry_expire_in_the_order_in_which_they_were_set():
     timers, _ = queue_at(0.0)
     for subject in (3, 1, 2):
         timers.set(TimerKind.RESPONSE_DEADLINE, 10.0, subject)
@@ -54,7 +54,7 @@
     assert found == [1, 2, 3]
 
 
-def test_a_timer_may_fire_by_the_clock_resolution_early_and_no_more():
+def test_a_timer_may_fire_early_by_at_most_the_clock_resolution():
     timers, _ = queue_at(0.0)
     timers.set(TimerKind.SUBSCRIBE, 10.0)
     timers.begin_batch(10.0 - 2 * CLOCK_RESOLUTION_MS, [])
