--- a/anisefront/policy/actions.py
+++ b/anisefront/policy/actions.py
@@ -12,7 +12,7 @@
 
     QUOTA = "quota"  # no units granted in time: quota or ceiling exhausted, or no reply from the quota owner
     CAPACITY = "capacity"  # no attempt could be started in time, or the limit of known customers is reached
-    ATTEMPTS = "attempts"  # attempts failed or got no response, and time or retry budget left no room for a retry
+    ATTEMPTS = "attempts"  # attempts failed or got no response, and time or budget did not allow a retry
     INVALID = "unfit"  # deadline passed, class or plan unknown, id in use, or tag taken by another customer
 
 
--- a/anisefront/policy/attempt_tracker.py
+++ b/anisefront/policy/attempt_tracker.py
@@ -65,7 +65,7 @@
         retries: RetryPolicy,
         selection: EndpointSelection,
     ) -> None:
-        """Start without attempts; these components are told of each start and end."""
+        """Start without attempts; these components are notified of each start and end."""
         self.in_flight: dict[AttemptKey, Attempt] = {}
         self._admission = admission
         self._limit = limit
--- a/anisefront/policy/customer_account.py
+++ b/anisefront/policy/customer_account.py
@@ -10,7 +10,7 @@
 from anisefront.policy.quota_parameters import DEMAND_TIME_CONSTANT_MS, IDLE_MS, OWNER_CEILING_FRACTION
 from anisefront.policy.settings import Plan
 
-LOCAL_BURST_FRACTION = 0.1  # of the plan's burst, held by all local buckets together on top of the owner's bucket
+LOCAL_BURST_FRACTION = 0.1  # of the burst, held by all local buckets together in addition to the owner's bucket
 DEMAND_EXPIRY_MS = 2 * DEMAND_TIME_CONSTANT_MS  # age at which the owner's report of the total demand is dropped
 
 
--- a/anisefront/policy/events.py
+++ b/anisefront/policy/events.py
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersUnreachable:
-    """All gateway instances known to have failed or left; replaces the previous set."""
+    """All gateway instances known to have failed or left; the state of the others is unknown."""
 
     gateways: frozenset[int]
 
--- a/anisefront/policy/fuzzy_controller.py
+++ b/anisefront/policy/fuzzy_controller.py
@@ -17,7 +17,7 @@
 CHANGE_GAIN = 3.0  # per second by which the error changes in a control period
 OUTPUT_GAIN = 0.01  # change of the share for an output of 1
 
-SET_CENTRES = (-1.0, -0.5, 0.0, 0.5, 1.0)  # negative big and medium, zero, positive medium and big
+SET_CENTRES = (-1.0, -0.5, 0.0, 0.5, 1.0)  # of the fuzzy sets NB, NM, ZE, PM, PB: negative big to positive big
 SET_SPACING = SET_CENTRES[1] - SET_CENTRES[0]
 ZERO_SET = len(SET_CENTRES) // 2
 OUTPUT_STEPS = 20  # samples of the output on each side of zero
@@ -77,7 +77,7 @@
         change = 0.0 if self._previous_error_s is None else error - self._previous_error_s
         self._previous_error_s = error
         if error >= 0 and change >= 0:
-            return  # the output would not be negative, and so would not raise the share
+            return  # the output would not be negative, so it would reduce the share
         scaled_error = round(ERROR_GAIN * error, INPUT_DIGITS)
         scaled_change = round(CHANGE_GAIN * change, INPUT_DIGITS)
         reduction = OUTPUT_GAIN * infer_output(scaled_error, scaled_change)
--- a/anisefront/policy/quota_borrower.py
+++ b/anisefront/policy/quota_borrower.py
@@ -156,8 +156,8 @@
         """Return who grants units to a request: the owner, or in its place the customer's next gateway instance.
 
         In a network partition each side may replace the owner. So only the owner grants units of plans with ceilings or
-        leases. Elsewhere the cost of a unit grows as fewer instances are reachable, so that all sides together grant at
-        most the quota once more.
+        leases. Elsewhere the cost of a unit grows as fewer instances are reachable, so that all sides together grant
+        the quota once more.
         """
         account = request.claim.account
         plan = request.plan
--- a/anisefront/policy/response_times.py
+++ b/anisefront/policy/response_times.py
@@ -12,7 +12,9 @@
 MAX_SIZE = 16  # units; larger requests count as this size
 MIN_LOAD = 0.25  # of an attempt, in average attempts
 MAX_LOAD = 8.0
-RESPONSE_FRACTION = 0.45  # maximum fraction of the latency objective reserved for the response
+# At most this fraction of the latency objective is reserved for the response, and at least this fraction of the time
+# that a request has left is available for queueing.
+RESPONSE_FRACTION = 0.45
 RESERVED_MULTIPLE = 2.5  # of the expected response time, since many responses take longer than expected
 UNRESPONSIVE_MULTIPLE = 3.0  # of the expected response time, after which an attempt counts as unresponsive
 
