--- a/anisefront/cli/__init__.py
+++ b/anisefront/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: thin sub-commands."""
+"""The command line interface: thin sub-commands over the other packages."""
--- a/anisefront/cli/editor.py
+++ b/anisefront/cli/editor.py
@@ -1,4 +1,4 @@
-"""The language server: anisefront/config/editor.py over the published protocol, by `pygls`."""
+"""The language server: `anisefront.config.editor` over the Language Server Protocol, with `pygls`."""
 
 from __future__ import annotations
 
@@ -21,43 +21,43 @@
 
 
 def build() -> LanguageServer:
-    """A server that answers from the checker; open texts count as they stand in the editor."""
+    """Return a language server that checks open documents with their unsaved changes."""
     server = LanguageServer("anisefront", "1")
 
     def checked(uri: str) -> CheckResult:
         texts = {
-            os.path.realpath(to_fs_path(each)): document.source.encode()
-            for each, document in server.workspace.text_documents.items()
+            os.path.realpath(to_fs_path(document_uri)): document.source.encode()
+            for document_uri, document in server.workspace.text_documents.items()
         }
 
         def read(path: str) -> bytes:
-            known = texts.get(os.path.realpath(path))
-            if known is not None:
-                return known
+            open_text = texts.get(os.path.realpath(path))
+            if open_text is not None:
+                return open_text
             with open(path, "rb") as file:
                 return file.read()
 
         return checker.check(loader.load(to_fs_path(uri), read), os.environ)
 
     def publish(uri: str) -> None:
-        found = checked(uri)
-        rows = []
-        for problem in found.problems:
-            if problem.location.file:  # in an included file: shown at the include that led there
-                asked = found.loaded.include_chain(problem.location)[-1]
-                where, text = asked, f"{found.loaded.format_location(problem.location)}: {problem.message}"
+        result = checked(uri)
+        diagnostics = []
+        for problem in result.problems:
+            if problem.location.file:  # in an included file: shown at the include in this document
+                include = result.loaded.include_chain(problem.location)[-1]
+                location, text = include, f"{result.loaded.format_location(problem.location)}: {problem.message}"
             else:
-                where, text = problem.location, problem.message
-            rows.append(
+                location, text = problem.location, problem.message
+            diagnostics.append(
                 types.Diagnostic(
-                    _range(where, problem.width),
+                    _range(location, problem.width),
                     text + (f" - {problem.suggestion}" if problem.suggestion else ""),
                     _SEVERITY[problem.severity],
                     problem.code,
                     source="anisefront",
                 )
             )
-        server.text_document_publish_diagnostics(types.PublishDiagnosticsParams(uri, rows))
+        server.text_document_publish_diagnostics(types.PublishDiagnosticsParams(uri, diagnostics))
 
     @server.feature(types.TEXT_DOCUMENT_DID_OPEN)
     def opened(params: types.DidOpenTextDocumentParams) -> None:
@@ -69,21 +69,21 @@
 
     @server.feature(types.TEXT_DOCUMENT_HOVER)
     def hover(params: types.HoverParams) -> types.Hover | None:
-        text = editor.hover(checked(params.text_document.uri), 0, *_place(params.position))
+        text = editor.hover(checked(params.text_document.uri), 0, *_cursor(params.position))
         return types.Hover(types.MarkupContent(types.MarkupKind.Markdown, text)) if text else None
 
     @server.feature(types.TEXT_DOCUMENT_DEFINITION)
     def definition(params: types.DefinitionParams) -> types.Location | None:
-        found = checked(params.text_document.uri)
-        place = editor.definition(found, 0, *_place(params.position))
-        if place is None:
+        result = checked(params.text_document.uri)
+        location = editor.definition(result, 0, *_cursor(params.position))
+        if location is None:
             return None
-        path = os.path.abspath(found.loaded.sources[place.file].path)
-        return types.Location(from_fs_path(path), _range(place, 1))
+        path = os.path.abspath(result.loaded.sources[location.file].path)
+        return types.Location(from_fs_path(path), _range(location, 1))
 
     @server.feature(types.TEXT_DOCUMENT_COMPLETION)
     def complete(params: types.CompletionParams) -> list[types.CompletionItem]:
-        words = editor.complete(checked(params.text_document.uri), 0, *_place(params.position))
+        words = editor.complete(checked(params.text_document.uri), 0, *_cursor(params.position))
         return [types.CompletionItem(word, detail=text) for word, text in words]
 
     @server.feature(types.TEXT_DOCUMENT_FORMATTING)
@@ -98,10 +98,10 @@
     return server
 
 
-def _range(place: Location, width: int) -> types.Range:
-    line, column = place.line - 1, place.column - 1
+def _range(location: Location, width: int) -> types.Range:
+    line, column = location.line - 1, location.column - 1
     return types.Range(types.Position(line, column), types.Position(line, column + width))
 
 
-def _place(position: types.Position) -> tuple[int, int]:
+def _cursor(position: types.Position) -> tuple[int, int]:
     return position.line + 1, position.character + 1
--- a/anisefront/cli/main.py
+++ b/anisefront/cli/main.py
@@ -1,4 +1,4 @@
-"""`anisefront serve|check|day|state|config`. Each command is thin: what it does lives in the other rooms."""
+"""The `anisefront` command. Its sub-commands are thin; other packages implement them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from anisefront.daemon import signals
 
-if sys.argv[1:2] in (["serve"], ["node"]):  # before anything that takes time to load
+if sys.argv[1:2] in (["serve"], ["node"]):  # before slow imports, so that an early signal is not lost
     signals.capture()
 
 import importlib  # noqa: E402
@@ -16,8 +16,8 @@
 import click  # noqa: E402
 
 
-# Commands with much behind them, each from its own module: a gatekeeper of little memory loads none of the others'.
-_ELSEWHERE = {
+# Sub-commands with many dependencies are imported on demand, so that a gateway instance does not spend memory on them.
+_LAZY_COMMANDS = {
     "config": ("config", "config"),
     "check": ("config", "check"),
     "load": ("load", "load"),
@@ -27,43 +27,44 @@
 }
 
 
-class _Commands(click.Group):
-    """The sub-commands, loaded when they are asked for."""
+class _LazyGroup(click.Group):
+    """A command group that imports some sub-commands on demand."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted([*super().list_commands(ctx), *_ELSEWHERE])
+        return sorted([*super().list_commands(ctx), *_LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        if name not in _ELSEWHERE:
+        if name not in _LAZY_COMMANDS:
             return super().get_command(ctx, name)
-        module, attribute = _ELSEWHERE[name]
+        module, attribute = _LAZY_COMMANDS[name]
         return getattr(importlib.import_module(f"anisefront.cli.{module}"), attribute)
 
 
-@click.group(cls=_Commands, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=_LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="anisefront")
 def main() -> None:
-    """A gateway that keeps quotas and priorities across a fleet."""
+    """An API gateway that enforces quotas and priorities across a fleet."""
 
 
 @main.command()
 @click.argument("file", type=click.Path())
 @click.option("--log-level", default="info", type=click.Choice(["debug", "info", "warning", "error"]))
 def serve(file: str, log_level: str) -> None:
-    """Run one gatekeeper by a settings FILE in the foreground.
+    """Run one gateway instance with the settings in FILE, in the foreground.
 
-    SIGHUP reads the file and what it includes again, SIGTERM drains, a second one stops at once."""
+    SIGHUP reloads the settings, SIGTERM drains, a second SIGTERM stops at once."""
     import gc
     import os
 
-    gc.disable()  # until the process's collector takes over: nearly all that is made from here on stays
+    gc.disable()  # until the scheduled collector takes over: nearly all objects created from here on are long-lived
 
     from anisefront.gateway.steps import run_to_end
     from anisefront.daemon import process
     from anisefront.daemon.settings_source import SettingsSource
 
     source, workers = SettingsSource(file, os.environ), None
-    read = [run_to_end(source.steps())]  # handed on below: what is named here is held for life
+    # A list, which `process.serve` empties: a local variable here would keep the first settings alive for good.
+    read = [run_to_end(source.steps())]
     for text in read[0].texts:
         click.echo(text, err=True)
     if read[0].config is None:
@@ -75,60 +76,62 @@
     sys.exit(process.serve(source, read, log_level, workers))
 
 
-def _ask(address: str, method: str, params: dict, timeout: float) -> dict:
-    """One JSON-RPC call and its answer."""
+def _call_jsonrpc(address: str, method: str, params: dict, timeout: float) -> dict:
+    """Send one JSON-RPC call and return the response."""
     import socket
 
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        raise click.ClickException(f"{address!r} is no address: write HOST:PORT")
-    call = {"jsonrpc": "2.0", "id": 1, "method": method, "params": params}
+        raise click.ClickException(f"{address!r} is not an address: write HOST:PORT")
+    request = {"jsonrpc": "2.0", "id": 1, "method": method, "params": params}
     try:
-        with socket.create_connection((host, int(port)), timeout) as link:
-            link.sendall(json.dumps(call).encode() + b"\n")
-            line = link.makefile().readline()
-    except OSError as problem:
-        raise click.ClickException(f"{address}: {problem}") from problem
+        with socket.create_connection((host, int(port)), timeout) as connection:
+            connection.sendall(json.dumps(request).encode() + b"\n")
+            line = connection.makefile().readline()
+    except OSError as error:
+        raise click.ClickException(f"{address}: {error}") from error
     if not line:
-        raise click.ClickException(f"{address}: it closed without an answer")
+        raise click.ClickException(f"{address}: the connection was closed without a response")
     return json.loads(line)
 
 
 @main.command()
 @click.argument("address")
-@click.option("--timeout", default=3.0, help="Seconds to wait for an answer.")
+@click.option("--timeout", default=3.0, help="Seconds to wait for the response.")
 def state(address: str, timeout: float) -> None:
-    """Print the state report of the gatekeeper whose JSON-RPC front listens at ADDRESS (HOST:PORT)."""
-    click.echo(json.dumps(_ask(address, "state", {}, timeout)["result"], indent=2))
+    """Print the state report of the instance whose JSON-RPC frontend listens on ADDRESS (HOST:PORT)."""
+    click.echo(json.dumps(_call_jsonrpc(address, "state", {}, timeout)["result"], indent=2))
 
 
 @main.command()
 @click.argument("address")
 @click.argument("method")
 @click.argument("path")
-@click.option("--header", "-H", multiple=True, help="name: value")
+@click.option("--header", "-H", multiple=True, help="A request header, as name: value.")
 @click.option("--body", default="")
-@click.option("--timeout", default=30.0, help="Seconds to wait for the final answer.")
+@click.option("--timeout", default=30.0, help="Seconds to wait for the final response.")
 def call(address: str, method: str, path: str, header: tuple[str, ...], body: str, timeout: float) -> None:
-    """Have the gatekeeper at ADDRESS carry out a request: METHOD and PATH. Exit 0 if it was served, else 1."""
+    """Send a request, METHOD and PATH, through the instance at ADDRESS. Exit with 0 if it was served, else 1."""
     headers = {name.strip().lower(): value.strip() for name, _, value in (each.partition(":") for each in header)}
-    answer = _ask(address, "call", {"method": method, "path": path, "headers": headers, "body": body}, timeout)
-    click.echo(json.dumps(answer.get("result") or answer["error"], indent=2))
-    sys.exit(0 if "result" in answer else 1)
+    response = _call_jsonrpc(
+        address, "call", {"method": method, "path": path, "headers": headers, "body": body}, timeout
+    )
+    click.echo(json.dumps(response.get("result") or response["error"], indent=2))
+    sys.exit(0 if "result" in response else 1)
 
 
 @main.command()
 @click.argument("script", type=click.Path(exists=True))
-@click.option("--keep", type=click.Path(), help="Folder for the day's records; else they go with the day.")
-@click.option("--seed", type=int, help="Another seed than the script's.")
+@click.option("--keep", type=click.Path(), help="Directory in which records are retained; by default they are deleted.")
+@click.option("--seed", type=int, help="Overrides the seed of the script.")
 @click.option(
-    "--break", "guard", help="Take out one rule's guard (see anisefront/testbed/sabotage.py): it must be caught."
+    "--break", "guard", help="Disable one safeguard (see anisefront/testbed/sabotage.py); the audit must detect it."
 )
-@click.option("--record", is_flag=True, help="Gatekeepers record what they see into the folder, for the model.")
+@click.option("--record", is_flag=True, help="Record traffic into the directory, for the model.")
 def day(script: str, keep: str | None, seed: int | None, guard: str | None, record: bool) -> None:
-    """Play a SCRIPT of troubles (or its folder) against gatekeepers, proxies and workers on loopback, and judge it.
+    """Run a fault-injection SCRIPT (or its directory) against instances, proxies and workers on loopback, and audit it.
 
-    Exit 0 only if no rule broke and the day itself could be played."""
+    Exit with 0 only if no rule was violated and the script could be run."""
     import tempfile
 
     from anisefront.testbed.report import judge
--- a/anisefront/cli/model.py
+++ b/anisefront/cli/model.py
@@ -1,4 +1,4 @@
-"""`anisefront model run|compare|fit|search|report|list`: thin; what they do lives in lab/model."""
+"""`anisefront model run|compare|fit|search|report|list`: commands over `anisefront.testbed.model`."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 from anisefront.testbed.model.store import Store
 from anisefront.testbed.model.study import OptionSpec, Runner, Study, Traffic, Unfit, collect, config_of
-from anisefront.testbed.model.study import option_of as option_of_spec
+from anisefront.testbed.model.study import option_of
 
-BATCH = 8
-_KEYS: dict[str, tuple[str, Callable[[str], Any]]] = {
+BATCH = 8  # seeds that are run before the stop condition is checked again
+_OPTION_KEYS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "gatekeepers": ("gatekeepers", int),
     "workers": ("workers", int),
     "cores": ("cores", int),
@@ -33,109 +33,122 @@
 }
 
 
-class _Faults(click.Group):
-    """A fault of a study is one clear line and not a trace."""
+class _StudyGroup(click.Group):
+    """A command group that reports an invalid study as one line instead of a traceback."""
 
     def invoke(self, context: click.Context) -> Any:
         try:
             return super().invoke(context)
-        except Unfit as problem:
-            raise click.ClickException(str(problem)) from problem
+        except Unfit as error:
+            raise click.ClickException(str(error)) from error
 
 
-@click.group(cls=_Faults)
+@click.group(cls=_StudyGroup)
 def model() -> None:
-    """Play traffic through a model of the fleet and compare options.
+    """Simulate traffic with a model of the fleet and compare options.
 
-    An OPTION is a settings file, with what differs behind it: now.conf,workers=86,gatekeepers=460. Known are
-    gatekeepers, workers, cores, service (ms), queue, cells, retries, lose (share of messages),
-    start (ms of a gatekeeper's process), zones (a+b), module (a folder with another
-    version's decision files) and name."""
+    An OPTION is a settings file, followed by overrides: now.conf,workers=86,gatekeepers=460. The keys are
+    gatekeepers, workers, cores, service (ms), queue, cells, retries, lose (fraction of messages),
+    start (ms until an instance has started), zones (a+b), module (a directory with another
+    version of the policy) and name."""
 
 
-def option_of(text: str, shared: dict[str, Any]) -> OptionSpec:
-    """The option in `FILE[,key=value...]`; raises `Unfit`."""
+def parse_option(text: str, spec_values: dict[str, Any]) -> OptionSpec:
+    """Parse an option, `FILE[,key=value...]`; raises `Unfit`."""
     path, *pairs = text.split(",")
     try:
         settings = Path(path).read_text()
-    except (OSError, UnicodeDecodeError) as problem:
-        raise Unfit(f"{path}: {problem}") from problem
-    values: dict[str, Any] = {"name": text, **shared}
+    except (OSError, UnicodeDecodeError) as error:
+        raise Unfit(f"{path}: {error}") from error
+    values: dict[str, Any] = {"name": text, **spec_values}
     for pair in pairs:
         key, equals, value = pair.partition("=")
-        if key not in _KEYS or not equals:
-            raise Unfit(f"{pair!r} in {text!r}: write key=value, with a key of {', '.join(_KEYS)}")
-        name, read = _KEYS[key]
+        if key not in _OPTION_KEYS or not equals:
+            raise Unfit(f"{pair!r} in {text!r}: write key=value, with a key of {', '.join(_OPTION_KEYS)}")
+        name, parse = _OPTION_KEYS[key]
         try:
-            values[name] = read(value)
-        except ValueError as problem:
-            raise Unfit(f"{pair!r} in {text!r}: {problem}") from problem
+            values[name] = parse(value)
+        except ValueError as error:
+            raise Unfit(f"{pair!r} in {text!r}: {error}") from error
     if values.get("gatekeepers", 3) < 1 or values.get("workers", 10) < 1 or values.get("cores", 2) < 1:
         raise Unfit(f"{text!r}: at least one gatekeeper, worker and core are due")
     spec = OptionSpec(settings=settings, **values)
-    config_of(spec.settings, path)  # what is wrong with it is said before anything is played
+    config_of(spec.settings, path)  # reports errors in the settings before any run
     return spec
 
 
-_SHARED = [
+_SHARED_OPTIONS = [
     click.option(
         "--trace",
         "traces",
         multiple=True,
         type=click.Path(exists=True, dir_okay=False),
-        help="Recorded traffic, one file for each gatekeeper.",
+        help="Recorded traffic, one file for each instance.",
     ),
     click.option(
-        "--day", type=click.Path(exists=True, dir_okay=False), help="Or a day's script, drawn anew by each seed."
+        "--day",
+        type=click.Path(exists=True, dir_okay=False),
+        help="A day script, in place of a trace; each seed draws other traffic.",
+    ),
+    click.option("--scale", default=1, help="Multiple of the customers of a trace."),
+    click.option("--from", "begin_s", default=0.0, help="Start, in seconds of the trace."),
+    click.option("--to", "end_s", default=0.0, help="End, in seconds of the trace; 0 is the end of the trace."),
+    click.option(
+        "--trouble",
+        "troubles",
+        multiple=True,
+        help="A fault to inject, as in a script: 'at 30s slow workers 9 for 10s'.",
     ),
-    click.option("--scale", default=1, help="So many times the customers of a trace."),
-    click.option("--from", "begin_s", default=0.0, help="Second of the trace to begin at."),
-    click.option("--to", "end_s", default=0.0, help="Second to end at."),
-    click.option("--trouble", "troubles", multiple=True, help="A line of a script: 'at 30s slow workers 9 for 10s'."),
     click.option(
         "--fit",
         "fitted",
         multiple=True,
         type=click.Path(exists=True, dir_okay=False),
-        help="Workers as `fit` found them; several days' fits tell how days differ.",
+        help="Worker parameters from `fit`; fits of several days show how much days vary.",
     ),
-    click.option("--store", "store_path", default="anisefront-model.sqlite", help="Keeps the runs."),
+    click.option("--store", "store_path", default="anisefront-model.sqlite", help="Database in which runs are stored."),
     click.option("--processes", default=os.cpu_count() or 1),
 ]
 
 
-def _shared(command: Any) -> Any:
-    for option in reversed(_SHARED):
+def _add_shared_options(command: Any) -> Any:
+    for option in reversed(_SHARED_OPTIONS):
         command = option(command)
     return command
 
 
-def _study(texts: tuple[str, ...], more: dict[str, Any]) -> Study:
-    if bool(more["traces"]) == bool(more["day"]):
+def _build_study(texts: tuple[str, ...], shared_options: dict[str, Any]) -> Study:
+    if bool(shared_options["traces"]) == bool(shared_options["day"]):
         raise Unfit("what comes is due: --trace FILE for each gatekeeper, or --day SCRIPT")
-    shared: dict[str, Any] = {"troubles": tuple(more["troubles"])}
-    if more["fitted"]:
+    spec_values: dict[str, Any] = {"troubles": tuple(shared_options["troubles"])}
+    if shared_options["fitted"]:
         from anisefront.testbed.model.fit import Fit
 
         try:
-            fits = [Fit.from_json(json.loads(Path(path).read_text())) for path in more["fitted"]]
-        except ValueError as problem:
-            raise Unfit(f"--fit: {problem}; make it with `anisefront model fit`") from problem
-        shared["fit"] = json.dumps(Fit.joined(fits).to_json())
-    day = Path(more["day"]).read_text() if more["day"] else ""
+            fits = [Fit.from_json(json.loads(Path(path).read_text())) for path in shared_options["fitted"]]
+        except ValueError as error:
+            raise Unfit(f"--fit: {error}; make it with `anisefront model fit`") from error
+        spec_values["fit"] = json.dumps(Fit.joined(fits).to_json())
+    day = Path(shared_options["day"]).read_text() if shared_options["day"] else ""
     if day:
-        shared |= _of_day(day)
-    traffic = Traffic(tuple(more["traces"]), more["scale"], day, more["begin_s"], more["end_s"])
-    return Study(tuple(option_of(text, shared) for text in texts), traffic)
-
-
-def _of_day(text: str) -> dict[str, Any]:
-    """What a day's script says of the fleet; an option's own values go before it."""
+        spec_values |= _fleet_of_day(day)
+    traffic = Traffic(
+        tuple(shared_options["traces"]),
+        shared_options["scale"],
+        day,
+        shared_options["begin_s"],
+        shared_options["end_s"],
+    )
+    return Study(tuple(parse_option(text, spec_values) for text in texts), traffic)
+
+
+def _fleet_of_day(text: str) -> dict[str, Any]:
+    """Return the fleet parameters of a day script; values of the option itself take precedence."""
     from anisefront.testbed import script as scripts
 
     script, problems = scripts.read(text)
     if problems:
-        raise Unfit("; ".join(f"the day, line {each.location.line}: {each.message}" for each in problems))
+        raise Unfit("; ".join(f"the day, line {problem.location.line}: {problem.message}" for problem in problems))
     workers = script.workers
     return {
         "gatekeepers": script.gatekeepers,
@@ -150,7 +163,7 @@
 
 
 class _Progress:
-    """Runs played and the time that is left, on a terminal; silent elsewhere."""
+    """Progress bar with the number of finished runs and the remaining time; only on a terminal."""
 
     def __init__(self, total: int) -> None:
         from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
@@ -172,29 +185,33 @@
     def __exit__(self, *_: object) -> None:
         self._bar.stop()
 
-    def one(self) -> None:
+    def advance(self) -> None:
         self._bar.advance(self._task)
 
 
-def _play(
-    study: Study, kind: str, seeds: int, more: dict[str, Any], stop: Callable[[list[list[dict]]], int | None]
+def _run_study(
+    study: Study, kind: str, seeds: int, shared_options: dict[str, Any], stop: Callable[[list[list[dict]]], int | None]
 ) -> tuple[str, list[list[dict]]]:
-    """Runs in batches until `stop` says how many of the seeds are enough, or all are played."""
+    """Run a study in batches until `stop` returns how many seeds are enough, or all have been run.
+
+    Returns:
+        The identifier of the study, and the results of its runs by option.
+    """
     with (
-        Store(more["store_path"]) as store,
-        Runner(more["processes"]) as runner,
+        Store(shared_options["store_path"]) as store,
+        Runner(shared_options["processes"]) as runner,
         _Progress(seeds * len(study.options)) as progress,
     ):
         name = store.begin(study, kind)
         known = store.known(name)
 
-        def keep(option: int, seed: int, figures: dict) -> None:
+        def store_run(option: int, seed: int, figures: dict) -> None:
             store.keep(name, option, seed, figures)
-            progress.one()
+            progress.advance()
 
         runs: list[list[dict]] = []
         for last in range(min(BATCH, seeds), seeds + BATCH, BATCH):
-            runs = collect(runner, study, list(range(1, min(last, seeds) + 1)), known, keep)
+            runs = collect(runner, study, list(range(1, min(last, seeds) + 1)), known, store_run)
             enough = stop(runs)
             if enough is not None:
                 return name, [option[:enough] for option in runs]
@@ -203,84 +220,94 @@
 
 @model.command()
 @click.argument("option")
-@click.option("--runs", default=1, help="Runs, each of another seed.")
-@_shared
-def run(option: str, runs: int, **more: Any) -> None:
-    """Play traffic under OPTION and print the figures."""
-    study = _study((option,), more)
-    name, (played,) = _play(study, "run", runs, more, lambda _: None)
-    for each in played:
-        click.echo(json.dumps(each["measures"] | {"answers": each["answers"], "reasons": each["reasons"]}))
+@click.option("--runs", default=1, help="Number of runs, each with its own seed.")
+@_add_shared_options
+def run(option: str, runs: int, **shared_options: Any) -> None:
+    """Simulate traffic under OPTION and print the measurements."""
+    study = _build_study((option,), shared_options)
+    name, (results,) = _run_study(study, "run", runs, shared_options, lambda _: None)
+    for result in results:
+        click.echo(json.dumps(result["measures"] | {"answers": result["answers"], "reasons": result["reasons"]}))
     click.echo(f"study {name}", err=True)
 
 
 @model.command()
 @click.argument("before")
 @click.argument("after")
-@click.option("--runs", default=40, help="The most pairs of runs.")
-@click.option("--narrow", default=0.005, help="Stop when the service's interval is no wider than this to each side.")
-@_shared
-def compare(before: str, after: str, runs: int, narrow: float, **more: Any) -> None:
-    """Play traffic under two OPTIONs, in pairs that meet the same world, and say what differs.
-
-    Exit 1 where AFTER is worse in some measure. Killed and begun again it goes on with the runs that it had."""
-    from anisefront.testbed.model import compare as comparing
-
-    if runs < comparing.LEAST_RUNS:
-        raise Unfit(f"--runs {runs}: at least {comparing.LEAST_RUNS} pairs are due for an interval")
-    study = _study((before, after), more)
-
-    def enough(played: list[list[dict]]) -> int | None:
-        first, second = ([each["measures"] for each in option] for option in played)
-        return comparing.enough(first, second, narrow)
-
-    name, played = _play(study, "compare", runs, more, enough)
-    found = comparing.findings(*([each["measures"] for each in option] for option in played))
-    for finding in found:
-        click.echo(comparing.words(finding, len(played[0])))
+@click.option("--runs", default=40, help="Maximum number of pairs of runs.")
+@click.option(
+    "--narrow", default=0.005, help="Stop when the half-width of the confidence interval of `service` is at most this."
+)
+@_add_shared_options
+def compare(before: str, after: str, runs: int, narrow: float, **shared_options: Any) -> None:
+    """Simulate traffic under two OPTIONs, in pairs with the same random events, and report the differences.
+
+    Exit with 1 if AFTER is worse in some measure. An interrupted comparison continues with the stored runs."""
+    from anisefront.testbed.model import compare as comparison
+
+    if runs < comparison.LEAST_RUNS:
+        raise Unfit(f"--runs {runs}: at least {comparison.LEAST_RUNS} pairs are due for an interval")
+    study = _build_study((before, after), shared_options)
+
+    def enough(results: list[list[dict]]) -> int | None:
+        first, second = ([run_result["measures"] for run_result in option] for option in results)
+        return comparison.enough(first, second, narrow)
+
+    name, results = _run_study(study, "compare", runs, shared_options, enough)
+    findings = comparison.findings(*([run_result["measures"] for run_result in option] for option in results))
+    for finding in findings:
+        click.echo(comparison.words(finding, len(results[0])))
     click.echo(f"study {name}", err=True)
-    sys.exit(1 if any(finding.verdict == "worse" for finding in found) else 0)
+    sys.exit(1 if any(finding.verdict == "worse" for finding in findings) else 0)
 
 
 @model.command()
 @click.argument("settings", type=click.Path(exists=True, dir_okay=False))
 @click.option("--trace", "traces", multiple=True, required=True, type=click.Path(exists=True, dir_okay=False))
-@click.option("--workers", default=0, help="How many there were: the trace is played to fit times of messages.")
-@click.option("-o", "out", default="-", type=click.File("w"), help="Where the fit goes.")
+@click.option(
+    "--workers",
+    default=0,
+    help="Number of workers in the recording; if given, the trace is simulated to fit message delays.",
+)
+@click.option("-o", "out", default="-", type=click.File("w"), help="The file to write the fit to.")
 def fit(settings: str, traces: tuple[str, ...], workers: int, out: Any) -> None:
-    """Fit what workers are like to recorded traffic, under the SETTINGS that it was recorded under."""
+    """Fit the parameters of workers to traffic that was recorded with SETTINGS."""
     from anisefront.testbed.model import fit as fitting
     from anisefront.testbed.model import traces as recorded
 
-    whole = recorded.load(traces)
-    for problem in whole.problems:
+    trace = recorded.load(traces)
+    for problem in trace.problems:
         click.echo(problem, err=True)
     try:
         text = Path(settings).read_text()
-        found = fitting.fit(whole, config_of(text, settings).settings.warm_up_ms)
+        worker_fit = fitting.fit(trace, config_of(text, settings).settings.warm_up_ms)
         if workers:
             spec = OptionSpec(settings, text, len(traces), workers)
-            found = fitting.refined(found, option_of_spec(spec), whole)
-    except fitting.TooShort as problem:
-        raise Unfit(str(problem)) from problem
-    json.dump(found.to_json(), out)
+            worker_fit = fitting.refined(worker_fit, option_of(spec), trace)
+    except fitting.TooShort as error:
+        raise Unfit(str(error)) from error
+    json.dump(worker_fit.to_json(), out)
     out.write("\n")
-    click.echo(f"{found.attempts} attempts, {found.cold_attempts} of them at cold workers", err=True)
+    click.echo(f"{worker_fit.attempts} attempts, {worker_fit.cold_attempts} of them at cold workers", err=True)
     for name in ("service_ms", "way_ms", "cores", "cold_from"):
-        low, high = found.interval(name)
-        click.echo(f"{name:11} {getattr(found.best, name):8.3f}   nine in ten: {low:.3f} to {high:.3f}", err=True)
+        low, high = worker_fit.interval(name)
+        click.echo(
+            f"{name:11} {getattr(worker_fit.best, name):8.3f}   90 % interval: {low:.3f} to {high:.3f}", err=True
+        )
 
 
 @model.command()
 @click.argument("what", type=click.Choice(["weakest-day", "smallest-fleet"]))
 @click.argument("option")
 @click.option("--measure", default="service", type=click.Choice(["service", "worst_10_s"]))
-@click.option("--keep", default=0.9, help="For smallest-fleet: what the measure has to be.")
+@click.option("--keep", default=0.9, help="For smallest-fleet: minimum value of the measure.")
 @click.option("--of", "part", default="workers", type=click.Choice(["workers", "gatekeepers"]))
-@click.option("--most", default=0, help="For smallest-fleet: the largest to try; 0: four times the option's.")
-@click.option("--kind", "kinds", multiple=True, help="For weakest-day: troubles to draw from; all by default.")
-@click.option("--runs", default=60, help="The most runs.")
-@_shared
+@click.option(
+    "--most", default=0, help="For smallest-fleet: the largest size to try; 0 means four times that of the option."
+)
+@click.option("--kind", "kinds", multiple=True, help="For weakest-day: kinds of faults to inject; all by default.")
+@click.option("--runs", default=60, help="Maximum number of runs.")
+@_add_shared_options
 def search(
     what: str,
     option: str,
@@ -290,67 +317,71 @@
     most: int,
     kinds: tuple[str, ...],
     runs: int,
-    **more: Any,
+    **shared_options: Any,
 ) -> None:
-    """Find the trouble and its time that cost OPTION most, or the smallest fleet that keeps a measure."""
-    from anisefront.testbed.model import search as searching
+    """Find the fault and its time that degrade OPTION most, or the smallest fleet that meets a measure."""
+    from anisefront.testbed.model import search as model_search
 
-    study = _study((option,), more)
-    with Store(more["store_path"]) as store, Runner(more["processes"]) as runner, _Progress(runs) as progress:
+    study = _build_study((option,), shared_options)
+    with (
+        Store(shared_options["store_path"]) as store,
+        Runner(shared_options["processes"]) as runner,
+        _Progress(runs) as progress,
+    ):
 
-        def played(studied: Study, seeds: list[int]) -> list[dict[str, float]]:
+        def run_seeds(studied: Study, seeds: list[int]) -> list[dict[str, float]]:
             name = store.begin(studied, "search")
             known = store.known(name)
 
-            def kept(number: int, seed: int, figures: dict) -> None:
+            def store_run(number: int, seed: int, figures: dict) -> None:
                 store.keep(name, number, seed, figures)
-                progress.one()
+                progress.advance()
 
-            return [each["measures"] for each in collect(runner, studied, seeds, known, kept)[0]]
+            return [run_result["measures"] for run_result in collect(runner, studied, seeds, known, store_run)[0]]
 
         plain = replace(study, series=False)
         if what == "weakest-day":
-            found = searching.weakest_day(plain, played, measure, kinds, runs)
+            result = model_search.weakest_day(plain, run_seeds, measure, kinds, runs)
         else:
-            found = searching.smallest_fleet(plain, played, measure, keep, part, most, runs)
-    click.echo(json.dumps(found, indent=2))
+            result = model_search.smallest_fleet(plain, run_seeds, measure, keep, part, most, runs)
+    click.echo(json.dumps(result, indent=2))
 
 
 @model.command("list")
 @click.option("--store", "store_path", default="anisefront-model.sqlite", type=click.Path(exists=True))
 def list_(store_path: str) -> None:
-    """The studies that were played."""
+    """List the stored studies."""
     import datetime
 
     with Store(store_path) as store:
         for row in store.listed():
-            made = datetime.datetime.fromtimestamp(row["made_s"]).strftime("%Y-%m-%d %H:%M")
-            click.echo(f"{row['id']}  {made}  {row['kind']:8} {row['runs']:4} runs  {' | '.join(row['options'])}")
+            created = datetime.datetime.fromtimestamp(row["made_s"]).strftime("%Y-%m-%d %H:%M")
+            click.echo(f"{row['id']}  {created}  {row['kind']:8} {row['runs']:4} runs  {' | '.join(row['options'])}")
 
 
 @model.command()
 @click.argument("study")
 @click.option("--store", "store_path", default="anisefront-model.sqlite", type=click.Path(exists=True))
-@click.option("-o", "out", default="report.html", type=click.Path(), help="The page.")
-@click.option("--plots", type=click.Path(), help="A folder for the plots as PNG files.")
+@click.option("-o", "out", default="report.html", type=click.Path(), help="The file to write.")
+@click.option("--plots", type=click.Path(), help="A directory for the plots, as PNG files.")
 def report(study: str, store_path: str, out: str, plots: str | None) -> None:
-    """Write one self-contained page on STUDY, the beginning of whose name will do."""
-    from anisefront.testbed.model import report as reporting
+    """Write a self-contained HTML report on STUDY, given by its identifier or an unambiguous prefix."""
+    from anisefront.testbed.model import report as model_report
 
     with Store(store_path) as store:
         try:
-            found = store.study(study)
-        except KeyError as problem:
-            raise Unfit(f"{study!r} names no study, or several: see `anisefront model list`") from problem
+            stored_study = store.study(study)
+        except KeyError as error:
+            raise Unfit(f"{study!r} names no study, or several: see `anisefront model list`") from error
         names = [row["id"] for row in store.listed() if row["id"].startswith(study)]
         known = store.known(names[0])
     seeds = [
         seed
         for seed in sorted({seed for _, seed in known})
-        if all((number, seed) in known for number in range(len(found.options)))
+        if all((number, seed) in known for number in range(len(stored_study.options)))
     ]
-    if not seeds or not found.series:
-        raise Unfit(f"study {names[0]} has no whole run with series to draw")
-    runs = [[known[number, seed] for seed in seeds] for number in range(len(found.options))]
-    Path(out).write_text(reporting.page(found, names[0], runs, Path(plots) if plots else None))
+    if not seeds or not stored_study.series:
+        raise Unfit(f"study {names[0]} has no complete run with time series to plot")
+    runs = [[known[number, seed] for seed in seeds] for number in range(len(stored_study.options))]
+    Path(out).write_text(model_report.page(stored_study, names[0], runs, Path(plots) if plots else None))
     click.echo(f"{out}: {len(seeds)} runs of each option")
--- a/anisefront/cli/node.py
+++ b/anisefront/cli/node.py
@@ -11,9 +11,9 @@
 @click.command()
 @click.option("--log-level", default="info", type=click.Choice(["debug", "info", "warning", "error"]))
 def node(log_level: str) -> None:
-    """Run one gatekeeper of the platform in the foreground, by PROXY_CONFIG and the rest of its environment.
+    """Run one gateway instance of the platform in the foreground, configured by PROXY_CONFIG and other variables.
 
-    SIGHUP reads the file again, SIGTERM drains, a second one stops at once.
+    SIGHUP reloads the file, SIGTERM drains, a second SIGTERM stops at once.
     """
     from anisefront.daemon import process
     from anisefront.resp_gateway.errors import InstanceConfigError
@@ -22,15 +22,15 @@
 
     path = os.environ.get("PROXY_CONFIG", "")
     if not path:
-        raise click.ClickException("PROXY_CONFIG is not set: it names the file with the configuration")
+        raise click.ClickException("PROXY_CONFIG is not set; it must be the path of the configuration file")
 
     def read_config() -> InstanceConfig:
         return parse_config(read_config_file(path), os.environ)
 
     try:
         config = read_config()
-    except InstanceConfigError as problem:
-        raise click.ClickException(str(problem)) from problem
+    except InstanceConfigError as error:
+        raise click.ClickException(str(error)) from error
     exit_code = process.run(
         lambda reactor, on_fault: RespGatewayInstance(config, reactor, on_fault=on_fault),
         log_level,
