--- a/anisefront/config/checker.py
+++ b/anisefront/config/checker.py
@@ -89,7 +89,9 @@
     if len(result) + hidden_count > MAX_PROBLEMS:
         hidden_count += len(result) - MAX_PROBLEMS
         result = result[:MAX_PROBLEMS]
-        result.append(Problem(result[-1].location, f"{hidden_count} more problems are not shown", "mend these first"))
+        result.append(
+            Problem(result[-1].location, f"{hidden_count} more problems are not shown", "correct these first")
+        )
     return result
 
 
--- a/anisefront/config/explain.py
+++ b/anisefront/config/explain.py
@@ -21,9 +21,9 @@
     try:
         target = normalize_target(request.path)
     except AmbiguousPathError as error:
-        return [*lines, f"path    unclear, denied with 400: {error}"]
+        return [*lines, f"path    ambiguous, denied with 400: {error}"]
     if target != request.path:
-        lines.append(f"path    judged, and sent on, as {target}")
+        lines.append(f"path    matched and forwarded as {target}")
     request = replace(request, path=target.partition("?")[0])
     ranked = _ranked_routes(checked, request)
     if not ranked:
@@ -90,11 +90,11 @@
         return [f"customer: denied with {error.status}, {error} (header {config.customer_header})"]
     listed = entries.by_name("key").get(dict(request.headers)[config.customer_header])
     key_location = format_location((listed or entries.single("customers")).lexeme.location)
-    key_kind = "by its key" if listed else "a key that is not listed"
+    key_kind = "by its key" if listed else "by a key that is not listed"
     plan = entries.by_name("plan")[mapped.plan]
     quota = entries.by_name("quota")[plan.options["quota"]]
     limits = ", ".join(f"{name} {quota.lexemes[name].text}" for name in quota.options)
-    retry = ", a client's repeat" if mapped.is_retry else ""
+    retry = ", a client retry" if mapped.is_retry else ""
     return [
         f"key     {key_location}: customer {mapped.customer.partition(':')[2]}, {key_kind}",
         f"plan    {format_location(plan.lexeme.location)}: {mapped.plan}",
@@ -106,9 +106,9 @@
 def _explain_precedence(winner: object, method: str, loser: object, other_method: str) -> str:
     """Return why one pattern has precedence over another."""
     if host_rank(winner.host) != host_rank(loser.host):
-        return f"host {winner.host} is more particular than {loser.host}"
+        return f"host {winner.host} is more specific than {loser.host}"
     if shape(winner.path) != shape(loser.path):
-        return "the path is more particular"
+        return "the path is more specific"
     if (method == "*") != (other_method == "*"):
         return f"method {method} is named"
     if len(winner.when) != len(loser.when):
--- a/anisefront/config/incremental_loader.py
+++ b/anisefront/config/incremental_loader.py
@@ -100,7 +100,7 @@
 
     def _unstable(self, path: str) -> LoadOutcome:
         message = f"{path!r} changed while it was read, {MAX_ATTEMPTS} times"
-        problem = Problem(Location(0, 1, 1), message, "let writing come to its end, then ask again", code="include")
+        problem = Problem(Location(0, 1, 1), message, "reload when the file is no longer being written", code="include")
         text = messages.format_problem(LoadedSources([Source(self.path, "", Document([], []))]), problem)
         return LoadOutcome(None, (problem,), (text,), "")
 
--- a/anisefront/config/migrate.py
+++ b/anisefront/config/migrate.py
@@ -54,12 +54,19 @@
     if name == "servers":
         if directive.comments_above and any(directive.comments_above):
             problems.append(
-                problem_at(directive.name, "the comment above this line has no place any more", "", code="migrate")
+                problem_at(
+                    directive.name,
+                    "the comment above this line is dropped: version 2 has no such line",
+                    "",
+                    code="migrate",
+                )
             )
         return []
     if name == "roster":
         if len(values) < 2:
-            problems.append(problem_at(directive.name, "roster: how and what are due", "", code="migrate"))
+            problems.append(
+                problem_at(directive.name, "roster: the kind and its value are missing", "", code="migrate")
+            )
             return [directive]
         kind = "roster" if values[0].text == "file" else "embedded"
         more = [_synthetic_lexeme("main"), _synthetic_lexeme(kind), *values[1:], *(servers.values if servers else [])]
--- a/anisefront/config/route_checks.py
+++ b/anisefront/config/route_checks.py
@@ -162,7 +162,7 @@
             yield problem_at(
                 lines[max(first, second)][0],
                 f"overlaps line {lines[min(first, second)][0].location.line} with another outcome: "
-                f"{shared[0]} goes to line {lines[winner][0].location.line}, which is more particular",
+                f"{shared[0]} goes to line {lines[winner][0].location.line}, which is more specific",
                 "",
                 Severity.NOTE,
                 "overlap",
@@ -190,7 +190,7 @@
             lexeme,
             f"{variant} goes by line {lines[other][0].location.line} with another outcome, "
             f"and workers may take it for {path}",
-            "see that they do not, or give it a route of its own",
+            "make sure that they do not, or add a route for it",
             Severity.NOTE,
             "slips",
         )
--- a/anisefront/config/semantic_checks.py
+++ b/anisefront/config/semantic_checks.py
@@ -179,8 +179,8 @@
     elif gateway_count > 1 and own_number not in listed:
         yield _problem(
             peers[0].lexeme,
-            f"a peer list without ourselves, gatekeeper {own_number}",
-            "one list for the whole fleet can be included by all",
+            f"the peer list does not contain this gatekeeper, {own_number}",
+            "one list for the whole fleet can be included by all gatekeepers",
             Severity.NOTE,
         )
 
