--- a/tests/fuzz_config.py
+++ b/tests/fuzz_config.py
@@ -1,8 +1,8 @@
-"""A coverage-guided fuzz of the settings language, bounded in time: `make fuzz`, or this file with SECONDS and SEED.
+"""Coverage-guided fuzzer of the settings language with a time limit: `make fuzz`, or this file with SECONDS and SEED.
 
-Texts that reach lines not reached before are kept and changed further. What must hold of each: nothing raises, the
-check ends soon, a reading in steps says the same, and what the formatter writes parses the same and is written the same
-again. Finds are printed, and become cases of tests/test_config_corpus.py.
+Texts that reach new lines of code are added to the corpus. For each text, nothing raises, the check ends soon, an
+incremental load finds the same problems, and the output of the formatter is valid and unchanged by formatting again.
+Findings are printed; they become cases of tests/test_config_corpus.py.
 """
 
 import pathlib
@@ -12,7 +12,7 @@
 
 sys.path[:0] = [str(pathlib.Path(__file__).parent), str(pathlib.Path(__file__).parent.parent)]
 
-from test_config_corpus import CASES, GOOD, WARNINGS, found  # noqa: E402
+from test_config_corpus import CASES, GOOD, WARNINGS, check_text  # noqa: E402
 
 from anisefront.config import checker, formatter, loader  # noqa: E402
 from anisefront.config.parser import parse  # noqa: E402
@@ -82,31 +82,31 @@
 ]
 
 
-def holds(text):
-    """What must hold of every text; raises where it does not."""
+def check_properties(text):
+    """Check the properties that hold for all texts; raises if one is violated."""
     began = time.perf_counter()
-    checked = found(text)
+    checked = check_text(text)
     assert time.perf_counter() - began < 5, "the check takes too long"
     assert (checked.config is None) == any(problem.severity == 2 for problem in checked.problems)
-    own = {"f.conf": text.encode()}
+    file_contents = {"f.conf": text.encode()}
 
     def read(path):
-        if path not in own:
+        if path not in file_contents:
             raise FileNotFoundError(2, "No such file or directory", path)
-        return own[path]
+        return file_contents[path]
 
     fresh = checker.check(loader.load("f.conf", read, lambda pattern: []), {}, notes=False)
     outcome = run_to_end(IncrementalLoader("f.conf", {}, read, lambda pattern: []).steps())
     assert outcome.problems == tuple(fresh.problems) and (outcome.config is None) == (fresh.config is None)
     document, problems = parse(text)
     if not problems:
-        once = formatter.format_document(document)
-        again, more = parse(once)
-        assert not more and formatter.format_document(again) == once, "the formatter does not settle"
+        formatted = formatter.format_document(document)
+        reparsed, more = parse(formatted)
+        assert not more and formatter.format_document(reparsed) == formatted, "the formatter is not idempotent"
 
 
-def reached(text):
-    """The lines of the language's files that a check of the text runs."""
+def covered_lines(text):
+    """Return the lines of the language's modules that are run for a text."""
     lines = set()
 
     def trace(frame, event, argument):
@@ -118,56 +118,56 @@
 
     sys.settrace(trace)
     try:
-        holds(text)
+        check_properties(text)
     finally:
         sys.settrace(None)
     return lines
 
 
-def change(text, other, chance):
-    """One text made of another by a few changes."""
-    for _ in range(chance.randrange(1, 5)):
-        at, end = sorted(chance.randrange(len(text) + 1) for _ in range(2))
-        kind = chance.randrange(6)
+def mutate(text, other, generator):
+    """Return a text with a few random changes; `other` is a source of fragments."""
+    for _ in range(generator.randrange(1, 5)):
+        at, end = sorted(generator.randrange(len(text) + 1) for _ in range(2))
+        kind = generator.randrange(6)
         if kind == 0:
-            text = text[:at] + chance.choice(PIECES) + text[at:]
+            text = text[:at] + generator.choice(PIECES) + text[at:]
         elif kind == 1:
             text = text[:at] + text[min(end, at + 30) :]
         elif kind == 2:
             text = text[:at] + text[at : min(end, at + 60)] * 2 + text[at:]
         elif kind == 3:
-            start = chance.randrange(len(other) + 1)
+            start = generator.randrange(len(other) + 1)
             text = text[:at] + other[start : start + 60] + text[at:]
         elif kind == 4:
             lines = text.split("\n")
-            chance.shuffle(lines)
+            generator.shuffle(lines)
             text = "\n".join(lines)
         else:
-            text = text[:at] + chance.choice(PIECES) + text[at + 1 :]
+            text = text[:at] + generator.choice(PIECES) + text[at + 1 :]
     return text[:6000]
 
 
 def main(seconds, seed):
-    chance = random.Random(seed)
-    kept = [GOOD] + [GOOD.replace(old, new, 1)[:6000] for old, new, _, _ in CASES + WARNINGS]
-    known, done, finds, end = set(), 0, 0, time.monotonic() + seconds
-    for text in kept:
-        known |= reached(text)
-    first = len(known)
+    generator = random.Random(seed)
+    corpus = [GOOD] + [GOOD.replace(old, new, 1)[:6000] for old, new, _, _ in CASES + WARNINGS]
+    covered, run_count, findings, end = set(), 0, 0, time.monotonic() + seconds
+    for text in corpus:
+        covered |= covered_lines(text)
+    first = len(covered)
     while time.monotonic() < end:
-        text = change(chance.choice(kept), chance.choice(kept), chance)
-        done += 1
+        text = mutate(generator.choice(corpus), generator.choice(corpus), generator)
+        run_count += 1
         try:
-            lines = reached(text)
+            lines = covered_lines(text)
         except Exception as problem:
-            finds += 1
+            findings += 1
             print(f"FIND {type(problem).__name__}: {problem}\n{text!r}")
             continue
-        if lines - known:
-            known |= lines
-            kept.append(text)
-    print(f"{done} texts, {len(kept)} kept, lines reached {first} -> {len(known)}, {finds} finds")
-    return 1 if finds else 0
+        if lines - covered:
+            covered |= lines
+            corpus.append(text)
+    print(f"{run_count} texts, {len(corpus)} kept, lines reached {first} -> {len(covered)}, {findings} finds")
+    return 1 if findings else 0
 
 
 if __name__ == "__main__":
--- a/tests/settings_samples.py
+++ b/tests/settings_samples.py
@@ -1,4 +1,4 @@
-"""Samples of settings and what the commands make of them: the one place of the characterization that knows the project.
+"""Samples of settings and the output of the commands for them; the only part of this test that uses project names.
 
 `tests/test_settings_characterization.py` compares what `observe` returns with `tests/data/settings/expected.json`. The
 expected data was recorded once, by `python tests/settings_samples.py`, which refuses to overwrite it. When names in the
@@ -24,8 +24,8 @@
 
 ROOT = Path(__file__).parent.parent
 EXPECTED = Path(__file__).parent / "data" / "settings" / "expected.json"
-MAIN = "f.conf"  # the file of a sample that is given to the commands
-NOT_SET = {"WAIT": None, "NOT_SET_AT_ALL": None}  # variables that samples name and that must not be set
+MAIN = "f.conf"  # the file of a sample that is passed to the commands
+UNSET_VARIABLES = {"WAIT": None, "NOT_SET_AT_ALL": None}  # variables that samples use and that must not be set
 Sample = dict[str, str]  # text by file name
 
 MINIMAL = """\
@@ -106,7 +106,7 @@
 
 
 def corpus_samples() -> dict[str, Sample]:
-    """The good text of the corpus and each of its changes."""
+    """Return the valid text of the corpus and each of its changes."""
     found = {"good": {MAIN: corpus.GOOD}}
     for kind, changes in (("broken", corpus.CASES), ("warned", corpus.WARNINGS)):
         for number, (old, new, *_) in enumerate(changes):
@@ -115,7 +115,7 @@
 
 
 def example_samples() -> dict[str, Sample]:
-    """The settings under examples, those of the day also with the lines that the day adds."""
+    """Return the settings under examples/; those of the day script also with the lines that the test bed adds."""
     found = {
         f"example-{path.stem}": {MAIN: path.read_text(encoding="utf-8")}
         for path in sorted((ROOT / "examples").glob("*.conf"))
@@ -126,7 +126,7 @@
 
 
 def own_samples() -> dict[str, Sample]:
-    """Defaults, every option, every unit, includes and definitions."""
+    """Return samples of defaults, all options, all units, includes and definitions."""
     found = {
         "minimal": {MAIN: MINIMAL},
         "fleet": {MAIN: FLEET},
@@ -145,84 +145,84 @@
 
 
 def samples() -> dict[str, Sample]:
-    """Every sample by its name."""
+    """Return all samples by name."""
     return corpus_samples() | example_samples() | own_samples()
 
 
 def fingerprint(text: str) -> str:
-    """The SHA-256 of a text."""
+    """Return the SHA-256 of a text."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-def put(sample: Sample, folder: Path) -> None:
+def write_sample(sample: Sample, folder: Path) -> None:
     """Write the files of a sample into a folder."""
     for name, text in sample.items():
         (folder / name).write_text(text, encoding="utf-8")
 
 
 def run(folder: Path, *arguments: str) -> Result:
-    """A command of the project in this process, in a folder; an exception other than an exit is raised."""
+    """Run a command in this process, in a directory; exceptions other than an exit propagate."""
     before = Path.cwd()
     os.chdir(folder)
     try:
-        return CliRunner().invoke(command_line, arguments, env=NOT_SET, catch_exceptions=False)
+        return CliRunner().invoke(command_line, arguments, env=UNSET_VARIABLES, catch_exceptions=False)
     finally:
         os.chdir(before)
 
 
-def without_folder(text: str, folder: Path) -> str:
-    """A text with the sample's folder taken out of paths."""
+def remove_directory(text: str, folder: Path) -> str:
+    """Return a text with the directory of the sample removed from paths."""
     return text.replace(f"{folder.resolve()}/", "").replace(f"{folder}/", "")
 
 
 def outcome(result: Result, folder: Path) -> dict[str, Any]:
-    """Exit code, standard output and standard error of a command."""
+    """Return exit code, standard output and standard error of a command."""
     return {
         "exit": result.exit_code,
-        "stdout": without_folder(result.stdout, folder),
-        "stderr": without_folder(result.stderr, folder),
+        "stdout": remove_directory(result.stdout, folder),
+        "stderr": remove_directory(result.stderr, folder),
     }
 
 
-def short(result: dict[str, Any]) -> dict[str, Any]:
-    """The same with the SHA-256 of the output in place of a long one."""
+def abbreviate(result: dict[str, Any]) -> dict[str, Any]:
+    """Return the result with the SHA-256 in place of a long output."""
     return {key: fingerprint(value) if key == "stdout" and len(value) > 100 else value for key, value in result.items()}
 
 
 def observe(sample: Sample, folder: Path) -> dict[str, Any]:
-    """All that the commands say of a sample whose files are put into an empty folder."""
-    put(sample, folder)
+    """Return the output of all commands for a sample whose files are written to an empty directory."""
+    write_sample(sample, folder)
     checked_as_json = run(folder, "config", "check", "--notes", "--format", "json", MAIN)
     return {
         "input": fingerprint(json.dumps(sample, sort_keys=True)),
-        "problems": json.loads(without_folder(checked_as_json.stdout, folder)),
+        "problems": json.loads(remove_directory(checked_as_json.stdout, folder)),
         "check": outcome(run(folder, "check", MAIN), folder),
         "config check --strict": run(folder, "config", "check", "--strict", MAIN).exit_code,
         "digest": outcome(run(folder, "config", "digest", MAIN), folder),
-        "show": short(outcome(run(folder, "config", "show", MAIN), folder)),
-        "printed at a start": read_for_a_start(folder),
-        "fmt": short(outcome(run(folder, "config", "fmt", MAIN), folder)),
+        "show": abbreviate(outcome(run(folder, "config", "show", MAIN), folder)),
+        "printed at a start": read_at_start(folder),
+        "fmt": abbreviate(outcome(run(folder, "config", "fmt", MAIN), folder)),
         "formatted": fingerprint((folder / MAIN).read_text(encoding="utf-8")),
         "values": json.loads(json.dumps(values(sample))),
     }
 
 
-def read_for_a_start(folder: Path) -> list[str]:
-    """What a gatekeeper prints that starts with the sample: it reads by another way than the check."""
+def read_at_start(folder: Path) -> list[str]:
+    """Return what an instance prints at start, which loads incrementally, unlike the check command."""
     texts = run_to_end(IncrementalLoader(str(folder / MAIN), {}).steps()).texts
-    return [without_folder(text, folder) for text in texts]
+    return [remove_directory(text, folder) for text in texts]
 
 
 def observe_reference(folder: Path) -> dict[str, Any]:
-    """The page of all directives, with the defaults that it states."""
-    return short(outcome(run(folder, "config", "reference"), folder))
+    """Return the reference page, which contains the defaults."""
+    return abbreviate(outcome(run(folder, "config", "reference"), folder))
 
 
-# ---- what settings come to, under the names of the settings language -----------------------------------------
+# ---- values of settings, under the names of the settings language --------------------------------------------
 
 
 def values(sample: Sample) -> dict[str, Any] | None:
-    """The values of a sample of one file, defaults included; None for several files and for faulty settings."""
+    """Return the values of a sample of one file, with defaults; None for several files and for invalid settings."""
     if len(sample) > 1:
         return None
     config = checker.check(loader.load_text(sample[MAIN], MAIN), {}).config
@@ -361,7 +361,7 @@
 
 
 def observe_all() -> dict[str, Any]:
-    """What is seen of every sample, and of the reference page."""
+    """Return the observations of all samples and of the reference page."""
     found: dict[str, Any] = {"samples": {}}
     with tempfile.TemporaryDirectory() as made:
         found["reference"] = observe_reference(Path(made))
@@ -372,9 +372,9 @@
 
 
 def record(path: Path) -> None:
-    """Write the expected data, unless there is some: then FileExistsError is raised and nothing is written."""
+    """Write the expected data; raises FileExistsError if it exists already."""
     if path.exists():
-        raise FileExistsError(f"{path} is there: expected data is recorded once")
+        raise FileExistsError(f"{path} exists already: expected data is recorded only once")
     text = json.dumps(observe_all(), indent=1, ensure_ascii=True) + "\n"
     with path.open("x", encoding="utf-8") as file:
         file.write(text)
--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -196,6 +196,43 @@
     "test_a_list_between_the_choice_and_the_write_keeps_the_drain": (
         "test_an_attempt_is_discarded_if_its_endpoint_drains_between_the_choice_and_the_write"
     ),
+    "test_byte_order_mark_crlf_and_no_final_end": "test_byte_order_mark_crlf_and_missing_final_newline",
+    "test_bytes_that_are_no_utf8": "test_invalid_utf8",
+    "test_a_warning_hides_no_line_that_is_missing": "test_missing_line_is_reported_beside_a_warning",
+    "test_ends_in_the_middle_of_anything": "test_truncated_text_never_raises",
+    "test_index_agrees_with_the_plain_way": "test_index_agrees_with_linear_search",
+    "test_diff_of_routes_is_empty_exactly_when_no_request_tells_them_apart": (
+        "test_diff_of_routes_is_empty_exactly_when_all_requests_are_routed_alike"
+    ),
+    "test_formatter_changes_no_meaning_and_settles_at_once": "test_formatter_preserves_meaning_and_is_idempotent",
+    "test_explain_says_what_a_route_beat": "test_explain_lists_routes_of_lower_precedence",
+    "test_examples_are_good_and_in_the_one_style": "test_examples_are_valid_and_formatted",
+    "test_pages_are_what_the_tables_say": "test_pages_match_the_tables",
+    "test_diff_by_meaning": "test_diff_is_semantic",
+    "test_the_good_text_is_good": "test_valid_text_has_no_problems",
+    "test_warned_of": "test_warnings_name_line_and_reason",
+    "test_broken": "test_errors_name_line_and_reason",
+    "test_after_any_changes_all_is_as_a_fresh_load_has_it": "test_incremental_load_equals_fresh_load_after_any_changes",
+    "test_each_shortcut_made_wrong_is_found": "test_each_disabled_cache_check_is_detected",
+    "test_no_step_does_more_than_a_little": "test_steps_are_short",
+    "test_only_files_that_changed_are_read_into_records": "test_only_changed_files_get_new_records",
+    "test_a_file_that_changes_while_it_is_read_is_read_again_and_then_refused": (
+        "test_file_that_changes_while_it_is_read_is_retried_and_then_rejected"
+    ),
+    "test_a_message_shows_lines_of_the_bytes_that_were_judged": "test_message_shows_lines_of_the_checked_content",
+    "test_what_is_put_in_anew_is_of_the_bytes_that_were_read": (
+        "test_expansion_is_repeated_on_the_content_that_was_read"
+    ),
+    "test_a_file_that_comes_while_files_are_read_is_not_missed": "test_file_created_during_a_load_is_not_missed",
+    "test_files_that_vanish_and_folders_that_cannot_be_read": "test_missing_files_and_unreadable_directories",
+    "test_links_that_are_turned_as_a_whole_cost_nothing_where_bytes_are_as_before": (
+        "test_switched_symlink_costs_nothing_if_contents_are_equal"
+    ),
+    "test_thousands_of_problems_are_counted_and_the_first_are_told": (
+        "test_thousands_of_problems_are_counted_and_the_first_are_shown"
+    ),
+    "test_a_file_is_read_in_pieces_as_it_is_read_whole": "test_decoding_in_chunks_equals_decoding_at_once",
+    "test_lines_are_capped_over_all_files": "test_line_limit_counts_all_files",
 }
 # Files that came for the sake of the rename; they must not make up for tests that are lost.
 NEW = {
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The language: hard cases of loading, the formatter's and the diff's properties, the index against the plain way."""
+"""The settings language: includes and encodings, properties of formatter and diff, the route index, the commands."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_config_corpus import GOOD, found
+from test_config_corpus import GOOD, check_text
 
 from anisefront.cli.main import main
 from anisefront.config import checker, diff, formatter, loader, messages, reference
@@ -23,28 +23,28 @@
 ROOT = pathlib.Path(__file__).parent.parent
 
 
-def errors(checked):
+def error_messages(checked):
     return [problem.message for problem in checked.problems if problem.severity is Severity.ERROR]
 
 
-def files(tmp_path, **texts):
+def write_files(tmp_path, **texts):
     for name, text in texts.items():
         path = tmp_path / f"{name}.conf"
         path.write_bytes(text if isinstance(text, bytes) else text.encode())
     return str(tmp_path / "main.conf")
 
 
-def checked_files(tmp_path, **texts):
-    return checker.check(loader.load(files(tmp_path, **texts)), {})
+def check_files(tmp_path, **texts):
+    return checker.check(loader.load(write_files(tmp_path, **texts)), {})
 
 
 REST = GOOD.partition("drain")[0]
 
 
 def test_include_puts_lines_in_and_names_their_file(tmp_path):
-    good = checked_files(tmp_path, main=REST + 'include "tail.conf"\n', tail="drain 6s\nstop 10s\n")
+    good = check_files(tmp_path, main=REST + 'include "tail.conf"\n', tail="drain 6s\nstop 10s\n")
     assert good.config is not None and good.config.drain_ms == 6000
-    bad = checked_files(tmp_path, main=REST + 'include "tail.conf"\n', tail="drain 6\n")
+    bad = check_files(tmp_path, main=REST + 'include "tail.conf"\n', tail="drain 6\n")
     text = messages.format_problem(bad.loaded, bad.problems[0])
     assert "tail.conf:1:7: error: drain: time: '6' has no unit of time - write 6ms or 6s" in text
     assert "    drain 6\n          ^" in text and f"included at {tmp_path}/main.conf:30:9" in text
@@ -53,26 +53,28 @@
 def test_include_loops(tmp_path):
     assert (
         "include loop: main.conf -> a.conf -> main.conf"
-        in errors(checked_files(tmp_path, main=GOOD + 'include "a.conf"\n', a='include "main.conf"\n'))[0]
+        in error_messages(check_files(tmp_path, main=GOOD + 'include "a.conf"\n', a='include "main.conf"\n'))[0]
     )
     (tmp_path / "link.conf").symlink_to(tmp_path / "main.conf")
-    assert "include loop" in errors(checked_files(tmp_path, main=GOOD + 'include "link.conf"\n'))[0]
+    assert "include loop" in error_messages(check_files(tmp_path, main=GOOD + 'include "link.conf"\n'))[0]
     (tmp_path / "link.conf").unlink()
     (tmp_path / "a.conf").unlink()
-    assert "include loop" in errors(checked_files(tmp_path, main=GOOD + 'include "*.conf"\n'))[0]
+    assert "include loop" in error_messages(check_files(tmp_path, main=GOOD + 'include "*.conf"\n'))[0]
 
 
 def test_same_file_twice(tmp_path):
-    said = errors(checked_files(tmp_path, main=REST + 'include "a.conf"\ninclude "./a.conf"\n', a="drain 6s\n"))
-    assert len(said) == 1 and "included twice, first by" in said[0]
+    messages_shown = error_messages(
+        check_files(tmp_path, main=REST + 'include "a.conf"\ninclude "./a.conf"\n', a="drain 6s\n")
+    )
+    assert len(messages_shown) == 1 and "included twice, first by" in messages_shown[0]
 
 
 def test_include_that_vanishes_between_check_and_load(tmp_path):
-    path = files(tmp_path, main=REST + 'include "a.conf"\n', a="drain 6s\n")
+    path = write_files(tmp_path, main=REST + 'include "a.conf"\n', a="drain 6s\n")
     assert checker.check(loader.load(path), {}).config is not None
     (tmp_path / "a.conf").unlink()
-    again = checker.check(loader.load(path), {})
-    assert again.config is None and "can't be read: No such file" in errors(again)[0]
+    second = checker.check(loader.load(path), {})
+    assert second.config is None and "can't be read: No such file" in error_messages(second)[0]
 
 
 @pytest.mark.parametrize(
@@ -83,14 +85,14 @@
         lambda text: text.rstrip("\n").encode(),
     ],
 )
-def test_byte_order_mark_crlf_and_no_final_end(tmp_path, change):
-    assert checked_files(tmp_path, main=change(GOOD)).config is not None
+def test_byte_order_mark_crlf_and_missing_final_newline(tmp_path, change):
+    assert check_files(tmp_path, main=change(GOOD)).config is not None
 
 
-def test_bytes_that_are_no_utf8(tmp_path):
-    bad = checked_files(tmp_path, main=GOOD.replace("k-1", "k-\N{LATIN SMALL LETTER E WITH ACUTE}").encode("latin-1"))
-    assert errors(bad) == ["byte 0xE9 is no UTF-8"] and bad.problems[0].location[1:] == (23, 7)
-    assert errors(checked_files(tmp_path, main=GOOD.encode("utf-16"))) == ["the file is UTF-16"]
+def test_invalid_utf8(tmp_path):
+    bad = check_files(tmp_path, main=GOOD.replace("k-1", "k-\N{LATIN SMALL LETTER E WITH ACUTE}").encode("latin-1"))
+    assert error_messages(bad) == ["byte 0xE9 is no UTF-8"] and bad.problems[0].location[1:] == (23, 7)
+    assert error_messages(check_files(tmp_path, main=GOOD.encode("utf-16"))) == ["the file is UTF-16"]
 
 
 @pytest.mark.parametrize("line", ["gatekeeper 0 of 2 zone room-a\n", "customers header x-api-key plan stall\n"])
@@ -103,33 +105,38 @@
         "class vi\u0435w aim 1s deadline 2s repeat safe\n",
     ],
 )
-def test_a_warning_hides_no_line_that_is_missing(line, warned):
-    """Found by drawn changes: beside a warning a missing line was not named, and the check raised."""
-    assert any(f"there is no {line.split()[0]!r} line" in what for what in errors(found(GOOD.replace(line, warned))))
+def test_missing_line_is_reported_beside_a_warning(line, warned):
+    """Guards against a check that takes a warning for an error: it raised instead of reporting the missing line."""
+    assert any(
+        f"there is no {line.split()[0]!r} line" in message
+        for message in error_messages(check_text(GOOD.replace(line, warned)))
+    )
 
 
 def test_hostile_sizes():
-    assert errors(found(GOOD + "x" * 10_000_000)) == ["a line of 10000000 characters, at most 65536"]
-    deep = errors(found(GOOD + "a {\n" * 10_000 + "}\n" * 10_000))
+    assert error_messages(check_text(GOOD + "x" * 10_000_000)) == ["a line of 10000000 characters, at most 65536"]
+    deep = error_messages(check_text(GOOD + "a {\n" * 10_000 + "}\n" * 10_000))
     assert len(deep) <= 2 and "nested more than 8" in " ".join(deep)
-    many = found(GOOD + "nonsense here\n" * 5000)
+    many = check_text(GOOD + "nonsense here\n" * 5000)
     assert len(many.problems) == 1001 and "4000 more" in many.problems[-1].message
 
 
-def test_ends_in_the_middle_of_anything():
+def test_truncated_text_never_raises():
     for at in range(0, len(GOOD), 3):
-        found(GOOD[:at])
+        check_text(GOOD[:at])
 
 
 @given(st.binary(max_size=300))
 def test_garbage_never_raises(data):
-    own = {"f": b"language 2\n" + data}
-    checker.check(loader.load("f", lambda path: own[path] if path in own else b"", lambda pattern: []), {})
+    file_contents = {"f": b"language 2\n" + data}
+    checker.check(
+        loader.load("f", lambda path: file_contents[path] if path in file_contents else b"", lambda pattern: []), {}
+    )
 
 
 @given(st.integers(0, len(GOOD)), st.integers(0, 40), st.text(alphabet='{}[]"\\#$,;=:*/ \n\tabc019é', max_size=12))
 def test_damaged_good_text_never_raises(at, length, junk):
-    found(GOOD[:at] + junk + GOOD[at + length :])
+    check_text(GOOD[:at] + junk + GOOD[at + length :])
 
 
 def test_definitions_and_environment():
@@ -139,21 +146,21 @@
         "    route GET /${path}/a class ${class} pool stalls\n"
         "    route GET /${path}/b class ${class} pool stalls\n}\nuse two [x view]\nuse two [y order]",
     )
-    config = found(text).config
+    config = check_text(text).config
     assert config.drain_ms == 6000 and [route.pattern.path for route in config.routes[2:]] == [
         "/x/a",
         "/x/b",
         "/y/a",
         "/y/b",
     ]
-    assert found(text, {"WAIT": "7s"}).config.drain_ms == 7000
+    assert check_text(text, {"WAIT": "7s"}).config.drain_ms == 7000
 
 
 @pytest.mark.parametrize(
     ("text", "value"), [("12 requests/min", 0.2), ("3 units/s", 3), ("90/h", 0.025), ("0.1/s", 0.1)]
 )
 def test_rates(text, value):
-    assert found(GOOD.replace("rate 6/s", f"rate {text}")).config.settings.plans[0].rate_per_s == value
+    assert check_text(GOOD.replace("rate 6/s", f"rate {text}")).config.settings.plans[0].rate_per_s == value
 
 
 @given(st.floats(0, 1e9, allow_subnormal=False))
@@ -198,8 +205,8 @@
 )
 
 
-def plain(routes, request):
-    """The first route that matches, by trying all in the order of precedence."""
+def linear_search(routes, request):
+    """Return the first matching route, by trying all in order of precedence; -1 if there is none."""
     index = RouteIndex(routes)
     for number, method in index.in_order():
         pattern = routes[number].pattern
@@ -210,22 +217,22 @@
     return -1
 
 
-def look_up(routes, request):
+def find_route(routes, request):
     return RouteIndex(routes).find(request.method, request.host, request.path, dict(request.headers))
 
 
 @settings(max_examples=400, deadline=None)
 @given(ROUTES, st.lists(REQUESTS, min_size=1, max_size=20))
-def test_index_agrees_with_the_plain_way(routes, requests):
+def test_index_agrees_with_linear_search(routes, requests):
     for request in requests:
-        assert look_up(routes, request) == plain(routes, request)
+        assert find_route(routes, request) == linear_search(routes, request)
 
 
 @settings(max_examples=400, deadline=None)
 @given(ROUTES, ROUTES, st.lists(REQUESTS, max_size=30))
-def test_diff_of_routes_is_empty_exactly_when_no_request_tells_them_apart(before, after, requests):
+def test_diff_of_routes_is_empty_exactly_when_all_requests_are_routed_alike(before, after, requests):
     def outcome(routes, request):
-        number = look_up(routes, request)
+        number = find_route(routes, request)
         return routes[number].outcome if number >= 0 else None
 
     changes = list(diff.diff_routes(before, after))
@@ -243,7 +250,7 @@
         return
     number = chance.randrange(len(routes))
     changed = (*routes[:number], Route(routes[number].pattern, "other", "p"), *routes[number + 1 :])
-    reached = any(look_up(routes, request) == number for request in examples(routes[number].pattern))
+    reached = any(find_route(routes, request) == number for request in examples(routes[number].pattern))
     assert list(diff.diff_routes(routes, changed)) or not reached
 
 
@@ -259,8 +266,8 @@
         assert matches(first, request)
 
 
-def written(routes, chance):
-    """Settings with these routes, in a style of chance: blocks or lines, blanks, comments, quotes, joined lines."""
+def format_randomly(routes, chance):
+    """Return settings with these routes in a random style: blocks or lines, spaces, comments, quotes, joined lines."""
     out = [GOOD.partition("route")[0]]
     for route in routes:
         pattern = route.pattern
@@ -287,16 +294,16 @@
 
 @settings(max_examples=150, deadline=None)
 @given(ROUTES.filter(len), st.randoms())
-def test_formatter_changes_no_meaning_and_settles_at_once(routes, chance):
-    text = written(routes, chance)
+def test_formatter_preserves_meaning_and_is_idempotent(routes, chance):
+    text = format_randomly(routes, chance)
     document, problems = parse(text)
     assert not problems, text
-    once = formatter.format_document(document)
-    again, problems = parse(once)
-    assert not problems and formatter.format_document(again) == once
-    assert text.count("#") == once.count("#")
-    before, after = found(text), found(once)
-    assert len(errors(before)) == len(errors(after))  # places in their texts move
+    formatted = formatter.format_document(document)
+    reparsed, problems = parse(formatted)
+    assert not problems and formatter.format_document(reparsed) == formatted
+    assert text.count("#") == formatted.count("#")
+    before, after = check_text(text), check_text(formatted)
+    assert len(error_messages(before)) == len(error_messages(after))  # the locations in the messages differ
     if before.config is not None:
         assert diff.diff(before.config, after.config) == []
 
@@ -308,8 +315,8 @@
     )
 
 
-def test_diff_by_meaning(tmp_path):
-    before = found(GOOD).config
+def test_diff_is_semantic(tmp_path):
+    before = check_text(GOOD).config
     for same in (
         GOOD.replace("class view aim 1s", "class view aim 1000ms"),
         GOOD.replace("/stalls/:stall", "/stalls/:id"),
@@ -317,10 +324,10 @@
         GOOD.replace("rate 6/s", "rate 360 requests/min"),
     ):
         same = same.replace("quota small", "quota tiny") if "quota tiny" in same else same
-        assert diff.diff(before, found(same).config) == []
+        assert diff.diff(before, check_text(same).config) == []
     changes = diff.diff(
         before,
-        found(
+        check_text(
             GOOD.replace("burst 12", "burst 13")
             .replace("[POST PUT]", "[POST]")
             .replace("plan market\nroute", "plan stall\nroute")
@@ -336,54 +343,58 @@
 # ---- command line, pages, migration -----------------------------------------------------------------------------
 
 
-def run(*arguments):
+def run_command(*arguments):
     done = CliRunner().invoke(main, [str(each) for each in arguments])
     return done.exit_code, done.output
 
 
 def test_check_command(tmp_path):
-    good = files(tmp_path, main=GOOD)
-    assert run("check", good) == (0, f"{good}: nothing wrong\n")
-    bad = files(tmp_path, main=GOOD.replace("aim 1s", "aim 1", 1).replace("drain 6s", "dran 6s"))
-    code, said = run("config", "check", bad)
-    assert code == 2 and said.count("error:") == 2 and said.endswith("2 errors\n")
-    code, said = run("config", "check", "--format", "json", bad)
-    rows = json.loads(said)
+    good = write_files(tmp_path, main=GOOD)
+    assert run_command("check", good) == (0, f"{good}: nothing wrong\n")
+    bad = write_files(tmp_path, main=GOOD.replace("aim 1s", "aim 1", 1).replace("drain 6s", "dran 6s"))
+    code, output = run_command("config", "check", bad)
+    assert code == 2 and output.count("error:") == 2 and output.endswith("2 errors\n")
+    code, output = run_command("config", "check", "--format", "json", bad)
+    rows = json.loads(output)
     assert (
         code == 2
         and [(row["line"], row["column"], row["severity"]) for row in rows] == [(10, 16, "error"), (30, 1, "error")]
         and rows[1]["mend"] == "did you mean 'drain'?"
     )
-    warned = files(tmp_path, main=GOOD.replace("worth 2", "worth 0"))
-    assert run("check", warned)[0] == 0 and run("check", "--strict", warned)[0] == 1
-    assert run("check", tmp_path / "none.conf")[0] == 2
+    warned = write_files(tmp_path, main=GOOD.replace("worth 2", "worth 0"))
+    assert run_command("check", warned)[0] == 0 and run_command("check", "--strict", warned)[0] == 1
+    assert run_command("check", tmp_path / "none.conf")[0] == 2
 
 
 def test_fmt_diff_explain_and_show_commands(tmp_path):
-    path = files(tmp_path, main=GOOD.replace("drain 6s", "drain    6s"), other=GOOD.replace("drain 6s", "drain 7s"))
-    assert run("config", "fmt", "--check", path)[0] == 1
-    assert run("config", "fmt", path)[0] == 0 and run("config", "fmt", "--check", path) == (0, "")
-    assert run("config", "diff", path, path) == (0, "no difference for any request, plan or fleet\n")
-    assert run("config", "diff", path, tmp_path / "other.conf") == (1, "drain_ms: 6s -> 7s\n")
-    code, said = run("config", "explain", path, "PUT", "shop/orders?x=1", "-H", "X-Api-Key: k-1", "-H", "x-units: 9")
-    assert code == 0 and "main.conf:25:1: POST PUT /orders -> class order" in said
-    assert "customer market-1, by its key" in said and "counts  4 units" in said
-    code, said = run("config", "show", path)
-    assert code == 0 and "0123456789abcdef" not in said and "k-1" not in said and "drain 6s  # " in said
-
-
-def test_explain_says_what_a_route_beat():
+    path = write_files(
+        tmp_path, main=GOOD.replace("drain 6s", "drain    6s"), other=GOOD.replace("drain 6s", "drain 7s")
+    )
+    assert run_command("config", "fmt", "--check", path)[0] == 1
+    assert run_command("config", "fmt", path)[0] == 0 and run_command("config", "fmt", "--check", path) == (0, "")
+    assert run_command("config", "diff", path, path) == (0, "no difference for any request, plan or fleet\n")
+    assert run_command("config", "diff", path, tmp_path / "other.conf") == (1, "drain_ms: 6s -> 7s\n")
+    code, output = run_command(
+        "config", "explain", path, "PUT", "shop/orders?x=1", "-H", "X-Api-Key: k-1", "-H", "x-units: 9"
+    )
+    assert code == 0 and "main.conf:25:1: POST PUT /orders -> class order" in output
+    assert "customer market-1, by its key" in output and "counts  4 units" in output
+    code, output = run_command("config", "show", path)
+    assert code == 0 and "0123456789abcdef" not in output and "k-1" not in output and "drain 6s  # " in output
+
+
+def test_explain_lists_routes_of_lower_precedence():
     from anisefront.config.explain import explain
 
-    checked = found(
+    checked = check_text(
         GOOD.replace(
             "attempts",
             "route * /* class order pool stalls\nroute GET /stalls/:s class order pool stalls when [x=1]\nattempts",
         )
     )
-    said = explain(checked, Request("GET", "h", "/stalls/7", (("x", "1"),)))
-    assert "f.conf:27:1: GET /stalls/:s" in said[1] and "it has more conditions" in said[2]
-    assert "the path is more specific" in said[3] and "denied with 401" in said[-1]
+    output = explain(checked, Request("GET", "h", "/stalls/7", (("x", "1"),)))
+    assert "f.conf:27:1: GET /stalls/:s" in output[1] and "it has more conditions" in output[2]
+    assert "the path is more specific" in output[3] and "denied with 401" in output[-1]
 
 
 def test_migration_of_version_1():
@@ -398,26 +409,26 @@
 route GET /stock class view
 report util,inflight
 """
-    assert "anisefront config migrate" in found(old).problems[0].suggestion
+    assert "anisefront config migrate" in check_text(old).problems[0].suggestion
     document, problems = migrate(parse(prepare(old))[0])
     assert not problems
     text = formatter.format_document(document)
     assert text.startswith("# the first gatekeeper\nlanguage 2\n") and "# the list" in text and "# small" in text
-    config = found(text).config
+    config = check_text(text).config
     assert config.settings.plans[0].burst == 12 and config.settings.warm_up_ms == 6000
     assert config.roster_file == "/etc/stalls.json" and config.settings.load_report_fields == ("util", "inflight")
     assert migrate(parse(text)[0])[0].directives[0].name.text == "language"
 
 
-def test_examples_are_good_and_in_the_one_style():
+def test_examples_are_valid_and_formatted():
     for path in (ROOT / "examples").rglob("*.conf"):
         text = path.read_text()
         assert formatter.format_document(parse(text)[0]) == text, path
         if "gatekeeper " in text:
-            assert errors(checker.check(loader.load(str(path)), os.environ)) == []
+            assert error_messages(checker.check(loader.load(str(path)), os.environ)) == []
 
 
-def test_pages_are_what_the_tables_say():
+def test_pages_match_the_tables():
     assert (ROOT / "docs/operators/settings.md").read_text() == reference.reference()
     assert reference.grammar() in (ROOT / "docs/config-grammar.md").read_text()
 
@@ -427,9 +438,11 @@
 
     for name, spec in SCHEMA.items():
         assert spec.example.startswith(name), name
-        checked = found("language 2\nenv FLEET_SECRET default 0123456789abcdef\n" + spec.example + "\n")
-        mine = [problem for problem in checked.problems if problem.location.line == 3 and problem.code != "reference"]
-        assert not mine, (name, mine)
+        checked = check_text("language 2\nenv FLEET_SECRET default 0123456789abcdef\n" + spec.example + "\n")
+        own_problems = [
+            problem for problem in checked.problems if problem.location.line == 3 and problem.code != "reference"
+        ]
+        assert not own_problems, (name, own_problems)
     assert set(LANGUAGE) == {"language", "include", "env", "define", "use"}
 
 
@@ -445,7 +458,7 @@
 @settings(max_examples=300, deadline=None)
 @given(ROUTES)
 def test_crossings_are_found(routes):
-    """Every pair with requests in common of which neither takes all of the other's paths is named."""
+    """All pairs of routes with common requests are found, if neither matches all paths of the other."""
     from anisefront.config.route_crossings import crossing_pairs
     from anisefront.gateway.patterns import common_path, path_matches, shape
 
--- a/tests/test_config_corpus.py
+++ b/tests/test_config_corpus.py
@@ -1,6 +1,7 @@
-"""Broken settings: each names the line and says what is wrong, none raises, none brings a train of other messages.
+"""Invalid settings: each is reported with line and reason, without an exception and without follow-up errors.
 
-A case is a change to the good text below: what is replaced, by what, the line of the message, words that it holds.
+A case is a change to the valid text below: the replaced text, its replacement, the line of the message, and words that
+the message contains; "|" separates alternatives.
 """
 
 import pytest
@@ -202,7 +203,7 @@
     ("key k-1", "key k-2 customer market-1 plan stall\nkey k-1", 24, "on two plans"),
     ("listen grpc 127.0.0.1:9001", "listen grpc 127.0.0.1:9001\nlisten jsonrpc 127.0.0.1:9001", 4, "two fronts on one"),
     ("route [POST PUT]", "route GET /stalls/:other class order pool stalls\nroute [POST PUT]", 25, "never matches"),
-    # the language's own
+    # directives of the language itself
     ("drain 6s", 'include "no-such-file.conf"', 30, "can't be read"),
     ("drain 6s", "include", 30, "one path or pattern is due"),
     ("drain 6s", "include a b", 30, "one path or pattern is due"),
@@ -220,12 +221,12 @@
 ]
 
 
-def found(text, environment=None):
+def check_text(text, environment=None):
     return checker.check(loader.load_text(text, "f.conf"), environment or {})
 
 
-def test_the_good_text_is_good():
-    checked = found(GOOD)
+def test_valid_text_has_no_problems():
+    checked = check_text(GOOD)
     assert [p for p in checked.problems if p.severity is not Severity.NOTE] == [] and checked.config is not None
 
 
@@ -234,15 +235,15 @@
 
 
 @pytest.mark.parametrize(("old", "new", "line", "words"), CASES, ids=[f"{n}" for n in range(len(CASES))])
-def test_broken(old, new, line, words):
+def test_errors_name_line_and_reason(old, new, line, words):
     assert GOOD.count(old) >= 1, old
-    checked = found(GOOD.replace(old, new, 1))
+    checked = check_text(GOOD.replace(old, new, 1))
     errors = [problem for problem in checked.problems if problem.severity is Severity.ERROR]
-    said = [f"{problem.location.line}: {problem.message} - {problem.suggestion}" for problem in errors]
+    messages = [f"{problem.location.line}: {problem.message} - {problem.suggestion}" for problem in errors]
     assert checked.config is None
-    fitting = [text for text in said if text.startswith(f"{line}: ") and any(w in text for w in words.split("|"))]
-    assert fitting, said
-    assert len(errors) <= 2, said
+    matching = [text for text in messages if text.startswith(f"{line}: ") and any(w in text for w in words.split("|"))]
+    assert matching, messages
+    assert len(errors) <= 2, messages
 
 
 WARNINGS = [
@@ -281,12 +282,12 @@
 
 
 @pytest.mark.parametrize(("old", "new", "line", "words"), WARNINGS, ids=[f"{n}" for n in range(len(WARNINGS))])
-def test_warned_of(old, new, line, words):
+def test_warnings_name_line_and_reason(old, new, line, words):
     assert old in GOOD
-    checked = found(GOOD.replace(old, new, 1))
-    said = [
+    checked = check_text(GOOD.replace(old, new, 1))
+    messages = [
         f"{p.location.line}: {p.message} - {p.suggestion}" for p in checked.problems if p.severity is Severity.WARNING
     ]
-    assert [text for text in said if text.startswith(f"{line}: ") and any(w in text for w in words.split("|"))], [
+    assert [text for text in messages if text.startswith(f"{line}: ") and any(w in text for w in words.split("|"))], [
         (p.location.line, p.message) for p in checked.problems
     ]
--- a/tests/test_editor.py
+++ b/tests/test_editor.py
@@ -1,4 +1,4 @@
-"""The language server by a client that nobody here wrote (pygls's own), over a real process's pipes."""
+"""Editor support, and the language server as a process, driven by the client of pygls over pipes."""
 
 import asyncio
 import pathlib
@@ -7,21 +7,21 @@
 import pytest
 from lsprotocol import types
 from pygls.lsp.client import LanguageClient
-from test_config_corpus import GOOD, found
+from test_config_corpus import GOOD, check_text
 
 from anisefront.config import editor
 
 ROOT = pathlib.Path(__file__).parent.parent
 
 
-def at(text, words, more=0):
-    """Line and column, from 1, of words in a text."""
-    start = text.index(words) + more
+def position_of(text, words, offset=0):
+    """Return line and column, counted from 1, of words in a text, plus an offset."""
+    start = text.index(words) + offset
     return text.count("\n", 0, start) + 1, start - text.rfind("\n", 0, start)
 
 
 @pytest.mark.parametrize(
-    ("words", "more", "said"),
+    ("words", "offset", "expected"),
     [
         ("route GET", 0, "**route**: Which class"),
         ("class view pool", 0, "**route class** (name): the class"),
@@ -33,12 +33,12 @@
         ("# none", 0, ""),
     ],
 )
-def test_hover(words, more, said):
+def test_hover(words, offset, expected):
     text = GOOD + "\n# none\n"
     assert (
-        editor.hover(found(text), 0, *at(text, words, more)).startswith(said)
-        if said
-        else editor.hover(found(text), 0, *at(text, words, more)) == ""
+        editor.hover(check_text(text), 0, *position_of(text, words, offset)).startswith(expected)
+        if expected
+        else editor.hover(check_text(text), 0, *position_of(text, words, offset)) == ""
     )
 
 
@@ -52,9 +52,9 @@
     ],
 )
 def test_definition(words, target):
-    place = editor.definition(found(GOOD), 0, *at(GOOD, words))
-    assert (place.line, place.column) == at(GOOD, target)
-    assert editor.definition(found(GOOD), 0, *at(GOOD, "drain")) is None
+    location = editor.definition(check_text(GOOD), 0, *position_of(GOOD, words))
+    assert (location.line, location.column) == position_of(GOOD, target)
+    assert editor.definition(check_text(GOOD), 0, *position_of(GOOD, "drain")) is None
 
 
 @pytest.mark.parametrize(
@@ -68,10 +68,10 @@
 )
 def test_completion(line, words):
     text = GOOD + line + "\n"
-    offered = {word for word, _ in editor.complete(found(text), 0, text.count("\n"), len(line) + 1)}
+    offered = {word for word, _ in editor.complete(check_text(text), 0, text.count("\n"), len(line) + 1)}
     assert words <= offered
     inside = GOOD.replace("    scope cell\n", "    \n")
-    assert "scope" in {word for word, _ in editor.complete(found(inside), 0, 15, 5)}
+    assert "scope" in {word for word, _ in editor.complete(check_text(inside), 0, 15, 5)}
 
 
 def test_over_the_protocol(tmp_path):
@@ -79,7 +79,7 @@
     path.write_text(GOOD)
     uri = path.as_uri()
 
-    async def talk():
+    async def run_session():
         client, diagnostics = LanguageClient("test", "1"), asyncio.Queue()
 
         @client.feature(types.TEXT_DOCUMENT_PUBLISH_DIAGNOSTICS)
@@ -100,7 +100,7 @@
             )
         )
         second = await asyncio.wait_for(diagnostics.get(), 10)
-        line, column = at(GOOD, "view pool")
+        line, column = position_of(GOOD, "view pool")
         position = types.Position(line - 1, column - 1)
         document = types.TextDocumentIdentifier(uri)
         hover = await client.text_document_hover_async(types.HoverParams(document, position))
@@ -110,7 +110,7 @@
         await client.stop()
         return first, second, hover, where
 
-    first, second, hover, where = asyncio.run(asyncio.wait_for(talk(), 40))
+    first, second, hover, where = asyncio.run(asyncio.wait_for(run_session(), 40))
     assert [
         (each.range.start.line, each.range.start.character)
         for each in first
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -143,7 +143,7 @@
 
 
 def test_a_roster_reader_that_raises_is_told_and_goes_on(tmp_path, monkeypatch):
-    from test_config_corpus import GOOD, found
+    from test_config_corpus import GOOD, check_text
     from twisted.internet.testing import MemoryReactorClock
 
     from anisefront.config.incremental_loader import LoadOutcome
@@ -155,7 +155,7 @@
     path.write_text(endpoint_file.write("c", SERVERS[:1], {}))
     reactor = MemoryReactorClock()
     text = GOOD.replace("/etc/stalls.json", str(path)).replace("0 of 2", "0 of 1").replace("peer 1", "# peer 1")
-    config = found(text.replace("listen peers", "listen jsonrpc")).config
+    config = check_text(text.replace("listen peers", "listen jsonrpc")).config
     gatekeeper = GatewayInstance(
         run_to_end(build_next_version(None, LoadOutcome(config, (), (), "", (config.routes,)))),
         reactor,
--- a/tests/test_members_processes.py
+++ b/tests/test_members_processes.py
@@ -4,7 +4,7 @@
 
 import pytest
 from processes import Fleet
-from test_config import errors, found
+from test_config import error_messages, check_text
 from test_path import ROOT
 
 COUNT = 4
@@ -68,5 +68,5 @@
     text = (ROOT / "examples/loopback.conf").read_text() + line + "\n"
     if "period" in line:
         text += 'listen peers 127.0.0.1:0\nsecret "sixteen bytes at least"\n'
-    checked = found(text)
-    assert errors(checked) == [said] and not checked.config
+    checked = check_text(text)
+    assert error_messages(checked) == [said] and not checked.config
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -1,4 +1,7 @@
-"""Readings of settings that change, held against fresh loads of the same files; each shortcut, made wrong, is found."""
+"""Incremental loads of changing settings equal fresh loads of the same files; each cache check is covered.
+
+Each check that decides whether something can be reused is disabled in turn, and the comparison must fail.
+"""
 
 import errno
 import fnmatch
@@ -130,10 +133,10 @@
 INCLUDES = ['include "d/*.conf"', "include a.conf", 'include "n/*.conf"']
 
 
-def drawn(chance):
-    """A change, drawn uniformly, which hypothesis's own draws are not."""
-    good = ROUTES + KEYS
-    what = chance.choice(
+def draw_change(generator):
+    """Draw a change uniformly; the draws of hypothesis are not uniform."""
+    valid_lines = ROUTES + KEYS
+    action = generator.choice(
         [
             "put",
             "put",
@@ -150,30 +153,36 @@
             "includes",
             "environment",
             "lock",
-            "give up",
-            "give up",
-            "mend",
-            "mend",
+            "abandon",
+            "abandon",
+            "restore",
+            "restore",
         ]
     )
-    path = chance.choice(["main.conf", *NAMES, *NAMES])
-    if what == "put":
-        return what, path, chance.randrange(10), chance.choice(chance.choice([ROUTES, KEYS, OTHERS]))
-    if what == "copy":
-        return what, path, chance.choice(NAMES), chance.randrange(20)
-    if what == "bad":
-        return "put", path, chance.randrange(10), chance.choice(BAD)
-    if what == "drop":
-        return what, path, chance.randrange(20)
-    if what == "write":
-        return what, chance.choice(NAMES), chance.sample(good + OTHERS, chance.randrange(7))
-    if what == "remove":
-        return what, path
-    if what == "includes":
-        return what, chance.sample(INCLUDES[: chance.choice((2, 2, 3))], 2), chance.randrange(10)
-    if what == "environment":
-        return what, chance.choice([{}, {"ROOT": "e"}, {"NOT_SET": "n"}])
-    return what, chance.choice(NAMES), chance.randrange(10), chance.choice(ROUTES + KEYS), chance.randrange(1, 150)
+    path = generator.choice(["main.conf", *NAMES, *NAMES])
+    if action == "put":
+        return action, path, generator.randrange(10), generator.choice(generator.choice([ROUTES, KEYS, OTHERS]))
+    if action == "copy":
+        return action, path, generator.choice(NAMES), generator.randrange(20)
+    if action == "bad":
+        return "put", path, generator.randrange(10), generator.choice(BAD)
+    if action == "drop":
+        return action, path, generator.randrange(20)
+    if action == "write":
+        return action, generator.choice(NAMES), generator.sample(valid_lines + OTHERS, generator.randrange(7))
+    if action == "remove":
+        return action, path
+    if action == "includes":
+        return action, generator.sample(INCLUDES[: generator.choice((2, 2, 3))], 2), generator.randrange(10)
+    if action == "environment":
+        return action, generator.choice([{}, {"ROOT": "e"}, {"NOT_SET": "n"}])
+    return (
+        action,
+        generator.choice(NAMES),
+        generator.randrange(10),
+        generator.choice(ROUTES + KEYS),
+        generator.randrange(1, 150),
+    )
 
 
 REQUESTS = [
@@ -185,8 +194,8 @@
 ]
 
 
-class World:
-    """Files in memory, and the ways to them."""
+class SettingsFiles:
+    """Settings files in memory, with the functions that read and find them."""
 
     def __init__(self):
         self.lines = {
@@ -196,7 +205,7 @@
             "d/c.conf": [ROUTES[5], ROUTES[11], KEYS[1]],
         }
         self.environment, self.locked, self.reads = {}, False, 0
-        self.good = None
+        self.last_valid_lines = None
 
     def read(self, path):
         self.reads += 1
@@ -209,54 +218,56 @@
             raise PermissionError(errno.EACCES, "Permission denied", "d")
         return sorted(fnmatch.filter(self.lines, pattern))
 
-    def change(self, what, *more):
-        if what == "put":
+    def change(self, action, *more):
+        if action == "put":
             lines = self.lines.setdefault(more[0], [])
             lines.insert(more[1] % (len(lines) + 1) if more[0] != "main.conf" else len(lines) - more[1] % 4, more[2])
-        elif what == "copy" and self.lines.get(more[1]):
+        elif action == "copy" and self.lines.get(more[1]):
             self.lines.setdefault(more[0], []).append(self.lines[more[1]][more[2] % len(self.lines[more[1]])])
-        elif what == "drop" and self.lines.get(more[0]):
+        elif action == "drop" and self.lines.get(more[0]):
             self.lines[more[0]].pop(more[1] % len(self.lines[more[0]]))
-        elif what == "write":
+        elif action == "write":
             self.lines[more[0]] = list(more[1])
-        elif what == "remove":
+        elif action == "remove":
             self.lines.pop(more[0], None)
-        elif what == "includes":
+        elif action == "includes":
             rest = [line for line in self.lines.get("main.conf", ()) if line not in INCLUDES]
-            at = 1 + more[1] % max(1, len(rest))
-            self.lines["main.conf"] = [*rest[:at], *more[0], *rest[at:]]
-        elif what == "environment":
+            position = 1 + more[1] % max(1, len(rest))
+            self.lines["main.conf"] = [*rest[:position], *more[0], *rest[position:]]
+        elif action == "environment":
             self.environment.clear()
             self.environment.update(more[0])
-        elif what == "lock":
+        elif action == "lock":
             self.locked = not self.locked
-        elif what == "mend" and self.good is not None:
-            self.lines, self.locked = {path: list(lines) for path, lines in self.good.items()}, False
+        elif action == "restore" and self.last_valid_lines is not None:
+            self.lines, self.locked = {path: list(lines) for path, lines in self.last_valid_lines.items()}, False
 
 
-def kept(own):
-    """What a reading keeps, in the form of a fresh check: to be explained and shown."""
-    out, paths = EntryTable(), {number: path for path, number in own._store.numbers.items()}
+def retained_entries(incremental):
+    """Return the entries that an incremental loader retains, in the form of a fresh check."""
+    out, paths = EntryTable(), {number: path for path, number in incremental._store.numbers.items()}
 
-    class Where(loader.LoadedSources):
-        def format_location(self, place):
-            return file_record.format_location(paths, place)
+    class FormattedLocations(loader.LoadedSources):
+        def format_location(self, location):
+            return file_record.format_location(paths, location)
 
-    def entry(name, word, arguments, options):
-        return Entry(name, word, arguments, options)
+    def entry(name, lexeme, arguments, options):
+        return Entry(name, lexeme, arguments, options)
 
-    for part in own._order:
-        for at, route in enumerate(part.routes):
-            out.add(entry("route", part.route_lexeme(at), {"route": route}, {}))
-        for at, (text, key) in enumerate(zip(part.key_texts, part.keys, strict=True)):
-            out.add(entry("key", part.key_lexeme(at), {"key": text}, {"customer": key.customer, "plan": key.plan}))
-        for each in part.entries:
+    for section in incremental._order:
+        for position, route in enumerate(section.routes):
+            out.add(entry("route", section.route_lexeme(position), {"route": route}, {}))
+        for position, (text, key) in enumerate(zip(section.key_texts, section.keys, strict=True)):
+            out.add(
+                entry("key", section.key_lexeme(position), {"key": text}, {"customer": key.customer, "plan": key.plan})
+            )
+        for each in section.entries:
             out.add(each)
-    return Where(), out
+    return FormattedLocations(), out
 
 
-def shown(load, entries, is_fresh):
-    """Every line that counts, with its place."""
+def describe_lines(loaded, entries, is_fresh):
+    """Return all effective lines with their locations."""
     out = []
     for entry in entries.all():
         arguments = entry.arguments
@@ -264,35 +275,38 @@
             arguments, options = {"route": model.route(entry)}, {}
         else:
             options = entry.options
-        out.append((load.format_location(entry.lexeme.location), entry.name, arguments, options))
+        out.append((loaded.format_location(entry.lexeme.location), entry.name, arguments, options))
     return sorted(out, key=lambda each: str(each[:2]))
 
 
-def judged(find, requests):
+def route_requests(find, requests):
+    """Return what `find` returns for each request."""
     return [find(each.method, each.host, each.path, dict(each.headers)) for each in requests]
 
 
-def held_against_fresh(world, own, version, versions):
-    """Read anew, and hold all that comes of it against a fresh load; the version in force."""
-    outcome = run_to_end(own.steps())
-    load = loader.load("main.conf", world.read, world.find)
-    fresh = checker.check(load, world.environment, notes=False)
+def compare_with_fresh_load(files_in_memory, incremental, version, versions):
+    """Load incrementally, compare all results with those of a fresh load, and return the version in force."""
+    outcome = run_to_end(incremental.steps())
+    loaded = loader.load("main.conf", files_in_memory.read, files_in_memory.find)
+    fresh = checker.check(loaded, files_in_memory.environment, notes=False)
     assert outcome.problems == tuple(fresh.problems)
-    told = sorted(fresh.problems, key=lambda problem: -problem.severity)
-    assert outcome.texts == tuple(messages.format_problem(load, problem) for problem in told)
-    again = run_to_end(IncrementalLoader("main.conf", world.environment, world.read, world.find).steps())
-    assert (outcome.digest, outcome.texts) == (again.digest, again.texts)
+    problems_by_severity = sorted(fresh.problems, key=lambda problem: -problem.severity)
+    assert outcome.texts == tuple(messages.format_problem(loaded, problem) for problem in problems_by_severity)
+    second_outcome = run_to_end(
+        IncrementalLoader("main.conf", files_in_memory.environment, files_in_memory.read, files_in_memory.find).steps()
+    )
+    assert (outcome.digest, outcome.texts) == (second_outcome.digest, second_outcome.texts)
     assert (outcome.config is None) == (fresh.config is None)
     if fresh.config is None:
         return version
-    world.good = {path: list(lines) for path, lines in world.lines.items()}
+    files_in_memory.last_valid_lines = {path: list(lines) for path, lines in files_in_memory.lines.items()}
     assert replace(outcome.config, keys=dict(outcome.config.keys)) == fresh.config
     assert len(outcome.config.keys) == len(fresh.config.keys)
     following = run_to_end(build_next_version(version, outcome))
     assert following.number == (1 if version is None else version.number + 1)
     index = RouteIndex(fresh.config.routes)
-    found = judged(following.router.table.find, REQUESTS)
-    numbers = judged(index.find, REQUESTS)
+    found = route_requests(following.router.table.find, REQUESTS)
+    numbers = route_requests(index.find, REQUESTS)
     assert [None if each is None else each.route for each in found] == [
         None if number < 0 else fresh.config.routes[number] for number in numbers
     ]
@@ -304,36 +318,41 @@
             for each in outcome.config.settings.plans
             if each.name not in {plan.name for plan in old.settings.plans}
         )
-    own_load, own_model = kept(own)
+    retained_sources, retained_table = retained_entries(incremental)
     for request in REQUESTS[::5]:
-        assert explain(CheckResult(own_load, own_model, outcome.config), request) == explain(fresh, request)
-    assert shown(own_load, own_model, False) == shown(load, fresh.entries, True)
+        assert explain(CheckResult(retained_sources, retained_table, outcome.config), request) == explain(
+            fresh, request
+        )
+    assert describe_lines(retained_sources, retained_table, False) == describe_lines(loaded, fresh.entries, True)
     versions.append((following, found, dict(outcome.config.keys)))
     return following
 
 
-def play(changes):
-    world, versions = World(), []
-    own = IncrementalLoader("main.conf", world.environment, world.read, world.find)
-    version = held_against_fresh(world, own, None, versions)
+def run_changes(changes):
+    """Apply changes one by one, and compare incremental loads with fresh ones after each."""
+    files_in_memory, versions = SettingsFiles(), []
+    incremental = IncrementalLoader(
+        "main.conf", files_in_memory.environment, files_in_memory.read, files_in_memory.find
+    )
+    version = compare_with_fresh_load(files_in_memory, incremental, None, versions)
     assert version is not None
-    for what, *more in changes:
-        if what == "give up":
-            world.change("put", *more[:3])
-            steps = own.steps()
+    for action, *more in changes:
+        if action == "abandon":
+            files_in_memory.change("put", *more[:3])
+            steps = incremental.steps()
             for _ in range(more[3]):
                 if next(steps, steps) is steps:
                     break
             continue
-        world.change(what, *more)
-        version = held_against_fresh(world, own, version, versions)
-    for each, found, keys in versions:  # no version was changed by those that were made of it
-        assert judged(each.router.table.find, REQUESTS) == found and dict(each.config.keys) == keys
+        files_in_memory.change(action, *more)
+        version = compare_with_fresh_load(files_in_memory, incremental, version, versions)
+    for each, found, keys in versions:  # later versions must not have modified earlier ones
+        assert route_requests(each.router.table.find, REQUESTS) == found and dict(each.config.keys) == keys
 
 
 @pytest.fixture(autouse=True)
 def small_steps(monkeypatch):
-    """So that a reading can be given up anywhere."""
+    """Make steps small, so that a load can be abandoned anywhere."""
     for module, name in (
         (cross_file_checks, "ENTRIES_PER_STEP"),
         (file_record, "LINES_PER_STEP"),
@@ -347,20 +366,20 @@
         monkeypatch.setattr(module, name, 2)
 
 
-SEEDS = st.binary(min_size=8, max_size=8)  # integers would be drawn small and alike
-CHANGES = st.lists(SEEDS.map(lambda seed: drawn(random.Random(seed))), min_size=1, max_size=12)
+SEEDS = st.binary(min_size=8, max_size=8)  # drawn integers would be small and similar
+CHANGES = st.lists(SEEDS.map(lambda seed: draw_change(random.Random(seed))), min_size=1, max_size=12)
 
 
 @settings(max_examples=120, deadline=None, suppress_health_check=list(HealthCheck))
 @given(CHANGES)
-def test_after_any_changes_all_is_as_a_fresh_load_has_it(changes):
-    play(changes)
+def test_incremental_load_equals_fresh_load_after_any_changes(changes):
+    run_changes(changes)
 
 
-# ---- each shortcut, made wrong ------------------------------------------------------------------------------------
+# ---- disabled cache checks ----------------------------------------------------------------------------------------
 
 
-def same_digest(patch):
+def ignore_digests(patch):
     patch.setattr(
         load_attempt,
         "hashlib",
@@ -370,86 +389,88 @@
     )
 
 
-def stays_in_any_order(before, after):
-    old, new = {id(part) for part in before}, {id(part) for part in after}
-    return [part for part in before if id(part) not in new], [part for part in after if id(part) not in old]
+def ignore_order(before, after):
+    old, new = {id(section) for section in before}, {id(section) for section in after}
+    return [section for section in before if id(section) not in new], [
+        section for section in after if id(section) not in old
+    ]
 
 
-def untouched_by_what_goes(patch):
-    whole = cross_file_checks.CrossFileIndex._update_route
+def skip_groups_of_removed_routes(patch):
+    original = cross_file_checks.CrossFileIndex._update_route
 
-    def spot(self, name, part, at, by):
-        touched = set(self._changed_groups)
-        whole(self, name, part, at, by)
+    def patched(self, name, section, position, by):
+        previously_changed = set(self._changed_groups)
+        original(self, name, section, position, by)
         if by < 0:
-            self._changed_groups = touched
+            self._changed_groups = previously_changed
 
-    patch.setattr(cross_file_checks.CrossFileIndex, "_update_route", spot)
+    patch.setattr(cross_file_checks.CrossFileIndex, "_update_route", patched)
 
 
-def only_up(patch, name):
-    whole = getattr(model.UsageCounts, name)
-    patch.setattr(model.UsageCounts, name, lambda self, each, by: whole(self, each, by) if by > 0 else None)
+def count_up_only(patch, name):
+    original = getattr(model.UsageCounts, name)
+    patch.setattr(model.UsageCounts, name, lambda self, each, by: original(self, each, by) if by > 0 else None)
 
 
-def findings_stay(patch):
-    class Sticky(dict):
+def keep_old_problems(patch):
+    class StickyDict(dict):
         def pop(self, name, default=None):
             return default
 
-    whole = cross_file_checks.CrossFileIndex.__init__
+    original = cross_file_checks.CrossFileIndex.__init__
 
     def begin(self):
-        whole(self)
-        self.problems = Sticky()
+        original(self)
+        self.problems = StickyDict()
 
     patch.setattr(cross_file_checks.CrossFileIndex, "__init__", begin)
 
 
-def doubled_goes_whole(patch):
-    whole = cross_file_checks.CrossFileIndex._update_key
+def remove_all_duplicates(patch):
+    original = cross_file_checks.CrossFileIndex._update_key
 
     def key(self, text, key, by):
         if by < 0:
             self.duplicate_keys.pop(text, None)
-        whole(self, text, key, by)
+        original(self, text, key, by)
 
     patch.setattr(cross_file_checks.CrossFileIndex, "_update_key", key)
 
 
-def shards_not_copied(patch):
-    whole = KeyTableEdit.__init__
+def share_shards(patch):
+    original = KeyTableEdit.__init__
 
     def begin(self, before):
-        whole(self, before)
+        original(self, before)
         self._copied = type("All", (), {"__contains__": lambda self, each: True, "clear": lambda self: None})()
         self._shards = [{} for _ in self._shards]
 
     patch.setattr(KeyTableEdit, "__init__", begin)
 
 
-def at_the_end(placed, ranks):
+def insert_at_end(route_entry, ranks):
     def edit(here, methods):
         out = dict(here)
         for method in methods:
-            out[method] = (*out.get(method, ()), placed)
+            out[method] = (*out.get(method, ()), route_entry)
         return tuple(out.items())
 
     return edit
 
 
-def numbers_of_one_reading(patch):
-    whole = load_attempt.LoadAttempt.__init__
+def reset_file_numbers(patch):
+    original = load_attempt.LoadAttempt.__init__
 
-    def begin(self, own, files):
-        whole(self, own, files)
-        own.numbers, own.last_number = {}, 0
+    def begin(self, store, files):
+        original(self, store, files)
+        store.numbers, store.last_number = {}, 0
 
     patch.setattr(load_attempt.LoadAttempt, "__init__", begin)
 
 
-GUARDS = {
-    "bytes as before": same_digest,
+DISABLED_CHECKS = {
+    "file digests": ignore_digests,
     "definitions and values": lambda patch: patch.setattr(
         file_record.FileRecord, "is_current", lambda self, known: True
     ),
@@ -459,34 +480,36 @@
     "values": lambda patch: patch.setattr(
         file_record.FileRecord, "looked_up", property(lambda self: {}, lambda self, each: 0)
     ),
-    "names that are near": lambda patch: patch.setattr(
+    "similar names": lambda patch: patch.setattr(
         file_record.FileRecord, "definition_names", property(lambda self: None, lambda self, each: 0)
     ),
-    "files that stand elsewhere": lambda patch: patch.setattr(incremental_loader, "changed_groups", stays_in_any_order),
-    "parts that stand elsewhere": lambda patch: patch.setattr(versions, "changed_groups", stays_in_any_order),
-    "neighbours of what goes": untouched_by_what_goes,
-    "findings that are gone": findings_stay,
-    "uses of names by routes": lambda patch: only_up(patch, "count_route"),
-    "uses of names by keys": lambda patch: only_up(patch, "count_key"),
-    "keys that stand twice": doubled_goes_whole,
+    "reordered files": lambda patch: patch.setattr(incremental_loader, "changed_groups", ignore_order),
+    "reordered sections": lambda patch: patch.setattr(versions, "changed_groups", ignore_order),
+    "neighbours of removed routes": skip_groups_of_removed_routes,
+    "resolved problems": keep_old_problems,
+    "names used by routes": lambda patch: count_up_only(patch, "count_route"),
+    "names used by keys": lambda patch: count_up_only(patch, "count_key"),
+    "duplicate keys": remove_all_duplicates,
     "customers' plans": lambda patch: patch.setattr(
         cross_file_checks.CrossFileIndex, "_update_customer", lambda self, key, by: None
     ),
-    "nodes are copied": lambda patch: patch.setattr(route_trie, "_owned", lambda node, owner: node or RouteNode(owner)),
-    "shards are copied": shards_not_copied,
-    "order at one place": lambda patch: patch.setattr(route_table, "insertion", at_the_end),
-    "routes that go": lambda patch: patch.setattr(route_table, "removal", lambda part: lambda here, methods: here),
-    "keys that differ": lambda patch: patch.setattr(KeyTable, "differing", lambda self, other: iter(())),
-    "readings given up": lambda patch: patch.setattr(
+    "copied trie nodes": lambda patch: patch.setattr(
+        route_trie, "_owned", lambda node, owner: node or RouteNode(owner)
+    ),
+    "copied key shards": share_shards,
+    "precedence of routes": lambda patch: patch.setattr(route_table, "insertion", insert_at_end),
+    "removed routes": lambda patch: patch.setattr(route_table, "removal", lambda section: lambda here, methods: here),
+    "changed keys": lambda patch: patch.setattr(KeyTable, "differing", lambda self, other: iter(())),
+    "abandoned loads": lambda patch: patch.setattr(
         IncrementalLoader,
         "_index_is_inconsistent",
         property(lambda self: False, lambda self, each: None),
         raising=False,
     ),
-    "files by lasting numbers": numbers_of_one_reading,
-    "trees of faulty files": lambda patch: patch.setattr(file_record, "Severity", SimpleNamespace(ERROR=None)),
-    "plain routes' paths": lambda patch: patch.setattr(file_record, "PATH", SimpleNamespace(read=lambda word: None)),
-    "plain keys' names": lambda patch: patch.setattr(
+    "persistent file numbers": reset_file_numbers,
+    "trees of invalid files": lambda patch: patch.setattr(file_record, "Severity", SimpleNamespace(ERROR=None)),
+    "paths of plain routes": lambda patch: patch.setattr(file_record, "PATH", SimpleNamespace(read=lambda word: None)),
+    "names in plain keys": lambda patch: patch.setattr(
         file_record,
         "_KEY",
         re.compile(r"([ \t]*)key[ \t]+(\S+)[ \t]+customer[ \t]+(\S+)[ \t]+plan[ \t]+(\S+)[ \t]*\r?\Z"),
@@ -495,22 +518,22 @@
 }
 
 
-@pytest.mark.parametrize("name", GUARDS)
-def test_each_shortcut_made_wrong_is_found(monkeypatch, name):
-    GUARDS[name](monkeypatch)
+@pytest.mark.parametrize("name", DISABLED_CHECKS)
+def test_each_disabled_cache_check_is_detected(monkeypatch, name):
+    DISABLED_CHECKS[name](monkeypatch)
     with pytest.raises((AssertionError, KeyError)):
-        play([("put", "d/b.conf", 0, "use viw [/x v]"), ("drop", "a.conf", 2)])
+        run_changes([("put", "d/b.conf", 0, "use viw [/x v]"), ("drop", "a.conf", 2)])
         for seed in range(150):
-            chance = random.Random(seed)
-            play([drawn(chance) for _ in range(12)])
+            generator = random.Random(seed)
+            run_changes([draw_change(generator) for _ in range(12)])
 
 
 # ---- steps, and files on disk --------------------------------------------------------------------------------------
 
 
-def work_of(steps):
-    """The most calls of one step, and what the steps come to."""
-    calls, most = [0], 0
+def count_calls(steps):
+    """Return the maximum number of calls in one step, and the result of the steps."""
+    calls, max_calls = [0], 0
 
     def count(frame, event, argument):
         calls[0] += event in ("call", "c_call")
@@ -521,37 +544,37 @@
         try:
             next(steps)
         except StopIteration as ended:
-            return max(most, calls[0]), ended.value
+            return max(max_calls, calls[0]), ended.value
         finally:
             sys.setprofile(None)
-        most = max(most, calls[0])
+        max_calls = max(max_calls, calls[0])
 
 
-MOST_CALLS = 2000  # of one step; a plain file of 2,000 lines takes some hundred thousand
+MAX_CALLS = 2000  # of one step; a plain file of 2,000 lines takes more than a hundred thousand calls
 
 
-def large(files):
-    """An installation of 1,800 keys and 300 routes, in so many files that are included."""
-    world = World()
+def create_large_installation(files):
+    """Create an installation of 1,800 keys and 300 routes in the given number of included files."""
+    files_in_memory = SettingsFiles()
     lines = (
         [f"key k-{n} customer c-{n} plan a" for n in range(1500)]
         + [f'key "k {n}" customer c-{n} plan a' for n in range(300)]
         + [f"route GET /a-{n}/:x class v pool p" + (" when [q=1]" if n % 3 else "") for n in range(300)]
     )
-    world.lines = {"main.conf": [*HEAD, 'include "d/*.conf"']}
+    files_in_memory.lines = {"main.conf": [*HEAD, 'include "d/*.conf"']}
     for n in range(files):
-        world.lines[f"d/{n:03}.conf"] = lines[n::files]
-    return world, IncrementalLoader("main.conf", {}, world.read, world.find)
+        files_in_memory.lines[f"d/{n:03}.conf"] = lines[n::files]
+    return files_in_memory, IncrementalLoader("main.conf", {}, files_in_memory.read, files_in_memory.find)
 
 
 @pytest.mark.parametrize("files", [1, 150])
-def test_no_step_does_more_than_a_little(files, monkeypatch):
+def test_steps_are_short(files, monkeypatch):
     monkeypatch.undo()
-    world, own = large(files)
-    most, outcome = work_of(own.steps())
-    assert most <= MOST_CALLS and len(outcome.config.keys) == 1800
-    most, version = work_of(build_next_version(None, outcome))
-    assert most <= MOST_CALLS
+    files_in_memory, incremental = create_large_installation(files)
+    max_calls, outcome = count_calls(incremental.steps())
+    assert max_calls <= MAX_CALLS and len(outcome.config.keys) == 1800
+    max_calls, version = count_calls(build_next_version(None, outcome))
+    assert max_calls <= MAX_CALLS
     for bad in (
         "",
         "key k-7 customer c-7 plan a",
@@ -561,112 +584,116 @@
         "plan b quota q\nkey new customer c-9 plan b",
         "route GET /n class v pool z\npool z embedded 1",
     ):
-        world.lines["d/000.conf"] = [*world.lines["d/000.conf"], bad, "route GET /new class v pool p"]
-        most, outcome = work_of(own.steps())
-        assert most <= MOST_CALLS and (outcome.config is None) == bool(bad and "quota z" not in bad), outcome.texts
+        files_in_memory.lines["d/000.conf"] = [
+            *files_in_memory.lines["d/000.conf"],
+            bad,
+            "route GET /new class v pool p",
+        ]
+        max_calls, outcome = count_calls(incremental.steps())
+        assert max_calls <= MAX_CALLS and (outcome.config is None) == bool(bad and "quota z" not in bad), outcome.texts
         if outcome.config is not None:
-            most, version = work_of(build_next_version(version, outcome))
-            assert most <= MOST_CALLS
-        del world.lines["d/000.conf"][-2:]
+            max_calls, version = count_calls(build_next_version(version, outcome))
+            assert max_calls <= MAX_CALLS
+        del files_in_memory.lines["d/000.conf"][-2:]
 
 
-def test_only_files_that_changed_are_read_into_records(monkeypatch):
+def test_only_changed_files_get_new_records(monkeypatch):
     made = []
-    whole = load_attempt.build_file_record
+    original = load_attempt.build_file_record
     monkeypatch.setattr(
         load_attempt,
         "build_file_record",
-        lambda data, digest, file, *more: made.append(file) or whole(data, digest, file, *more),
+        lambda data, digest, file, *more: made.append(file) or original(data, digest, file, *more),
     )
-    world, own = large(20)
+    files_in_memory, incremental = create_large_installation(20)
 
     def records():
         made.clear()
-        return run_to_end(own.steps()), len(made)
+        return run_to_end(incremental.steps()), len(made)
 
     assert records()[1] == 21
     assert records()[1] == 0
-    world.lines["d/007.conf"].append("route GET /new class v pool p")
+    files_in_memory.lines["d/007.conf"].append("route GET /new class v pool p")
     assert records()[1] == 1
-    first = world.lines["main.conf"]
-    world.lines["main.conf"] = ["langage 2"]
+    first = files_in_memory.lines["main.conf"]
+    files_in_memory.lines["main.conf"] = ["langage 2"]
     assert records()[0].config is None
-    world.lines["main.conf"] = first  # a fault that hides all other files has none of them read again
+    files_in_memory.lines["main.conf"] = first  # an error that hides all other files must not evict their records
     outcome, count = records()
     assert outcome.config is not None and count == 1
-    del world.lines["d/007.conf"], world.lines["d/008.conf"]
-    assert records()[1] == 0 and len(own._store.numbers) == len(own._store.records) == 19
+    del files_in_memory.lines["d/007.conf"], files_in_memory.lines["d/008.conf"]
+    assert records()[1] == 0 and len(incremental._store.numbers) == len(incremental._store.records) == 19
 
 
-def on_disk(folder):
+def write_to_disk(folder):
     (folder / "d").mkdir()
     (folder / "main.conf").write_text("\n".join([*HEAD, 'include "d/*.conf"', ""]))
     (folder / "d/a.conf").write_text("route GET /x class v pool p\n")
     return IncrementalLoader(str(folder / "main.conf"))
 
 
-def test_a_file_that_changes_while_it_is_read_is_read_again_and_then_refused(tmp_path):
-    own = on_disk(tmp_path)
-    assert run_to_end(own.steps()).config is not None
+def test_file_that_changes_while_it_is_read_is_retried_and_then_rejected(tmp_path):
+    incremental = write_to_disk(tmp_path)
+    assert run_to_end(incremental.steps()).config is not None
 
-    def with_changes(most):
-        steps, done = own.steps(), 0
+    def load_with_changes(max_changes):
+        steps, done = incremental.steps(), 0
         while True:
             try:
                 next(steps)
             except StopIteration as ended:
                 return ended.value
             frame = steps.gi_frame.f_locals.get("attempt")
-            if done < most and frame is not None and len(frame.files) == 2:
+            if done < max_changes and frame is not None and len(frame.files) == 2:
                 done += 1
                 (tmp_path / "d/a.conf").write_text(f"route GET /x{done} class v pool p\n")
 
-    outcome = with_changes(2)
+    outcome = load_with_changes(2)
     assert [route.pattern.path for route in outcome.config.routes] == ["/x2"]
-    outcome = with_changes(1000)
+    outcome = load_with_changes(1000)
     assert outcome.config is None and "a.conf' changed while it was read, 3 times - reload when" in outcome.errors[0]
-    assert run_to_end(own.steps()).config is not None
+    assert run_to_end(incremental.steps()).config is not None
 
 
-def with_texts(*texts):
-    """A reading of which one file has another text each time that it is read; the last stays."""
-    world, left = World(), list(texts)
+def create_with_changing_file(*texts):
+    """Create a loader of which one file has another text each time it is read; the last text stays."""
+    files_in_memory, remaining_texts = SettingsFiles(), list(texts)
 
     def read(path):
         if path != "d/b.conf":
-            return world.read(path)
-        return (left.pop(0) if len(left) > 1 else left[0]).encode()
+            return files_in_memory.read(path)
+        return (remaining_texts.pop(0) if len(remaining_texts) > 1 else remaining_texts[0]).encode()
 
-    return world, left, IncrementalLoader("main.conf", {}, read, world.find)
+    return files_in_memory, remaining_texts, IncrementalLoader("main.conf", {}, read, files_in_memory.find)
 
 
 def paths(outcome):
     return [route.pattern.path for route in outcome.config.routes]
 
 
-def test_a_message_shows_lines_of_the_bytes_that_were_judged():
-    _, left, own = with_texts("nonsense", "route GET /y class v pool p")
-    assert "/y" in paths(run_to_end(own.steps())) and len(left) == 1
-    _, left, own = with_texts(*(f"nonsense # {n}" for n in range(7)))
-    outcome = run_to_end(own.steps())
+def test_message_shows_lines_of_the_checked_content():
+    _, remaining_texts, incremental = create_with_changing_file("nonsense", "route GET /y class v pool p")
+    assert "/y" in paths(run_to_end(incremental.steps())) and len(remaining_texts) == 1
+    _, remaining_texts, incremental = create_with_changing_file(*(f"nonsense # {n}" for n in range(7)))
+    outcome = run_to_end(incremental.steps())
     assert outcome.config is None and "'d/b.conf' changed while it was read, 3 times" in outcome.errors[0]
-    assert "nonsense # 6" in run_to_end(own.steps()).errors[0]
+    assert "nonsense # 6" in run_to_end(incremental.steps()).errors[0]
 
 
-def test_what_is_put_in_anew_is_of_the_bytes_that_were_read():
-    world, left, own = with_texts("use view [/y w]")
-    assert "/y" in paths(run_to_end(own.steps()))
-    world.lines["a.conf"][2] = world.lines["a.conf"][2].replace("GET", "PUT")
-    left[:] = ["use view [/y w]", "route GET /z class v pool p"]
-    after = paths(run_to_end(own.steps()))
-    assert "/z" in after and "/y" not in after and len(left) == 1
-    left[:] = ["use view [/y w]"]
-    assert "/y" in paths(run_to_end(own.steps()))
+def test_expansion_is_repeated_on_the_content_that_was_read():
+    files_in_memory, remaining_texts, incremental = create_with_changing_file("use view [/y w]")
+    assert "/y" in paths(run_to_end(incremental.steps()))
+    files_in_memory.lines["a.conf"][2] = files_in_memory.lines["a.conf"][2].replace("GET", "PUT")
+    remaining_texts[:] = ["use view [/y w]", "route GET /z class v pool p"]
+    after = paths(run_to_end(incremental.steps()))
+    assert "/z" in after and "/y" not in after and len(remaining_texts) == 1
+    remaining_texts[:] = ["use view [/y w]"]
+    assert "/y" in paths(run_to_end(incremental.steps()))
 
 
-def test_a_file_that_comes_while_files_are_read_is_not_missed(tmp_path):
-    own, steps = on_disk(tmp_path), None
-    steps = own.steps()
+def test_file_created_during_a_load_is_not_missed(tmp_path):
+    incremental, steps = write_to_disk(tmp_path), None
+    steps = incremental.steps()
     for count in range(1000):
         try:
             next(steps)
@@ -678,41 +705,41 @@
     raise AssertionError("no end")
 
 
-def test_files_that_vanish_and_folders_that_cannot_be_read(tmp_path, monkeypatch):
-    own = on_disk(tmp_path)
+def test_missing_files_and_unreadable_directories(tmp_path, monkeypatch):
+    incremental = write_to_disk(tmp_path)
     with open(tmp_path / "main.conf", "a") as file:
         file.write("include d/a.conf\n")
-    assert "is included twice" in run_to_end(own.steps()).errors[0]
+    assert "is included twice" in run_to_end(incremental.steps()).errors[0]
     (tmp_path / "d/a.conf").rename(tmp_path / "d/a.other")
-    outcome = run_to_end(own.steps())
+    outcome = run_to_end(incremental.steps())
     assert "d/a.conf' can't be read: No such file" in outcome.errors[0] and "no file matches" in outcome.texts[1]
     (tmp_path / "d/a.other").rename(tmp_path / "d/a.conf")
-    listed = os.listdir
+    original_listdir = os.listdir
 
     def listdir(path):
         if str(path).endswith("/d"):
             raise PermissionError(errno.EACCES, "Permission denied", path)
-        return listed(path)
+        return original_listdir(path)
 
     monkeypatch.setattr(os, "listdir", listdir)
     assert (
         f"main.conf:9:9: error: folder '{tmp_path}/d' can't be read: Permission denied - mend the folder's rights"
-        in run_to_end(own.steps()).errors[0]
+        in run_to_end(incremental.steps()).errors[0]
     )
 
 
-def test_links_that_are_turned_as_a_whole_cost_nothing_where_bytes_are_as_before(tmp_path, monkeypatch):
+def test_switched_symlink_costs_nothing_if_contents_are_equal(tmp_path, monkeypatch):
     for name in ("one", "two"):
         (tmp_path / name / "d").mkdir(parents=True)
         (tmp_path / name / "main.conf").write_text("\n".join([*HEAD, 'include "d/*.conf"', ""]))
         (tmp_path / name / "d/a.conf").write_text("route GET /x class v pool p\n")
     (tmp_path / "now").symlink_to(tmp_path / "one")
-    own = IncrementalLoader(str(tmp_path / "now/main.conf"))
-    first = run_to_end(own.steps())
+    incremental = IncrementalLoader(str(tmp_path / "now/main.conf"))
+    first = run_to_end(incremental.steps())
     (tmp_path / "next").symlink_to(tmp_path / "two")
     os.replace(tmp_path / "next", tmp_path / "now")
     monkeypatch.setattr(load_attempt, "build_file_record", None)
-    second = run_to_end(own.steps())
+    second = run_to_end(incremental.steps())
     assert second.config is not None and second.digest == first.digest and second.parts[0] is first.parts[0]
 
 
@@ -720,49 +747,51 @@
     ("line", "what", "count"),
     [("plan b quota q", "there is no plan 'a'", 1801), ("", "stands twice, first in line", 1800)],
 )
-def test_thousands_of_problems_are_counted_and_the_first_are_told(line, what, count, monkeypatch):
+def test_thousands_of_problems_are_counted_and_the_first_are_shown(line, what, count, monkeypatch):
     monkeypatch.undo()
-    world, own = large(12)
-    assert run_to_end(own.steps()).config is not None
+    files_in_memory, incremental = create_large_installation(12)
+    assert run_to_end(incremental.steps()).config is not None
     if line:
-        world.lines["main.conf"] = [line if each == "plan a quota q" else each for each in world.lines["main.conf"]]
+        files_in_memory.lines["main.conf"] = [
+            line if each == "plan a quota q" else each for each in files_in_memory.lines["main.conf"]
+        ]
     else:
-        world.lines.update(
+        files_in_memory.lines.update(
             {
                 path.replace("d/", "d/1"): [each for each in lines if each.startswith("key")]
-                for path, lines in world.lines.items()
+                for path, lines in files_in_memory.lines.items()
                 if path != "main.conf"
             }
         )
-    outcome = run_to_end(own.steps())
-    fresh = checker.check(loader.load("main.conf", world.read, world.find), {}, notes=False)
+    outcome = run_to_end(incremental.steps())
+    fresh = checker.check(loader.load("main.conf", files_in_memory.read, files_in_memory.find), {}, notes=False)
     assert outcome.problems == tuple(fresh.problems) and len(outcome.texts) == 1001
     assert f"{count - 1000} more problems" in outcome.problems[-1].message
     assert sum(what in problem.message for problem in outcome.problems) == 1000
 
 
 @pytest.mark.parametrize("end", ["\n", "\r\n"])
-def test_a_file_is_read_in_pieces_as_it_is_read_whole(monkeypatch, end):
-    chance, letters = random.Random(3), ["a", "é", "\u20ac", "\U0001f40d", "\n", end, "\u2028", " ", "\ufeff"]
+def test_decoding_in_chunks_equals_decoding_at_once(monkeypatch, end):
+    generator, letters = random.Random(3), ["a", "é", "\u20ac", "\U0001f40d", "\n", end, "\u2028", " ", "\ufeff"]
     for size in range(40):
-        data = "".join(chance.choice(letters) for _ in range(size)).encode()
+        data = "".join(generator.choice(letters) for _ in range(size)).encode()
         for piece in (0, 1, 3, 7, 1000):
             monkeypatch.setattr(file_record, "DECODE_CHUNK_BYTES", piece)
-            for whole in (data, b"\xef\xbb\xbf" + data):
-                assert list(file_record.lines_of(whole)) == loader.decode(whole, 0)[0].split("\n")
+            for original in (data, b"\xef\xbb\xbf" + data):
+                assert list(file_record.lines_of(original)) == loader.decode(original, 0)[0].split("\n")
 
 
-def test_lines_are_capped_over_all_files(monkeypatch):
+def test_line_limit_counts_all_files(monkeypatch):
     monkeypatch.setattr(incremental_checks, "MAX_EXPANDED_LINES", 60)
     monkeypatch.setattr(definitions, "MAX_EXPANDED_LINES", 60)
-    world, own = World(), None
-    world.lines["d/b.conf"] = [f"route GET /b{n} class v pool p" for n in range(20)]
-    own = IncrementalLoader("main.conf", {}, world.read, world.find)
-    assert run_to_end(own.steps()).config is not None
-    world.lines["d/c.conf"] = [f"route GET /c{n} class v pool p" for n in range(30)]
-    outcome = run_to_end(own.steps())
+    files_in_memory, incremental = SettingsFiles(), None
+    files_in_memory.lines["d/b.conf"] = [f"route GET /b{n} class v pool p" for n in range(20)]
+    incremental = IncrementalLoader("main.conf", {}, files_in_memory.read, files_in_memory.find)
+    assert run_to_end(incremental.steps()).config is not None
+    files_in_memory.lines["d/c.conf"] = [f"route GET /c{n} class v pool p" for n in range(30)]
+    outcome = run_to_end(incremental.steps())
     assert outcome.config is None and "definitions come to more than 60 lines" in outcome.errors[0]
-    world.lines["d/c.conf"] = [
+    files_in_memory.lines["d/c.conf"] = [
         "define a {\n use b\n use b\n}",
         "define b {\n use c\n use c\n}",
         "define c {\n use d\n use d\n}",
@@ -772,4 +801,4 @@
         "use a",
         "use a",
     ]
-    assert "definitions come to more than 60 lines" in run_to_end(own.steps()).errors[0]
+    assert "definitions come to more than 60 lines" in run_to_end(incremental.steps()).errors[0]
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -5,7 +5,7 @@
 import signal
 
 import pytest
-from test_config_corpus import GOOD, found
+from test_config_corpus import GOOD, check_text
 from test_core import Desk
 from test_path import Running, told
 
@@ -38,7 +38,7 @@
     ],
 )
 def test_what_may_change(old, new, said):
-    before, after = found(GOOD).config, found(GOOD.replace(old, new, 1)).config
+    before, after = check_text(GOOD).config, check_text(GOOD.replace(old, new, 1)).config
     faults = immutable_settings.rejected_changes(before, after)
     assert len(faults) == len(said) and all(word in fault for word, fault in zip(said, faults, strict=True)), faults
 
--- a/tests/test_settings_characterization.py
+++ b/tests/test_settings_characterization.py
@@ -1,4 +1,4 @@
-"""Settings behave as recorded: problems (place, text), digest, show, fmt, exit codes, values and defaults.
+"""Settings behave as recorded: problems with locations and texts, digests, `show`, `fmt`, exit codes and values.
 
 The expected data was recorded at d16e519 and is never recorded again; see settings_samples.py.
 """
@@ -13,12 +13,12 @@
 
 EXPECTED = json.loads(settings_samples.EXPECTED.read_text(encoding="utf-8"))
 SAMPLES = settings_samples.samples()
-REAL_COMMANDS = ["good", "broken-000", "warned-000", "in-pieces", "in-pieces-with-faults"]
+SAMPLES_OF_PROCESSES = ["good", "broken-000", "warned-000", "in-pieces", "in-pieces-with-faults"]
 
 
 @pytest.fixture(scope="module")
 def observed(tmp_path_factory):
-    """What is seen of each sample that was recorded."""
+    """Return the observations of each recorded sample."""
     return {
         name: settings_samples.observe(SAMPLES[name], tmp_path_factory.mktemp("sample"))
         for name in EXPECTED["samples"]
@@ -26,9 +26,9 @@
     }
 
 
-def real_command(folder, *arguments):
-    """A command in a process of its own, as `settings_samples.outcome` gives it."""
-    environment = {key: value for key, value in os.environ.items() if key not in settings_samples.NOT_SET}
+def run_in_process(folder, *arguments):
+    """Run a command in a separate process and return its result like `settings_samples.outcome`."""
+    environment = {key: value for key, value in os.environ.items() if key not in settings_samples.UNSET_VARIABLES}
     environment["PYTHONPATH"] = str(settings_samples.ROOT)
     done = subprocess.run(
         [sys.executable, "-m", "anisefront", *arguments],
@@ -41,8 +41,8 @@
     )
     return {
         "exit": done.returncode,
-        "stdout": settings_samples.without_folder(done.stdout, folder),
-        "stderr": settings_samples.without_folder(done.stderr, folder),
+        "stdout": settings_samples.remove_directory(done.stdout, folder),
+        "stderr": settings_samples.remove_directory(done.stderr, folder),
     }
 
 
@@ -70,18 +70,18 @@
     assert settings_samples.observe_reference(tmp_path) == EXPECTED["reference"]
 
 
-@pytest.mark.parametrize("name", REAL_COMMANDS)
+@pytest.mark.parametrize("name", SAMPLES_OF_PROCESSES)
 def test_check_in_a_process_of_its_own_says_the_same(tmp_path, name):
-    settings_samples.put(SAMPLES[name], tmp_path)
-    found = real_command(tmp_path, "check", settings_samples.MAIN)
+    settings_samples.write_sample(SAMPLES[name], tmp_path)
+    found = run_in_process(tmp_path, "check", settings_samples.MAIN)
     assert found == EXPECTED["samples"][name]["check"]
 
 
 @pytest.mark.parametrize("command", ["digest", "show"])
 def test_config_command_in_a_process_of_its_own_says_the_same(tmp_path, command):
-    settings_samples.put(SAMPLES["all-options"], tmp_path)
-    found = real_command(tmp_path, "config", command, settings_samples.MAIN)
-    assert settings_samples.short(found) == EXPECTED["samples"]["all-options"][command]
+    settings_samples.write_sample(SAMPLES["all-options"], tmp_path)
+    found = run_in_process(tmp_path, "config", command, settings_samples.MAIN)
+    assert settings_samples.abbreviate(found) == EXPECTED["samples"]["all-options"][command]
 
 
 def test_recording_refuses_to_overwrite_expected_data(tmp_path):
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -6,8 +6,8 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from test_config import REQUESTS, ROUTES, plain
-from test_config_corpus import GOOD, found
+from test_config import REQUESTS, ROUTES, linear_search
+from test_config_corpus import GOOD, check_text
 from anisefront.gateway import route_groups
 from anisefront.gateway.patterns import Pattern
 from anisefront.gateway.routes import Key, Route
@@ -20,7 +20,7 @@
 
 def outcome(parts, keys=None, **more):
     config = replace(
-        found(GOOD).config,
+        check_text(GOOD).config,
         routes=tuple(route for part in parts for route in part),
         keys=KeyTable() if keys is None else keys,
         **more,
@@ -60,7 +60,7 @@
         routes = version.config.routes
         for request in requests:
             placed = version.router.table.find(request.method, request.host, request.path, dict(request.headers))
-            number = plain(routes, request)
+            number = linear_search(routes, request)
             assert (None if placed is None else placed.route) == (None if number < 0 else routes[number])
     empty = run_to_end(build_next_version(version, outcome([])))
     assert not empty.router.table._exact and not empty.router.table._suffixes and empty.router.table._any is None
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -25,7 +25,7 @@
 from envoy.service.auth.v3 import external_auth_pb2
 from google.protobuf.json_format import MessageToDict
 from processes import SETTINGS
-from test_config_corpus import found as settings_read
+from test_config_corpus import check_text as settings_read
 from test_node_front import House
 from test_node_wire import ASK, DO, SERVED, WIRE_SETTINGS, change, found, row
 from test_rules import settings
