--- a/anisefront/cli/load.py
+++ b/anisefront/cli/load.py
@@ -12,7 +12,7 @@
 
 from anisefront.cli.config import load as load_settings
 
-START_S = 1.0  # time until all senders are running, without the share per process
+START_S = 1.0  # base time for starting the senders, to which each process adds
 
 
 @click.command()
--- a/anisefront/cli/main.py
+++ b/anisefront/cli/main.py
@@ -6,7 +6,7 @@
 
 from anisefront.daemon import signals
 
-if sys.argv[1:2] in (["serve"], ["node"]):  # before slow imports, so that an early signal is not lost
+if sys.argv[1:2] in (["serve"], ["node"]):  # before slow imports: without a handler, a signal would kill the process
     signals.capture()
 
 import importlib  # noqa: E402
--- a/anisefront/config/checker.py
+++ b/anisefront/config/checker.py
@@ -65,7 +65,7 @@
         entries, names = checker.run(lines), checker.names
     config = None
     if not has_errors(problems):
-        config = _build_config(entries, problems, notes)
+        config = _check_semantics(entries, problems, notes)
     return CheckResult(loaded, entries, config, sort_problems(problems, notes), names)
 
 
@@ -95,7 +95,7 @@
     return result
 
 
-def _build_config(entries: EntryTable, problems: list[Problem], notes: bool) -> Config | None:
+def _check_semantics(entries: EntryTable, problems: list[Problem], notes: bool) -> Config | None:
     """Build the settings from entries that are valid by themselves; None if they contradict each other."""
     routes = tuple(route(entry) for entry in entries.all_of("route"))
     keys = {entry.arguments["key"]: key(entry) for entry in entries.all_of("key")}
--- a/anisefront/config/file_record.py
+++ b/anisefront/config/file_record.py
@@ -41,23 +41,23 @@
     """
 
     __slots__ = (
+        "declarations",
+        "declared_names",
         "entries",
         "expansion_problems",
-        "invalid_keys",
         "file",
         "first_line",
-        "declarations",
+        "has_unknown_directive",
+        "invalid_keys",
         "key_locations",
+        "key_texts",
         "keys",
         "language_problems",
         "line_count",
-        "has_unknown_directive",
-        "declared_names",
         "number",
         "problems",
         "route_locations",
         "routes",
-        "key_texts",
         "undeclared",
     )
 
@@ -67,9 +67,7 @@
         self.number = number
         self.first_line: Directive | None = None  # without values, unless it is `language`
         self.declarations: tuple[Directive, ...] = ()  # `env` and `define` lines
-        self.language_problems: tuple[
-            Problem, ...
-        ] = ()  # problem of each `language` line, to be dropped if it is the first line of all
+        self.language_problems: tuple[Problem, ...] = ()  # of each `language` line, even the first of the main file
         self.routes: tuple[Route, ...] = ()
         self.route_locations = array("I")
         self.key_texts: tuple[str, ...] = ()  # texts of `keys`
@@ -96,7 +94,7 @@
 class FileRecord:
     """Record of a file: its digest, sections and includes in order, syntax problems, and look-ups in other files."""
 
-    __slots__ = ("digest", "items", "looked_up", "definition_names", "problems", "used")
+    __slots__ = ("definition_names", "digest", "items", "looked_up", "problems", "used")
 
     def __init__(
         self,
--- a/anisefront/config/lexer.py
+++ b/anisefront/config/lexer.py
@@ -2,7 +2,7 @@
 
 The lexer does no I/O. It continues after an error and reports each error once.
 
-word      blanks, quotes, braces, brackets, commas, #, ; and \ end it; ${name} may stand in it
+word      ends before a space, quote, brace, bracket, comma, #, ; or \; may contain ${name}
 string    "..." on one line, with \" \\ \n \t
 comment   # to the end of the line
 a final \ joins a line to the next
--- a/anisefront/config/load_attempt.py
+++ b/anisefront/config/load_attempt.py
@@ -57,7 +57,7 @@
         self._valid: dict[str, FileRecord] = {}
 
     def number_of(self, path: str) -> int:
-        """Return the number of a path, a new one where it has none."""
+        """Return the number of a path, which is a new one if the path has none."""
         if path not in self.numbers:
             self.last_number += 1
             self.numbers[path] = self.last_number
--- a/anisefront/config/model.py
+++ b/anisefront/config/model.py
@@ -153,7 +153,7 @@
     """Build the settings from all entries and from the given routes and keys.
 
     Returns:
-        The settings; None where values are out of range, which is added to `problems`.
+        The settings; None if values are out of range, which is reported in `problems`.
     """
     before = len(problems)
     pool = _select_pool(entries, usage, problems)
@@ -167,7 +167,7 @@
     if any(problem.severity is Severity.ERROR for problem in problems[before:]):
         return None
     secret = entries.single("secret").arguments.get("text", "")
-    return _build_config(entries, pool, _build_settings(entries, pool, secret), routes, keys)
+    return _assemble_config(entries, pool, _build_settings(entries, pool, secret), routes, keys)
 
 
 def _check_numbers(entries: EntryTable, problems: list[Problem]) -> None:
@@ -286,7 +286,7 @@
     )
 
 
-def _build_config(
+def _assemble_config(
     entries: EntryTable, pool: Entry, settings: Settings, routes: tuple[Route, ...], keys: Mapping[str, Key]
 ) -> Config:
     count = settings.gateways
--- a/anisefront/config/types.py
+++ b/anisefront/config/types.py
@@ -61,14 +61,14 @@
     secret: bytes = b""
     roster_file: str = ""
     embedded: Embedded | None = None
-    log_ms: float = 1000.0
-    ask_again_ms: float = 500.0
-    park_ms: float = 100.0
+    log_ms: float = 1000.0  # after the time allowed to an attempt: without an access log by then, it timed out
+    ask_again_ms: float = 500.0  # a proxy that asks for no further attempt within this has answered its client
+    park_ms: float = 100.0  # time that an attempt waits for its check
     drain_ms: float = 10_000.0
-    stop_ms: float = 15_000.0
-    most_open: int = 50_000
-    most_connections: int = 512
-    seed: int | None = None
+    stop_ms: float = 15_000.0  # time after which the supervisor kills the process
+    most_open: int = 50_000  # maximum number of open requests
+    most_connections: int = 512  # maximum number of connections of each frontend
+    seed: int | None = None  # of random choices; None draws one at each start
     recording: Recording | None = None
     members_ms: float = 0.0  # period of membership probes between instances; 0 disables failure detection
     rooms: dict[int, str] = field(default_factory=dict)  # zone of each gateway instance by number; "" if not configured
