--- a/anisefront/config/checker.py
+++ b/anisefront/config/checker.py
@@ -11,10 +11,7 @@
 from typing import Any
 
 from anisefront.config import route_checks, semantic_checks
-from anisefront.config.definitions import substitute
-from anisefront.config.lexer import Lexeme, Location, Problem, Severity, problem_at
-from anisefront.config.loader import LoadedSources
-from anisefront.config.model import (
+from anisefront.config.config_builder import (
     Entry,
     EntryTable,
     UsageCounts,
@@ -25,6 +22,9 @@
     multiple_pools_problem,
     route,
 )
+from anisefront.config.definitions import substitute
+from anisefront.config.lexer import Lexeme, Location, Problem, Severity, problem_at
+from anisefront.config.loader import LoadedSources
 from anisefront.config.parser import Directive, List
 from anisefront.config.schema import LANGUAGE, SCHEMA, VERSION, Argument, DirectiveSpec, Option
 from anisefront.config.types import Config
--- a/anisefront/config/cross_file_checks.py
+++ b/anisefront/config/cross_file_checks.py
@@ -10,9 +10,9 @@
 from collections.abc import Generator, Iterable, Mapping, Sequence
 
 from anisefront.config import route_checks
+from anisefront.config.config_builder import UsageCounts
 from anisefront.config.file_record import Section
 from anisefront.config.lexer import Problem
-from anisefront.config.model import UsageCounts
 from anisefront.gateway.key_table import KeyTable, KeyTableEdit
 from anisefront.gateway.routes import Key
 
--- a/anisefront/config/file_record.py
+++ b/anisefront/config/file_record.py
@@ -12,9 +12,9 @@
 from sys import intern
 
 from anisefront.config.checker import DeclaredName, LineReader
+from anisefront.config.config_builder import Entry, key, plain_route, route
 from anisefront.config.definitions import Declarations, Expansion
 from anisefront.config.lexer import MAX_LINE_LENGTH, Lexeme, Location, Problem, Severity, Token, decode, tokenize_line
-from anisefront.config.model import Entry, key, plain_route, route
 from anisefront.config.parser import Directive, Parser
 from anisefront.config.values import HOST, PATH, InvalidValueError
 from anisefront.gateway.routes import Key, Route
--- a/anisefront/config/incremental_checks.py
+++ b/anisefront/config/incremental_checks.py
@@ -8,15 +8,15 @@
 from collections.abc import Generator
 from itertools import chain
 
-from anisefront.config import checker, model, semantic_checks
+from anisefront.config import checker, config_builder, semantic_checks
 from anisefront.config.checker import MAX_PROBLEMS, NameTable, find_undefined_references
+from anisefront.config.config_builder import Entry, EntryTable
 from anisefront.config.cross_file_checks import CrossFileIndex
 from anisefront.config.definitions import MAX_EXPANDED_LINES
 from anisefront.config.file_record import Section
 from anisefront.config.lexer import Lexeme, Problem, problem_at
 from anisefront.config.load_attempt import LoadAttempt
 from anisefront.config.load_steps import ends_step, find_positions
-from anisefront.config.model import Entry, EntryTable
 from anisefront.config.types import Config
 from anisefront.gateway.routes import Route
 
@@ -186,11 +186,11 @@
             for entry in section.entries:
                 entries.add(entry)
         yield
-        second_pool = model.find_second_pool(index.usage)
+        second_pool = config_builder.find_second_pool(index.usage)
         if second_pool:
             yield from self._report_second_pool(second_pool)
         all_routes = tuple(chain.from_iterable(routes))
-        config = model.build_config(entries, index.usage, all_routes, index.keys.table(), self.problems)
+        config = config_builder.build_config(entries, index.usage, all_routes, index.keys.table(), self.problems)
         yield
         if config is None or second_pool:
             return None
@@ -208,7 +208,7 @@
             if positions:
                 entries = yield from self._attempt.collect_entries(section, positions[:1], ())
                 lexeme = entries.routes[positions[0]].lexeme_of("pool")
-                self.problems.append(model.multiple_pools_problem(lexeme, self._index.usage))
+                self.problems.append(config_builder.multiple_pools_problem(lexeme, self._index.usage))
                 return
 
     def _check_customer_plans(self) -> Generator[None, None, None]:
--- a/anisefront/config/semantic_checks.py
+++ b/anisefront/config/semantic_checks.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterable, Iterator
 
+from anisefront.config.config_builder import Entry, EntryTable, UsageCounts
 from anisefront.config.lexer import Lexeme, Problem, Severity, problem_at
-from anisefront.config.model import Entry, EntryTable, UsageCounts
 from anisefront.config.types import Config
 
 MAX_LISTED_PEERS = 5  # in one message on missing peer lines
--- a/tests/fuzz_config.py
+++ b/tests/fuzz_config.py
@@ -30,7 +30,7 @@
     "semantic_checks.py",
     "route_checks.py",
     "route_crossings.py",
-    "model.py",
+    "config_builder.py",
     "formatter.py",
     "file_record.py",
     "cross_file_checks.py",
--- a/tests/test_capacity_figures.py
+++ b/tests/test_capacity_figures.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from anisefront.config.model import MESSAGES_PER_S
+from anisefront.config.config_builder import MESSAGES_PER_S
 from anisefront.policy.actions import SendToPeer
 from anisefront.policy.controller import Controller
 from anisefront.policy.events import Arrival, EndpointList, PeerMessage, TimerFired
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,7 +7,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import MemoryReactorClock
 
-from anisefront.config.model import TICK_MS
+from anisefront.config.config_builder import TICK_MS
 from anisefront.resp_gateway.resp_frontend import MAX_READ_DELAY_FRACTION
 from anisefront.upstream.attempt_results import RESPONSE_FLAGS, end_from_flags, result_of_response
 from anisefront.gateway.request_terms import RequestTerms
--- a/tests/test_reading.py
+++ b/tests/test_incremental_loader.py
@@ -18,6 +18,7 @@
 
 from anisefront.config import (
     checker,
+    config_builder,
     cross_file_checks,
     definitions,
     file_record,
@@ -27,13 +28,12 @@
     load_steps,
     loader,
     messages,
-    model,
     route_checks,
     source_files,
 )
 from anisefront.config.checker import CheckResult
+from anisefront.config.config_builder import Entry, EntryTable
 from anisefront.config.explain import explain
-from anisefront.config.model import Entry, EntryTable
 from anisefront.config.incremental_loader import IncrementalLoader
 from anisefront.gateway import route_table, route_trie, versions
 from anisefront.gateway.key_table import KeyTable, KeyTableEdit
@@ -272,7 +272,7 @@
     for entry in entries.all():
         arguments = entry.arguments
         if entry.name == "route" and is_fresh:
-            arguments, options = {"route": model.route(entry)}, {}
+            arguments, options = {"route": config_builder.route(entry)}, {}
         else:
             options = entry.options
         out.append((loaded.format_location(entry.lexeme.location), entry.name, arguments, options))
@@ -409,8 +409,8 @@
 
 
 def count_up_only(patch, name):
-    original = getattr(model.UsageCounts, name)
-    patch.setattr(model.UsageCounts, name, lambda self, each, by: original(self, each, by) if by > 0 else None)
+    original = getattr(config_builder.UsageCounts, name)
+    patch.setattr(config_builder.UsageCounts, name, lambda self, each, by: original(self, each, by) if by > 0 else None)
 
 
 def keep_old_problems(patch):
