--- a/anisefront/cluster/backup.py
+++ b/anisefront/cluster/backup.py
@@ -3,12 +3,12 @@
     open --lease expired, or primary left--> claiming --EpochDecision, claimed--> claimed: its requests are local
                                                 `--EpochDecision, released--> dropped: the primary released its backup
 
-The witness is asked even if the primary has certainly terminated, since the primary may have released the epoch
+The witness is queried even if the primary has certainly terminated, since the primary may have released the epoch
 before. An epoch without a witness (a cluster of two) is claimed at once: its primary can't release it either.
 
 Every message for a claimed epoch is answered by `EpochFenced`, permanently. Until the claim, only applied entries are
 acknowledged, so a primary that was merely paused or partitioned starts no attempt that its backup does not know of.
-Leases decide how soon the witness is asked, never who owns a request.
+Leases decide when the witness is queried, never who owns a request.
 """
 
 from __future__ import annotations
@@ -385,7 +385,7 @@
             self._schedule_lease_check(epoch.lease_renewed_ms, epoch)
 
     def _continue_claim(self, now_ms: float, epoch: BackupEpoch) -> None:
-        """Ask the witness again; take over idempotent requests once its decision is late.
+        """Retry the claim; take over idempotent requests once its decision is late.
 
         A witness that was restarted never replies. The claim ends when the last request has expired.
         """
--- a/anisefront/cluster/epoch_sender.py
+++ b/anisefront/cluster/epoch_sender.py
@@ -150,7 +150,7 @@
         heapq.heappush(self._schedule, (at_ms, log.epoch))
 
     def due_logs(self, now_ms: float) -> Iterator[EpochLog]:
-        """Yield the epochs whose checks are due, including checks scheduled for now meanwhile."""
+        """Yield the epochs to check now, including those scheduled for now meanwhile."""
         while self._schedule and self._schedule[0][0] <= now_ms:
             _, epoch = heapq.heappop(self._schedule)
             log = self.logs.get(epoch)
--- a/anisefront/cluster/lock_messages.py
+++ b/anisefront/cluster/lock_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages of identity locks: who may run the requests of one identity.
+"""Typed messages of identity locks, which decide who may run the requests of one identity.
 
 owner --LockRequests-->       voter   requests votes on identities; repeated until a majority has replied
 owner <--LockReplies--        voter   the vote, or its holder; repeated to a holder whose lock another requests
@@ -30,7 +30,7 @@
     Attributes:
         identity: Digest of the identity.
         request: Number of the request at its instance.
-        remaining_ms: Time until its deadline, after which the vote lapses.
+        remaining_ms: Time until its deadline, after which the vote expires.
         backup: The instance that stores the request; `NO_INSTANCE` for none.
         has_yielded: Whether the client's request has yielded to another one of the identity before.
         predecessor: The request of a failed instance that this request continues.
--- a/anisefront/cluster/lock_recovery.py
+++ b/anisefront/cluster/lock_recovery.py
@@ -64,7 +64,7 @@
         return slot not in self._unrecovered_slots
 
     def receivers_to_query(self, now_ms: float) -> list[int]:
-        """Return the receivers of a query that is due now, and schedule the next one; empty if none is due."""
+        """Return the receivers of a query to send now, and schedule the next one; empty before the next query."""
         if self._end_ms == math.inf:
             self._end_ms = now_ms + self._max_duration_ms
         if now_ms >= self._end_ms:
--- a/anisefront/cluster/lock_requester.py
+++ b/anisefront/cluster/lock_requester.py
@@ -5,9 +5,9 @@
         |-----the vote is split, and another has precedence-------> refused
         `-----no majority replies in time-------------------------> unavailable
 
-A held lock stays held, since any later majority shares a voter with the one that granted it. The third voter is asked
-until it has voted, too. Until the lock is held, votes of a voter that was restarted since are void, as the voter may
-have lost them.
+A held lock stays held, since any later majority shares a voter with the one that granted it. The third voter is
+queried until it has voted, too. Until the lock is held, votes of a voter that was restarted since are void, as the
+voter may have lost them.
 
 No single voter decides alone, however many instances are alive: in a partition the two others may be a majority on the
 other side, before or after the partition is detected. Of two instances, the one with the lower number decides alone
@@ -42,8 +42,8 @@
 from anisefront.cluster.replication_actions import SendMessage
 
 MAJORITY = 2  # of three voters, or of two
-WIDEN_MS = 10.0  # after which the third voter is asked, too, if the first two are no majority
-UNRESPONSIVE_MS = 5000.0  # for which a voter that did not reply within `WIDEN_MS` is not asked first
+WIDEN_MS = 10.0  # after which the third voter is queried, too, if the first two are no majority
+UNRESPONSIVE_MS = 5000.0  # for which a voter that did not reply within `WIDEN_MS` is not queried first
 RELEASE_DELAY_MS = 5.0  # delay of the release of executed requests' locks, to batch them
 RETRY_MS = 30.0
 MAX_RETRY_MS = 240.0
@@ -59,8 +59,8 @@
     Attributes:
         votes: Process incarnations of the voters that have voted for it, by number.
         refusals: Replies of those that have voted for another request, by number.
-        has_new_backup: Whether the backup has changed since the voters were asked.
-        asked: The voters that were asked.
+        has_new_backup: Whether the backup has changed since the voters were queried.
+        queried: The voters that were sent the request.
     """
 
     identity: bytes
@@ -73,7 +73,7 @@
     has_yielded: bool
     is_held: bool = False
     has_new_backup: bool = False
-    asked: tuple[int, ...] = ()
+    queried: tuple[int, ...] = ()
     votes: dict[int, int] = field(default_factory=dict)
     refusals: dict[int, LockReply] = field(default_factory=dict)
     retry_ms: float = 0.0
@@ -146,11 +146,11 @@
         lock = _LocalLock(identity, voters, request, deadline_ms, give_up_ms, backup, predecessor, has_yielded)
         self._locks[request] = lock
         if predecessor is None:
-            lock.asked = self._first_voters(now_ms, lock)
+            lock.queried = self._first_voters(now_ms, lock)
             self._unsent[request] = None
             self._schedule_next(now_ms + WIDEN_MS, lock)
         else:
-            self._ask_all(now_ms, lock)
+            self._query_all(now_ms, lock)
 
     def _first_voters(self, now_ms: float, lock: _LocalLock) -> tuple[int, ...]:
         """Return a preferred majority of the voters: responsive ones first, then the local one, then the backup."""
@@ -161,9 +161,9 @@
 
         return tuple(sorted(lock.voters, key=_order)[:MAJORITY])
 
-    def _ask_all(self, now_ms: float, lock: _LocalLock) -> None:
+    def _query_all(self, now_ms: float, lock: _LocalLock) -> None:
         """Request the votes of all voters that have not voted for it."""
-        lock.asked = lock.voters
+        lock.queried = lock.voters
         self._unsent[lock.request] = None
         lock.retry_ms = now_ms + lock.retry_interval_ms
         self._schedule_next(min(lock.retry_ms, lock.give_up_ms), lock)
@@ -191,7 +191,7 @@
         self._release_predecessor_of(lock)  # it continues the new predecessor instead
         lock.predecessor = predecessor
         lock.refusals = {voter: reply for voter, reply in lock.refusals.items() if not lock.continues(reply)}
-        self._ask_all(now_ms, lock)
+        self._query_all(now_ms, lock)
         return True
 
     def release_predecessor(self, identity: bytes, predecessor: LockOwner, deadline_ms: float) -> None:
@@ -291,8 +291,8 @@
             self._drop_void_votes(lock)
             self._decide(lock)
         is_undecided = lock.request in self._locks and not lock.is_held
-        if is_undecided and lock.refusals and len(lock.asked) < len(lock.voters):
-            self._ask_all(now_ms, lock)
+        if is_undecided and lock.refusals and len(lock.queried) < len(lock.voters):
+            self._query_all(now_ms, lock)
 
     def _drop_void_votes(self, lock: _LocalLock) -> None:
         lock.votes = {
@@ -331,7 +331,7 @@
 
     def _release_at_voters(self, lock: _LocalLock, may_have_executed: bool) -> None:
         release = LockRelease(lock.identity, lock.request, may_have_executed, lock.predecessor)
-        voters = lock.asked if lock.predecessor is None else lock.voters
+        voters = lock.queried if lock.predecessor is None else lock.voters
         for voter in voters:
             self._releases.setdefault(voter, []).append(release)
         self._release_predecessor_of(lock)
@@ -355,7 +355,7 @@
             lock = self._locks.get(number)
             if lock is not None:
                 request = self._request(now_ms, lock)
-                for voter in lock.asked:
+                for voter in lock.queried:
                     if voter not in lock.votes or lock.has_new_backup:
                         requests.setdefault(voter, []).append(request)
                 lock.has_new_backup = False
@@ -369,7 +369,7 @@
         return messages
 
     def _take_releases(self, now_ms: float, receivers: Collection[int]) -> list[SendMessage]:
-        """Return the releases that are due, and those to voters that get a message now."""
+        """Return the releases whose delay has passed, and those to voters that get a message now."""
         is_due = now_ms >= self._releases_due_ms
         voters = [voter for voter in self._releases if is_due or voter in receivers]
         messages = []
@@ -396,12 +396,12 @@
                 del self._retained[request]
             lock = self._locks.get(request)
             if lock is not None and lock.is_held:
-                self._ask_remaining_voters(now_ms, lock)
+                self._query_remaining_voters(now_ms, lock)
             elif lock is not None:
                 self._on_undecided(now_ms, lock)
 
-    def _ask_remaining_voters(self, now_ms: float, lock: _LocalLock) -> None:
-        """Ask the voters that have not voted yet, so that they know the lock's holder if the others fail."""
+    def _query_remaining_voters(self, now_ms: float, lock: _LocalLock) -> None:
+        """Query the voters that have not voted yet, so that they know the lock's holder if the others fail."""
         if not lock.retry_ms:
             lock.retry_ms = now_ms + RETRY_MS
             self._schedule_next(lock.retry_ms, lock)
@@ -409,7 +409,7 @@
         if now_ms < lock.retry_ms or self._alive.isdisjoint(missing):
             return
         lock.retry_interval_ms = min(MAX_RETRY_MS, 2 * lock.retry_interval_ms)
-        self._ask_all(now_ms, lock)
+        self._query_all(now_ms, lock)
 
     def _on_undecided(self, now_ms: float, lock: _LocalLock) -> None:
         preceding = [reply for reply in lock.refusals.values() if self._precedes(reply, lock)]
@@ -421,18 +421,18 @@
             self._decisions.append(LockUnavailable(lock.request))
         elif not lock.retry_ms:
             self._note_unresponsive(now_ms, lock)
-            self._ask_all(now_ms, lock)
+            self._query_all(now_ms, lock)
         elif now_ms >= lock.retry_ms:
             lock.retry_interval_ms = min(MAX_RETRY_MS, 2 * lock.retry_interval_ms)
-            self._ask_all(now_ms, lock)
+            self._query_all(now_ms, lock)
 
     def _have_voters_replied(self, lock: _LocalLock) -> bool:
-        """Return whether all live voters have replied or were asked twice, as a missing vote may make a majority."""
+        """Return whether all live voters have replied or were queried twice, as a missing vote may make a majority."""
         replied = lock.votes.keys() | lock.refusals.keys()
         return replied >= self._alive.intersection(lock.voters) or lock.retry_interval_ms > RETRY_MS
 
     def _note_unresponsive(self, now_ms: float, lock: _LocalLock) -> None:
-        for voter in lock.asked:
+        for voter in lock.queried:
             if voter not in lock.votes and voter not in lock.refusals:
                 self._unresponsive_until_ms[voter] = now_ms + UNRESPONSIVE_MS
 
--- a/anisefront/cluster/lock_voter.py
+++ b/anisefront/cluster/lock_voter.py
@@ -325,7 +325,7 @@
         self._recovery.retry_soon(now_ms)
 
     def handle_timers(self, now_ms: float) -> None:
-        """Expire votes, and send the recovery queries that are due."""
+        """Expire votes, and send scheduled recovery queries."""
         self._release_expired(now_ms)
         for receiver in self._recovery.receivers_to_query(now_ms):
             query = LockRecoveryQuery(self._placement.digest, self._recovery.serial)
--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -233,6 +233,30 @@
     ),
     "test_a_file_is_read_in_pieces_as_it_is_read_whole": "test_decoding_in_chunks_equals_decoding_at_once",
     "test_lines_are_capped_over_all_files": "test_line_limit_counts_all_files",
+    # Membership, replication and locks.
+    "test_rows_merge_alike_in_every_order": "test_rows_merge_to_the_same_state_in_every_order",
+    "test_rows_as_bytes": "test_rows_are_encoded_and_decoded",
+    "test_all_know_of_a_start_a_death_a_leave_and_a_new_life": (
+        "test_views_converge_after_a_start_a_crash_a_leave_and_a_restart"
+    ),
+    "test_loss_doubling_and_delay_accuse_nobody": "test_loss_duplication_and_delay_declare_no_member_dead",
+    "test_one_that_stood_still_comes_back_and_accuses_nobody_for_long": (
+        "test_a_paused_member_rejoins_and_declares_no_other_dead"
+    ),
+    "test_two_halves_that_were_cut_off_for_long_find_each_other_again": (
+        "test_two_sides_of_a_long_partition_merge_again"
+    ),
+    "test_a_zone_that_was_cut_off_for_long_is_back_with_all_soon": "test_a_zone_rejoins_quickly_after_a_long_partition",
+    "test_a_link_that_is_cut_one_way_accuses_nobody_others_reach": (
+        "test_a_one_way_partition_of_a_link_declares_no_member_dead"
+    ),
+    "test_random_schedules_end_in_one_view": "test_views_converge_after_random_faults",
+    "test_a_refutation_that_was_lost_is_told_again": "test_a_lost_refutation_is_sent_again",
+    "test_messages_a_member_sends_do_not_grow_with_the_fleet": (
+        "test_message_rate_of_a_member_does_not_grow_with_the_cluster"
+    ),
+    "test_what_was_said_of_an_earlier_life_changes_nothing": "test_rows_of_an_earlier_process_incarnation_are_ignored",
+    "test_bytes_that_no_member_sent_change_nothing": "test_malformed_messages_and_rows_of_unknown_members_are_ignored",
 }
 # Files that came for the sake of the rename; they must not make up for tests that are lost.
 NEW = {
