--- a/tests/lock_mutations.py
+++ b/tests/lock_mutations.py
@@ -1,15 +1,15 @@
-"""Guards of the identity locks: the faults under which the search must find each taken out, and the lines."""
+"""Mutations of the identity locks, each of which removes one safeguard, and the faults under which it is detected."""
 
-WRONG_BELIEF = {"doubt": 1, "tick": 4, "wait": 4, "lose": 3, "twice": 3}
+FALSE_SUSPICION = {"doubt": 1, "tick": 4, "wait": 4, "lose": 3, "twice": 3}
 RESTART = {"kill": 1, "start": 1, "learn": 3, "tick": 4, "wait": 4, "lose": 3, "twice": 3}
-CUTS = {
-    "a majority of the voters": (WRONG_BELIEF, [("lock_requester", "MAJORITY = 2  #", "MAJORITY = 1  #")]),
+MUTATIONS = {
+    "a majority of the voters": (FALSE_SUSPICION, [("lock_requester", "MAJORITY = 2  #", "MAJORITY = 1  #")]),
     "an attempt waits for the lock": (
-        WRONG_BELIEF,
+        FALSE_SUSPICION,
         [("primary", "local.is_locked = False\n", "local.is_locked = True\n")],
     ),
     "a vote is for one request": (
-        WRONG_BELIEF,
+        FALSE_SUSPICION,
         [("lock_voter", "if holder is not None:", "if False:")],
     ),
     "a restarted voter abstains": (
@@ -17,7 +17,7 @@
         [("lock_voter", "if not self._recovery.is_recovered(slot):", "if False:")],
     ),
     "only the successor of the holder gets its vote": (
-        WRONG_BELIEF,
+        FALSE_SUSPICION,
         [("lock_voter", "if request.predecessor in lock.holders:", "if request.predecessor is not None:")]
         + [("lock_voter", "del lock.holders[request.predecessor]", "lock.holders.clear()")],
     ),
@@ -30,7 +30,7 @@
 BELIEVED_DEAD = """instances = self._placement.instances - {self._local.number}
         replied = self._recovery._recovered_by_replies.keys()
         if not self._recovery.is_recovered(slot) and not (replied and instances <= replied | self._departed):"""
-CUTS_OF_PARTITIONS = {
+PARTITION_MUTATIONS = {
     "the only live voter does not decide alone": (
         LATE,
         [
@@ -45,11 +45,11 @@
         LATE,
         [("lock_requester", "tie_breaker = min(lock.voters)", "tie_breaker = self._local.number")],
     ),
-    "a lock stands while its backup may continue its request": (
+    "a lock is held while its backup may continue its request": (
         LATE,
         [("lock_voter", "backup == NO_INSTANCE and", "(backup == NO_INSTANCE or backup in self._departed) and")],
     ),
-    "a restarted voter does not do without those that seem dead": (
+    "a restarted voter waits for instances that seem dead": (
         LATE_RESTART,
         [("lock_voter", "if not self._recovery.is_recovered(slot):", BELIEVED_DEAD)],
     ),
--- a/tests/replication_mutations.py
+++ b/tests/replication_mutations.py
@@ -1,11 +1,11 @@
-"""Guards of the deciding code, each with the line that takes it out. The searches must find every one."""
+"""Mutations of the replication code, each of which removes one safeguard. The searches must detect every one."""
 
-CUTS = {
-    "the origin waits for the keeper's word": [("primary", "return not requires_ack", "return True")],
-    "a refusal waits for it too": [
+MUTATIONS = {
+    "an attempt waits for the backup's acknowledgement": [("primary", "return not requires_ack", "return True")],
+    "a rejection waits for the acknowledgement too": [
         ("primary", "if local.epoch not in self._sender.logs or not local.accepted.requires_ack:", "if True:")
     ],
-    "an origin that lost a request sends no more": [
+    "a primary that lost a request starts no attempt": [
         (
             "primary",
             """        if local.lost:
@@ -14,10 +14,10 @@
             "        local.attempts",
         )
     ],
-    "work moves after the witness's word": [
+    "a request moves after the witness's decision": [
         ("primary", "if not self._requests[request].accepted.requires_ack:  #", "if True:  #")
     ],
-    "only the keeper's own life acknowledges": [
+    "only the backup's own incarnation acknowledges": [
         (
             "primary",
             "from_backup = (sender, sender_incarnation) == (log.backup.number, log.backup.incarnation)",
@@ -25,21 +25,21 @@
         ),
         ("backup", "if message.backup_incarnation != self.incarnation:", "if False:"),
     ],
-    "what is taken over is not acknowledged": [
+    "entries of a claimed epoch are not acknowledged": [
         ("backup", "if epoch.state is EpochState.CLAIMED:\n            self._send", "if False:\n            self._send")
     ],
-    "the keeper asks the witness": [("backup", "if epoch.witness < 0:", "if True:")],
-    "entries are taken in their order": [
+    "the backup asks the witness": [("backup", "if epoch.witness < 0:", "if True:")],
+    "entries are applied in sequence": [
         ("backup", "if sequence == epoch.last_sequence + 1:", "if sequence > epoch.last_sequence:")
     ],
-    "the witness gives one word": [
+    "the witness's decision is final": [
         (
             "witness",
             "decision = decisions.setdefault(message.epoch, claimed)",
             "decision = decisions[message.epoch] = claimed",
         )
     ],
-    "a new life of the witness gives none": [
+    "a restarted witness does not decide": [
         ("witness", "if message.witness_incarnation != self.incarnation:", "if False:"),
         (
             "primary",
@@ -53,14 +53,14 @@
         ),
     ],
 }
-# This one wants two origins and a word that is late: it has a test of its own.
+# Needs two primaries and a delayed message: it has a test of its own.
 DECLINED = (
     "backup",
     "self.request_count >= self.max_requests or entry.request in epoch.declined",
     "self.request_count >= self.max_requests",
 )
-# These want a message that comes after all else was over: each has a test of its own.
+# These need a message that arrives after everything else has ended: each has a test of its own.
 LATE = {
     "epoch": [("backup", "if message.epoch <= epochs.closed_up_to:", "if False:")],
-    "life": [("backup", "if primary_incarnation <= self._terminated.get(primary, 0):", "if False:")],
+    "incarnation": [("backup", "if primary_incarnation <= self._terminated.get(primary, 0):", "if False:")],
 }
--- a/tests/replication_net.py
+++ b/tests/replication_net.py
@@ -1,7 +1,11 @@
-"""Origins, keepers and witnesses in a net whose every step is chosen: by a search of all orders, or by a seed.
+"""Primaries, backups, witnesses and voters on a simulated network whose steps are chosen by a search or by a seed.
 
-What ran is counted as the world would see it: an attempt that left, work taken over of which nothing had left, and a
-client's try elsewhere after it was told that its request never ran. More than one for a request is a fault."""
+The search explores every order of steps up to a depth; a seed chooses one random order. Executions are counted as
+visible outside: a started attempt, a takeover without a started attempt, and a client's retry elsewhere after its
+request was rejected as never executed. A second execution of a request is a failure.
+
+`_play` chooses among the steps in the alphabetical order of their names, so a renamed step changes what a seed plays.
+"""
 
 import importlib
 import itertools
@@ -25,7 +29,7 @@
 from anisefront.cluster.replication_codec import decode, encode
 from anisefront.cluster.replication_messages import NO_IDENTITY, Accepted, RelayedMessage, RelayRequest
 
-PARTS = (
+ROLES = (
     ("primary", "Primary"),
     ("backup", "Backup"),
     ("witness", "Witness"),
@@ -33,64 +37,67 @@
     ("lock_requester", "LockRequester"),
 )
 LIFETIME_MS = 1_000_000  # of a request
-TICK, WAIT = 200.0, 40.0  # past every patience at once; time to ask again only
+TICK, WAIT = 200.0, 40.0  # exceeds every timeout; exceeds only the retry intervals
 
 
-def fresh(*cuts):
-    """The deciding code, with guards taken out: each cut is (module, text, what stands there instead)."""
-    out = types.SimpleNamespace(Replica=Replica)
-    for name, wanted in PARTS:
+def load_code(*mutations):
+    """Load the replication code with mutations applied: each is (module, text, replacement)."""
+    code = types.SimpleNamespace(Replica=Replica)
+    for name, class_name in ROLES:
         source = importlib.import_module(f"anisefront.cluster.{name}").__spec__.loader.get_source(
             f"anisefront.cluster.{name}"
         )
-        for _, text, instead in (cut for cut in cuts if cut[0] == name):
-            assert source.count(text) == 1, f"{text!r} stands {source.count(text)} times in {name}.py"
-            source = source.replace(text, instead)
-        module = types.ModuleType(f"replication_{name}_{abs(hash(str(cuts)))}")
-        sys.modules[module.__name__] = module  # pickle looks classes up by it
+        for _, text, replacement in (mutation for mutation in mutations if mutation[0] == name):
+            assert source.count(text) == 1, f"{text!r} occurs {source.count(text)} times in {name}.py"
+            source = source.replace(text, replacement)
+        module = types.ModuleType(f"replication_{name}_{abs(hash(str(mutations)))}")
+        sys.modules[module.__name__] = module  # pickle looks up classes by module
         exec(compile(source, f"{name}.py", "exec"), module.__dict__)
-        setattr(out, wanted, getattr(module, wanted))
-    return out
+        setattr(code, class_name, getattr(module, class_name))
+    return code
 
 
-def _drain(part):
-    if not hasattr(part, "mail"):
-        part.mail, part.done = [], []
-    for action in part.take_actions():
-        (part.mail if isinstance(action, SendMessage) else part.done).append(action)
+def _drain(role):
+    if not hasattr(role, "sent"):
+        role.sent, role.done = [], []
+    for action in role.take_actions():
+        (role.sent if isinstance(action, SendMessage) else role.done).append(action)
 
 
-def messages(part):
-    """Receivers and messages that a primary, backup or witness has sent since the last call."""
-    _drain(part)
-    mail, part.mail = part.mail, []
-    return [(action.receiver, action.message) for action in mail]
+def messages(role):
+    """Return receivers and messages that a role has sent since the last call."""
+    _drain(role)
+    sent, role.sent = role.sent, []
+    return [(action.receiver, action.message) for action in sent]
 
 
-def done(part, kind):
-    """All actions of a kind that it has wanted so far."""
-    _drain(part)
-    return [action for action in part.done if isinstance(action, kind)]
+def requested_actions(role, kind):
+    """Return all actions of a type that a role has requested so far."""
+    _drain(role)
+    return [action for action in role.done if isinstance(action, kind)]
 
 
 class Node:
-    """One life of one gatekeeper."""
+    """One process incarnation of one instance."""
 
-    def __init__(self, code, number, life, max_requests, placement, has_locks=True):
-        self.life, self.has_locks = life, has_locks
-        replica = code.Replica(number, life)
+    def __init__(self, code, number, incarnation, max_requests, placement, has_locks=True):
+        self.incarnation, self.has_locks = incarnation, has_locks
+        replica = code.Replica(number, incarnation)
         self.locks = code.LockRequester(replica, placement)
         self.primary = code.Primary(replica, locks=self.locks if has_locks else None)
-        self.backup, self.witness = code.Backup(number, life, max_requests=max_requests), code.Witness(life)
-        self.voter = code.LockVoter(replica, placement, LIFETIME_MS, is_recovered=life == 1)
+        self.backup, self.witness = (
+            code.Backup(number, incarnation, max_requests=max_requests),
+            code.Witness(incarnation),
+        )
+        self.voter = code.LockVoter(replica, placement, LIFETIME_MS, is_recovered=incarnation == 1)
         self.voter.other_locks = self.other_locks
-        self.named = 0  # our request that has the name
-        self.taken = set()  # names of requests taken over, which `daemon/request_takeover.py` retains
+        self.local_request = 0  # the local request with the identity
+        self.taken_over = set()  # identities of requests taken over, which `daemon/request_takeover.py` retains
         self.backup.is_local_duplicate = self.is_duplicate
         self.backup.uses_locks = self.uses_locks
 
     @property
-    def parts(self):
+    def roles(self):
         return self.primary, self.backup, self.witness, self.voter
 
     def other_locks(self, now):
@@ -100,294 +107,304 @@
         return self.has_locks
 
     def is_duplicate(self, name, sender):
-        if name in self.taken:
+        if name in self.taken_over:
             return True
-        return bool(self.named) and not self.primary.yields_to(self.named, sender)
+        return bool(self.local_request) and not self.primary.yields_to(self.local_request, sender)
 
 
 class World:
-    """`count` gatekeepers. `left` says how often each kind of fault may still come.
+    """A cluster of `count` instances. `remaining_faults` maps each kind of fault to its remaining number.
 
-    Without `has_locks` they recognize requests of one identity as those of earlier versions do, at common backups."""
+    Without `has_locks` they detect duplicates at common backups, as earlier versions do.
+    """
 
-    def __init__(self, code, count, left, max_requests=50_000, has_locks=True):
-        self.code, self.count, self.left, self.max_requests = code, count, dict(left), max_requests
+    def __init__(self, code, count, remaining_faults, max_requests=50_000, has_locks=True):
+        self.code, self.count, self.remaining_faults, self.max_requests = (
+            code,
+            count,
+            dict(remaining_faults),
+            max_requests,
+        )
         self.now = 0.0
-        self.lives = [1] * count
+        self.incarnations = [1] * count
         self.placement = LockPlacement(dict.fromkeys(range(count), ""))
         self.nodes = {n: Node(code, n, 1, max_requests, self.placement, has_locks) for n in range(count)}
-        self.seen = {n: {m: 1 for m in range(count) if m != n} for n in range(count)}  # who is alive, by whom
-        self.net = []  # (sender, its life, receiver, bytes)
-        self.runs = {}  # by request's name
-        self.names = {}  # (number, life, request): name
-        self.todo = []  # (number, life, name): taken, and neither sent nor refused yet
-        self.refused = set()  # (number, life, request): their clients were told that they never run
+        # Incarnations of the live instances in the view of each instance.
+        self.views = {n: {m: 1 for m in range(count) if m != n} for n in range(count)}
+        self.in_transit = []  # (sender, its incarnation, receiver, bytes)
+        self.runs = {}  # executions by request's name
+        self.request_names = {}  # by (number, incarnation, request)
+        self.pending = []  # (number, incarnation, request): accepted, neither started nor rejected yet
+        self.rejected = set()  # (number, incarnation, request): their clients know that they never execute
         self.begun = False
-        self.side = frozenset()  # while a cut lasts: those on one side of it, who hear only each other
+        self.side = frozenset()  # instances on one side of a partition; empty without one
         for n in range(count):
-            self._members(n)
+            self._update_members(n)
 
-    def take(self, number, request, name, called=NO_IDENTITY, predecessor=None, prior_attempts=None):
+    def accept(self, number, request, name, identity=NO_IDENTITY, predecessor=None, prior_attempts=None):
         node = self.nodes[number]
-        if called != NO_IDENTITY:
-            node.named = request
-        accepted = Accepted(request, True, LIFETIME_MS, called, b"")
-        known = node.primary.accept(self.now, accepted, predecessor, False, prior_attempts or {})
-        if not known and called != NO_IDENTITY:
+        if identity != NO_IDENTITY:
+            node.local_request = request
+        accepted = Accepted(request, True, LIFETIME_MS, identity, b"")
+        is_replicated = node.primary.accept(self.now, accepted, predecessor, False, prior_attempts or {})
+        if not is_replicated and identity != NO_IDENTITY:
             if not node.primary.may_run_unprotected(accepted):
                 return  # rejected at once
             node.primary.accept_without_backup(self.now, accepted, predecessor)
-        self.names[number, node.life, request] = name
-        self.todo.append((number, node.life, request))
-        self._after(number)
+        self.request_names[number, node.incarnation, request] = name
+        self.pending.append((number, node.incarnation, request))
+        self._process(number)
 
     # ---- steps -----------------------------------------------------------------------------------
 
     def steps(self):
-        """All that may happen now."""
-        out = [("deliver", i) for i in range(len(self.net))]
-        for kind, more in (("twice", range(len(self.net))), ("lose", range(len(self.net)))):
-            if self.left.get(kind):
-                out += [(kind, i) for i in more]
-        for what in ("send", "refuse")[: 1 if any(node.named for node in self.nodes.values()) else 2]:
-            out += [(what, i) for i, (n, life, _) in enumerate(self.todo) if self._is(n, life)]
+        """Return all steps that are possible now."""
+        steps = [("deliver", i) for i in range(len(self.in_transit))]
+        for kind, positions in (("twice", range(len(self.in_transit))), ("lose", range(len(self.in_transit)))):
+            if self.remaining_faults.get(kind):
+                steps += [(kind, i) for i in positions]
+        for end in ("send", "refuse")[: 1 if any(node.local_request for node in self.nodes.values()) else 2]:
+            steps += [
+                (end, i) for i, (n, incarnation, _) in enumerate(self.pending) if self._is_running(n, incarnation)
+            ]
         for kind in ("tick", "wait"):
-            if self.left.get(kind):
-                out += [(kind, n) for n in self.nodes]
-        if self.left.get("kill"):
-            out += [("kill", n) for n in self.nodes]
-        if self.left.get("doubt"):
-            out += [("doubt", n, m) for n in self.nodes for m in self.seen[n]]
-        if self.left.get("learn"):
-            out += [
+            if self.remaining_faults.get(kind):
+                steps += [(kind, n) for n in self.nodes]
+        if self.remaining_faults.get("kill"):
+            steps += [("kill", n) for n in self.nodes]
+        if self.remaining_faults.get("doubt"):
+            steps += [("doubt", n, m) for n in self.nodes for m in self.views[n]]
+        if self.remaining_faults.get("learn"):
+            steps += [
                 ("learn", n, m)
                 for n in self.nodes
-                for m, life in enumerate(self.lives)
-                if m != n and self.seen[n].get(m) != life
+                for m, incarnation in enumerate(self.incarnations)
+                if m != n and self.views[n].get(m) != incarnation
             ]
-        if self.left.get("start"):
-            out += [("start", n) for n in range(self.count) if n not in self.nodes]
-        return out + self._steps_of_a_cut()
+        if self.remaining_faults.get("start"):
+            steps += [("start", n) for n in range(self.count) if n not in self.nodes]
+        return steps + self._partition_steps()
 
-    def _steps_of_a_cut(self):
-        """A cut, its healing, and the beliefs that follow from both, each at any time."""
+    def _partition_steps(self):
+        """Return partitions, their healing, and the changes of views that follow from both at any time."""
         pairs = [(n, m) for n in self.nodes for m in self.nodes if n != m]
         if self.side:
-            lost = [(n, m) for n, m in pairs if self._is_cut(n, m) and m in self.seen[n]]
-            heal = [("heal",)] if self.left.get("heal") else []
+            lost = [(n, m) for n, m in pairs if self._is_partitioned(n, m) and m in self.views[n]]
+            heal = [("heal",)] if self.remaining_faults.get("heal") else []
             return heal + [("notice", n, m) for n, m in lost]
-        if self.left.get("cut"):
+        if self.remaining_faults.get("cut"):
             others = [
                 frozenset((0, *side))
                 for size in range(self.count - 1)
                 for side in itertools.combinations(range(1, self.count), size)
             ]
             return [("cut", side) for side in others]
-        if "cut" in self.left:
-            return [("learn_again", n, m) for n, m in pairs if m not in self.seen[n]]
+        if "cut" in self.remaining_faults:
+            return [("learn_again", n, m) for n, m in pairs if m not in self.views[n]]
         return []
 
-    def _is_cut(self, one, other):
+    def _is_partitioned(self, one, other):
         return bool(self.side) and (one in self.side) != (other in self.side)
 
     def _cut(self, side):
         self.side = side
-        self.net = [sent for sent in self.net if not self._is_cut(sent[0], sent[2])]
+        self.in_transit = [sent for sent in self.in_transit if not self._is_partitioned(sent[0], sent[2])]
 
     def _heal(self):
         self.side = frozenset()
 
     def _notice(self, number, other):
-        """One takes another for out, which it does not hear any more."""
+        """Let an instance declare an unreachable one dead."""
         self._doubt(number, other)
 
     def _learn_again(self, number, other):
-        """One hears another again that it took for out."""
+        """Let an instance learn that another one, which it had declared dead, is alive."""
         self._learn(number, other)
 
-    def _is(self, number, life):
-        return number in self.nodes and self.nodes[number].life == life
+    def _is_running(self, number, incarnation):
+        return number in self.nodes and self.nodes[number].incarnation == incarnation
 
     def do(self, step):
-        what, *at = step
-        if what in self.left:
-            self.left[what] -= 1
-        getattr(self, f"_{what}")(*at)
+        kind, *arguments = step
+        if kind in self.remaining_faults:
+            self.remaining_faults[kind] -= 1
+        getattr(self, f"_{kind}")(*arguments)
 
     def _deliver(self, i, keep=False):
-        sender, life, receiver, data = self.net[i] if keep else self.net.pop(i)
+        sender, incarnation, receiver, data = self.in_transit[i] if keep else self.in_transit.pop(i)
         node = self.nodes.get(receiver)
-        if node is None or self.seen[receiver].get(sender, 0) > life:
-            return  # sealed messages of an earlier life are refused once the next has been heard of
+        if node is None or self.views[receiver].get(sender, 0) > incarnation:
+            return  # datagrams of an earlier incarnation are rejected once a later one is known
         message = decode(data)
         if isinstance(message, RelayRequest):
-            passed_on = encode(RelayedMessage(sender, life, message.data))
-            if not self._is_cut(receiver, message.receiver):
-                self.net.append((receiver, node.life, message.receiver, passed_on))
+            relayed = encode(RelayedMessage(sender, incarnation, message.data))
+            if not self._is_partitioned(receiver, message.receiver):
+                self.in_transit.append((receiver, node.incarnation, message.receiver, relayed))
             return
         if isinstance(message, RelayedMessage):
-            sender, life, message = message.origin, message.origin_incarnation, decode(message.data)
-            if self.seen[receiver].get(sender, 0) > life:
+            sender, incarnation, message = message.origin, message.origin_incarnation, decode(message.data)
+            if self.views[receiver].get(sender, 0) > incarnation:
                 return
-        node.primary.receive(self.now, sender, life, message)
-        node.voter.receive(self.now, sender, life, message)
-        node.backup.receive(self.now, sender, life, message)
-        node.witness.receive(sender, life, message)
-        self._after(receiver)
+        node.primary.receive(self.now, sender, incarnation, message)
+        node.voter.receive(self.now, sender, incarnation, message)
+        node.backup.receive(self.now, sender, incarnation, message)
+        node.witness.receive(sender, incarnation, message)
+        self._process(receiver)
 
     def _twice(self, i):
         self._deliver(i, keep=True)
 
     def _lose(self, i):
-        self.net.pop(i)
+        self.in_transit.pop(i)
 
     def _send(self, i):
-        number, life, request = self.todo.pop(i)
+        number, incarnation, request = self.pending.pop(i)
         if self.nodes[number].primary.start_attempt(self.now, request, 0, "w"):
-            self._left(number, life, request)
-        self._after(number)
+            self._attempt_started(number, incarnation, request)
+        self._process(number)
 
     def _refuse(self, i):
-        number, life, request = self.todo.pop(i)
+        number, incarnation, request = self.pending.pop(i)
         if self.nodes[number].primary.reject(self.now, request):
-            self._ran(self.names[number, life, request])
-        self._after(number)
+            self._executed(self.request_names[number, incarnation, request])
+        self._process(number)
 
     def _tick(self, number):
         self.now += TICK
-        self._after(number)
+        self._process(number)
 
     def _wait(self, number):
         self.now += WAIT
-        self._after(number)
+        self._process(number)
 
     def _kill(self, number):
         del self.nodes[number]
 
     def _start(self, number):
-        self.lives[number] += 1
-        self.nodes[number] = Node(self.code, number, self.lives[number], self.max_requests, self.placement)
-        self.seen[number] = {m: self.lives[m] for m in range(self.count) if m != number}
-        self._members(number)
-        self._after(number)
+        self.incarnations[number] += 1
+        self.nodes[number] = Node(self.code, number, self.incarnations[number], self.max_requests, self.placement)
+        self.views[number] = {m: self.incarnations[m] for m in range(self.count) if m != number}
+        self._update_members(number)
+        self._process(number)
 
     def _learn(self, number, other):
-        """One hears that another has a new life, or that it is there after all."""
-        life = self.seen[number][other] = self.lives[other]
-        self._members(number)
-        self.nodes[number].backup.primary_terminated(self.now, other, life - 1)
-        self._after(number)
+        """Let an instance learn of another's current incarnation."""
+        incarnation = self.views[number][other] = self.incarnations[other]
+        self._update_members(number)
+        self.nodes[number].backup.primary_terminated(self.now, other, incarnation - 1)
+        self._process(number)
 
     def _doubt(self, number, other):
-        """One takes another for out, rightly or not."""
-        life = self.seen[number].pop(other)
-        self._members(number)
-        self.nodes[number].backup.primary_failed(self.now, other, life)
-        self._after(number)
-
-    def _members(self, number):
-        seen = self.seen[number]
-        self.nodes[number].primary.update_members(self.now, {m: self.code.Replica(m, life) for m, life in seen.items()})
-        gone = frozenset(m for m in range(self.count) if m != number and m not in seen)
-        self.nodes[number].voter.update_members(self.now, dict(seen), gone)
-
-    def _after(self, number):
-        """Carry out what a node wants done."""
+        """Let an instance declare another one dead, rightly or wrongly."""
+        incarnation = self.views[number].pop(other)
+        self._update_members(number)
+        self.nodes[number].backup.primary_failed(self.now, other, incarnation)
+        self._process(number)
+
+    def _update_members(self, number):
+        view = self.views[number]
+        self.nodes[number].primary.update_members(
+            self.now, {m: self.code.Replica(m, incarnation) for m, incarnation in view.items()}
+        )
+        departed = frozenset(m for m in range(self.count) if m != number and m not in view)
+        self.nodes[number].voter.update_members(self.now, dict(view), departed)
+
+    def _process(self, number):
+        """Carry out the actions that a node requests."""
         node = self.nodes[number]
         node.primary.handle_timers(self.now)
         node.primary.flush(self.now)
         node.backup.handle_timers(self.now)
         node.voter.handle_timers(self.now)
-        while actions := in_execution_order(action for part in node.parts for action in part.take_actions()):
+        while actions := in_execution_order(action for role in node.roles for action in role.take_actions()):
             for action in actions:
-                self._carry_out(number, node.life, action)
+                self._carry_out(number, node.incarnation, action)
             node.primary.flush(self.now)
-        for part in (node.primary, node.backup, node.locks, node.voter):
-            part.counts.clear()
+        for role in (node.primary, node.backup, node.locks, node.voter):
+            role.counts.clear()
 
-    def _carry_out(self, number, life, action):
+    def _carry_out(self, number, incarnation, action):
         node = self.nodes[number]
         match action:
             case SendMessage(receiver, message):
-                sent = (number, life, receiver, encode(message))
-                if sent not in self.net and not self._is_cut(
-                    number, receiver
-                ):  # the same again on its way is a doubling, which has its own count
-                    self.net.append(sent)
+                sent = (number, incarnation, receiver, encode(message))
+                # A second copy in transit is a duplication, a fault of its own.
+                if sent not in self.in_transit and not self._is_partitioned(number, receiver):
+                    self.in_transit.append(sent)
             case StartAttempt(request):
-                self._left(number, life, request)
+                self._attempt_started(number, incarnation, request)
             case DeliverRejection(request):
                 node.primary.complete(self.now, request)
-                self._ran(self.names[number, life, request])
+                self._executed(self.request_names[number, incarnation, request])
             case YieldToDuplicate(request) | LockUnavailable(request):
-                self._end(number, life, request)
-                node.named = 0 if node.named == request else node.named
-            case TakeOver(primary, incarnation, replica):
-                self._take_over(number, primary, incarnation, replica)
-
-    def _take_over(self, number, primary, incarnation, replica):
-        """Continue a request; one without an identity runs at once, others when they have the lock."""
-        name = self.names[primary, incarnation, replica.request]
+                self._end(number, incarnation, request)
+                node.local_request = 0 if node.local_request == request else node.local_request
+            case TakeOver(primary, primary_incarnation, replica):
+                self._take_over(number, primary, primary_incarnation, replica)
+
+    def _take_over(self, number, primary, primary_incarnation, replica):
+        """Continue a request, at once without an identity, otherwise once it holds the lock."""
+        name = self.request_names[primary, primary_incarnation, replica.request]
         node = self.nodes[number]
         if replica.identity == NO_IDENTITY:
             if not replica.attempts:
-                self._ran(name)
+                self._executed(name)
             return
-        node.taken.add(replica.identity)
-        if node.named:  # ours had yielded to it, or goes on in its place
+        node.taken_over.add(replica.identity)
+        if node.local_request:  # the local request had yielded to it, or continues in its place
             return
-        request = 100 + len(self.names)
+        request = 100 + len(self.request_names)
         prior_attempts = {attempt: endpoint for attempt, (endpoint, _) in replica.attempts.items()}
-        owner = LockOwner(primary, incarnation, replica.request)
-        self.take(number, request, name, replica.identity, owner, prior_attempts)
-        if replica.attempts:  # it is failed: it may have run, and none of its identity may
-            self._end(number, node.life, request, blocks_identity=True)
-
-    def _end(self, number, life, request, blocks_identity=False):
-        """End a request of which no attempt leaves any more."""
-        self.refused.add((number, life, request))
-        self.todo = [each for each in self.todo if each != (number, life, request)]
+        owner = LockOwner(primary, primary_incarnation, replica.request)
+        self.accept(number, request, name, replica.identity, owner, prior_attempts)
+        if replica.attempts:  # it fails, since it may have executed and no other of its identity may
+            self._end(number, node.incarnation, request, blocks_identity=True)
+
+    def _end(self, number, incarnation, request, blocks_identity=False):
+        """End a request of which no further attempt starts."""
+        self.rejected.add((number, incarnation, request))
+        self.pending = [each for each in self.pending if each != (number, incarnation, request)]
         self.nodes[number].primary.complete(self.now, request, blocks_identity, blocks_identity)
 
-    def _left(self, number, life, request):
-        """An attempt has left."""
-        assert (number, life, request) not in self.refused, "an attempt left for what was said never to run"
-        self._ran(self.names[number, life, request])
+    def _attempt_started(self, number, incarnation, request):
+        """Record a started attempt."""
+        assert (number, incarnation, request) not in self.rejected, "an attempt started after its request was rejected"
+        self._executed(self.request_names[number, incarnation, request])
 
-    def _ran(self, name):
+    def _executed(self, name):
         self.runs[name] = self.runs.get(name, 0) + 1
-        assert self.runs[name] <= 1, f"{name} ran twice"
+        assert self.runs[name] <= 1, f"{name} was executed twice"
 
     # ---- searches --------------------------------------------------------------------------------
 
     def data(self):
-        """This state as bytes, the code left out."""
+        """Return the state as bytes, without the code."""
         code, self.code = self.code, None
-        self.net.sort()
-        made = pickle.dumps(self, pickle.HIGHEST_PROTOCOL)
+        self.in_transit.sort()
+        data = pickle.dumps(self, pickle.HIGHEST_PROTOCOL)
         self.code = code
-        return made
+        return data
 
 
-def loaded(code, data):
+def unpickle_world(code, data):
     world = pickle.loads(data)
     world.code = code
     return world
 
 
 def explore(world, depth, max_states=10**9):
-    """Every order of steps up to a depth: (states seen, the steps that lead to a fault or None)."""
+    """Explore every order of steps up to a depth; returns the number of states, and the steps to a failure or None."""
     code, seen, layer = world.code, set(), [(world.data(), ())]
     for _ in range(depth):
         following = []
         for data, path in layer:
-            for step in loaded(code, data).steps():
-                there = loaded(code, data)
+            for step in unpickle_world(code, data).steps():
+                successor = unpickle_world(code, data)
                 try:
-                    there.do(step)
+                    successor.do(step)
                 except AssertionError:
                     return len(seen), (*path, step)
-                after = there.data()
+                after = successor.data()
                 key = hash(after)
                 if key not in seen:
                     seen.add(key)
@@ -399,7 +416,7 @@
 
 
 def schedule(code, seed, count=4, requests=3, steps=60):
-    """One random order of steps; an AssertionError where something ran twice."""
+    """Play one random order of steps; raises AssertionError if a request is executed twice."""
     rng = random.Random(seed)
     faults = {kind: rng.randrange(4) for kind in ("twice", "lose", "kill", "start", "doubt", "learn")}
     world = World(
@@ -409,43 +426,45 @@
         1 if seed % 3 == 2 else 50_000,
     )
     for request in range(1, requests + 1):
-        world.take(rng.randrange(count), request, f"r{request}")
+        world.accept(rng.randrange(count), request, f"r{request}")
     _play(world, rng, steps)
     return world
 
 
 def schedule_of_one_identity(code, seed, faults, count=4, steps=120):
-    """One random order of steps of two requests of one identity at two gateways; an AssertionError where both ran.
+    """Play one random order of steps of two requests of one identity at two instances.
 
-    `faults`: the most of each kind."""
+    Raises AssertionError if both are executed. `faults` maps each kind to its maximum number.
+    """
     rng = random.Random(seed)
-    world = World(code, count, {kind: rng.randrange(most + 1) for kind, most in faults.items()})
+    world = World(code, count, {kind: rng.randrange(maximum + 1) for kind, maximum in faults.items()})
     identity = b"%08d" % (seed % 16)
     for request, number in enumerate(rng.sample(range(count), 2), 1):
-        world.take(number, request, "the one", identity)
+        world.accept(number, request, "the one", identity)
     _play(world, rng, steps)
     return world
 
 
-def schedule_across_a_cut(code, seed, faults, count=4, steps=80):
-    """One random order of steps of two requests of one identity, which a cut keeps apart for a while.
+def schedule_across_a_partition(code, seed, faults, count=4, steps=80):
+    """Play one random order of steps of two requests of one identity around a partition.
 
-    The first comes before the cut or during it, the second at any time of it."""
+    The first request arrives before or during the partition, the second one during it.
+    """
     rng = random.Random(seed)
-    world = World(code, count, {kind: rng.randrange(most + 1) for kind, most in faults.items()})
+    world = World(code, count, {kind: rng.randrange(maximum + 1) for kind, maximum in faults.items()})
     identity = b"%08d" % (seed % 64)
     places = rng.sample(range(count), 2)
     if rng.random() < 0.5:
-        world.take(places[0], 1, "the one", identity)
+        world.accept(places[0], 1, "the one", identity)
         _play(world, rng, rng.randrange(12))
-    world.left["cut"] = 1
+    world.remaining_faults["cut"] = 1
     world.do(rng.choice([step for step in world.steps() if step[0] == "cut"]))
     for request, number in enumerate(places, 1):
         _play(world, rng, rng.randrange(steps // 2))
-        if number in world.nodes and (number, 1, request) not in world.names:
-            world.take(number, request, "the one", identity)
+        if number in world.nodes and (number, 1, request) not in world.request_names:
+            world.accept(number, request, "the one", identity)
     _play(world, rng, steps)
-    world.left["heal"] = 1
+    world.remaining_faults["heal"] = 1
     _play(world, rng, steps)
     return world
 
--- a/tests/search.py
+++ b/tests/search.py
@@ -1,5 +1,4 @@
-"""`make search`: random schedules of faults by seed, on all cores: who is there, who has work in hand, and what can
-befall one client's connection."""
+"""`make search`: seeded random schedules of faults for membership, replication and connections, on all cores."""
 
 import itertools
 import sys
@@ -11,18 +10,18 @@
 from test_identity_locks import SINGLE_FAULTS
 from test_membership import schedule
 
-KEEPING = 20  # schedules of keeping for each of membership: they take a twentieth of the time
-IDENTITIES = 34  # schedules of two requests of one identity for each of membership
+REPLICATION_SCHEDULES = 20  # for each schedule of membership, which takes twenty times as long
+IDENTITY_SCHEDULES = 34  # of two requests of one identity, for each schedule of membership
 
 
 def play(seed):
-    """The fault of one seed, "" where there is none."""
+    """Play the schedules of one seed; returns the failure, "" without one."""
     try:
         schedule(seed, 3 + seed % 6)
-        code = replication_net.fresh()
-        for each in range(seed * KEEPING, (seed + 1) * KEEPING):
+        code = replication_net.load_code()
+        for each in range(seed * REPLICATION_SCHEDULES, (seed + 1) * REPLICATION_SCHEDULES):
             replication_net.schedule(code, each, 3 + each % 3, 1 + each % 4, 40 + each % 40)
-        for each in range(seed * IDENTITIES, (seed + 1) * IDENTITIES):
+        for each in range(seed * IDENTITY_SCHEDULES, (seed + 1) * IDENTITY_SCHEDULES):
             faults = SINGLE_FAULTS[each % len(SINGLE_FAULTS)]
             replication_net.schedule_of_one_identity(code, each, faults, 3 + each % 3, 100 + each % 150)
     except AssertionError as problem:
@@ -30,15 +29,15 @@
     return ""
 
 
-def all_orders(left):
-    """Every order of six steps of one request among three, with these faults: (states, the fault)."""
-    world = replication_net.World(replication_net.fresh(), 3, left)
-    world.take(0, 1, "r")
+def all_orders(remaining_faults):
+    """Explore every order of six steps of one request at three instances; return the number of states and a failure."""
+    world = replication_net.World(replication_net.load_code(), 3, remaining_faults)
+    world.accept(0, 1, "r")
     return replication_net.explore(world, 6)
 
 
 def connection_orders(first):
-    """Every order of four events on one connection that begins with this one: how many, and the fault."""
+    """Play every order of four events on a connection, by the first event; returns their number, and the failure."""
     count = 0
     for start in BEGINNINGS:
         for rest in itertools.product(connection_model.EVENTS, repeat=3):
@@ -53,8 +52,8 @@
 def main(count):
     with ProcessPoolExecutor() as pool:
         wide = [
-            pool.submit(all_orders, left)
-            for left in (
+            pool.submit(all_orders, remaining_faults)
+            for remaining_faults in (
                 {"kill": 1, "doubt": 2, "tick": 2},
                 {"kill": 1, "start": 1, "learn": 1, "doubt": 1},
                 {"twice": 1, "lose": 1, "doubt": 1, "wait": 2},
--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -234,6 +234,53 @@
     "test_a_file_is_read_in_pieces_as_it_is_read_whole": "test_decoding_in_chunks_equals_decoding_at_once",
     "test_lines_are_capped_over_all_files": "test_line_limit_counts_all_files",
     # Membership, replication and locks.
+    "test_every_order_of_two_of_one_name_at_two_of_three": (
+        "test_every_order_of_two_requests_of_one_identity_at_two_of_three_instances"
+    ),
+    "test_every_order_of_one_request_among_three": "test_every_order_of_one_request_among_three_instances",
+    "test_of_two_that_keep_each_others_one_gives_way": "test_of_two_instances_that_are_each_others_backups_one_yields",
+    "test_a_search_of_all_orders_finds_what_is_missing": "test_a_search_of_all_orders_detects_a_removed_safeguard",
+    "test_random_orders_run_nothing_twice": "test_random_orders_execute_no_request_twice",
+    "test_each_guard_taken_out_is_found": "test_the_removal_of_each_replication_safeguard_is_detected",
+    "test_a_message_that_comes_when_all_is_over_begins_nothing": (
+        "test_a_message_delayed_until_its_epoch_has_ended_has_no_effect"
+    ),
+    "test_a_bound_attempt_waits_for_the_keeper_and_a_safe_one_does_not": (
+        "test_an_attempt_awaits_the_acknowledgement_unless_its_request_is_idempotent"
+    ),
+    "test_what_may_simply_run_again_is_told_after_a_while_and_not_at_all_where_it_has_ended_by_then": (
+        "test_idempotent_requests_are_appended_after_a_delay_unless_completed_before"
+    ),
+    "test_late_ones_of_a_keeper_that_is_left_are_told_to_another": (
+        "test_deferred_requests_of_a_released_backup_are_appended_to_another"
+    ),
+    "test_entries_packed_before_are_the_same_bytes": "test_entries_encoded_before_yield_the_same_bytes",
+    "test_a_slow_keeper_is_left_for_another_by_the_witness": "test_a_slow_backup_is_replaced_after_the_witness_decides",
+    "test_a_lost_entry_is_fed_again_while_others_follow_it": "test_a_lost_entry_is_sent_again_while_others_follow_it",
+    "test_an_end_is_told_with_what_comes_next_or_with_a_sign_of_life": (
+        "test_a_completion_is_sent_with_the_next_entry_or_heartbeat"
+    ),
+    "test_another_room_keeps_and_few_move_when_a_member_comes": (
+        "test_backups_are_in_another_zone_and_few_change_when_a_member_joins"
+    ),
+    "test_a_keeper_that_hears_nothing_holds_so_much_at_most": "test_the_entries_of_an_unresponsive_backup_are_bounded",
+    "test_what_was_turned_away_for_want_of_room_stays_so": (
+        "test_a_request_declined_for_lack_of_capacity_stays_declined"
+    ),
+    "test_a_full_keeper_takes_no_more_and_what_it_turned_away_it_never_takes": (
+        "test_a_backup_at_capacity_declines_requests_and_never_stores_them_later"
+    ),
+    "test_an_origin_whose_keeper_is_full_goes_on_without_and_tells_the_rest": (
+        "test_a_primary_whose_backup_is_at_capacity_continues_and_sends_the_other_entries"
+    ),
+    "test_every_order_of_two_requests_where_a_keeper_has_room_for_one": (
+        "test_every_order_of_two_requests_with_backup_capacity_for_one"
+    ),
+    "test_a_lease_decides_when_the_witness_is_asked_and_signs_of_life_keep_it": (
+        "test_an_expired_lease_triggers_the_claim_and_heartbeats_renew_it"
+    ),
+    "test_messages_come_back_as_they_went": "test_messages_are_encoded_and_decoded",
+    "test_noise_is_no_message_and_raises_nothing": "test_random_bytes_are_decoded_without_exceptions",
     "test_rows_merge_alike_in_every_order": "test_rows_merge_to_the_same_state_in_every_order",
     "test_rows_as_bytes": "test_rows_are_encoded_and_decoded",
     "test_all_know_of_a_start_a_death_a_leave_and_a_new_life": (
--- a/tests/test_identity_locks.py
+++ b/tests/test_identity_locks.py
@@ -1,11 +1,11 @@
-"""Identity locks, decided without I/O: votes, refusals, recovery of votes, and guards that the searches must miss."""
+"""Identity locks without I/O: votes, refusals, recovery of votes, and mutations that the searches must detect."""
 
 import math
 import random
 
 import pytest
-from lock_mutations import CUTS, CUTS_OF_PARTITIONS
-from replication_net import World, explore, fresh, messages, schedule_across_a_cut, schedule_of_one_identity
+from lock_mutations import MUTATIONS, PARTITION_MUTATIONS
+from replication_net import World, explore, load_code, messages, schedule_across_a_partition, schedule_of_one_identity
 
 from anisefront.cluster.backup_selection import Replica, slot_of
 from anisefront.cluster.lock_codec import MAX_ITEMS
@@ -52,13 +52,13 @@
 
 
 class Cluster:
-    """Requesters and voters; messages are passed on at once unless `late` names their sender or receiver."""
+    """Requesters and voters; messages are delivered at once unless their sender or receiver is in `unreachable`."""
 
     def __init__(self, count=4, recovered=True):
         self.placement = LockPlacement(dict.fromkeys(range(count), ""))
         self.now = 0.0
-        self.late = set()
-        self.lives = dict.fromkeys(range(count), 1)
+        self.unreachable = set()
+        self.incarnations = dict.fromkeys(range(count), 1)
         self.voters = {n: self.voter(n, recovered) for n in range(count)}
         self.requesters = {n: LockRequester(Replica(n, 1), self.placement) for n in range(count)}
         for n, requester in self.requesters.items():
@@ -66,41 +66,45 @@
         self.decisions = {n: [] for n in range(count)}
 
     def voter(self, number, recovered=False):
-        return LockVoter(Replica(number, self.lives[number]), self.placement, DEADLINE_MS, is_recovered=recovered)
+        return LockVoter(
+            Replica(number, self.incarnations[number]), self.placement, DEADLINE_MS, is_recovered=recovered
+        )
 
     def restart(self, number):
-        self.lives[number] += 1
+        self.incarnations[number] += 1
         self.voters[number] = self.voter(number)
 
-    def acquire(self, number, request=1, **more):
-        self.requesters[number].acquire(self.now, IDENTITY, request, DEADLINE_MS, **more)
+    def acquire(self, number, request=1, **options):
+        self.requesters[number].acquire(self.now, IDENTITY, request, DEADLINE_MS, **options)
         self.run()
 
     def run(self, advance_ms=0.0):
-        """Pass messages on until there are none."""
+        """Deliver messages until there are none."""
         self.now += advance_ms
-        for part in (*self.requesters.values(), *self.voters.values()):
-            part.handle_timers(self.now)
-        while mail := self.mail():
-            for sender, action in mail:
+        for role in (*self.requesters.values(), *self.voters.values()):
+            role.handle_timers(self.now)
+        while sent := self.take_messages():
+            for sender, action in sent:
                 self.deliver(sender, action.receiver, decode(encode(action.message)))
         for number, requester in self.requesters.items():
             self.decisions[number] += requester.take_decisions()
 
-    def mail(self):
+    def take_messages(self):
         sent = [(n, action) for n, each in self.requesters.items() for action in each.flush(self.now)]
         sent += [(n, action) for n, each in self.voters.items() for action in each.take_actions()]
         return [
-            (sender, action) for sender, action in sent if sender not in self.late and action.receiver not in self.late
+            (sender, action)
+            for sender, action in sent
+            if sender not in self.unreachable and action.receiver not in self.unreachable
         ]
 
     def deliver(self, sender, receiver, message):
-        life = self.lives[sender]
+        incarnation = self.incarnations[sender]
         if isinstance(message, LockReplies):
-            self.requesters[receiver].receive(self.now, sender, life, message)
+            self.requesters[receiver].receive(self.now, sender, incarnation, message)
         else:
             is_owner = isinstance(message, LockRequests | LockReleases)
-            self.voters[receiver].receive(self.now, sender, 1 if is_owner else life, message)
+            self.voters[receiver].receive(self.now, sender, 1 if is_owner else incarnation, message)
 
 
 @pytest.fixture
@@ -108,7 +112,7 @@
     return Cluster()
 
 
-def test_messages_come_back_as_they_went_and_none_that_was_cut_does():
+def test_lock_messages_are_encoded_and_decoded_and_truncated_ones_rejected():
     for message in MESSAGES:
         data = encode(message)
         assert decode(data) == message
@@ -116,7 +120,7 @@
     assert decode(encode(LockRecoveryReply(1, 2, 2, True, ()))) is None
 
 
-def test_noise_is_no_message_of_locks_and_raises_nothing():
+def test_random_bytes_are_decoded_as_lock_messages_without_exceptions():
     rng = random.Random(5)
     for _ in range(4000):
         data = bytearray(encode(rng.choice(MESSAGES)))
@@ -138,7 +142,7 @@
         assert len(encode(message)) <= 1250
 
 
-def test_voters_are_in_different_zones_and_do_not_follow_from_who_is_alive():
+def test_voters_are_in_different_zones_and_independent_of_membership():
     placement = LockPlacement({number: "abc"[number % 3] for number in range(9)})
     for slot in range(64):
         voters = placement._voters[slot]
@@ -148,7 +152,7 @@
     assert placement.digest != two_zones.digest
 
 
-def test_the_first_who_asks_has_the_lock_and_the_next_is_told_who_knows_of_it(cluster):
+def test_the_first_requester_gets_the_lock_and_the_next_learns_which_instances_know_of_it(cluster):
     cluster.acquire(0)
     cluster.requesters[0].set_backup(1, 3)
     cluster.run()
@@ -165,7 +169,7 @@
 
 
 def test_a_late_voter_delays_one_request_for_milliseconds_and_the_next_not_at_all(cluster):
-    cluster.late = {cluster.placement.voters(IDENTITY)[0]}
+    cluster.unreachable = {cluster.placement.voters(IDENTITY)[0]}
     owner = next(number for number in range(4) if number not in cluster.placement.voters(IDENTITY))
     cluster.acquire(owner)
     cluster.run(WIDEN_MS)
@@ -175,7 +179,7 @@
     assert cluster.decisions[owner] == [LockHeld(1), LockHeld(2)]
 
 
-def test_the_third_voter_is_told_of_a_lock_that_lasts(cluster):
+def test_the_third_voter_is_queried_for_a_lock_that_lasts(cluster):
     cluster.acquire(0)
     voters = cluster.placement.voters(IDENTITY)
     assert sum(len(cluster.voters[voter]) for voter in voters) == 2
@@ -185,8 +189,8 @@
 
 
 def test_without_a_majority_a_request_is_given_up_while_its_client_can_still_retry(cluster):
-    cluster.late = set(cluster.placement.voters(IDENTITY)[:2])
-    owner = next(number for number in range(4) if number not in cluster.late)
+    cluster.unreachable = set(cluster.placement.voters(IDENTITY)[:2])
+    owner = next(number for number in range(4) if number not in cluster.unreachable)
     cluster.acquire(owner)
     while not cluster.decisions[owner] and cluster.now < DEADLINE_MS:
         cluster.run(20.0)
@@ -196,7 +200,7 @@
 def test_a_split_vote_is_resolved_and_one_of_them_gets_the_lock(cluster):
     voters = cluster.placement.voters(IDENTITY)
     contenders = list(range(3))
-    for number, voter in zip(contenders, voters, strict=True):  # each has one vote
+    for number, voter in zip(contenders, voters, strict=True):  # each gets one vote
         request = LockRequests(cluster.placement.digest, (LockRequest(IDENTITY, 1, 8000),))
         cluster.voters[voter].receive(0.0, number, 1, request)
         cluster.voters[voter].take_actions()
@@ -216,30 +220,30 @@
     assert cluster.decisions[2] == [LockRefused(1, (1,))]
 
 
-@pytest.mark.parametrize("more", [{"predecessor": LockOwner(2, 1, 9)}, {"has_yielded": True}])
-def test_what_yielded_or_was_taken_over_does_not_run_after_another_was_executed(cluster, more):
-    # Guards against a second effect: a copy that had given way to another goes on once that one has ended.
+@pytest.mark.parametrize("options", [{"predecessor": LockOwner(2, 1, 9)}, {"has_yielded": True}])
+def test_a_request_that_yielded_or_was_taken_over_does_not_run_after_another_was_executed(cluster, options):
+    # Guards against a second effect: a duplicate that had yielded to another continues once that one has ended.
     cluster.acquire(0)
     cluster.requesters[0].release(1, may_have_executed=True)
     cluster.run()
-    cluster.acquire(1, **more)
+    cluster.acquire(1, **options)
     assert cluster.decisions[1] == [LockRefused(1, (0,))]
-    cluster.acquire(3)  # a client that asks anew, after the answer
+    cluster.acquire(3)  # a new request, after the response
     assert cluster.decisions[3] == [LockHeld(1)]
 
 
 def test_a_release_that_overtakes_its_request_leaves_no_vote():
-    voter = Cluster().voters[slot_voter()]
+    voter = Cluster().voters[first_voter()]
     voter.receive(0.0, 0, 1, LockReleases((LockRelease(IDENTITY, 1, False),)))
     voter.receive(1.0, 0, 1, LockRequests(Cluster().placement.digest, (LockRequest(IDENTITY, 1, 8000),)))
     assert len(voter) == 0 and messages(voter) == []
 
 
-def slot_voter():
+def first_voter():
     return Cluster().placement.voters(IDENTITY)[0]
 
 
-def test_a_vote_that_comes_after_the_end_of_its_request_is_released(cluster):
+def test_a_vote_that_arrives_after_the_end_of_its_request_is_released(cluster):
     cluster.requesters[0].acquire(0.0, IDENTITY, 1, DEADLINE_MS)
     sent = cluster.requesters[0].flush(0.0)
     cluster.requesters[0].release(1)
@@ -250,7 +254,7 @@
     assert not any(len(voter) for voter in cluster.voters.values())
 
 
-def test_a_lost_release_is_sent_again_when_another_wants_the_lock(cluster):
+def test_a_lost_release_is_sent_again_when_another_requests_the_lock(cluster):
     cluster.acquire(0)
     cluster.requesters[0].release(1)
     cluster.requesters[0].flush(0.0)  # lost
@@ -260,17 +264,17 @@
 
 @pytest.mark.parametrize("is_continued", [False, True])
 def test_a_lost_release_of_a_failed_instances_lock_is_sent_again(is_continued):
-    # Guards against a lock that stands until its deadline: its owner is dead and is not told of the lost release.
+    # Guards against a lock held until its deadline: its owner is dead and cannot repeat the lost release.
     cluster = Cluster(5)
     failed, *voters = cluster.placement.voters(IDENTITY)
-    taker, other = set(range(5)) - {failed, *voters}
+    successor, other = set(range(5)) - {failed, *voters}
     cluster.acquire(failed)
-    cluster.run(20.0)  # all voters know of it
+    cluster.run(20.0)  # all voters have voted for it
     cluster.run(40.0)
-    cluster.late = {failed}
+    cluster.unreachable = {failed}
     predecessor = LockOwner(failed, 1, 1)
-    requester = cluster.requesters[taker]
-    if is_continued:  # and ends before the voters have heard of it
+    requester = cluster.requesters[successor]
+    if is_continued:  # and ends before the voters know of it
         requester.acquire(cluster.now, IDENTITY, 1, DEADLINE_MS, predecessor=predecessor)
         requester.release(1)
     else:
@@ -292,31 +296,31 @@
     assert len(releases) == 0 and releases.next_timer_ms == math.inf
 
 
-def test_who_gives_a_continued_request_up_releases_the_lock_that_it_continued(cluster):
-    # Guards against a lock that nobody knows of: the next instance continues the request, not the one before it.
+def test_an_abandoned_request_releases_the_lock_of_its_predecessor(cluster):
+    # Guards against a lock that is never released: the next instance knows of the request, but not of its predecessor.
     failed, first, second = cluster.placement.voters(IDENTITY)
     cluster.acquire(failed)
     cluster.run(40.0)
     cluster.run(40.0)
-    cluster.late = {failed, second}
+    cluster.unreachable = {failed, second}
     cluster.acquire(first, predecessor=LockOwner(failed, 1, 1))  # one vote
     cluster.requesters[first].abandon(1)
-    cluster.late = {failed}
+    cluster.unreachable = {failed}
     cluster.run(40.0)
     [next_one] = set(range(4)) - {failed, first, second}
     cluster.acquire(next_one, predecessor=LockOwner(first, 1, 1))
     assert cluster.decisions[next_one] == [LockHeld(1)]
 
 
-def test_a_vote_lapses_at_the_deadline_of_its_request(cluster):
+def test_a_vote_expires_at_the_deadline_of_its_request(cluster):
     cluster.acquire(0)
     cluster.run(DEADLINE_MS)
     cluster.acquire(1)
     assert cluster.decisions[1] == [LockHeld(1)]
 
 
-def test_what_yielded_does_not_run_after_the_deadline_of_one_that_was_executed(cluster):
-    # Guards against a second effect: the finished request was forgotten at its own deadline, and this one waits longer.
+def test_a_request_that_yielded_does_not_run_after_the_deadline_of_an_executed_one(cluster):
+    # Guards against a second effect: the finished request was evicted at its deadline, and this one waits longer.
     cluster.acquire(0)
     cluster.requesters[0].release(1, may_have_executed=True)
     cluster.run()
@@ -328,26 +332,26 @@
     assert cluster.decisions[1][1:] == [LockHeld(2)]
 
 
-def test_a_lock_whose_holders_were_dropped_lapses_without_an_error(cluster):
-    # Guards against an exception that loses the actions of a whole iteration.
-    voter = cluster.voters[slot_voter()]
-    owner, other = sorted(set(range(4)) - {slot_voter()})[:2]
+def test_a_lock_whose_holders_were_dropped_expires_without_an_error(cluster):
+    # Guards against an exception that discards the actions of a whole event loop iteration.
+    voter = cluster.voters[first_voter()]
+    owner, other = sorted(set(range(4)) - {first_voter()})[:2]
     request = LockRequests(cluster.placement.digest, (LockRequest(IDENTITY, 1, 8000),))
     voter.receive(0.0, owner, 1, request)
     voter.update_members(0.0, {}, frozenset({owner}))
-    voter._recovery._unrecovered_slots = {slot_of(IDENTITY)}  # restarted, and told of the lock by another
+    voter._recovery._unrecovered_slots = {slot_of(IDENTITY)}  # restarted, with the lock learned from another voter
     voter.receive(1.0, other, 1, request)
     voter.handle_timers(DEADLINE_MS + 1)
     assert len(voter) == 0
 
 
-def test_votes_that_come_after_a_request_was_given_up_are_left_to_the_one_that_continues_it(cluster):
-    # Guards against a lock that is released as if its request had been executed, while another instance continues it.
+def test_votes_that_arrive_after_a_request_was_abandoned_are_left_to_its_successor(cluster):
+    # Guards against a lock that is released as if its request had executed, while another instance continues it.
     requester = cluster.requesters[0]
     requester.acquire(0.0, IDENTITY, 1, DEADLINE_MS)
-    asked = requester.flush(0.0)
+    requests = requester.flush(0.0)
     requester.abandon(1)
-    for action in asked:
+    for action in requests:
         cluster.deliver(0, action.receiver, action.message)
     cluster.run()
     assert sum(len(voter) for voter in cluster.voters.values()) == 2
@@ -355,8 +359,8 @@
     assert cluster.decisions[1] == [LockHeld(1)]
 
 
-def test_what_yielded_does_not_run_after_a_lock_has_lapsed_of_which_nobody_told_the_outcome(cluster):
-    # Guards against a second effect: the holder was executed and lost, and who had yielded to it waited longer.
+def test_a_request_that_yielded_does_not_run_after_a_lock_expired_with_unknown_outcome(cluster):
+    # Guards against a second effect: the holder was executed and lost, and a request that yielded to it waited longer.
     cluster.acquire(0)
     cluster.run(DEADLINE_MS)
     cluster.acquire(1, has_yielded=True)
@@ -366,15 +370,15 @@
     assert cluster.decisions[1][1:] == [LockHeld(2)]
 
 
-def test_a_restarted_voter_votes_once_both_others_have_told_what_they_know(cluster):
+def test_a_restarted_voter_votes_once_both_others_have_reported_their_locks(cluster):
     first, second, third = cluster.placement.voters(IDENTITY)
-    cluster.late = {third}
+    cluster.unreachable = {third}
     cluster.acquire(0)
     cluster.restart(first)
     cluster.run(1.0)
     cluster.acquire(1)
-    assert cluster.decisions[1] == []  # one vote against it, and one that abstains
-    cluster.late = set()
+    assert cluster.decisions[1] == []  # one refusal and one abstention
+    cluster.unreachable = set()
     cluster.run(2000.0)
     assert LockRefused(1, (0,)) in cluster.decisions[1] and cluster.voters[first]._recovery.is_complete
 
@@ -390,10 +394,10 @@
     assert cluster.decisions[1] == [LockRefused(1, (0,))]
 
 
-def test_where_nobody_can_tell_a_restarted_voter_waits_for_the_longest_deadline(cluster):
+def test_a_restarted_voter_without_replies_waits_for_the_longest_deadline(cluster):
     voter = cluster.placement.voters(IDENTITY)[0]
     cluster.restart(voter)
-    cluster.late = set(range(4)) - {voter}
+    cluster.unreachable = set(range(4)) - {voter}
     cluster.run(1.0)
     cluster.run(DEADLINE_MS - 1)
     assert not cluster.voters[voter]._recovery.is_complete
@@ -401,7 +405,7 @@
     assert cluster.voters[voter]._recovery.is_complete
 
 
-def test_a_vote_of_a_former_incarnation_is_void_beside_one_that_names_the_restart():
+def test_a_vote_of_an_earlier_incarnation_is_void_once_another_vote_names_the_restart():
     placement = LockPlacement(dict.fromkeys(range(3), ""))
     requester = LockRequester(Replica(0, 1), placement)
     requester.update_members(frozenset((1, 2)))
@@ -409,14 +413,14 @@
     vote = LockReply(IDENTITY, 1)
     requester.receive(0.0, 1, 1, LockReplies((), (vote,)))
     requester.receive(0.0, 2, 1, LockReplies((VoterRestart(1, 2),), (vote,)))
-    requester.receive(0.0, 1, 1, LockReplies((), (vote,)))  # on its way since before the restart
+    requester.receive(0.0, 1, 1, LockReplies((), (vote,)))  # in transit since before the restart
     assert requester.take_decisions() == []
     requester.receive(0.0, 1, 2, LockReplies((), (vote,)))
     assert requester.take_decisions() == [LockHeld(1)]
 
 
 def test_a_voter_with_other_voters_in_its_settings_does_not_vote(cluster):
-    voter = cluster.voters[slot_voter()]
+    voter = cluster.voters[first_voter()]
     voter.receive(0.0, 0, 1, LockRequests(b"else", (LockRequest(IDENTITY, 1, 8000),)))
     assert len(voter) == 0 and voter.counts["placements_differing"] == 1
 
@@ -431,11 +435,11 @@
 
 @pytest.mark.parametrize("count", [4, 5, 6])
 def test_the_only_live_voter_does_not_decide_alone(count):
-    # Guards against a second effect in a partition: the two other voters may vote together on the other side of it.
+    # Guards against a second effect in a partition: the two other voters may be a majority on the other side.
     cluster = Cluster(count)
     first, second, third = cluster.placement.voters(IDENTITY)
-    cluster.late = {first, second}
-    others = set(range(count)) - cluster.late
+    cluster.unreachable = {first, second}
+    others = set(range(count)) - cluster.unreachable
     for number in others:
         cluster.requesters[number].update_members(frozenset(others - {number}))
     owner = min(others - {third})
@@ -445,26 +449,26 @@
     assert cluster.decisions[owner] == [LockUnavailable(1)] and cluster.now <= DEADLINE_MS / 2 + 20
 
 
-def test_of_two_instances_the_higher_one_does_not_go_on_alone():
-    # Guards against a second effect in a fleet of two: the lower one goes on alone while they don't hear each other.
+def test_of_two_instances_the_higher_one_does_not_decide_alone():
+    # Guards against a second effect in a cluster of two: the lower one decides alone while the link is down.
     cluster = Cluster(2)
-    cluster.late = {0}
+    cluster.unreachable = {0}
     cluster.acquire(1)
     cluster.requesters[1].update_members(frozenset())
     cluster.run()
     assert cluster.decisions[1] == []
 
 
-def test_an_instance_that_sees_less_than_half_of_them_needs_a_majority(cluster):
+def test_an_instance_that_sees_less_than_half_of_the_cluster_needs_a_majority(cluster):
     first, second, third = cluster.placement.voters(IDENTITY)
-    cluster.late = set(range(4)) - {third}
+    cluster.unreachable = set(range(4)) - {third}
     cluster.requesters[third].update_members(frozenset())
     cluster.acquire(third)
     assert cluster.decisions[third] == []
 
 
-def test_a_lock_whose_owner_and_backup_seem_dead_stands_until_its_deadline(cluster):
-    # Guards against a second effect in a partition: both may be alive on the other side of it.
+def test_a_lock_whose_owner_and_backup_seem_dead_is_held_until_its_deadline(cluster):
+    # Guards against a second effect in a partition: both may be alive on the other side.
     cluster.acquire(0)
     cluster.requesters[0].set_backup(1, 3)
     cluster.run()
@@ -485,16 +489,16 @@
     assert cluster.decisions[1] == [LockHeld(1)]
 
 
-def test_a_restarted_voter_waits_for_instances_that_it_takes_for_dead(cluster):
-    # Guards against a second effect in a partition: an owner behind it had the vote of the voter's earlier process.
+def test_a_restarted_voter_waits_for_instances_that_it_considers_dead(cluster):
+    # Guards against a second effect in a partition: an owner behind it held the vote of the voter's earlier process.
     voter = cluster.placement.voters(IDENTITY)[0]
     lost = cluster.placement.voters(IDENTITY)[1]
     cluster.restart(voter)
-    cluster.late = {lost}
+    cluster.unreachable = {lost}
     cluster.voters[voter].update_members(0.0, {}, frozenset({lost}))
     cluster.run(1.0)
     assert not cluster.voters[voter]._recovery.is_recovered(slot_of(IDENTITY))
-    cluster.late = set()
+    cluster.unreachable = set()
     cluster.run(1000.0)
     assert cluster.voters[voter]._recovery.is_complete
 
@@ -507,9 +511,9 @@
     assert cluster.decisions[0] == [LockHeld(1)] and cluster.decisions[1] == [LockRefused(1, (0,))]
 
 
-def test_one_of_two_goes_on_alone_when_the_other_is_gone():
+def test_the_lower_one_of_two_decides_alone_when_the_other_is_dead():
     cluster = Cluster(2)
-    cluster.late = {1}
+    cluster.unreachable = {1}
     cluster.acquire(0)
     assert cluster.decisions[0] == []
     cluster.requesters[0].update_members(frozenset())
@@ -523,51 +527,53 @@
 
 @pytest.mark.parametrize("count", [3, 4, 5])
 @pytest.mark.parametrize("faults", SINGLE_FAULTS)
-def test_two_of_one_identity_run_once_with_one_fault(faults, count):
-    # Guards against a second effect with one wrong belief or one restart, whatever is lost, doubled or late.
-    code = fresh()
+def test_two_requests_of_one_identity_are_executed_once_with_one_fault(faults, count):
+    # Guards against a second effect with one false suspicion or restart and lost, duplicated or late messages.
+    code = load_code()
     runs = sum(sum(schedule_of_one_identity(code, seed, faults, count).runs.values()) for seed in range(300))
     assert runs > 100
 
 
 @pytest.mark.parametrize("count", [2, 3, 4, 5])
 @pytest.mark.parametrize("faults", [{}, *SINGLE_FAULTS])
-def test_two_of_one_identity_run_once_across_a_cut(faults, count):
-    # Guards against a second effect in a partition, also beside one wrong belief or one restart.
-    code = fresh()
-    late = {"tick": 6, "wait": 6}
-    runs = sum(sum(schedule_across_a_cut(code, seed, late | faults, count).runs.values()) for seed in range(200))
+def test_two_requests_of_one_identity_are_executed_once_across_a_partition(faults, count):
+    # Guards against a second effect in a partition, also with one false suspicion or restart.
+    code = load_code()
+    timing_faults = {"tick": 6, "wait": 6}
+    runs = sum(
+        sum(schedule_across_a_partition(code, seed, timing_faults | faults, count).runs.values()) for seed in range(200)
+    )
     assert runs > 60
 
 
 @pytest.mark.parametrize("places", [(0, 1), (1, 2), (2, 3)])
-def test_every_order_of_two_of_one_identity_at_two_of_four_with_a_wrong_belief(places):
-    world = World(fresh(), 4, {"doubt": 1})
+def test_every_order_of_two_requests_of_one_identity_at_two_of_four_with_a_false_suspicion(places):
+    world = World(load_code(), 4, {"doubt": 1})
     for request, number in enumerate(places, 1):
-        world.take(number, request, "the one", IDENTITY)
+        world.accept(number, request, "the request", IDENTITY)
     states, fault = explore(world, 6, 400)
     assert fault is None and states > 300
 
 
-@pytest.mark.parametrize("name", CUTS)
-def test_each_guard_of_the_locks_taken_out_is_found(name):
-    faults, cuts = CUTS[name]
-    code = fresh(*cuts)
+@pytest.mark.parametrize("name", MUTATIONS)
+def test_the_removal_of_each_lock_safeguard_is_detected(name):
+    faults, mutations = MUTATIONS[name]
+    code = load_code(*mutations)
     for seed in range(8000):
         try:
             schedule_of_one_identity(code, seed, faults, 3 + seed % 2)
         except AssertionError:
             return
-    raise AssertionError(f"without {name!r} nothing was found")
+    raise AssertionError(f"removal of {name!r} was not detected")
 
 
-@pytest.mark.parametrize("name", CUTS_OF_PARTITIONS)
-def test_each_guard_against_partitions_taken_out_is_found(name):
-    faults, cuts = CUTS_OF_PARTITIONS[name]
-    code = fresh(*cuts)
+@pytest.mark.parametrize("name", PARTITION_MUTATIONS)
+def test_the_removal_of_each_partition_safeguard_is_detected(name):
+    faults, mutations = PARTITION_MUTATIONS[name]
+    code = load_code(*mutations)
     for seed in range(8000):
         try:
-            schedule_across_a_cut(code, seed, faults, 2 if "of two" in name else 3 + seed % 3)
+            schedule_across_a_partition(code, seed, faults, 2 if "of two" in name else 3 + seed % 3)
         except AssertionError:
             return
-    raise AssertionError(f"without {name!r} nothing was found")
+    raise AssertionError(f"removal of {name!r} was not detected")
--- a/tests/test_lost_owners.py
+++ b/tests/test_lost_owners.py
@@ -244,7 +244,7 @@
     cluster.taker, cluster.third = [number for number in range(6) if number not in cluster.ranks][:2]
     cluster.acquire(cluster.owner, backup=cluster.taker)
     run_for(cluster, 60)
-    cluster.late = {cluster.owner}
+    cluster.unreachable = {cluster.owner}
     for number, voter in cluster.voters.items():
         alive = {n: 1 for n in range(6) if n not in (number, cluster.owner)}
         voter.update_members(cluster.now, alive, frozenset({cluster.owner}))
@@ -290,10 +290,10 @@
     requester.release_predecessor(IDENTITY, LockOwner(cluster.owner, 1, 1), DEADLINE_MS)
     lose_next(cluster, cluster.taker, LockReleases, cluster.ranks[1:2])
     cluster.run()
-    cluster.late = {cluster.owner, cluster.ranks[2]}
+    cluster.unreachable = {cluster.owner, cluster.ranks[2]}
     cluster.acquire(cluster.third, 7)
     cluster.run(WIDEN_MS)
-    cluster.late = {cluster.owner}
+    cluster.unreachable = {cluster.owner}
     run_for(cluster, 300)
     assert cluster.decisions[cluster.third] == [LockHeld(7)]
 
