--- a/tests/replication_fleet.py
+++ b/tests/replication_fleet.py
@@ -1,8 +1,10 @@
-"""Several instances' real replication, with their request tables and clients, on one simulated clock.
+"""Several instances with real replication and request tables, and their clients, on one simulated clock.
 
-Each has a `ReplicationService`, a `RequestTable` with its `Controller`, and `DirectRequests`. Only the endpoints, the
-membership and the net are made up: a seed, or a test, says which datagram is lost, late or doubled, who is killed, and
-who believes what about whom. Clients ask, and come back elsewhere where their instance is killed or rejects them."""
+Each instance has a `ReplicationService`, a `RequestTable` with its `Controller`, and `DirectRequests`. Only endpoints,
+membership and network are simulated: a seed or a test chooses which datagrams are lost, delayed or duplicated, which
+instance is killed, and the membership view of each instance. Clients retry at another instance when their instance is
+killed or rejects their request.
+"""
 
 import random
 from collections import Counter
@@ -28,12 +30,12 @@
 
 LEASE_MS = 600.0
 DEADLINE_S = 8.0
-SERVICE_S = 0.005  # of an attempt
-TRANSIT_S = 0.0005  # of a datagram
+SERVICE_S = 0.005  # duration of an attempt
+TRANSIT_S = 0.0005  # duration of a datagram's transit
 ENDPOINTS = EndpointList(tuple(Endpoint(f"10.0.0.{n}:80", "", 0, EndpointStatus.READY) for n in range(4)))
 NO_ENDPOINTS = EndpointList(())
-READ_S = 0.0001  # after a stop, until the sockets are read
-START_MS = 1e6  # of the clock
+READ_S = 0.0001  # from the end of a stop until the sockets are read
+START_MS = 1e6  # initial time of the clock
 CLASSES = (
     RequestClass("pay", 4000, DEADLINE_S * 1000, 3.0, Idempotency.NON_IDEMPOTENT),
     RequestClass("order", 4000, DEADLINE_S * 1000, 2.0, Idempotency.KEYED, deduplication_window_ms=20_000),
@@ -58,7 +60,7 @@
 
 
 class Timer:
-    """A timer of one process, which fires later where the process is stopped."""
+    """Timer of one process, which fires late if the process is stopped."""
 
     def __init__(self, reactor, delay_s, call):
         self._reactor, self._call = reactor, call
@@ -82,7 +84,7 @@
 
 
 class Reactor:
-    """Timers of one process: none fires once it is dead, and those of a stop fire after it."""
+    """Timers of one process: none fires after its death, and those that expire while it is stopped fire afterwards."""
 
     def __init__(self, clock):
         self.clock, self.is_dead, self.stopped_until_s = clock, False, 0.0
@@ -95,7 +97,7 @@
 
 
 class Membership:
-    """What one instance believes of the others."""
+    """Membership view of one instance."""
 
     def __init__(self, count):
         self.rows = {n: MemberRow(n, 1, 0, MemberStatus.ALIVE) for n in range(count)}
@@ -105,10 +107,10 @@
 
 
 class Exchange:
-    """An attempt at an endpoint. What has left runs, also where its sender is killed."""
+    """Attempt at an endpoint; once sent it is executed, even if its sender is killed."""
 
-    def __init__(self, fleet, member, data, timeout_s, on_end, may_start):
-        self._fleet, self._member, self._on_end, self._may_start = fleet, member, on_end, may_start
+    def __init__(self, cluster, member, data, timeout_s, on_end, may_start):
+        self._cluster, self._member, self._on_end, self._may_start = cluster, member, on_end, may_start
         self._is_connected = False
         self._key = data.partition(b"x-idempotency-key: ")[2].partition(b"\r\n")[0].decode()
         member.reactor.callLater(0, self._start)
@@ -127,8 +129,8 @@
         if self._member.is_refused:
             self._end(AttemptResult.CONNECT_FAILED, None)
             return
-        self._fleet.runs[self._key] += 1
-        self._fleet.note(f"{self._key} runs at {self._member.number}")
+        self._cluster.runs[self._key] += 1
+        self._cluster.log(f"{self._key} is executed by {self._member.number}")
         if not self._member.is_mute:
             served = http1.Message("", "", 200, {}, b"paid", True)
             self._member.reactor.callLater(SERVICE_S, self._end, None, served)
@@ -143,123 +145,129 @@
 
 
 class Member:
-    """One instance."""
-
-    def __init__(self, fleet, number, count):
-        self.number, self.fleet = number, fleet
-        self.is_mute = False  # whether its attempts run without an answer
-        self.is_refused = False  # whether no endpoint takes its connections
-        self.connect_s = 0.0  # until a connection to an endpoint is up
-        self.reactor = Reactor(fleet.clock)
+    """Instance of the simulated cluster."""
+
+    def __init__(self, cluster, number, count):
+        self.number, self.cluster = number, cluster
+        self.is_mute = False  # whether its attempts are executed without a response
+        self.is_refused = False  # whether endpoints refuse its connections
+        self.connect_s = 0.0  # duration of connecting to an endpoint
+        self.reactor = Reactor(cluster.clock)
         self.membership = Membership(count)
         settings = settings_of(number, count)
         config = Config(settings, (), {}, "", lease_ms=LEASE_MS, members_ms=100.0)
-        self.table = RequestTable(Controller(settings, number), fleet.now_ms, self.reactor)
-        self.own = DirectRequests(self.table, self, f"life{number}", ())
+        self.table = RequestTable(Controller(settings, number), cluster.now_ms, self.reactor)
+        self.direct_requests = DirectRequests(self.table, self, f"life{number}", ())
         self.replication = ReplicationService(
             self.reactor,
-            fleet.now_ms,
-            lambda receiver, data: fleet.send(number, receiver, data),
-            get_logger().bind() if fleet.is_logging else Silent(),
+            cluster.now_ms,
+            lambda receiver, data: cluster.send(number, receiver, data),
+            get_logger().bind() if cluster.is_logging else NullLog(),
             config,
             1,
             self.membership,
         )
-        self.replication.attach(self.table, self.own, DelegatedRequests(self.table, self.reactor, f"life{number}"))
+        self.replication.attach(
+            self.table, self.direct_requests, DelegatedRequests(self.table, self.reactor, f"life{number}")
+        )
         self.table.update_endpoints(ENDPOINTS)
 
     def request(self, endpoint, data, timeout_s, on_end, head_only=False, may_start=lambda: True):
         """Send a request to an endpoint, as the connection pool does."""
-        return Exchange(self.fleet, self, data, timeout_s, on_end, may_start)
+        return Exchange(self.cluster, self, data, timeout_s, on_end, may_start)
 
-    def believe(self, *rows):
+    def update_view(self, *rows):
         changes = [MemberChange(row, self.membership.rows.get(row.number)) for row in rows]
         self.membership.rows.update((row.number, row) for row in rows)
         self.replication.on_member_changes(changes)
 
 
-class Silent:
-    """A log that nobody reads."""
+class NullLog:
+    """Log that discards all events."""
 
     def info(self, event, **fields):
-        """Nothing."""
+        """Discard an event."""
 
 
-class Ask:
-    """A client's request at one instance, and its ends there."""
+class ClientRequest:
+    """Request of a client at one instance, with its outcomes there."""
 
     def __init__(self, number, at_s):
-        self.number, self.at_s, self.deadline_s, self.ends = number, at_s, at_s + DEADLINE_S, []
-        self.is_lost = False  # its instance was killed before it had an end
+        self.number, self.at_s, self.deadline_s, self.outcomes = number, at_s, at_s + DEADLINE_S, []
+        self.is_lost = False  # whether its instance was killed before the outcome
 
 
 class Client:
-    """One request, with one identity wherever it is asked, until it has an end that is no rejection."""
+    """Client that sends one request, with the same identity at each instance, until its outcome is no rejection."""
 
-    def __init__(self, fleet, key, kind, choose):
-        """`choose(asked)`: when to ask next, from now, and where; None for not again."""
-        self.fleet, self.key, self.kind, self.choose = fleet, key, kind, choose
-        self.asks, self.ended_s = [], None
+    def __init__(self, cluster, key, kind, choose_retry):
+        """Initialize; `choose_retry(client)` returns the delay and the instance of the next retry, or None."""
+        self.cluster, self.key, self.kind, self.choose_retry = cluster, key, kind, choose_retry
+        self.requests, self.ended_s = [], None
 
-    def ask(self, number):
-        fleet = self.fleet
-        if number not in fleet.members:
-            self._come_back()
+    def send(self, number):
+        cluster = self.cluster
+        if number not in cluster.members:
+            self._retry()
             return
-        ask = Ask(number, fleet.clock.seconds())
-        self.asks.append(ask)
-        fleet.note(f"{self.key} asks {number}")
-        job = DirectRequest("POST", f"/{self.kind}", {"x-idempotency-key": self.key}, b"")
-        deadline_ms = fleet.now_ms() + DEADLINE_S * 1000
+        request = ClientRequest(number, cluster.clock.seconds())
+        self.requests.append(request)
+        cluster.log(f"{self.key} is sent to {number}")
+        direct_request = DirectRequest("POST", f"/{self.kind}", {"x-idempotency-key": self.key}, b"")
+        deadline_ms = cluster.now_ms() + DEADLINE_S * 1000
         terms = RequestTerms("customer", self.kind, "wide", deadline_ms)
-        fleet.members[number].own.accept(job, lambda answer: self._on_end(ask, answer), terms)
-
-    def _on_end(self, ask, answer):
-        fleet = self.fleet
-        end = "rejected" if answer.is_rejected else "served" if answer.message is not None else "failed"
-        fleet.note(f"{self.key} is {end} at {ask.number} {answer.reason}")
-        ask.ends.append((fleet.clock.seconds(), end, answer.reason))
-        if self.ended_s is not None or len(ask.ends) > 1:
+        cluster.members[number].direct_requests.accept(
+            direct_request, lambda response: self._on_end(request, response), terms
+        )
+
+    def _on_end(self, request, response):
+        cluster = self.cluster
+        outcome = "rejected" if response.is_rejected else "served" if response.message is not None else "failed"
+        cluster.log(f"{self.key} is {outcome} at {request.number} {response.reason}")
+        request.outcomes.append((cluster.clock.seconds(), outcome, response.reason))
+        if self.ended_s is not None or len(request.outcomes) > 1:
             return
-        if end == "rejected":
-            self._come_back()
+        if outcome == "rejected":
+            self._retry()
         else:
-            self.ended_s = fleet.clock.seconds()
+            self.ended_s = cluster.clock.seconds()
 
     def killed(self, number):
-        for ask in self.asks:
-            if ask.number == number and not ask.ends:
-                ask.is_lost = True
-                self._come_back()
+        for request in self.requests:
+            if request.number == number and not request.outcomes:
+                request.is_lost = True
+                self._retry()
 
-    def _come_back(self):
-        chosen = self.choose(self)
+    def _retry(self):
+        chosen = self.choose_retry(self)
         if chosen is not None:
-            self.fleet.clock.callLater(chosen[0], self.ask, chosen[1])
+            self.cluster.clock.callLater(chosen[0], self.send, chosen[1])
+
 
+class SimulatedCluster:
+    """All instances of a cluster.
 
-class Fleet:
-    """All instances of a fleet. `fate(sender, receiver, messages)` returns after how long each copy of a datagram
-    arrives: none for a lost one."""
+    `delays(sender, receiver, messages)` returns the transit times of the copies of a datagram, none for a lost one.
+    """
 
-    def __init__(self, count=4, fate=None, is_logging=False):
-        self.clock, self.runs, self.clients, self.notes = Clock(), Counter(), [], []
-        self.fate = fate or (lambda sender, receiver, messages: (TRANSIT_S,))
+    def __init__(self, count=4, delays=None, is_logging=False):
+        self.clock, self.runs, self.clients, self.log_lines = Clock(), Counter(), [], []
+        self.delays = delays or (lambda sender, receiver, messages: (TRANSIT_S,))
         self.is_logging, self.killed_s, self.sent = is_logging, None, 0
         self.members = {n: Member(self, n, count) for n in range(count)}
         for number, member in self.members.items():
             rows = [row for row in member.membership.rows.values() if row.number != number]
-            member.believe(*rows)
+            member.update_view(*rows)
         self.run(1.0)
 
     def now_ms(self):
         return START_MS + self.clock.seconds() * 1000
 
-    def note(self, text):
-        self.notes.append(f"{self.clock.seconds():.4f} {text}")
+    def log(self, text):
+        self.log_lines.append(f"{self.clock.seconds():.4f} {text}")
 
     def run(self, seconds):
-        """Let time pass, from one event to the next."""
+        """Advance the clock from event to event."""
         until_s = self.clock.seconds() + seconds
         while self.clock.calls and self.clock.calls[0].getTime() <= until_s:
             self.clock.advance(max(0.0, self.clock.calls[0].getTime() - self.clock.seconds()))
@@ -267,7 +275,7 @@
 
     def send(self, sender, receiver, data):
         self.sent += 1
-        for delay_s in self.fate(sender, receiver, messages_of(data)):
+        for delay_s in self.delays(sender, receiver, messages_of(data)):
             self.clock.callLater(delay_s, self._deliver, sender, receiver, data)
 
     def _deliver(self, sender, receiver, data):
@@ -275,28 +283,28 @@
         if member is None:
             return
         stopped_s = member.reactor.stopped_until_s - self.clock.seconds()
-        if stopped_s > 0:  # it is read after the timers that are late, as the event loop does
+        if stopped_s > 0:  # read after the late timers, as in the event loop
             self.clock.callLater(stopped_s + READ_S, self._deliver, sender, receiver, data)
         else:
             member.replication.receive(sender, 1, data)
 
-    def client(self, key, kind, choose):
-        client = Client(self, key, kind, choose)
+    def client(self, key, kind, choose_retry):
+        client = Client(self, key, kind, choose_retry)
         self.clients.append(client)
         return client
 
     def kill(self, number):
-        self.note(f"{number} is killed")
+        self.log(f"{number} is killed")
         self.killed_s = self.clock.seconds()
         self.members.pop(number).reactor.is_dead = True
         for client in self.clients:
             client.killed(number)
 
-    def believe(self, number, other, status, swim_incarnation=0):
-        """Let one instance hear of the status of another."""
+    def update_view(self, number, other, status, swim_incarnation=0):
+        """Change the status of another instance in the view of one instance."""
         if number in self.members:
-            self.note(f"{number} believes {other} {status.name}")
-            self.members[number].believe(MemberRow(other, 1, swim_incarnation, status))
+            self.log(f"{number} considers {other} {status.name}")
+            self.members[number].update_view(MemberRow(other, 1, swim_incarnation, status))
 
 
 def messages_of(data):
@@ -306,80 +314,81 @@
 
 # ---- searches ------------------------------------------------------------------------------------
 
-# After these times a client that came back has an end, other than a rejection, while two voters are alive.
+# Sum of these: time within which a returned client gets an outcome other than a rejection while two voters are alive.
 DETECTION_S = LEASE_MS / 1000  # of the loss, by the membership or by the lease
-TAKEOVER_S = 0.5  # the witness, the new backup and the voters, one lost datagram of each included
-REPLY_S = 1.25  # the longest interval of queries: the reply may be lost once
-TIMER_S = 0.05  # by which an end may come after its deadline
-MAX_DATAGRAMS = 5000  # of a schedule: eight clients that ask a few times, with a few queries each second
-KILL_S = 1.0  # after the beginning
-LAST_FAULT_S = 2.0  # after the beginning, at the latest
-VICTIMS = ("queues", "is mute", "is busy", "refuses")  # how what the victim has accepted stands at the kill
+TAKEOVER_S = 0.5  # by witness, new backup and voters, including one lost datagram of each
+REPLY_S = 1.25  # longest interval between queries, as the reply may be lost once
+TIMER_S = 0.05  # tolerated delay of an outcome after its deadline
+MAX_DATAGRAMS = 5000  # of a schedule: eight clients with a few retries, and a few queries per second
+KILL_S = 1.0  # after the start
+LAST_FAULT_S = 2.0  # after the start, at the latest
+VICTIM_STATES = ("queues", "is mute", "is busy", "refuses")  # state of the victim's requests when it is killed
 
 
 class Schedule:
-    """Clients of some identities, and faults chosen by a seed. `faults` says which there may be, and how many.
+    """Clients of several identities, with faults chosen by a seed; `faults` maps each kind to its maximum number.
 
-    kill: of one instance; lose, twice: datagrams; slow: instances to which datagrams take long for a while; stop:
-    processes that are stopped for a while; refuse: instances whose connections no endpoint takes for a while; doubt:
-    wrong beliefs that somebody is dead."""
+    kill: kills one instance; lose, twice: drop or duplicate datagrams; slow: delays datagrams to an instance for a
+    while; stop: stops a process for a while; refuse: has endpoints refuse an instance's connections for a while; doubt:
+    makes an instance falsely consider another one dead.
+    """
 
     def __init__(self, seed, faults, count=4, clients=8, is_logging=False):
         self.rng = random.Random(seed)
-        self.left = {kind: self.rng.randrange(most + 1) for kind, most in faults.items()}
-        self.slow = {}  # until when, by instance
+        self.remaining_faults = {kind: self.rng.randrange(maximum + 1) for kind, maximum in faults.items()}
+        self.slow_until_s = {}  # by instance
         self.is_disturbed = False
-        self.fleet = Fleet(count, self._fate, is_logging)
-        self.begun_s = self.fleet.clock.seconds()
+        self.cluster = SimulatedCluster(count, self._delays, is_logging)
+        self.started_s = self.cluster.clock.seconds()
         self.victim = self.rng.randrange(count)
-        self._begin(count, clients)
+        self._schedule_requests(count, clients)
         self._plan_faults(count, "kill" in faults)
 
-    def _fate(self, sender, receiver, messages):
+    def _delays(self, sender, receiver, messages):
         rng = self.rng
         transit_s = TRANSIT_S * rng.uniform(0.2, 4)
         if not self.is_disturbed:
             return (transit_s,)
-        if self.fleet.clock.seconds() < self.slow.get(receiver, 0.0):
+        if self.cluster.clock.seconds() < self.slow_until_s.get(receiver, 0.0):
             transit_s += rng.uniform(0.0, 0.08)
-        if self.left.get("lose") and rng.random() < 0.1:
-            self.left["lose"] -= 1
-            self.fleet.note(f"lost {sender} to {receiver}: {messages}")
+        if self.remaining_faults.get("lose") and rng.random() < 0.1:
+            self.remaining_faults["lose"] -= 1
+            self.cluster.log(f"lost from {sender} to {receiver}: {messages}")
             return ()
-        if self.left.get("twice") and rng.random() < 0.1:
-            self.left["twice"] -= 1
+        if self.remaining_faults.get("twice") and rng.random() < 0.1:
+            self.remaining_faults["twice"] -= 1
             return transit_s, transit_s + rng.uniform(0.0, 0.3)
         return (transit_s,)
 
     def _at(self, seconds, call, *arguments):
-        """Call something so long after the beginning."""
-        self.fleet.clock.callLater(self.begun_s + seconds - self.fleet.clock.seconds(), call, *arguments)
-
-    def _begin(self, count, clients):
-        """Let clients ask, most of them the instance that is killed later."""
-        fleet, rng = self.fleet, self.rng
-        state = rng.choice(VICTIMS)
-        victim = fleet.members[self.victim]
+        """Schedule a call, relative to the start."""
+        self.cluster.clock.callLater(self.started_s + seconds - self.cluster.clock.seconds(), call, *arguments)
+
+    def _schedule_requests(self, count, clients):
+        """Schedule the requests of all clients, most of them at the instance that is killed later."""
+        cluster, rng = self.cluster, self.rng
+        state = rng.choice(VICTIM_STATES)
+        victim = cluster.members[self.victim]
         if state == "queues":
             victim.table.update_endpoints(NO_ENDPOINTS)
         victim.is_mute, victim.is_refused = state == "is mute", state == "refuses"
         since_s = KILL_S - 0.03 if state == "is busy" else 0.0
         for number in range(clients):
-            client = fleet.client(f"k{number}", rng.choice(("pay", "order")), self._choose)
-            where = self.victim if rng.random() < 0.8 else rng.randrange(count)
-            self._at(rng.uniform(since_s, KILL_S + 0.02), client.ask, where)
-            if state == "queues" and rng.random() < 0.3:  # it asks another instance before it has its end
-                self._at(rng.uniform(0.0, KILL_S - 0.2), self._ask_again, client)
-
-    def _ask_again(self, client):
-        if client.ended_s is None and client.asks:
-            client.ask(self.rng.choice(sorted(self.fleet.members)))
-
-    def _choose(self, client):
-        """Return after how long and where a client comes back."""
-        if client.ended_s is not None or self.fleet.clock.seconds() > self.begun_s + DEADLINE_S:
+            client = cluster.client(f"k{number}", rng.choice(("pay", "order")), self._choose_retry)
+            instance = self.victim if rng.random() < 0.8 else rng.randrange(count)
+            self._at(rng.uniform(since_s, KILL_S + 0.02), client.send, instance)
+            if state == "queues" and rng.random() < 0.3:  # a duplicate at another instance before the outcome
+                self._at(rng.uniform(0.0, KILL_S - 0.2), self._send_duplicate, client)
+
+    def _send_duplicate(self, client):
+        if client.ended_s is None and client.requests:
+            client.send(self.rng.choice(sorted(self.cluster.members)))
+
+    def _choose_retry(self, client):
+        """Return the delay and the instance of a client's retry."""
+        if client.ended_s is not None or self.cluster.clock.seconds() > self.started_s + DEADLINE_S:
             return None
-        return self.rng.uniform(0.02, 1.0), self.rng.choice(sorted(self.fleet.members))
+        return self.rng.uniform(0.02, 1.0), self.rng.choice(sorted(self.cluster.members))
 
     # ---- faults ----------------------------------------------------------------------------------
 
@@ -388,97 +397,103 @@
         self._at(KILL_S - rng.uniform(0.0, 0.5), self._disturb)
         self._at(KILL_S, self._kill if has_kill else self._serve, self.victim)
         for kind in ("slow", "stop", "refuse"):
-            for _ in range(self.left.get(kind, 0)):
-                lasts_s = rng.uniform(0.05, 0.5)
+            for _ in range(self.remaining_faults.get(kind, 0)):
+                duration_s = rng.uniform(0.05, 0.5)
                 at_s = rng.uniform(KILL_S - 0.5, LAST_FAULT_S - 0.5)
-                self._at(at_s, getattr(self, f"_{kind}"), rng.randrange(count), lasts_s)
-        for _ in range(self.left.get("doubt", 0)):
+                self._at(at_s, getattr(self, f"_{kind}"), rng.randrange(count), duration_s)
+        for _ in range(self.remaining_faults.get("doubt", 0)):
             self._at(rng.uniform(0.5, LAST_FAULT_S - 0.5), self._doubt, *rng.sample(range(count), 2))
 
     def _disturb(self):
         self.is_disturbed = True
 
     def _serve(self, number):
-        member = self.fleet.members[number]
+        member = self.cluster.members[number]
         member.is_mute = member.is_refused = False
         member.table.update_endpoints(ENDPOINTS)
 
     def _slow(self, number, seconds):
-        self.slow[number] = self.fleet.clock.seconds() + seconds
+        self.slow_until_s[number] = self.cluster.clock.seconds() + seconds
 
     def _stop(self, number, seconds):
-        if number in self.fleet.members:
-            self.fleet.note(f"{number} is stopped for {seconds:.3f} s")
-            self.fleet.members[number].reactor.stopped_until_s = self.fleet.clock.seconds() + seconds
+        if number in self.cluster.members:
+            self.cluster.log(f"{number} is stopped for {seconds:.3f} s")
+            self.cluster.members[number].reactor.stopped_until_s = self.cluster.clock.seconds() + seconds
 
     def _refuse(self, number, seconds):
-        if number in self.fleet.members and number != self.victim:
-            self.fleet.note(f"{number} reaches no endpoint for {seconds:.3f} s")
-            self.fleet.members[number].is_refused = True
-            self.fleet.clock.callLater(seconds, self._reach, number)
+        if number in self.cluster.members and number != self.victim:
+            self.cluster.log(f"{number} reaches no endpoint for {seconds:.3f} s")
+            self.cluster.members[number].is_refused = True
+            self.cluster.clock.callLater(seconds, self._accept_again, number)
 
-    def _reach(self, number):
-        self.fleet.members[number].is_refused = False
+    def _accept_again(self, number):
+        self.cluster.members[number].is_refused = False
 
     def _kill(self, victim):
-        fleet = self.fleet
-        fleet.kill(victim)
-        for number in fleet.members:
+        cluster = self.cluster
+        cluster.kill(victim)
+        for number in cluster.members:
             at_s = self.rng.uniform(0.05, DETECTION_S)
-            fleet.clock.callLater(at_s, fleet.believe, number, victim, MemberStatus.DEAD, 9)
+            cluster.clock.callLater(at_s, cluster.update_view, number, victim, MemberStatus.DEAD, 9)
 
     def _doubt(self, one, other):
-        fleet = self.fleet
-        if other not in fleet.members or one not in fleet.members:
+        cluster = self.cluster
+        if other not in cluster.members or one not in cluster.members:
             return
-        fleet.believe(one, other, MemberStatus.DEAD, 1)
-        fleet.clock.callLater(self.rng.uniform(0.01, 0.5), self._trust, one, other)
+        cluster.update_view(one, other, MemberStatus.DEAD, 1)
+        cluster.clock.callLater(self.rng.uniform(0.01, 0.5), self._trust, one, other)
 
     def _trust(self, one, other):
-        if other in self.fleet.members:
-            self.fleet.believe(one, other, MemberStatus.ALIVE, 2)
+        if other in self.cluster.members:
+            self.cluster.update_view(one, other, MemberStatus.ALIVE, 2)
 
-    # ---- judgement -------------------------------------------------------------------------------
+    # ---- checks ----------------------------------------------------------------------------------
 
     def play(self):
-        """Let it run to its end, and return what went wrong."""
-        self.fleet.run(LAST_FAULT_S)
+        """Run the schedule to its end, and return the problems found."""
+        self.cluster.run(LAST_FAULT_S)
         self.is_disturbed = False
-        while self.fleet.clock.seconds() < self.begun_s + 2 * DEADLINE_S + 2.0:
-            self.fleet.run(0.5)
-            if all(self._is_over(client) for client in self.fleet.clients):
+        while self.cluster.clock.seconds() < self.started_s + 2 * DEADLINE_S + 2.0:
+            self.cluster.run(0.5)
+            if all(self._is_over(client) for client in self.cluster.clients):
                 break
-            if self.fleet.sent > MAX_DATAGRAMS:
-                return [f"{self.fleet.sent} datagrams within {self.fleet.clock.seconds():.1f} s"]
-        return [problem for client in self.fleet.clients for problem in self._problems(client)]
+            if self.cluster.sent > MAX_DATAGRAMS:
+                return [f"{self.cluster.sent} datagrams within {self.cluster.clock.seconds():.1f} s"]
+        return [problem for client in self.cluster.clients for problem in self._problems(client)]
 
     def _is_over(self, client):
-        return client.ended_s is not None and all(ask.ends or ask.is_lost for ask in client.asks)
+        return client.ended_s is not None and all(request.outcomes or request.is_lost for request in client.requests)
 
     def _problems(self, client):
-        runs = self.fleet.runs[client.key]
+        runs = self.cluster.runs[client.key]
         if client.kind == "pay" and runs > 1:
-            yield f"{client.key} ran {runs} times"
-        for ask in client.asks:
-            if ask.is_lost:
+            yield f"{client.key} was executed {runs} times"
+        for request in client.requests:
+            if request.is_lost:
                 continue
-            if len(ask.ends) != 1:
-                yield f"{client.key} has {len(ask.ends)} ends at {ask.number}, asked at {ask.at_s:.3f}: {ask.ends}"
-            elif ask.ends[0][0] > ask.deadline_s + TIMER_S:
-                yield f"{client.key} has its end at {ask.number} after its deadline: {ask.ends}"
+            if len(request.outcomes) != 1:
+                yield (
+                    f"{client.key} has {len(request.outcomes)} outcomes at {request.number}, "
+                    f"sent at {request.at_s:.3f}: {request.outcomes}"
+                )
+            elif request.outcomes[0][0] > request.deadline_s + TIMER_S:
+                yield f"{client.key} has an outcome at {request.number} after its deadline: {request.outcomes}"
         yield from self._late(client)
 
     def _late(self, client):
-        """A client that lost its instance, and has no end in time after it came back and the last fault was over."""
-        killed_s = self.fleet.killed_s
-        if killed_s is None or not any(ask.is_lost for ask in client.asks):
+        """Yield a problem if a killed instance's client gets no outcome in time after its retry and the last fault."""
+        killed_s = self.cluster.killed_s
+        if killed_s is None or not any(request.is_lost for request in client.requests):
             return
-        returned_s = next((ask.at_s for ask in client.asks if ask.at_s > killed_s), None)
+        returned_s = next((request.at_s for request in client.requests if request.at_s > killed_s), None)
         if returned_s is None:
             return
-        faults_end_s = self.begun_s + LAST_FAULT_S if self.left.keys() - {"kill"} else 0.0
-        due_s = max(returned_s, killed_s + DETECTION_S, faults_end_s) + TAKEOVER_S + REPLY_S
-        if client.ended_s is None or client.ended_s > due_s:
+        faults_end_s = self.started_s + LAST_FAULT_S if self.remaining_faults.keys() - {"kill"} else 0.0
+        limit_s = max(returned_s, killed_s + DETECTION_S, faults_end_s) + TAKEOVER_S + REPLY_S
+        if client.ended_s is None or client.ended_s > limit_s:
             took_s = (client.ended_s or float("inf")) - killed_s
-            back_s = returned_s - killed_s
-            yield f"{client.key} ({client.kind}), back {back_s:.3f} s after the kill, ended at {took_s:.3f} s"
+            returned_after_s = returned_s - killed_s
+            yield (
+                f"{client.key} ({client.kind}), returned {returned_after_s:.3f} s after the kill, "
+                f"ended after {took_s:.3f} s"
+            )
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -1,10 +1,10 @@
-"""Random schedules of a few real instances and their clients: each request has one end, in time, and runs once."""
+"""Random schedules of a few real instances and clients: each request has one outcome, in time, and is executed once."""
 
 import pytest
 from replication_fleet import Schedule
 
 SEEDS = range(40)
-FOUND = {  # by wider runs
+FOUND = {  # seeds of failures found by wider runs
     "a kill": (121, 148, 165, 334, 382),
     "a kill, stopped processes": (50, 98, 151, 152, 163),
     "a kill, endpoints out of reach": (83,),
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("name", FAULTS)
 def test_each_request_has_one_end_in_time_and_runs_once(name):
-    # Guards against locks that nobody releases and outcomes that nobody tells: clients waited until their deadlines.
+    # Guards against unreleased locks and unsent outcomes, because of which clients waited until their deadlines.
     problems = {
         seed: Schedule(seed, FAULTS[name], 4 + 2 * (seed % 2)).play() for seed in (*SEEDS, *FOUND.get(name, ()))
     }
