--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -234,6 +234,49 @@
     "test_a_file_is_read_in_pieces_as_it_is_read_whole": "test_decoding_in_chunks_equals_decoding_at_once",
     "test_lines_are_capped_over_all_files": "test_line_limit_counts_all_files",
     # Membership, replication and locks.
+    "test_a_request_that_another_gateway_had": "test_a_request_with_prior_attempts_of_another_instance",
+    "test_units_that_were_drawn_are_not_drawn_again": "test_quota_units_of_a_taken_over_request_are_not_drawn_again",
+    "test_an_attempt_leaves_when_the_guard_says_so_and_in_what_time_is_left": (
+        "test_an_attempt_starts_when_the_guard_releases_it_with_the_remaining_time"
+    ),
+    "test_an_attempt_whose_worker_drains_meanwhile_is_decided_anew": (
+        "test_an_attempt_whose_endpoint_drains_meanwhile_is_decided_again"
+    ),
+    "test_a_lost_request_is_failed_and_nothing_leaves_for_it": (
+        "test_a_lost_request_fails_and_none_of_its_attempts_starts"
+    ),
+    "test_a_lost_request_passes_on_what_its_own_attempt_brings_and_asks_for_no_other": (
+        "test_a_lost_request_delivers_the_response_of_its_own_attempt_and_starts_no_other"
+    ),
+    "test_a_refusal_waits_for_the_guard_and_is_failed_where_no_word_comes_in_time": (
+        "test_a_rejection_awaits_the_guard_and_fails_at_the_deadline"
+    ),
+    "test_a_guard_that_wants_protection_has_nothing_counted": (
+        "test_a_request_that_the_guard_cannot_protect_is_rejected"
+    ),
+    "test_a_record_of_another_version_or_class_is_no_record": (
+        "test_a_record_of_another_version_or_unknown_class_is_not_decoded"
+    ),
+    "test_all_tries_of_one_name_get_the_one_answer_before_and_after_it_came": (
+        "test_all_retries_of_one_identity_get_the_same_response"
+    ),
+    "test_a_try_whose_time_is_up_or_whose_way_is_free_waits_no_longer": (
+        "test_a_retry_stops_waiting_at_its_deadline_or_when_the_other_request_ended"
+    ),
+    "test_answers_are_let_go_when_their_time_is_over": "test_stored_responses_are_evicted_when_they_expire",
+    "test_killed_after_the_worker_ran_and_before_its_client_has_the_answer": (
+        "test_killed_after_the_execution_and_before_the_client_has_the_response"
+    ),
+    "test_killed_after_the_keepers_word_and_before_the_attempt_leaves": (
+        "test_killed_after_the_acknowledgement_and_before_the_attempt_starts"
+    ),
+    "test_killed_before_its_keeper_was_told_anything_it_runs_for_its_client_alone": (
+        "test_killed_before_replication_the_request_is_executed_for_the_clients_retry_only"
+    ),
+    "test_a_keeper_on_a_quarter_of_a_core_costs_no_request": "test_a_backup_on_a_quarter_of_a_core_costs_no_request",
+    "test_keepers_whose_datagrams_come_in_bursts_cost_no_request": (
+        "test_backups_whose_datagrams_arrive_in_bursts_cost_no_request"
+    ),
     "test_every_order_of_two_of_one_name_at_two_of_three": (
         "test_every_order_of_two_requests_of_one_identity_at_two_of_three_instances"
     ),
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -1,4 +1,4 @@
-"""What a request that another gatekeeper had means to the module, and what the ledger's guard holds back; in memory."""
+"""Requests taken over from another instance, attempts and rejections withheld by the guard, and deduplication."""
 
 import json
 from dataclasses import replace
@@ -18,59 +18,59 @@
 FIRST = ENDPOINT_LIST.endpoints[0].id
 
 
-class Guard:
-    """Says nothing until it is told to."""
+class WithholdingGuard:
+    """Guard that withholds all attempts and rejections, and records the calls."""
 
     def __init__(self):
-        self.asked, self.refusals, self.never, self.ended = [], [], [], []
+        self.attempts, self.rejections, self.never_executed, self.completed = [], [], [], []
 
     def try_protect(self, entry):
         return True
 
     def may_release_attempt(self, request, attempt, worker):
-        self.asked.append((request, attempt, worker))
+        self.attempts.append((request, attempt, worker))
         return False
 
     def may_release_rejection(self, request):
-        self.refusals.append(request)
+        self.rejections.append(request)
         return False
 
     def attempt_never_executed(self, request, attempt):
-        self.never.append((request, attempt))
+        self.never_executed.append((request, attempt))
 
     def try_follow_owner(self, request):
         return False
 
     def request_completed(self, request):
-        self.ended.append(request)
+        self.completed.append(request)
 
 
-def guarded():
-    desk, guard = Desk(), Guard()
+def guarded_desk():
+    desk, guard = Desk(), WithholdingGuard()
     desk.request_table.guard = guard
     return desk, guard
 
 
-# ---- the module -----------------------------------------------------------------------------------
+# ---- controller -----------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    "name, past, kind",
+    "name, prior_attempts, kind",
     [
-        ("debit", PriorAttempts(1, 1, FIRST, 900.0, True), Fail),  # it may have run
-        ("debit", PriorAttempts(1, 0, FIRST, 900.0, True), StartAttempt),  # it is proved that it never ran
+        ("debit", PriorAttempts(1, 1, FIRST, 900.0, True), Fail),  # may have executed
+        ("debit", PriorAttempts(1, 0, FIRST, 900.0, True), StartAttempt),  # proven never to have executed
         ("debit", PriorAttempts(), StartAttempt),
         ("look", PriorAttempts(1, 1, FIRST, 900.0, True), StartAttempt),
         ("look", PriorAttempts(99, 1, FIRST, 900.0, True), Reject),
     ],
 )
-def test_a_request_that_another_gateway_had(name, past, kind):
-    actions = new_controller().handle(1000.0, [ENDPOINT_LIST, replace(new_arrival(1, name), prior_attempts=past)])
+def test_a_request_with_prior_attempts_of_another_instance(name, prior_attempts, kind):
+    actions = new_controller().handle(1000.0, [ENDPOINT_LIST, replace(new_arrival(1, name), prior_attempts=prior_attempts)])
     assert actions_of(kind, actions), actions
-    assert all(send.endpoint != past.endpoint for send in actions_of(StartAttempt, actions))
+    assert all(send.endpoint != prior_attempts.endpoint for send in actions_of(StartAttempt, actions))
 
 
-def test_units_that_were_drawn_are_not_drawn_again():
+def test_quota_units_of_a_taken_over_request_are_not_drawn_again():
     asked = actions_of(
         SendToPeer,
         new_controller(gateways=3, number=0, peer_messages_enabled=True).handle(
@@ -86,38 +86,42 @@
     assert asked == []
 
 
-# ---- the ledger -----------------------------------------------------------------------------------
+# ---- request table --------------------------------------------------------------------------------
 
 
-def test_an_attempt_leaves_when_the_guard_says_so_and_in_what_time_is_left():
-    desk, guard = guarded()
+def test_an_attempt_starts_when_the_guard_releases_it_with_the_remaining_time():
+    desk, guard = guarded_desk()
     number = desk.ask(kind="unsafe")
     desk.run(0.1)
-    assert desk.told == [] and guard.asked[0][:2] == (number, 0)
+    assert desk.told == [] and guard.attempts[0][:2] == (number, 0)
     desk.request_table.release_attempt(number, 0)
     assert desk.told[0].verdict is Verdict.START_ATTEMPT and desk.told[0].timeout_ms < 1900
-    desk.request_table.release_attempt(number, 0)  # said twice
+    desk.request_table.release_attempt(number, 0)  # duplicate call
     desk.log(desk.told[0].attempt_name, AttemptResult.OK)
-    assert desk.empty() and guard.ended == [number] and len(desk.told) == 1
+    assert desk.empty() and guard.completed == [number] and len(desk.told) == 1
 
 
-def test_an_attempt_whose_worker_drains_meanwhile_is_decided_anew():
-    desk, guard = guarded()
+def test_an_attempt_whose_endpoint_drains_meanwhile_is_decided_again():
+    desk, guard = guarded_desk()
     number = desk.ask(kind="unsafe")
-    gone = guard.asked[0][2]
+    draining = guard.attempts[0][2]
     desk.request_table.update_endpoints(
         EndpointList(
-            tuple(replace(each, status=EndpointStatus.DRAINING) if each.id == gone else each for each in SERVERS)
+            tuple(replace(each, status=EndpointStatus.DRAINING) if each.id == draining else each for each in SERVERS)
         )
     )
     desk.run(0.005)
     desk.request_table.release_attempt(number, 0)
     desk.run(0.005)
-    assert guard.never == [(number, 0)] and guard.asked[1][1:] != (0, gone) and guard.asked[1][2] != gone
+    assert (
+        guard.never_executed == [(number, 0)]
+        and guard.attempts[1][1:] != (0, draining)
+        and guard.attempts[1][2] != draining
+    )
 
 
-def test_a_lost_request_is_failed_and_nothing_leaves_for_it():
-    desk, guard = guarded()
+def test_a_lost_request_fails_and_none_of_its_attempts_starts():
+    desk, guard = guarded_desk()
     number = desk.ask(kind="unsafe")
     desk.request_table.transfer_to_backup(number)
     desk.request_table.release_attempt(number, 0)
@@ -126,8 +130,8 @@
     assert desk.request_table.counts["lost"] == 1
 
 
-def test_a_lost_request_passes_on_what_its_own_attempt_brings_and_asks_for_no_other():
-    desk, guard = guarded()
+def test_a_lost_request_delivers_the_response_of_its_own_attempt_and_starts_no_other():
+    desk, guard = guarded_desk()
     number = desk.ask(kind="unsafe")
     desk.request_table.release_attempt(number, 0)
     desk.request_table.transfer_to_backup(number)
@@ -142,29 +146,32 @@
     desk.request_table.transfer_to_backup(other)
     desk.log(desk.told[1].attempt_name, AttemptResult.CONNECT_FAILED)
     desk.again(desk.told[1].attempt_name)
-    assert desk.told[-1].verdict is Verdict.FAILED and len(guard.asked) == 2
+    assert desk.told[-1].verdict is Verdict.FAILED and len(guard.attempts) == 2
 
 
-def test_a_refusal_waits_for_the_guard_and_is_failed_where_no_word_comes_in_time():
-    desk, guard = guarded()
+def test_a_rejection_awaits_the_guard_and_fails_at_the_deadline():
+    desk, guard = guarded_desk()
     desk.request_table.update_endpoints(EndpointList(()))
     number, other = desk.ask("r1", "unsafe", 600.0), desk.ask("r2", "unsafe", 600.0)
     desk.run(0.55)
-    assert guard.refusals and desk.told == []
+    assert guard.rejections and desk.told == []
     desk.request_table.release_rejection(number)
     assert [answer.verdict for answer in desk.told] == [Verdict.REJECTED]
     desk.run(0.1)
-    assert [answer.verdict for answer in desk.told] == [Verdict.REJECTED, Verdict.FAILED]  # no promise without a word
-    assert desk.empty() and other in guard.ended
+    assert [answer.verdict for answer in desk.told] == [
+        Verdict.REJECTED,
+        Verdict.FAILED,
+    ]  # no rejection without the guard's consent
+    assert desk.empty() and other in guard.completed
 
 
-def test_a_guard_that_wants_protection_has_nothing_counted():
-    desk, guard = guarded()
+def test_a_request_that_the_guard_cannot_protect_is_rejected():
+    desk, guard = guarded_desk()
     guard.try_protect = lambda entry: False
     assert desk.ask(kind="unsafe") is None and desk.told[0].verdict is Verdict.REJECTED and desk.empty()
 
 
-def test_a_record_of_another_version_or_class_is_no_record():
+def test_a_record_of_another_version_or_unknown_class_is_not_decoded():
     good = [1, "own", "", "c", "pay", "p", 1.0, 0, 1, {}]
     assert decode_record(json.dumps(good).encode(), {"pay": None}) == RequestRecord(*good[1:])
     for bad in (b"", b"[]", b"3", b"{}", b"\xff", json.dumps([2, *good[1:]]).encode(), json.dumps(good[:-1]).encode()):
@@ -172,54 +179,54 @@
     assert decode_record(json.dumps(good).encode(), {"order": None}) is None
 
 
-# ---- clients that come back --------------------------------------------------------------------------
+# ---- retries of clients ---------------------------------------------------------------------------
 
 
-def returning():
+def make_deduplicator():
     clock = Clock()
     return clock, Deduplicator(lambda: clock.seconds() * 1000, clock), []
 
 
-def test_all_tries_of_one_name_get_the_one_answer_before_and_after_it_came():
-    _, desk, told = returning()
-    desk.wait_for_outcome(b"n", b"m", 5000.0, told.append, lambda: told.append("alone"))
-    assert desk.add(b"n", b"m", 5000.0) and not desk.add(b"n", b"m", 5000.0)
-    assert desk.try_join(b"n", b"m", told.append) and desk.try_join(b"n", b"x", told.append)
-    assert [answer.reason for answer in told] == ["another-request-under-this-name"]
-    answer = FinalResponse(reason="failed")
-    desk.record_response(b"n", answer)
-    desk.record_response(b"n", FinalResponse(is_rejected=True))
-    assert desk.try_join(b"n", b"m", told.append) and told[1:] == [answer] * 3
+def test_all_retries_of_one_identity_get_the_same_response():
+    _, deduplicator, outcomes = make_deduplicator()
+    deduplicator.wait_for_outcome(b"n", b"m", 5000.0, outcomes.append, lambda: outcomes.append("execute"))
+    assert deduplicator.add(b"n", b"m", 5000.0) and not deduplicator.add(b"n", b"m", 5000.0)
+    assert deduplicator.try_join(b"n", b"m", outcomes.append) and deduplicator.try_join(b"n", b"x", outcomes.append)
+    assert [response.reason for response in outcomes] == ["another-request-under-this-name"]
+    response = FinalResponse(reason="failed")
+    deduplicator.record_response(b"n", response)
+    deduplicator.record_response(b"n", FinalResponse(is_rejected=True))
+    assert deduplicator.try_join(b"n", b"m", outcomes.append) and outcomes[1:] == [response] * 3
 
 
-def test_a_try_whose_time_is_up_or_whose_way_is_free_waits_no_longer():
-    clock, desk, told = returning()
-    desk.wait_for_outcome(b"n", b"m", 1000.0, told.append, lambda: told.append("alone"))
-    desk.wait_for_outcome(b"o", b"m", 9000.0, told.append, lambda: told.append("alone"))
+def test_a_retry_stops_waiting_at_its_deadline_or_when_the_other_request_ended():
+    clock, deduplicator, outcomes = make_deduplicator()
+    deduplicator.wait_for_outcome(b"n", b"m", 1000.0, outcomes.append, lambda: outcomes.append("execute"))
+    deduplicator.wait_for_outcome(b"o", b"m", 9000.0, outcomes.append, lambda: outcomes.append("execute"))
     clock.advance(1.1)
-    assert [answer.reason for answer in told] == ["in-progress"]
-    desk.ended_elsewhere(b"o", False)
-    desk.ended_elsewhere(b"n", False)
-    desk.wait_for_outcome(b"o", b"m", 9000.0, told.append, lambda: told.append("alone"))
-    desk.ended_elsewhere(b"o", True)
-    assert told[1] == "alone" and told[2].reason == "ended-elsewhere" and len(told) == 3
-
-
-def test_a_try_whose_time_is_up_while_another_of_its_name_is_in_progress_fails():
-    # Guards against a second effect: "refused, safe to retry" was said of a request that was then executed.
-    clock, desk, told = returning()
-    desk.wait_for_outcome(b"n", b"m", 1000.0, told.append, lambda: told.append("alone"))
+    assert [response.reason for response in outcomes] == ["in-progress"]
+    deduplicator.ended_elsewhere(b"o", False)
+    deduplicator.ended_elsewhere(b"n", False)
+    deduplicator.wait_for_outcome(b"o", b"m", 9000.0, outcomes.append, lambda: outcomes.append("execute"))
+    deduplicator.ended_elsewhere(b"o", True)
+    assert outcomes[1] == "execute" and outcomes[2].reason == "ended-elsewhere" and len(outcomes) == 3
+
+
+def test_a_retry_whose_deadline_passes_while_the_other_request_is_in_progress_fails():
+    # Guards against a second effect: a request was rejected as safe to retry, and executed afterwards.
+    clock, deduplicator, outcomes = make_deduplicator()
+    deduplicator.wait_for_outcome(b"n", b"m", 1000.0, outcomes.append, lambda: outcomes.append("execute"))
     clock.advance(1.1)
-    assert told == [FinalResponse(reason="in-progress")] and not told[0].is_rejected
-    desk.responded_elsewhere(b"n", FinalResponse(reason="failed"))  # the other's outcome comes after that
-    assert len(told) == 1
+    assert outcomes == [FinalResponse(reason="in-progress")] and not outcomes[0].is_rejected
+    deduplicator.responded_elsewhere(b"n", FinalResponse(reason="failed"))  # the other request's outcome arrives later
+    assert len(outcomes) == 1
 
 
-def test_answers_are_let_go_when_their_time_is_over():
-    clock, desk, _ = returning()
+def test_stored_responses_are_evicted_when_they_expire():
+    clock, deduplicator, _ = make_deduplicator()
     for number in range(5):
-        desk.add(b"%d" % number, b"m", 1000.0)
-        desk.record_response(b"%d" % number, FinalResponse())
+        deduplicator.add(b"%d" % number, b"m", 1000.0)
+        deduplicator.record_response(b"%d" % number, FinalResponse())
     clock.advance(60.0)
-    desk.add(b"last", b"m", 70_000.0)
-    assert len(desk) == 1
+    deduplicator.add(b"last", b"m", 70_000.0)
+    assert len(deduplicator) == 1
--- a/tests/test_kill_points.py
+++ b/tests/test_kill_points.py
@@ -1,4 +1,4 @@
-"""A gatekeeper that dies between two named lines with work in hand, and keepers that are starved, by processes."""
+"""Instances killed at given calls with requests in flight, and backups short of CPU time, as processes."""
 
 import signal
 import threading
@@ -8,8 +8,8 @@
 from hands import Hands, until
 from test_path import Running
 
-# The origin kills itself when it is about to call this.
-DIES = """
+# The instance kills itself when this method is about to be called.
+KILL_AT_CALL = """
 import os, signal, sys
 from anisefront.{module} import {owner}
 inner = {owner}.{name}
@@ -28,10 +28,10 @@
     made.close()
 
 
-def dying(hands, module, owner, name):
-    """Gatekeeper 0 anew, as one that dies at this line."""
+def restart_to_die(hands, module, owner, name):
+    """Restart instance 0 so that it kills itself at a call of this method."""
     hands.fleet.kill(0)
-    hands.fleet.up[0] = Running(hands.fleet.files[0], "-c", DIES.format(module=module, owner=owner, name=name))
+    hands.fleet.up[0] = Running(hands.fleet.files[0], "-c", KILL_AT_CALL.format(module=module, owner=owner, name=name))
     hands.fleet.until(lambda seen: seen.get("alive") == 4)
     hands.open()
     until(lambda: hands.fleet.up[0].state()["servers"].get("ready") == 3)
@@ -45,23 +45,23 @@
         ("upstream.direct_requests", "DirectRequests", "deliver_response"),
     ],
 )
-def test_killed_after_the_worker_ran_and_before_its_client_has_the_answer(hands, line, path, final):
-    """As the answer is read, and after it was read and told the module: in both the client has nothing."""
-    dying(hands, *line)
+def test_killed_after_the_execution_and_before_the_client_has_the_response(hands, line, path, final):
+    """While the response is read, or after the controller has got it; in neither case has the client a response."""
+    restart_to_die(hands, *line)
     first = hands.call(0, path, "a")
     assert first.final() == "gone"
     hands.fleet.up.pop(0).process.wait()
     assert hands.workers.runs[path, "a"] == 1
-    ends = [hands.call(number, path, "a").final() for number in hands.fleet.up]
-    assert set(ends) == {final}, ends
+    outcomes = [hands.call(number, path, "a").final() for number in hands.fleet.up]
+    assert set(outcomes) == {final}, outcomes
     assert hands.workers.runs[path, "a"] == 1 or path == "/look"
     assert path != "/pay" or hands.workers.came[path, "a"] == 1
 
 
 @pytest.mark.parametrize(("path", "final"), [("/pay", "failed"), ("/order", "served")])
-def test_killed_after_the_keepers_word_and_before_the_attempt_leaves(hands, path, final):
-    """The keeper knows of an attempt that never left: an unsafe one is failed, the side to err on."""
-    dying(hands, "gateway.request_table", "RequestTable", "release_attempt")
+def test_killed_after_the_acknowledgement_and_before_the_attempt_starts(hands, path, final):
+    """The backup knows of an attempt that never started: a non-idempotent request fails, as it may have executed."""
+    restart_to_die(hands, "gateway.request_table", "RequestTable", "release_attempt")
     first = hands.call(0, path, "a")
     assert first.final() == "gone"
     hands.fleet.up.pop(0).process.wait()
@@ -69,25 +69,25 @@
     assert hands.workers.came[path, "a"] == (0 if path == "/pay" else 1)
 
 
-def test_killed_before_its_keeper_was_told_anything_it_runs_for_its_client_alone(hands):
-    dying(hands, "daemon.replication", "ReplicationService", "try_protect")
+def test_killed_before_replication_the_request_is_executed_for_the_clients_retry_only(hands):
+    restart_to_die(hands, "daemon.replication", "ReplicationService", "try_protect")
     assert hands.call(0, "/pay", "a").final() == "gone"
     hands.fleet.up.pop(0).process.wait()
     assert hands.call(1, "/pay", "a").final() == "served" and hands.workers.came["/pay", "a"] == 1
 
 
-def calls_through(hands, count=30):
-    made = [hands.call(0, "/pay", f"k{number}") for number in range(count) if time.sleep(0.02) is None]
-    return [call.final() for call in made]
+def outcomes_of_calls(hands, count=30):
+    calls = [hands.call(0, "/pay", f"k{number}") for number in range(count) if time.sleep(0.02) is None]
+    return [call.final() for call in calls]
 
 
-def test_a_keeper_on_a_quarter_of_a_core_costs_no_request(hands):
+def test_a_backup_on_a_quarter_of_a_core_costs_no_request(hands):
     hands.open()
     until(lambda: hands.fleet.up[0].state()["servers"].get("ready") == 3)
-    over = threading.Event()
+    is_done = threading.Event()
 
     def starve():
-        while not over.is_set():
+        while not is_done.is_set():
             hands.fleet.signal(1, signal.SIGSTOP)
             time.sleep(0.075)
             hands.fleet.signal(1, signal.SIGCONT)
@@ -96,16 +96,16 @@
     thread = threading.Thread(target=starve, daemon=True)
     thread.start()
     try:
-        assert calls_through(hands) == ["served"] * 30
+        assert outcomes_of_calls(hands) == ["served"] * 30
     finally:
-        over.set()
+        is_done.set()
         thread.join()
     assert all(times == 1 for times in hands.workers.runs.values())
 
 
-def test_keepers_whose_datagrams_come_in_bursts_cost_no_request(hands):
+def test_backups_whose_datagrams_arrive_in_bursts_cost_no_request(hands):
     hands.open()
     until(lambda: hands.fleet.up[0].state()["servers"].get("ready") == 3)
     hands.fleet.relay.delay_s = lambda sender, receiver: 0.1 - time.monotonic() % 0.1
-    assert calls_through(hands) == ["served"] * 30
+    assert outcomes_of_calls(hands) == ["served"] * 30
     assert all(times == 1 for times in hands.workers.runs.values())
