--- a/anisefront/cluster/backup_selection.py
+++ b/anisefront/cluster/backup_selection.py
@@ -70,7 +70,7 @@
         return responsive or ranking
 
     def common_backup(self, slot: int) -> Replica | None:
-        """Return the backup that all primaries select for the identities of a slot; None without another instance.
+        """Return the backup at which duplicates of several primaries are detected; None without another instance.
 
         It follows from the live members alone. If late acknowledgements counted, two primaries would select different
         backups, neither backup would know of the other request, and both requests would run.
--- a/anisefront/cluster/lock_requester.py
+++ b/anisefront/cluster/lock_requester.py
@@ -129,7 +129,7 @@
         predecessor: LockOwner | None = None,
         has_yielded: bool = False,
     ) -> None:
-        """Request the lock of a request.
+        """Request the lock of a request's identity.
 
         Args:
             now_ms: Clock time.
--- a/anisefront/cluster/lock_voter.py
+++ b/anisefront/cluster/lock_voter.py
@@ -86,7 +86,7 @@
         self._alive: dict[int, int] = {}
         self._departed: frozenset[int] = frozenset()
         self._ended: OrderedDict[LockOwner, None] = OrderedDict()
-        self._restarts: dict[int, int] = {}  # oldest incarnations of other voters whose votes count, by number
+        self._restarts: dict[int, int] = {}  # by number of a voter: oldest incarnation whose votes count
         self._newest_incarnation: dict[int, int] = {}  # of senders, by number
         self._actions: list[SendMessage] = []
         self._replies: dict[int, list[LockReply]] = {}  # by receiver
--- a/anisefront/cluster/membership.py
+++ b/anisefront/cluster/membership.py
@@ -166,7 +166,7 @@
             self._ping_dead_or_unknown()
         number = self._probe_order.next(self._others_alive, self._is_alive)
         if number is None:
-            self._change_awareness(-1)  # without members to probe, the period must not keep its extension
+            self._change_awareness(-1)  # or an instance without known members would probe ever less often
             return
         sequence = self._ping(Probe(number))
         self._timers.set(now_ms + ACK_TIMEOUT_FRACTION * period_ms, Timer.ACK_TIMEOUT, sequence)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -27,8 +27,8 @@
     def try_protect(self, entry):
         return True
 
-    def may_release_attempt(self, request, attempt, worker):
-        self.attempts.append((request, attempt, worker))
+    def may_release_attempt(self, request, attempt, endpoint):
+        self.attempts.append((request, attempt, endpoint))
         return False
 
     def may_release_rejection(self, request):
@@ -71,7 +71,7 @@
 
 
 def test_quota_units_of_a_taken_over_request_are_not_drawn_again():
-    asked = actions_of(
+    peer_messages = actions_of(
         SendToPeer,
         new_controller(gateways=3, number=0, peer_messages_enabled=True).handle(
             1000.0,
@@ -83,7 +83,7 @@
             ],
         ),
     )
-    assert asked == []
+    assert peer_messages == []
 
 
 # ---- request table --------------------------------------------------------------------------------
@@ -126,7 +126,7 @@
     desk.request_table.transfer_to_backup(number)
     desk.request_table.release_attempt(number, 0)
     desk.run(0.01)
-    assert [answer.verdict for answer in desk.told] == [Verdict.FAILED] and desk.empty()
+    assert [response.verdict for response in desk.told] == [Verdict.FAILED] and desk.empty()
     assert desk.request_table.counts["lost"] == 1
 
 
@@ -156,9 +156,9 @@
     desk.run(0.55)
     assert guard.rejections and desk.told == []
     desk.request_table.release_rejection(number)
-    assert [answer.verdict for answer in desk.told] == [Verdict.REJECTED]
+    assert [response.verdict for response in desk.told] == [Verdict.REJECTED]
     desk.run(0.1)
-    assert [answer.verdict for answer in desk.told] == [
+    assert [response.verdict for response in desk.told] == [
         Verdict.REJECTED,
         Verdict.FAILED,
     ]  # no rejection without the guard's consent
--- a/tests/test_kill_points.py
+++ b/tests/test_kill_points.py
@@ -23,9 +23,9 @@
 
 @pytest.fixture
 def hands(tmp_path):
-    made = Hands(tmp_path)
-    yield made
-    made.close()
+    running = Hands(tmp_path)
+    yield running
+    running.close()
 
 
 def restart_to_die(hands, module, owner, name):
