--- a/anisefront/cluster/lock_requester.py
+++ b/anisefront/cluster/lock_requester.py
@@ -211,7 +211,7 @@
         if lock is not None:
             self._release_at_voters(lock, may_have_executed)
             self._releases_due_ms = 0.0
-            _remember(self._ended, request, may_have_executed)
+            _store_bounded(self._ended, request, may_have_executed)
 
     def release_soon(self, now_ms: float, request: int, may_have_executed: bool = False) -> None:
         """Release the lock of a request that has its response, within `RELEASE_DELAY_MS` and batched with others."""
@@ -219,7 +219,7 @@
         if lock is not None:
             self._release_at_voters(lock, may_have_executed)
             self._releases_due_ms = min(self._releases_due_ms, now_ms + RELEASE_DELAY_MS)
-            _remember(self._ended, request, may_have_executed)
+            _store_bounded(self._ended, request, may_have_executed)
 
     def retain(self, request: int) -> None:
         """Retain the lock of an ended request until its deadline: no request of its identity may run before."""
@@ -236,7 +236,7 @@
         lock = self._locks.pop(request, None)
         if lock is not None:
             self._release_predecessor_of(lock)
-            _remember(self._abandoned, request, None)
+            _store_bounded(self._abandoned, request, None)
 
     def take_decisions(self) -> list[LockDecision]:
         """Return and clear the pending decisions."""
@@ -449,7 +449,7 @@
         return min(scheduled_ms, self._releases_due_ms, self._predecessors.next_timer_ms)
 
 
-def _remember(requests: OrderedDict[int, Any], request: int, value: Any) -> None:
+def _store_bounded(requests: OrderedDict[int, Any], request: int, value: Any) -> None:
     """Store a value for a request, and evict the oldest entry beyond `MAX_ENDED`."""
     requests[request] = value
     if len(requests) > MAX_ENDED:
--- a/anisefront/cluster/membership.py
+++ b/anisefront/cluster/membership.py
@@ -193,10 +193,10 @@
 
     def _ping(self, probe: Probe) -> int:
         sequence = self._probes.add(probe)
-        self._send(probe.number, MessageKind.PING, sequence, probe.number, self._accusation(probe.number))
+        self._send(probe.number, MessageKind.PING, sequence, probe.number, self._row_to_refute(probe.number))
         return sequence
 
-    def _accusation(self, number: int) -> list[MemberRow]:
+    def _row_to_refute(self, number: int) -> list[MemberRow]:
         """Return the row of a suspect or dead member, which is sent to that member so that it can refute the status."""
         row = self.rows.get(number)
         if row is None or row.status not in (MemberStatus.SUSPECT, MemberStatus.DEAD):
@@ -270,7 +270,7 @@
     def _dispatch(self, now_ms: float, sender: int, message: MembershipMessage) -> None:
         match message.kind:
             case MessageKind.PING:
-                self._send(sender, MessageKind.ACK, message.sequence, self.number, self._accusation(sender))
+                self._send(sender, MessageKind.ACK, message.sequence, self.number, self._row_to_refute(sender))
             case MessageKind.ACK:
                 self._on_ack(sender, message)
             case MessageKind.INDIRECT_PING:
--- a/anisefront/cluster/membership_messages.py
+++ b/anisefront/cluster/membership_messages.py
@@ -8,8 +8,8 @@
 
 from anisefront.cluster.member_state import MemberRow, decode_rows, encode_rows
 
-MARK = 0x4D  # first byte; quota messages begin with their version, replication messages with 0x4B
-_HEADER = struct.Struct(">BBIH")  # mark, kind, sequence, subject
+MAGIC_BYTE = 0x4D  # first byte; quota messages begin with their version, replication messages with 0x4B
+_HEADER = struct.Struct(">BBIH")  # magic byte, kind, sequence, subject
 
 
 class MessageKind(IntEnum):
@@ -35,12 +35,12 @@
 
 def is_membership_message(data: bytes) -> bool:
     """Return whether bytes are a message of this protocol, well-formed or not."""
-    return len(data) >= _HEADER.size and data[0] == MARK
+    return len(data) >= _HEADER.size and data[0] == MAGIC_BYTE
 
 
 def encode_message(message: MembershipMessage) -> bytes:
     """Encode a message."""
-    head = _HEADER.pack(MARK, message.kind, message.sequence, message.subject)
+    head = _HEADER.pack(MAGIC_BYTE, message.kind, message.sequence, message.subject)
     return head + encode_rows(message.rows)
 
 
--- a/anisefront/cluster/replication_codec.py
+++ b/anisefront/cluster/replication_codec.py
@@ -1,6 +1,6 @@
 """Encoding of the messages and log entries of request replication.
 
-Each message begins with `MARK` and its kind, each log entry with its kind. All integers are big-endian.
+Each message begins with `MAGIC_BYTE` and its kind, each log entry with its kind. All integers are big-endian.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
     ReleaseEpoch,
 )
 
-MARK = 0x4B  # first byte; quota messages begin with their version, membership messages with 0x4D
+MAGIC_BYTE = 0x4B  # first byte; quota messages begin with their version, membership messages with 0x4D
 MAX_ENTRIES_BYTES = 1200  # of entries in one message; avoids IP fragmentation
 MAX_RECORD_BYTES = 1100  # of one record; a larger request is counted and not replicated
 MAX_ENDPOINT_BYTES = 255
 
-_HEADER = struct.Struct(">BB")  # mark, kind
+_HEADER = struct.Struct(">BB")  # magic byte, kind
 _APPEND_KIND = 1
 _APPEND = struct.Struct(">IQhQIIB")
 _OUTCOME_REPLY_KIND = 8
@@ -132,23 +132,23 @@
     if isinstance(message, Append):
         return _encode_append(message)
     if isinstance(message, OutcomeReply):
-        head = _HEADER.pack(MARK, _OUTCOME_REPLY_KIND) + _OUTCOME_REPLY.pack(message.identity, message.outcome)
+        head = _HEADER.pack(MAGIC_BYTE, _OUTCOME_REPLY_KIND) + _OUTCOME_REPLY.pack(message.identity, message.outcome)
         return head + message.response
     if isinstance(message, RelayRequest):
         head = _RELAY_REQUEST.pack(message.receiver, len(message.data))
-        return _HEADER.pack(MARK, _RELAY_REQUEST_KIND) + head + message.data
+        return _HEADER.pack(MAGIC_BYTE, _RELAY_REQUEST_KIND) + head + message.data
     if isinstance(message, RelayedMessage):
         head = _RELAYED_MESSAGE.pack(message.origin, message.origin_incarnation, len(message.data))
-        return _HEADER.pack(MARK, _RELAYED_MESSAGE_KIND) + head + message.data
+        return _HEADER.pack(MAGIC_BYTE, _RELAYED_MESSAGE_KIND) + head + message.data
     if isinstance(message, Bundle):
         items = b"".join(_BUNDLED_LENGTH.pack(len(data)) + data for data in message.messages)
-        return _HEADER.pack(MARK, _BUNDLE_KIND) + items
+        return _HEADER.pack(MAGIC_BYTE, _BUNDLE_KIND) + items
     if isinstance(message, LockMessage):
         kind, body = lock_codec.encode_body(message)
-        return _HEADER.pack(MARK, kind) + body
+        return _HEADER.pack(MAGIC_BYTE, kind) + body
     kind, layout = _FIXED_SIZE[type(message)]
     # Fields are packed in the order of `__slots__`, which is part of the wire format.
-    return _HEADER.pack(MARK, kind) + layout.pack(*(getattr(message, name) for name in message.__slots__))
+    return _HEADER.pack(MAGIC_BYTE, kind) + layout.pack(*(getattr(message, name) for name in message.__slots__))
 
 
 def _encode_append(message: Append) -> bytes:
@@ -162,14 +162,14 @@
         len(message.entries),
     )
     entries = message.encoded_entries or b"".join(map(encode_entry, message.entries))
-    return _HEADER.pack(MARK, _APPEND_KIND) + head + entries
+    return _HEADER.pack(MAGIC_BYTE, _APPEND_KIND) + head + entries
 
 
 def decode(data: bytes) -> Message | LockMessage | None:
     """Decode a message; None if the bytes are malformed."""
     try:
-        mark, kind = _HEADER.unpack_from(data)
-        if mark != MARK:
+        magic_byte, kind = _HEADER.unpack_from(data)
+        if magic_byte != MAGIC_BYTE:
             return None
         if kind == _OUTCOME_REPLY_KIND:
             identity, outcome = _OUTCOME_REPLY.unpack_from(data, _HEADER.size)
--- a/anisefront/cluster/witness.py
+++ b/anisefront/cluster/witness.py
@@ -19,6 +19,8 @@
 
 
 class _PrimaryKey(NamedTuple):
+    """Identifies a process incarnation of a primary."""
+
     number: int
     incarnation: int
 
--- a/anisefront/daemon/gateway_instance.py
+++ b/anisefront/daemon/gateway_instance.py
@@ -51,8 +51,8 @@
 FINAL_READS = 3  # event loop iterations at the end of the drain that still read from clients
 FINAL_READ_INTERVAL_S = 0.01
 FINAL_WRITE_S = 0.05  # for writing the last responses
-MEMBERSHIP_MARK = bytes((membership_messages.MARK,))
-REPLICATION_MARK = bytes((replication_codec.MARK,))
+MEMBERSHIP_MARK = bytes((membership_messages.MAGIC_BYTE,))
+REPLICATION_MARK = bytes((replication_codec.MAGIC_BYTE,))
 SERVICES = ("envoy.service.auth.v3.Authorization", "envoy.service.accesslog.v3.AccessLogService")
 
 
--- a/benchmarks/scale/counting.py
+++ b/benchmarks/scale/counting.py
@@ -24,9 +24,9 @@
     if len(datagram) <= HEAD + 16:
         return "unreadable"
     mark = datagram[HEAD]
-    if mark == membership_messages.MARK:
+    if mark == membership_messages.MAGIC_BYTE:
         return f"members.{KIND_NAMES[MessageKind(datagram[HEAD + 1])]}"
-    return "keeping" if mark == replication_codec.MARK else "quotas"
+    return "keeping" if mark == replication_codec.MAGIC_BYTE else "quotas"
 
 
 def ends(datagram: bytes) -> tuple[int, int]:
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -47,7 +47,7 @@
 
 WORK_S = 0.02  # of an attempt
 BUFFER = 1 << 20
-_ROWS = membership_messages._HEADER.pack(membership_messages.MARK, membership_messages.MessageKind.ROWS, 0, 0)
+_ROWS = membership_messages._HEADER.pack(membership_messages.MAGIC_BYTE, membership_messages.MessageKind.ROWS, 0, 0)
 
 
 class Silent:
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -5,7 +5,7 @@
 
 import pytest
 from test_core import SERVERS, Desk
-from test_module import ENDPOINT_LIST, new_arrival, new_controller, actions_of
+from test_module import ENDPOINT_LIST, actions_of, new_arrival, new_controller
 from twisted.internet.task import Clock
 
 from anisefront.upstream.direct_requests import FinalResponse
@@ -65,7 +65,9 @@
     ],
 )
 def test_a_request_with_prior_attempts_of_another_instance(name, prior_attempts, kind):
-    actions = new_controller().handle(1000.0, [ENDPOINT_LIST, replace(new_arrival(1, name), prior_attempts=prior_attempts)])
+    actions = new_controller().handle(
+        1000.0, [ENDPOINT_LIST, replace(new_arrival(1, name), prior_attempts=prior_attempts)]
+    )
     assert actions_of(kind, actions), actions
     assert all(send.endpoint != prior_attempts.endpoint for send in actions_of(StartAttempt, actions))
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -17,7 +17,7 @@
     supersedes,
 )
 from anisefront.cluster.membership import Membership
-from anisefront.cluster.membership_messages import MARK
+from anisefront.cluster.membership_messages import MAGIC_BYTE
 
 
 def converged_net(count, **options):
@@ -186,10 +186,10 @@
 
 def test_rows_of_an_earlier_process_incarnation_are_ignored():
     node = Membership(0, 1, range(3), 1, PERIOD_MS)
-    node.handle(0.0, [(1, 5, bytes((MARK, 6, 0, 0, 0, 0, 0, 0)))])
+    node.handle(0.0, [(1, 5, bytes((MAGIC_BYTE, 6, 0, 0, 0, 0, 0, 0)))])
     assert node.rows[1] == MemberRow(1, 5, 0, MemberStatus.ALIVE) and node.changes == [MemberChange(node.rows[1], None)]
     stale = encode_rows([MemberRow(1, 4, 9, MemberStatus.LEFT), MemberRow(1, 4, 9, MemberStatus.DEAD)])
-    node.handle(1.0, [(2, 1, bytes((MARK, 6, 0, 0, 0, 0, 0, 0)) + stale)])
+    node.handle(1.0, [(2, 1, bytes((MAGIC_BYTE, 6, 0, 0, 0, 0, 0, 0)) + stale)])
     assert node.rows[1] == MemberRow(1, 5, 0, MemberStatus.ALIVE)
 
 
@@ -198,9 +198,10 @@
     node.handle(0.0)
     before = dict(node.rows)
     for _ in range(2000):
-        node.handle(1.0, [(1, 0, bytes((MARK, rng.choice((0, 7, 99)))) + rng.randbytes(rng.randrange(40)))])
+        node.handle(1.0, [(1, 0, bytes((MAGIC_BYTE, rng.choice((0, 7, 99)))) + rng.randbytes(rng.randrange(40)))])
         node.handle(
-            1.0, [(9, 7, bytes((MARK, 6, 0, 0, 0, 0, 0, 9)) + encode_rows([MemberRow(9, 7, 0, MemberStatus.ALIVE)]))]
+            1.0,
+            [(9, 7, bytes((MAGIC_BYTE, 6, 0, 0, 0, 0, 0, 9)) + encode_rows([MemberRow(9, 7, 0, MemberStatus.ALIVE)]))],
         )
     assert set(node.rows) <= set(before) | {1}  # only configured peers become members
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 
 from anisefront.cli.config import checked
 from anisefront.cluster.datagrams import DatagramAuthenticator
-from anisefront.cluster.replication_codec import MARK
+from anisefront.cluster.replication_codec import MAGIC_BYTE
 from anisefront.cluster.membership import Membership
 from anisefront.frontends.jsonrpc_responses import UNROUTABLE
 from anisefront.policy.peer_codec import encode
@@ -111,7 +111,7 @@
     kinds = [counting.purpose(seal.write(to, data, 0.0)) for part in sent for to, data in part]
     assert kinds[:3] == ["members.join"] * 3 and "members.ping" in kinds[3:]
     assert counting.purpose(seal.write(1, encode(1, 0.0, [], []), 0.0)) == "quotas"
-    assert counting.purpose(seal.write(1, bytes((MARK,)), 0.0)) == "keeping"
+    assert counting.purpose(seal.write(1, bytes((MAGIC_BYTE,)), 0.0)) == "keeping"
     assert counting.purpose(b"short") == "unreadable"
     tally = counting.Tally()
     for way in ("in", "out", "out"):
