--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 import pytest
-from replication_mutations import MUTATIONS, DECLINED, LATE
-from replication_net import World, requested_actions, explore, load_code, messages, schedule, schedule_of_one_identity
+from replication_mutations import DECLINED, LATE, MUTATIONS
+from replication_net import World, explore, load_code, messages, requested_actions, schedule, schedule_of_one_identity
 
 from anisefront.cluster.backup import Backup
 from anisefront.cluster.backup_selection import Replica
