--- a/anisefront/frontends/backpressure.py
+++ b/anisefront/frontends/backpressure.py
@@ -1,4 +1,4 @@
-"""Who does not read is not read from, and is cut off after a while; who sends much is read a little at a time."""
+"""Backpressure for connections: pauses reading while a client does not read, and aborts it after a timeout."""
 
 from __future__ import annotations
 
@@ -7,56 +7,65 @@
 
 from twisted.internet import protocol
 
-
-READ_BYTES = 16 << 10  # of one connection in one turn of the loop: some forty checks, a few milliseconds
+READ_BYTES = 16 << 10  # of one connection in one event loop iteration: about forty checks, a few milliseconds
 
 
 class Backpressure(protocol.Protocol):
-    """A connection that is its transport's producer; `watch_reader` begins it, `forget_reader` ends it."""
+    """Protocol that is its transport's producer.
+
+    A subclass calls `start_backpressure` when its connection is made and `cancel_write_timeout` when it is lost.
+    """
+
+    _write_timeout: Any = None
+    _write_buffer_full = False
+    _read_pauses = 0  # calls of `pause_reading` without their `resume_reading`
 
-    _stuck: Any = None
-    _full = False
-    _busy = 0  # those who have enough to do with what was read
+    def start_backpressure(self, reactor: Any, write_timeout_s: float, on_write_timeout: Callable[[], None]) -> None:
+        """Register as producer, so that reading stops while the transport's write buffer is full.
 
-    def watch_reader(self, reactor: Any, stuck_s: float, cut: Callable[[], None]) -> None:
-        """Stop reading while the transport's buffer is full; call `cut` where that lasts for `stuck_s` seconds."""
-        self._reactor, self._stuck_s, self._cut = reactor, stuck_s, cut
+        Args:
+            reactor: Runs the timer.
+            write_timeout_s: How long the buffer may stay full.
+            on_write_timeout: Called when the buffer has been full for that time.
+        """
+        self._reactor, self._write_timeout_s, self._on_write_timeout = reactor, write_timeout_s, on_write_timeout
         self.transport.bufferSize = READ_BYTES
         self.transport.registerProducer(self, True)
 
-    def hold(self) -> None:
-        """Read nothing more until `go_on`: what was read is still being worked on. Once for each who asks."""
-        self._busy += 1
+    def pause_reading(self) -> None:
+        """Stop reading until `resume_reading`, as received data is still being processed. Calls nest."""
+        self._read_pauses += 1
         self.transport.pauseProducing()
 
-    def go_on(self) -> None:
-        """One who asked to hold is done."""
-        self._busy -= 1
-        if not self._busy and not self._full and self.connected:
+    def resume_reading(self) -> None:
+        """End one pause; read again when no other is left and the write buffer is not full."""
+        self._read_pauses -= 1
+        if not self._read_pauses and not self._write_buffer_full and self.connected:
             self.transport.resumeProducing()
 
-    def forget_reader(self) -> None:
-        """The buffer is free again, or the connection is gone."""
-        if self._stuck is not None and self._stuck.active():
-            self._stuck.cancel()
+    def cancel_write_timeout(self) -> None:
+        """Stop the timer: the write buffer has drained, or the connection is lost."""
+        if self._write_timeout is not None and self._write_timeout.active():
+            self._write_timeout.cancel()
 
     def pauseProducing(self) -> None:
-        """The transport's buffer is full.
+        """Stop reading and start the write timeout: the transport's write buffer is full.
 
-        Danger: it says so again at each write while it is full, and once only that it is free. A second timer would
-        take the first one's place, and the first, which nobody could stop, would cut off a client that reads."""
-        if self._full:
+        The transport calls this at each write while the buffer is full, but `resumeProducing` only once. A second
+        timer would replace the first, which could then not be cancelled and would abort a client that reads.
+        """
+        if self._write_buffer_full:
             return
-        self._full = True
+        self._write_buffer_full = True
         self.transport.pauseProducing()
-        self._stuck = self._reactor.callLater(self._stuck_s, self._cut)
+        self._write_timeout = self._reactor.callLater(self._write_timeout_s, self._on_write_timeout)
 
     def resumeProducing(self) -> None:
-        """It is free again."""
-        self._full = False
-        self.forget_reader()
-        if not self._busy:
+        """Read again: the write buffer has drained."""
+        self._write_buffer_full = False
+        self.cancel_write_timeout()
+        if not self._read_pauses:
             self.transport.resumeProducing()
 
     def stopProducing(self) -> None:
-        """The transport is closing."""
+        """Do nothing: the transport is closing."""
--- a/anisefront/frontends/grpc_call.py
+++ b/anisefront/frontends/grpc_call.py
@@ -36,10 +36,10 @@
     def flush_soon(self) -> None:
         """Write what is to be sent at the end of this event loop iteration."""
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         """Stop reading from the client."""
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         """Read from the client again."""
 
 
@@ -116,11 +116,11 @@
 
     def continue_in_next_iteration(self, work: Callable[[], None]) -> None:
         """Run `work` in the next event loop iteration; until then the client is not read from."""
-        self._connection.hold()
+        self._connection.pause_reading()
         self._connection.reactor.callLater(0, self._continue, work)
 
     def _continue(self, work: Callable[[], None]) -> None:
-        self._connection.go_on()
+        self._connection.resume_reading()
         work()
 
     def set_timeout(self, timeout_ms: float | None) -> None:
--- a/anisefront/frontends/grpc_server.py
+++ b/anisefront/frontends/grpc_server.py
@@ -1,6 +1,6 @@
 """gRPC server on Twisted: passes the streams of a connection to calls, and calls to their services.
 
-It knows no service and no message; `protocols/` parses and encodes the bytes of the connection.
+It is independent of services and messages; `protocols/` parses and encodes the bytes of the connection.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from anisefront.protocols.http2_headers import literal_block
 from anisefront.protocols.http2_limits import Http2Limits
 
-GOAWAY_READ_TIMEOUT_S = 1.0  # for a client to read why its connection ends
+GOAWAY_READ_TIMEOUT_S = 1.0  # for a client to read the GOAWAY frame
 MAX_REPORTED_PATH = 100  # characters
 
 
@@ -64,7 +64,7 @@
         factory = self.factory
         self.transport.setTcpNoDelay(True)
         self.transport.setTcpKeepAlive(True)
-        self.watch_reader(factory.reactor, factory.limits.write_timeout_s, self._write_timed_out)
+        self.start_backpressure(factory.reactor, factory.limits.write_timeout_s, self._write_timed_out)
         self._preface_timer = factory.reactor.callLater(factory.limits.preface_timeout_s, self._preface_timed_out)
         # A rejected connection stays open until its client has read GOAWAY. It must not count as a connection, or
         # many rejected clients would exclude others for which there is capacity again.
@@ -84,7 +84,7 @@
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
         """Cancel the open calls."""
         self.factory.connections.discard(self)
-        self.forget_reader()
+        self.cancel_write_timeout()
         if self._preface_timer.active():
             self._preface_timer.cancel()
         for call in list(self.calls.values()):
--- a/anisefront/frontends/health.py
+++ b/anisefront/frontends/health.py
@@ -148,7 +148,7 @@
         self._sent_status: ServingStatus | None = None
 
     def message_received(self, data: bytes) -> None:
-        """Send the current status and start to watch it."""
+        """Send the current status and start watching it."""
         if self._service is not None:
             raise grpc.GrpcStatusError(grpc.StatusCode.INVALID_ARGUMENT, "one message a watch")
         if len(self._health.watchers) >= self._health.max_watchers:
@@ -170,5 +170,5 @@
         """Do nothing: a watch continues until its client cancels it."""
 
     def cancelled(self) -> None:
-        """Stop to watch."""
+        """Stop watching."""
         self._health.watchers.discard(self)
--- a/anisefront/frontends/jsonrpc_frontend.py
+++ b/anisefront/frontends/jsonrpc_frontend.py
@@ -81,7 +81,7 @@
         """Accept the connection, or reject it if there are too many."""
         self.transport.setTcpNoDelay(True)
         self.transport.setTcpKeepAlive(True)
-        self.watch_reader(self.factory.reactor, self.factory.write_timeout_s, self.transport.abortConnection)
+        self.start_backpressure(self.factory.reactor, self.factory.write_timeout_s, self.transport.abortConnection)
         # A rejected connection stays open until its client has read why. It must not count as a connection, or
         # many rejected clients would exclude others for which there is capacity again.
         if len(self.factory.connections) < self.factory.max_connections:
@@ -115,7 +115,7 @@
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
         """Cancel the open requests."""
         self.factory.connections.discard(self)
-        self.forget_reader()
+        self.cancel_write_timeout()
         self._cancel_requests()
 
     # ---- lines ----------------------------------------------------------------------------------
@@ -132,13 +132,13 @@
         for _ in range(min(MAX_BATCH_LINES, len(self._unprocessed_lines))):
             self._process_line(self._unprocessed_lines.popleft())
         if self._unprocessed_lines:
-            self.hold()
+            self.pause_reading()
             self.factory.reactor.callLater(0, self._process_next_batch)
         else:
             self.close_if_complete()
 
     def _process_next_batch(self) -> None:
-        self.go_on()
+        self.resume_reading()
         if self.connected:
             self._process_batch()
 
--- a/anisefront/protocols/http1.py
+++ b/anisefront/protocols/http1.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 (RFC 9112) messages, read and written, free of I/O; both sides of a connection use the one reader.
+"""HTTP/1.1 messages (RFC 9112): one reader for requests and responses, and their encoding. Free of I/O.
 
     head --(length | chunks | until close | none)--> body --> head of the next message
 
-It never pipelines, never guesses at an unclear length, and says by its error what was wrong.
+A message whose length is ambiguous is rejected, not interpreted.
 """
 
 from __future__ import annotations
@@ -27,17 +27,22 @@
 }
 
 
-class MessageFault(Exception):
-    """The peer sent what is no HTTP/1.1 message; `status` is what a server would answer."""
+class MessageError(Exception):
+    """The peer sent bytes that are not a valid HTTP/1.1 message.
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    Attributes:
+        status: The status with which a server rejects the message.
+    """
+
+    def __init__(self, status: int, reason: str) -> None:
+        """Create an error whose text is the reason."""
+        super().__init__(reason)
         self.status = status
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A whole request (`method`, `target`) or response (`status`). Names of headers are lower case."""
+    """A complete request (`method`, `target`) or response (`status`). Names of headers are in lower case."""
 
     method: str
     target: str
@@ -49,99 +54,128 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The head of a response has come: the peer has begun its answer."""
+    """The head of a response, returned before its body is complete."""
 
     status: int
     headers: dict[str, str]
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
-    """A chunk of a body that is handed on as it comes."""
+class BodyChunk:
+    """One chunk of a chunked body, returned before the message is complete."""
 
     data: bytes
 
 
 class Reader:
-    """Reads the messages of one side of a connection: `requests` true on a server, false on a client.
-
-    `parts`: a chunked body comes as a `Part` for each chunk, and the message at its end has none; what it may hold in
-    all is not bounded then."""
-
-    def __init__(self, requests: bool, most_head: int = 16384, most_body: int = 1 << 20, parts: bool = False) -> None:
-        self._requests, self._most_head, self._most_body = requests, most_head, most_body
-        self._parts: list[Part] | None = [] if parts else None
-        self._in = bytearray()
-        self._start: tuple[str, str, int, bytes] | None = None
+    """Reads the messages that one side of a connection sends.
+
+    Attributes:
+        head_only: The next response answers a HEAD request, so it has no body.
+    """
+
+    def __init__(
+        self,
+        requests: bool,
+        max_head_bytes: int = 16384,
+        max_body_bytes: int = 1 << 20,
+        stream_chunks: bool = False,
+    ) -> None:
+        """Create a reader at the start of a connection.
+
+        Args:
+            requests: The messages are requests, as a server reads them; otherwise they are responses.
+            max_head_bytes: The longest head that is accepted.
+            max_body_bytes: The longest body that is accepted.
+            stream_chunks: Return each chunk of a chunked body as a `BodyChunk`. The message at its end then has an
+                empty body, and only the single chunk is limited, not the whole body.
+        """
+        self._requests, self._max_head_bytes, self._max_body_bytes = requests, max_head_bytes, max_body_bytes
+        self._chunks: list[BodyChunk] | None = [] if stream_chunks else None
+        self._buffer = bytearray()
+        self._start_line: tuple[str, str, int, bytes] | None = None  # method, target, status, version
         self._headers: dict[str, str] = {}
         self._body = bytearray()
-        self._mode, self._left = "", 0  # "length", "chunk", "close"; bytes of it still to come
-        self.head_only = False  # the next response answers a HEAD request
+        # How the body ends ("length", "chunk", "close"), and the bytes that its length or current chunk still lacks.
+        self._framing, self._remaining = "", 0
+        self.head_only = False
 
     @property
-    def midway(self) -> bool:
-        """True while a message has begun and not ended."""
-        return bool(self._in) or self._start is not None
-
-    def feed(self, data: bytes, only_first: bool = False) -> list[Message | Head | Part]:
-        """What these bytes complete; raises `MessageFault`. `only_first` leaves what follows a message alone."""
-        self._in += data
-        out: list[Message | Head | Part] = []
+    def has_partial_message(self) -> bool:
+        """Tell whether bytes of an incomplete message were received."""
+        return bool(self._buffer) or self._start_line is not None
+
+    def feed(self, data: bytes, only_first: bool = False) -> list[Message | Head | BodyChunk]:
+        """Return the events that these bytes complete.
+
+        Args:
+            data: The received bytes.
+            only_first: Stop after one message, and leave the bytes that follow it in the buffer.
+
+        Raises:
+            MessageError: The bytes are not valid HTTP/1.1, or exceed a limit.
+        """
+        self._buffer += data
+        events: list[Message | Head | BodyChunk] = []
         while True:
-            if self._start is None:
+            if self._start_line is None:
                 if not self._read_head():
-                    return out
+                    return events
                 if not self._requests:
-                    out.append(Head(self._start[2], self._headers))
-            whole = self._read_body()
-            if self._parts:
-                out += self._parts
-                self._parts.clear()
-            if not whole:
-                return out
-            out.append(self._finish())
+                    events.append(Head(self._start_line[2], self._headers))
+            complete = self._read_body()
+            if self._chunks:
+                events += self._chunks
+                self._chunks.clear()
+            if not complete:
+                return events
+            events.append(self._finish())
             if only_first:
-                return out
+                return events
 
-    def rest(self) -> bytearray:
-        """Bytes after the last message: the next one's, or another protocol's after an upgrade."""
-        return self._in
+    def unread_bytes(self) -> bytearray:
+        """Return the bytes after the last message: the next message, or another protocol after an upgrade."""
+        return self._buffer
 
     def close(self) -> list[Message]:
-        """The peer has closed: the message that this ends, if it is whole; raises where one is cut off."""
-        if self._start is not None and self._mode == "close":
+        """Return the message that the end of the connection completes, if there is one.
+
+        Raises:
+            MessageError: The connection was closed within a message.
+        """
+        if self._start_line is not None and self._framing == "close":
             return [self._finish()]
-        if self.midway:
-            raise MessageFault(400, "closed in the middle of a message")
+        if self.has_partial_message:
+            raise MessageError(400, "the connection was closed within a message")
         return []
 
     def _read_head(self) -> bool:
-        while self._in[:2] == b"\r\n":  # RFC 9112, 2.2: skip an empty line before a start line
-            del self._in[:2]
-        end = self._in.find(b"\r\n\r\n")
+        while self._buffer[:2] == b"\r\n":  # RFC 9112, 2.2: skip an empty line before a start line
+            del self._buffer[:2]
+        end = self._buffer.find(b"\r\n\r\n")
         if end < 0:
-            if len(self._in) > self._most_head:
-                raise MessageFault(431, f"a head of over {self._most_head} bytes")
+            if len(self._buffer) > self._max_head_bytes:
+                raise MessageError(431, f"head longer than {self._max_head_bytes} bytes")
             return False
-        if end > self._most_head:
-            raise MessageFault(431, f"a head of over {self._most_head} bytes")
-        first, *lines = bytes(self._in[:end]).split(b"\r\n")
-        del self._in[: end + 4]
-        self._start = self._start_line(first)
+        if end > self._max_head_bytes:
+            raise MessageError(431, f"head longer than {self._max_head_bytes} bytes")
+        start_line, *lines = bytes(self._buffer[:end]).split(b"\r\n")
+        del self._buffer[: end + 4]
+        self._start_line = self._parse_start_line(start_line)
         self._headers = {}
         for line in lines:
             name, colon, value = line.partition(b":")
             if not colon or not _TOKEN.match(name) or b"\0" in value or b"\r" in value or b"\n" in value:
-                raise MessageFault(400, f"header line {line[:60]!r} can't be read")
+                raise MessageError(400, f"invalid header line {line[:60]!r}")
             key, text = name.decode("ascii").lower(), value.strip(b" \t").decode("latin-1")
             if key == "content-length" and self._headers.get(key, text) != text:
-                raise MessageFault(400, "two lengths that differ")
-            known = self._headers.get(key)
-            self._headers[key] = text if known is None or key == "content-length" else f"{known}, {text}"
-        self._body_mode()
+                raise MessageError(400, "two different values of content-length")
+            previous = self._headers.get(key)
+            self._headers[key] = text if previous is None or key == "content-length" else f"{previous}, {text}"
+        self._set_framing()
         return True
 
-    def _start_line(self, line: bytes) -> tuple[str, str, int, bytes]:
+    def _parse_start_line(self, line: bytes) -> tuple[str, str, int, bytes]:
         parts = line.split(b" ", 2)
         if self._requests:
             if (
@@ -150,119 +184,126 @@
                 or parts[2] not in (b"HTTP/1.1", b"HTTP/1.0")
                 or not parts[1]
             ):
-                raise MessageFault(400, f"request line {line[:60]!r} can't be read")
+                raise MessageError(400, f"invalid request line {line[:60]!r}")
             return parts[0].decode("ascii"), parts[1].decode("latin-1"), 0, parts[2]
         if len(parts) < 2 or parts[0] not in (b"HTTP/1.1", b"HTTP/1.0") or not parts[1].isdigit() or len(parts[1]) != 3:
-            raise MessageFault(502, f"status line {line[:60]!r} can't be read")
+            raise MessageError(502, f"invalid status line {line[:60]!r}")
         return "", "", int(parts[1]), parts[0]
 
-    def _body_mode(self) -> None:
-        status, coding = self._start[2], self._headers.get("transfer-encoding", "").lower()
+    def _set_framing(self) -> None:
+        status, coding = self._start_line[2], self._headers.get("transfer-encoding", "").lower()
         length = self._headers.get("content-length")
         self._body.clear()
         if self._requests is False and (self.head_only or status in _NO_BODY or 100 <= status < 200):
-            self._mode, self._left = "length", 0
+            self._framing, self._remaining = "length", 0
         elif coding:
-            # Danger: a message with both, or with a coding that is not the last, is how requests are smuggled.
+            # With both fields, or with a coding after `chunked`, two implementations can disagree on the length of the
+            # message, which allows request smuggling.
             if coding != "chunked" or length is not None:
-                raise MessageFault(400, f"transfer-encoding {coding[:30]!r} can't be taken")
-            self._mode, self._left = "chunk", -1
+                raise MessageError(400, f"transfer-encoding {coding[:30]!r} is not supported")
+            self._framing, self._remaining = "chunk", -1
         elif length is not None:
             if not (length.isascii() and length.isdigit()) or len(length) > 15:
-                raise MessageFault(400, f"content-length {length[:30]!r} is no number")
-            self._mode, self._left = "length", int(length)
-            self._check_size(self._left)
+                raise MessageError(400, f"invalid content-length {length[:30]!r}")
+            self._framing, self._remaining = "length", int(length)
+            self._check_size(self._remaining)
         elif self._requests:
-            self._mode, self._left = "length", 0
+            self._framing, self._remaining = "length", 0
         else:
-            self._mode, self._left = "close", 0
+            self._framing, self._remaining = "close", 0
 
     def _check_size(self, size: int) -> None:
-        if size > self._most_body:
-            raise MessageFault(413, f"a body of over {self._most_body} bytes")
+        if size > self._max_body_bytes:
+            raise MessageError(413, f"body longer than {self._max_body_bytes} bytes")
 
     def _read_body(self) -> bool:
-        if self._mode == "chunk":
+        if self._framing == "chunk":
             return self._read_chunks()
-        if self._mode == "close":
-            self._check_size(len(self._body) + len(self._in))
-            self._body += self._in
-            self._in.clear()
+        if self._framing == "close":
+            self._check_size(len(self._body) + len(self._buffer))
+            self._body += self._buffer
+            self._buffer.clear()
             return False
-        part = self._in[: self._left]
-        del self._in[: len(part)]
-        self._body += part
-        self._left -= len(part)
-        return self._left == 0
+        received = self._buffer[: self._remaining]
+        del self._buffer[: len(received)]
+        self._body += received
+        self._remaining -= len(received)
+        return self._remaining == 0
 
     def _read_chunks(self) -> bool:
         while True:
-            if self._left > 0:  # the chunk and the line end after it
-                if len(self._in) < self._left + 2:
+            if self._remaining > 0:  # the chunk's data and the line end after it
+                if len(self._buffer) < self._remaining + 2:
                     return False
-                if self._in[self._left : self._left + 2] != b"\r\n":
-                    raise MessageFault(400, "a chunk that does not end where it should")
-                if self._parts is not None:
-                    self._parts.append(Part(bytes(self._in[: self._left])))
+                if self._buffer[self._remaining : self._remaining + 2] != b"\r\n":
+                    raise MessageError(400, "a chunk is not followed by a line end")
+                if self._chunks is not None:
+                    self._chunks.append(BodyChunk(bytes(self._buffer[: self._remaining])))
                 else:
-                    self._body += self._in[: self._left]
-                del self._in[: self._left + 2]
-                self._left = -1
-            end = self._in.find(b"\r\n")
+                    self._body += self._buffer[: self._remaining]
+                del self._buffer[: self._remaining + 2]
+                self._remaining = -1
+            end = self._buffer.find(b"\r\n")
             if end < 0:
-                if len(self._in) > 1024:
-                    raise MessageFault(400, "a chunk's line without end")
+                if len(self._buffer) > 1024:
+                    raise MessageError(400, "chunk size or trailer line longer than 1024 bytes")
                 return False
-            if self._left == 0:  # trailers, up to an empty line
-                line = bytes(self._in[:end])
-                del self._in[: end + 2]
+            if self._remaining == 0:  # trailers, up to an empty line
+                line = bytes(self._buffer[:end])
+                del self._buffer[: end + 2]
                 if not line:
                     return True
                 continue
-            size = bytes(self._in[:end]).split(b";")[0].strip()
+            size = bytes(self._buffer[:end]).split(b";")[0].strip()
             if not re.match(rb"[0-9A-Fa-f]{1,8}\Z", size):
-                raise MessageFault(400, f"chunk size {size[:20]!r} can't be read")
-            del self._in[: end + 2]
-            self._left = int(size, 16)
-            self._check_size(len(self._body) + self._left)
+                raise MessageError(400, f"invalid chunk size {size[:20]!r}")
+            del self._buffer[: end + 2]
+            self._remaining = int(size, 16)
+            self._check_size(len(self._body) + self._remaining)
 
     def _finish(self) -> Message:
-        method, target, status, version = self._start
-        options = {part.strip() for part in self._headers.get("connection", "").lower().split(",")}
-        keep = "close" not in options and (version == b"HTTP/1.1" or "keep-alive" in options)
-        message = Message(method, target, status, self._headers, bytes(self._body), keep and self._mode != "close")
-        self._start = None
+        method, target, status, version = self._start_line
+        options = {option.strip() for option in self._headers.get("connection", "").lower().split(",")}
+        keep_alive = "close" not in options and (version == b"HTTP/1.1" or "keep-alive" in options)
+        message = Message(
+            method, target, status, self._headers, bytes(self._body), keep_alive and self._framing != "close"
+        )
+        self._start_line = None
         self._headers = {}
         self._body.clear()
-        self._mode = ""
+        self._framing = ""
         return message
 
 
-def _check(text: str) -> str:
+def _check_no_line_break(text: str) -> str:
     if "\r" in text or "\n" in text or "\0" in text:
         raise ValueError(f"a line break in {text[:40]!r}")
     return text
 
 
 def request(method: str, target: str, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """A request. Lengths are ours to write; `ValueError` for what would break the lines."""
+    """Encode a request. Its length is computed; a length in `headers` is ignored.
+
+    Raises:
+        ValueError: A value would produce an invalid request line or header.
+    """
     if not _TOKEN.match(method.encode("latin-1")) or " " in target or not target:
         raise ValueError(f"{method[:20]!r} {target[:40]!r} is no request line")
-    lines = [f"{method} {_check(target)} HTTP/1.1"]
-    return _write(lines, headers, body, always=bool(body) or method in ("POST", "PUT", "PATCH"))
+    lines = [f"{method} {_check_no_line_break(target)} HTTP/1.1"]
+    return _encode(lines, headers, body, with_length=bool(body) or method in ("POST", "PUT", "PATCH"))
 
 
 def response(status: int, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """A response with its length."""
-    return _write([f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}"], headers, body, always=True)
+    """Encode a response. Its length is computed; a length in `headers` is ignored."""
+    return _encode([f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}"], headers, body, with_length=True)
 
 
-def _write(lines: list[str], headers: dict[str, str], body: bytes, always: bool) -> bytes:
+def _encode(lines: list[str], headers: dict[str, str], body: bytes, with_length: bool) -> bytes:
     for name, value in headers.items():
         if name.lower() not in ("content-length", "transfer-encoding"):
             if not _TOKEN.match(name.encode("latin-1")):
                 raise ValueError(f"{name[:40]!r} is no header name")
-            lines.append(f"{name}: {_check(value)}")
-    if always:
+            lines.append(f"{name}: {_check_no_line_break(value)}")
+    if with_length:
         lines.append(f"content-length: {len(body)}")
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
--- a/anisefront/protocols/http2_connection.py
+++ b/anisefront/protocols/http2_connection.py
@@ -1,6 +1,6 @@
 """Server side of an HTTP/2 connection (RFC 9113), as much of it as gRPC needs, free of I/O.
 
-`receive` takes bytes and returns events; what is to be sent collects until `data_to_send` takes it. The connection
+`receive` takes bytes and returns events; output accumulates until `data_to_send` returns it. The connection
 opens no socket, reads no clock and knows nothing of gRPC. What a server need not support (push, priorities) is rejected
 or ignored as the RFC says.
 
@@ -78,7 +78,7 @@
     # ---- responses ------------------------------------------------------------------------------
 
     def data_to_send(self) -> bytes:
-        """Return all that is to be sent, and forget it."""
+        """Return the bytes to send, and clear them."""
         return self._sender.take()
 
     def send_headers(self, stream_id: int, block: bytes, end_stream: bool = False) -> None:
--- a/anisefront/protocols/http2_limits.py
+++ b/anisefront/protocols/http2_limits.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Http2Limits:
-    """What one client may use of this process."""
+    """Resources of this process that one client may use."""
 
     max_streams: int = 4096
     max_frame_bytes: int = MIN_MAX_FRAME_BYTES
@@ -31,7 +31,8 @@
     """Token bucket of frames that cost the client nothing and this process a response or a search.
 
     Without it, rapid reset (CVE-2023-44487) and floods of PING, SETTINGS, PRIORITY and empty DATA frames
-    (CVE-2019-9512, -9513, -9515, -9518; RFC 9113, section 10.5) would take the process from all other connections.
+    (CVE-2019-9512, -9513, -9515, -9518; RFC 9113, section 10.5) would take the event loop's time from all other
+    connections.
     """
 
     __slots__ = ("_available", "_limits", "_refilled_ms")
@@ -58,8 +59,8 @@
         """Charge a frame.
 
         Args:
-            cost: 1 for a frame that never carries work, a fraction for one that rarely does not.
-            frames: What to name the frames in the error.
+            cost: 1 for a frame that never carries work, a fraction for one that usually does.
+            frames: The name of the frames in the error.
 
         Raises:
             Http2ConnectionError: The allowance is used up.
--- a/anisefront/protocols/http2_settings.py
+++ b/anisefront/protocols/http2_settings.py
@@ -1,4 +1,4 @@
-"""SETTINGS (RFC 9113, section 6.5): those that this server sends, and those of the client that it follows."""
+"""SETTINGS (RFC 9113, section 6.5): those that this server sends, and those that it applies from the client."""
 
 from __future__ import annotations
 
--- a/anisefront/protocols/http2_start.py
+++ b/anisefront/protocols/http2_start.py
@@ -13,8 +13,8 @@
 from anisefront.protocols.http2_headers import Headers
 from anisefront.protocols.http2_limits import Http2Limits
 
-METHOD_BYTES = 4  # of the input, that tell the preface's "PRI " from an HTTP/1.1 request
-UPGRADED_STREAM = 1  # that an upgrade opens
+METHOD_BYTES = 4  # enough to tell the preface's "PRI " from the method of an HTTP/1.1 request
+UPGRADED_STREAM = 1  # the stream of the request that upgrades the connection
 
 SWITCHING_PROTOCOLS = b"HTTP/1.1 101 Switching Protocols\r\nconnection: Upgrade\r\nupgrade: h2c\r\n\r\n"
 UPGRADE_REQUIRED = http1.response(
@@ -83,19 +83,19 @@
             Http2ConnectionError: The bytes are neither HTTP/1.1 nor HTTP/2.
         """
         received = frames.received
-        known = min(METHOD_BYTES, len(received))
-        if received[:known] == PREFACE[:known]:
-            if known == METHOD_BYTES:
+        size = min(METHOD_BYTES, len(received))
+        if received[:size] == PREFACE[:size]:
+            if size == METHOD_BYTES:
                 self._http1 = None
             return None
         try:
             messages = self._http1.feed(bytes(received), only_first=True)
-        except http1.MessageFault as error:
+        except http1.MessageError as error:
             raise Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, "no HTTP/2 preface") from error
         received.clear()
         if not messages:
             return None
-        frames.received = self._http1.rest()
+        frames.received = self._http1.unread_bytes()
         self._http1 = None
         return messages[0]
 
--- a/anisefront/protocols/http2_streams.py
+++ b/anisefront/protocols/http2_streams.py
@@ -77,7 +77,7 @@
         self._frames = [data]
 
     def take(self) -> bytes:
-        """Return all that is to be sent, and forget it."""
+        """Return the bytes to send, and clear them."""
         data = b"".join(self._frames)
         self._frames = []
         return data
@@ -100,7 +100,7 @@
         self._queued_bytes -= sum(len(data) for data, _ in stream.queue)
 
     def apply_settings(self, settings: list[tuple[int, int]]) -> None:
-        """Follow the client's settings."""
+        """Apply the client's settings."""
         for setting, value in settings:
             if setting == Setting.INITIAL_WINDOW_SIZE:
                 for stream in self.streams.values():
@@ -132,7 +132,7 @@
             stream.unacknowledged = 0
 
     def extend_connection_window(self, increment: int) -> None:
-        """Follow a WINDOW_UPDATE of the connection.
+        """Apply a WINDOW_UPDATE of the connection.
 
         Raises:
             Http2ConnectionError: The increment is not allowed.
@@ -165,7 +165,8 @@
         stream.queue.append((data, trailers))
         self._queued_bytes += size
         if self._queued_bytes > self._limits.max_queued_bytes:
-            # A client that requests much and reads nothing would use the memory of all (CVE-2019-9511, -9517).
+            # A client that requests much and reads nothing would exhaust the memory of all connections
+            # (CVE-2019-9511, -9517).
             self.reset(stream_id, ErrorCode.ENHANCE_YOUR_CALM)
         else:
             self.flush(stream_id, stream)
--- a/anisefront/protocols/orca.py
+++ b/anisefront/protocols/orca.py
@@ -59,7 +59,7 @@
 def _decode_json(body: str) -> dict[str, float]:
     document = json.loads(body)
     if not isinstance(document, dict):
-        raise ValueError("no object")
+        raise ValueError("not a JSON object")
     values: dict[str, float] = {}
     for name, value in document.items():
         if isinstance(value, dict):
@@ -78,7 +78,7 @@
     try:
         report = OrcaLoadReport.FromString(data)
     except DecodeError as error:
-        raise ValueError("no OrcaLoadReport") from error
+        raise ValueError("not an OrcaLoadReport message") from error
     values = {
         "cpu_utilization": report.cpu_utilization,
         "rps_fractional": report.rps_fractional,
--- a/anisefront/protocols/trace.py
+++ b/anisefront/protocols/trace.py
@@ -28,7 +28,7 @@
 
 FILE_HEADER = b"anisefront trace 1\n"
 MAX_BLOCK_BYTES = 16 << 20  # compressed
-MAX_RECORDS_BYTES = 16 * MAX_BLOCK_BYTES  # of one block, decompressed: against a decompression bomb
+MAX_RECORDS_BYTES = 16 * MAX_BLOCK_BYTES  # of one block, decompressed: protects from a decompression bomb
 PSEUDONYM_BYTES = 8
 _BLOCK_MARK = b"AT"
 _BLOCK_HEADER = struct.Struct(">2sLL")
@@ -62,7 +62,7 @@
         decompressor = zlib.decompressobj()
         text = decompressor.decompress(compressed, MAX_RECORDS_BYTES)
         if decompressor.unconsumed_tail:
-            return DecodedFile(records, f"the block at byte {offset} is too large")
+            return DecodedFile(records, f"the block at byte {offset} decompresses to over {MAX_RECORDS_BYTES} bytes")
         records += json.loads(text)
         offset += _BLOCK_HEADER.size + len(compressed)
     return DecodedFile(records, "")
@@ -74,12 +74,12 @@
         return f"cut off at byte {offset}"
     mark, size, checksum = _BLOCK_HEADER.unpack_from(data, offset)
     if mark != _BLOCK_MARK or size > MAX_BLOCK_BYTES:
-        return f"no block at byte {offset}"
+        return f"no block header at byte {offset}"
     compressed = _compressed_records(data, offset)
     if len(compressed) < size:
         return f"cut off at byte {offset}"
     if zlib.crc32(compressed) != checksum:
-        return f"the block at byte {offset} is damaged"
+        return f"checksum mismatch of the block at byte {offset}"
     return ""
 
 
--- a/anisefront/resp_gateway/__init__.py
+++ b/anisefront/resp_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol, both sides: RESP, terms, front, carrier, discovery, peers, and the gatekeeper of them."""
+"""Gateway instance for the RESP platform: frontend, requests to workers, discovery, peer datagrams, configuration."""
--- a/anisefront/resp_gateway/client_connection.py
+++ b/anisefront/resp_gateway/client_connection.py
@@ -105,7 +105,7 @@
         """Start in `NEW`; a rejected connection starts in `CLOSING`."""
         self.transport.setTcpNoDelay(True)
         self.frontend.descriptors += 1
-        self.watch_reader(self.frontend.reactor, WRITE_TIMEOUT_S, self.abort)
+        self.start_backpressure(self.frontend.reactor, WRITE_TIMEOUT_S, self.abort)
         self._closing = self._rejected
         self.frontend.set_state(self, CLOSING if self._rejected else NEW)
 
@@ -135,7 +135,7 @@
         """Buffer bytes that came during a pause; on overflow reject the commands in the buffer and stop reading."""
         self.input.buffer(data)
         if self.input.overflowed:
-            self.input.pause_reading(self.hold)
+            self.input.pause_reading(self.pause_reading)
             self._process(self.input.take_buffered(), reject=True)
 
     def _process(self, data: bytes, reject: bool = False) -> None:
@@ -234,7 +234,7 @@
 
     def _resume_input(self) -> None:
         """End the pause and process what was buffered during it."""
-        self.input.end(self.go_on)
+        self.input.end(self.resume_reading)
         data = self.input.take_buffered()
         if data and self.reader.error is None:
             self._process(data)
@@ -321,7 +321,7 @@
     def command_overdue(self) -> None:
         """End parsing if the rest of a command is late, unless it waits here to be read or parsed."""
         since_s = self.state_since_s
-        reading_paused = self.input.reading_paused or self._full
+        reading_paused = self.input.reading_paused or self._write_buffer_full
         self._resume_input()
         if self.state_since_s == since_s and not reading_paused:
             self.frontend.counts["overdue"] += 1
@@ -343,6 +343,6 @@
         self._closing = True
         self._write_closed = True
         self.frontend.descriptors -= 1
-        self.forget_reader()
+        self.cancel_write_timeout()
         self._withdraw_all()
         self.frontend.remove(self)
--- a/anisefront/resp_gateway/discovery_watch.py
+++ b/anisefront/resp_gateway/discovery_watch.py
@@ -7,8 +7,8 @@
 
 The platform allows 6 s until an instance knows what it missed from the moment its watch stopped sending, whatever
 happens to the connections that replace it; the timeouts here leave time for three of them. A suspect watch stays open
-beside the new one until that one sends: during an outage of discovery all are quiet, and the changes that it sends on
-recovery must find an open watch.
+beside the new one until that one sends: during an outage of discovery no watch sends, and a watch must be
+open to receive the changes that follow the recovery.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 from anisefront.resp_gateway.watch_codec import WatchReader, encode_watch_request
 
 HEARTBEAT_TIMEOUT_S = 3.0  # an empty line comes every 2 s: a watch that has missed one is suspect
-FIRST_LINE_TIMEOUT_S = 0.7  # the agent runs on this machine and responds to a new watch at once
+FIRST_LINE_TIMEOUT_S = 0.7  # the discovery agent runs on this machine and responds to a new watch at once
 CONNECT_TIMEOUT_S = 0.7
-BACKOFF_S = (0.1, 0.1, 0.2, 0.5)  # by attempts since the last line; the attempts are cheap for the agent
+BACKOFF_S = (0.1, 0.1, 0.2, 0.5)  # by attempts since the last line; attempts are cheap for the agent
 MAX_WATCHES = 2
 
 
@@ -34,7 +34,7 @@
     """Protocol of one watch.
 
     Attributes:
-        suspect: No line came in time.
+        suspect: No line arrived within the timeout.
     """
 
     def __init__(self, watch: DiscoveryWatch) -> None:
@@ -46,7 +46,7 @@
         self.suspect = False
         self._received_change = False
         self._last_line_s = 0.0  # when it sent its last line, or was opened
-        self._may_have_missed = False  # a change
+        self._may_have_missed_change = False
 
     def connectionMade(self) -> None:
         """Request all changes after the known version."""
@@ -67,7 +67,7 @@
             self._watch.report_error(str(error))
             self.abort()
             return
-        # Bytes that complete no line do not count: a connection may send them for ever without sending a change.
+        # Bytes that complete no line do not count: a connection may send them forever without sending a change.
         if self._reader.heartbeats > heartbeats:
             self._line_received(first_change=bool(changes) and not heartbeats)
         for change in changes:
@@ -77,9 +77,9 @@
             self.abort()
 
     def _accept(self, change: EndpointChange) -> bool:
-        """Hand on a change; False where discovery numbers its versions anew, which needs another watch from 0.
+        """Hand on a change; False if discovery restarted its version numbers, which needs a watch from 0.
 
-        Such changes look older than the known version and would be ignored for ever.
+        Such changes look older than the known version and would be ignored forever.
         """
         first = not self._received_change
         self._received_change = True
@@ -99,9 +99,9 @@
         """
         now_s = self._watch.reactor.seconds()
         if now_s - self._last_line_s >= HEARTBEAT_TIMEOUT_S and not first_change:
-            self._may_have_missed = True
+            self._may_have_missed_change = True
         self._last_line_s = now_s
-        if self._may_have_missed:
+        if self._may_have_missed_change:
             return
         if self._timer.active():
             self._timer.reset(HEARTBEAT_TIMEOUT_S)
@@ -168,7 +168,7 @@
             known_version: Returns the version up to which all changes are known.
             on_change: Receives each change.
             on_error: Receives the text of an error in the stream, once while it repeats.
-            on_version_reset: Called when versions are numbered anew.
+            on_version_reset: Called when discovery has restarted its version numbers.
         """
         self.reactor = reactor
         self.address = address
@@ -197,7 +197,7 @@
         self.address = address
         self.attempts = 0
         self._last_error = ""
-        self.on_version_reset()  # another service has its own versions
+        self.on_version_reset()  # another service numbers its versions independently
         self._cancel_connecting()
         self._abort(self.connections)
         self._open()
--- a/anisefront/resp_gateway/endpoint_changes.py
+++ b/anisefront/resp_gateway/endpoint_changes.py
@@ -73,20 +73,20 @@
         DiscoveryError: The object describes none.
     """
     if not isinstance(document, dict) or not isinstance(document.get("endpoints"), list):
-        raise DiscoveryError("an object with endpoints is due")
+        raise DiscoveryError("expected an object with a list 'endpoints'")
     rows = document["endpoints"]
     if len(rows) > MAX_ENDPOINTS:
-        raise DiscoveryError(f"over {MAX_ENDPOINTS} endpoints")
+        raise DiscoveryError(f"more than {MAX_ENDPOINTS} endpoints")
     version = int(_number(document, "index", 0))
     return EndpointChange(version, document.get("snapshot") is True, tuple(_parse_entry(row) for row in rows))
 
 
 def _parse_entry(row: object) -> ListedEndpoint:
     if not isinstance(row, dict):
-        raise DiscoveryError(f"{row!r} is no entry")
+        raise DiscoveryError(f"{row!r} is not an endpoint object")
     status = STATUS_BY_NAME.get(_text(row, "status"))
     if status is None:
-        raise DiscoveryError(f"{row['status']!r} is not known", "status")
+        raise DiscoveryError(f"{row['status']!r} is an unknown status", "status")
     endpoint = Endpoint(
         _text(row, "name"),
         str(row.get("zone", "")),
@@ -97,14 +97,14 @@
     )
     address = parse_address(_text(row, "address"))
     if address is None:
-        raise DiscoveryError(f"{row['address']!r} is no HOST:PORT", "address")
+        raise DiscoveryError(f"{row['address']!r} is not HOST:PORT", "address")
     return ListedEndpoint(endpoint, address)
 
 
 def _text(row: Mapping[str, Any], name: str) -> str:
     value = row.get(name)
     if not isinstance(value, str) or not value or len(value) > MAX_TEXT_CHARACTERS:
-        raise DiscoveryError(f"{value!r} is no text", name)
+        raise DiscoveryError(f"{value!r} is not a string of 1 to {MAX_TEXT_CHARACTERS} characters", name)
     return value
 
 
@@ -112,7 +112,7 @@
     value = row.get(name, default)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not abs(value) <= sys.float_info.max:
-        raise DiscoveryError(f"{value!r} is no number", name)
+        raise DiscoveryError(f"{value!r} is not a finite number", name)
     return value
 
 
@@ -152,7 +152,7 @@
         return new.address != old.address or new.endpoint.started_ms != old.endpoint.started_ms
 
     def reset_version(self) -> None:
-        """Expect a discovery service that numbers its versions anew; the list stays in force."""
+        """Accept any next version, as discovery may number its versions differently; the list stays in force."""
         self.version = 0
 
     def address_of(self, worker: str) -> Address | None:
--- a/anisefront/resp_gateway/instance.py
+++ b/anisefront/resp_gateway/instance.py
@@ -1,6 +1,6 @@
 """Wiring of a gateway instance of the RESP platform: request table, frontend, upstream, peers and discovery.
 
-It decides nothing: the frontend rejects what exceeds its limits, the controller decides all else.
+No admission decision is made here: the frontend rejects what exceeds its limits, the controller decides all else.
 """
 
 from __future__ import annotations
@@ -51,11 +51,11 @@
 MAX_IDLE_PER_ENDPOINT = 64
 
 # After SIGTERM the platform sends SIGKILL no sooner than the longest deadline, up to a maximum, and a grace period.
-LISTEN_AFTER_TERM_MS = 500.0  # new connections still arrive for a while
+LISTEN_AFTER_TERM_MS = 500.0  # clients still open connections for a while
 MAX_DEADLINE_MS = 3000.0
 KILL_GRACE_MS = 700.0
-WRITE_MS = 300.0  # before SIGKILL, by when all requests are answered
-EXIT_MS = 100.0  # before SIGKILL, by when the process ends
+WRITE_MS = 300.0  # before SIGKILL: time left to write the last replies
+EXIT_MS = 100.0  # before SIGKILL: time left for the process to exit
 
 REPORT_INTERVAL_S = 10.0
 COLLECT_INTERVAL_S = 2.0
@@ -107,17 +107,17 @@
         self.request_table = create_request_table(
             reactor, self.clock, self.log, settings, config.seed, self.peer_port, max_open, on_fault
         )
-        self.book = EndpointDirectory()
+        self.endpoint_directory = EndpointDirectory()
         budget = descriptor_budget(config.sockets)
         self._create_upstream(config, budget)
         self._create_frontend(config, budget)
         self.watch = DiscoveryWatch(
             reactor,
             config.discovery,
-            lambda: self.book.version,
+            lambda: self.endpoint_directory.version,
             self.apply_endpoint_change,
-            self._on_discovery_fault,
-            self.book.reset_version,
+            self._log_discovery_error,
+            self.endpoint_directory.reset_version,
         )
         self.collector = Collector(reactor, lambda: self.request_table.open_requests, COLLECT_INTERVAL_S)
         self._port: Any = None
@@ -134,8 +134,8 @@
             quiet_period_s=REUSE_DELAY_S,
             stall_timeout_s=RESPONSE_STALL_S,
         )
-        self.pool = ConnectionPool(self.reactor, limits, WorkerConnectionCodec, self.book.address_of)
-        self.carrier = RespRequests(self.request_table, self.pool, config.settings.load_report_fields)
+        self.pool = ConnectionPool(self.reactor, limits, WorkerConnectionCodec, self.endpoint_directory.address_of)
+        self.resp_requests = RespRequests(self.request_table, self.pool, config.settings.load_report_fields)
 
     def _create_frontend(self, config: InstanceConfig, budget: DescriptorBudget) -> None:
         limits = ConnectionLimits(
@@ -144,13 +144,15 @@
             config.sockets // DESCRIPTORS_PER_BODY,
             int(config.memory_mb * (1 << 20) * BODY_MEMORY_FRACTION),
         )
-        self.front = RespFrontend(self.reactor, self.carrier, CommandMapper(config.settings), self.clock, limits)
+        self.frontend = RespFrontend(
+            self.reactor, self.resp_requests, CommandMapper(config.settings), self.clock, limits
+        )
 
     def prepare(self) -> None:
-        """Do the work of the start that needs no socket; call it before `start`."""
+        """Apply the known endpoint list and log the settings; opens no socket. Call it before `start`."""
         config = self.config
         if config.known_endpoints is not None:
-            # It may be outdated, and is used until discovery sends a newer one.
+            # The list may be outdated; it is used until discovery sends a newer one.
             self.apply_endpoint_change(config.known_endpoints)
         self.log.info(
             "settings",
@@ -176,31 +178,33 @@
             self.reactor.listenUDP(port, self.peer_port, interface=host, maxPacketSize=MAX_DATAGRAM_BYTES)
             addresses["peers"] = f"{host}:{port}"
         host, port = config.listen
-        self._port = listen_tcp(self.reactor, host, port, self.front)
+        self._port = listen_tcp(self.reactor, host, port, self.frontend)
         addresses["resp"] = f"{host}:{self._port.getHost().port}"
-        self.log.info("started", **addresses, workers=len(self.book.entries), number=config.settings.number)
+        self.log.info(
+            "started", **addresses, workers=len(self.endpoint_directory.entries), number=config.settings.number
+        )
         self.reactor.callLater(REPORT_INTERVAL_S, self._log_state)
         return addresses
 
     # ---- discovery and settings ----------------------------------------------------------------
 
     def apply_endpoint_change(self, change: EndpointChange) -> None:
-        """Take over an endpoint list or a change of it."""
-        applied = self.book.apply(change)
+        """Apply an endpoint list or a change to it, and close idle connections to replaced workers."""
+        applied = self.endpoint_directory.apply(change)
         if applied.endpoints is None:
             return
         self.request_table.update_endpoints(applied.endpoints)
         for endpoint in applied.replaced:
             self.pool.close_idle(endpoint)
 
-    def _on_discovery_fault(self, why: str) -> None:
-        self.log.warning("discovery_fault", fault=why)
+    def _log_discovery_error(self, error: str) -> None:
+        self.log.warning("discovery_fault", fault=error)
 
     def reload(self, read_config: Callable[[], InstanceConfig]) -> bool:
-        """Apply another configuration as a whole or reject it: discovery's address, and the settings that changed.
+        """Apply another configuration as a whole or reject it. It may change discovery's address and some settings.
 
         Args:
-            read_config: Reads it; raises `InstanceConfigError` if it is invalid.
+            read_config: Reads the configuration; raises `InstanceConfigError` if it is invalid.
 
         Returns:
             Whether it was applied.
@@ -208,15 +212,15 @@
         before = self.config.settings
         try:
             config = read_config()
-            faults = _rejected_changes(before, config.settings)
-        except InstanceConfigError as problem:
-            faults = [str(problem)]
-        if faults:
-            self.log.error("config_not_taken", faults=faults)
+            errors = _rejected_changes(before, config.settings)
+        except InstanceConfigError as error:
+            errors = [str(error)]
+        if errors:
+            self.log.error("config_not_taken", faults=errors)
             return False
         self.watch.change_address(config.discovery)
         if config.settings != before:
-            self.front.commands = CommandMapper(config.settings)
+            self.frontend.commands = CommandMapper(config.settings)
             self.request_table.change_settings(config.settings)
         self.config = config
         self.log.info("config", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
@@ -225,7 +229,7 @@
     # ---- state ---------------------------------------------------------------------------------
 
     def state(self) -> dict[str, Any]:
-        """Return what this gateway instance is and does, as a document."""
+        """Return the state report as a document."""
         return to_document(self._report(), STATE_KEYS)
 
     def _report(self) -> RespStateReport:
@@ -234,19 +238,19 @@
         times_ms = controller.response_times.by_class
         return RespStateReport(
             requests=report_of_request_table(table),
-            endpoints=len(self.book.entries),
+            endpoints=len(self.endpoint_directory.entries),
             endpoint_connections=self.pool.connections,
-            client_connections={place: len(clients) for place, clients in self.front.by_state.items()},
+            client_connections={state: len(clients) for state, clients in self.frontend.by_state.items()},
             customer_accounts=len(controller.quota_borrower.accounts),
             quota_buckets=len(controller.quota_owner.buckets),
             response_times_ms={name: round(time_ms) for name, time_ms in times_ms.items()},
-            reported_loads={name: round(load, 2) for name, load in self.carrier.statistics.items()},
+            reported_loads={name: round(load, 2) for name, load in self.resp_requests.statistics.items()},
             endpoint_loads=self._endpoint_loads(),
             class_shares={name: round(each.share, 2) for name, each in controller.admission.shares.items()},
             batch_durations=table.batches.duration_ms.report(),
             collector_pauses=self.collector.pauses.report(),
             request_counts=dict(table.counts),
-            frontend_counts=dict(self.front.counts),
+            frontend_counts=dict(self.frontend.counts),
             connection_pool_counts=dict(self.pool.counts),
             datagram_counts=dict(self.peer_port.counts) if self.peer_port else {},
         )
@@ -255,7 +259,7 @@
         return {
             name: [state.in_flight, round(state.others_load, 1), round(state.health.latency_ratio, 2)]
             for name, state in self.request_table.controller.endpoints.known.items()
-            if name in self.book.entries
+            if name in self.endpoint_directory.entries
         }
 
     def _log_state(self) -> None:
@@ -265,37 +269,37 @@
     # ---- drain ---------------------------------------------------------------------------------
 
     def drain(self) -> defer.Deferred[None]:
-        """Finish requests in flight and those that still arrive; fires when all are answered or the time is up."""
+        """Finish requests in flight and those that still arrive; fires when all have replies or the time is up."""
         return self._drain.begin(self._begin_drain)
 
     def end_drain(self) -> None:
         """End the drain now."""
-        self.front.latest_reply_ms = self.clock()
+        self.frontend.latest_reply_ms = self.clock()
 
     def _begin_drain(self) -> None:
         self._drain_began_ms = self.clock()
         longest_ms = max(each.deadline_ms for each in self.config.settings.classes)
         # Requests that SIGKILL finds unanswered are lost; with short deadlines it comes soon.
         self._kill_ms = self._drain_began_ms + min(longest_ms, MAX_DEADLINE_MS) + KILL_GRACE_MS
-        self.front.latest_reply_ms = self._kill_ms - WRITE_MS
-        answered_within_ms = self.front.latest_reply_ms - self._drain_began_ms
+        self.frontend.latest_reply_ms = self._kill_ms - WRITE_MS
+        answered_within_ms = self.frontend.latest_reply_ms - self._drain_began_ms
         self.log.info("draining", open=self.request_table.open_requests, answered_within_ms=answered_within_ms)
-        self.front.close_idle()
-        self._wait_for_answers()
+        self.frontend.close_idle()
+        self._wait_for_replies()
 
-    def _wait_for_answers(self) -> None:
-        """Stop listening after a while, and wait until all requests are answered or the time is up."""
+    def _wait_for_replies(self) -> None:
+        """Stop listening after `LISTEN_AFTER_TERM_MS`; wait until all requests have replies or the time is up."""
         now_ms = self.clock()
-        latest_ms = self.front.latest_reply_ms
+        latest_ms = self.frontend.latest_reply_ms
         listen_until_ms = min(self._drain_began_ms + LISTEN_AFTER_TERM_MS, latest_ms)
         if now_ms >= listen_until_ms and self._port is not None:
             self._stop_listening()
-        is_busy = self.request_table.open_requests or self.front.connections
+        is_busy = self.request_table.open_requests or self.frontend.connections
         if now_ms < listen_until_ms or (now_ms < latest_ms and is_busy):
-            self.reactor.callLater(POLL_INTERVAL_S, self._wait_for_answers)
+            self.reactor.callLater(POLL_INTERVAL_S, self._wait_for_replies)
             return
         self.log.info("drained", left_open=self.request_table.open_requests)
-        self.front.fail_all()
+        self.frontend.fail_all()
         self._drain.poll(self._is_closed, self._end)
 
     def _stop_listening(self) -> None:
@@ -303,8 +307,8 @@
         self._port = None
 
     def _is_closed(self) -> bool:
-        """Return whether the last answers are written and read, or the process has to end."""
-        return self.clock() >= self._kill_ms - EXIT_MS or not any(self.front.by_state.values())
+        """Return whether the clients have read the last replies, or the process has to end."""
+        return self.clock() >= self._kill_ms - EXIT_MS or not any(self.frontend.by_state.values())
 
     def _end(self) -> None:
         self.watch.stop()
@@ -314,7 +318,7 @@
 def _rejected_changes(before: Settings, after: Settings) -> list[str]:
     """Return a message for each difference of the settings that needs a restart."""
     messages = [
-        f"settings: {name} can't change while running: start the gatekeeper anew"
+        f"settings: {name} can't change while running: restart the gatekeeper"
         for name in immutable_settings.immutable_differences(before, after)
     ]
     return messages + immutable_settings.reordered(before, after)
--- a/anisefront/resp_gateway/instance_config.py
+++ b/anisefront/resp_gateway/instance_config.py
@@ -32,10 +32,10 @@
     """Configuration of one gateway instance. Times in milliseconds, memory in megabytes (2^20 bytes).
 
     Attributes:
-        peers: Addresses of all instances by their numbers in the settings.
+        peers: Addresses of all instances, in the order of their numbers in the settings.
         known_endpoints: The endpoint list that the instance last had, which may be outdated.
         sockets: How many sockets the instance may hold.
-        idle_ms: After which the machine closes an idle connection to a worker.
+        idle_ms: Idle time after which the platform closes a connection to a worker.
     """
 
     name: str
@@ -64,7 +64,7 @@
     except (OSError, ValueError) as error:
         raise InstanceConfigError(str(error), path) from error
     if not isinstance(document, dict):
-        raise InstanceConfigError("an object is due", path)
+        raise InstanceConfigError("expected a JSON object", path)
     return document
 
 
@@ -111,7 +111,7 @@
 def _address(value: object, field: str) -> Address:
     address = parse_address(value)
     if address is None:
-        raise InstanceConfigError(f"{value!r} is no HOST:PORT", field)
+        raise InstanceConfigError(f"{value!r} is not HOST:PORT", field)
     return address
 
 
@@ -127,7 +127,7 @@
         raise InstanceConfigError(str(error), "settings") from error
     has_peers = settings.peer_messages_enabled and settings.gateways > 1
     if has_peers and (len(settings.classes) > MAX_CLASSES or len(settings.plans) > MAX_PLANS):
-        raise InstanceConfigError("more than 16 classes or plans: peers' messages have room for 16", "settings")
+        raise InstanceConfigError("more than 16 classes or plans, which peer messages can't carry", "settings")
     affordable_customers = (memory_mb - BASE_MEMORY_MB) * CUSTOMERS_PER_MB
     max_customers = int(min(settings.max_customers, max(MIN_CUSTOMERS, affordable_customers)))
     return replace(settings, max_customers=max_customers)
@@ -138,7 +138,7 @@
     if not isinstance(peers, list):
         return []
     if peers and len(peers) < settings.gateways:
-        raise InstanceConfigError(f"{len(peers)} addresses for {settings.gateways} gatekeepers", "peers")
+        raise InstanceConfigError(f"{len(peers)} addresses for {settings.gateways} gateway instances", "peers")
     return peers
 
 
@@ -157,4 +157,4 @@
     try:
         return int(seed, 16)
     except ValueError as error:
-        raise InstanceConfigError(f"{seed!r} is no hex number", "seed") from error
+        raise InstanceConfigError(f"{seed!r} is not a hexadecimal number", "seed") from error
--- a/anisefront/resp_gateway/resp_codec.py
+++ b/anisefront/resp_gateway/resp_codec.py
@@ -3,8 +3,8 @@
     command:      array head --> (length --> value) for each part --> command
     worker reply: error line | array head of three --> payload --> usage --> load report
 
-A length above its cap is rejected when it is read, before anything is buffered for it, and no memory is allocated for a
-length that was only announced. A protocol error ends the reader. Cost is linear in the bytes, however they are split.
+A length above its cap is rejected when it is read, before anything is buffered for it, and no memory is allocated for
+bytes that were only announced. A protocol error ends the reader. Cost is linear in the bytes, however they are split.
 """
 
 from __future__ import annotations
@@ -68,10 +68,10 @@
         self._length = NO_LENGTH
         return bytes(self._buffer[start:end])
 
-    def _starts_with(self, signs: tuple[bytes, ...]) -> bool:
+    def _starts_with(self, type_bytes: tuple[bytes, ...]) -> bool:
         """Tell whether the next byte is missing or one of these, before its line is complete."""
-        sign = self._buffer[self._position : self._position + 1]
-        return not sign or sign in signs
+        type_byte = self._buffer[self._position : self._position + 1]
+        return not type_byte or type_byte in type_bytes
 
     def _discard_consumed(self) -> None:
         if self._position:
@@ -152,7 +152,7 @@
     """A worker's reply: a payload with usage figures and load report, or an error line (`payload` is None)."""
 
     payload: bytes | None
-    error: bytes = b""  # without its sign
+    error: bytes = b""  # without its type byte
     usage: bytes = b""
     load_report: bytes = b""
 
@@ -178,12 +178,12 @@
             line = self._read_line(MAX_REPLY_LINE_BYTES)
             if line is None:
                 if not self._starts_with((b"*", b"-")):
-                    raise RespProtocolError("an answer of no known kind")
+                    raise RespProtocolError("a reply of unknown type")
                 return None
             if line[:1] == b"-":
                 return WorkerReply(None, line[1:])
             if line != b"*%d" % WORKER_REPLY_PARTS:
-                raise RespProtocolError("an answer of no known kind")
+                raise RespProtocolError("a reply of unknown type")
             self._parts = []
         while len(self._parts) < WORKER_REPLY_PARTS:
             element = self._read_element(first=not self._parts)
@@ -204,11 +204,11 @@
             line = self._read_line(MAX_REPLY_LINE_BYTES)
             if line is None:
                 return None
-            sign = line[:1]
+            type_byte = line[:1]
             rest = line[1:]
-            if sign != b"$":
-                if first or sign not in (b"+", b":", b"-"):
-                    raise RespProtocolError("a part of no known kind")
+            if type_byte != b"$":
+                if first or type_byte not in (b"+", b":", b"-"):
+                    raise RespProtocolError("a reply element of unknown type")
                 return rest
             if rest == b"-1" and not first:
                 return b""
--- a/anisefront/resp_gateway/watch_codec.py
+++ b/anisefront/resp_gateway/watch_codec.py
@@ -6,7 +6,7 @@
 import re
 from collections.abc import Iterable
 
-from anisefront.protocols.http1 import Head, Message, MessageFault, Part, Reader
+from anisefront.protocols.http1 import BodyChunk, Head, Message, MessageError, Reader
 from anisefront.resp_gateway.endpoint_changes import EndpointChange, parse_change
 from anisefront.resp_gateway.errors import DiscoveryError
 
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         """Start before the response's head."""
-        self._http = Reader(requests=False, parts=True)
+        self._http = Reader(requests=False, stream_chunks=True)
         self._line = bytearray()
         self._object = bytearray()  # complete lines of an incomplete object
         self._depth = 0  # of brackets in it
@@ -44,22 +44,22 @@
         """
         try:
             events = self._http.feed(data)
-        except MessageFault as error:
+        except MessageError as error:
             raise DiscoveryError(str(error)) from error
         return list(self._read_events(events))
 
-    def _read_events(self, events: Iterable[Head | Part | Message]) -> Iterable[EndpointChange]:
+    def _read_events(self, events: Iterable[Head | BodyChunk | Message]) -> Iterable[EndpointChange]:
         for event in events:
             if isinstance(event, Head):
                 if event.status != 200:
-                    raise DiscoveryError(f"status {event.status}")
-            elif isinstance(event, Part):
+                    raise DiscoveryError(f"response with status {event.status}")
+            elif isinstance(event, BodyChunk):
                 yield from self._read_lines(event.data)
             else:
                 self.ended = True
                 yield from self._read_lines(event.body + b"\n")
                 if self._depth:
-                    raise DiscoveryError("the answer ends in the middle of an object")
+                    raise DiscoveryError("the response ends within an object")
 
     def _read_lines(self, data: bytes) -> Iterable[EndpointChange]:
         searched = len(self._line)
@@ -72,7 +72,7 @@
                 yield from self._read_object_line(line)
             end = self._line.find(b"\n")
         if len(self._line) + len(self._object) > MAX_CHANGE_BYTES:
-            raise DiscoveryError(f"an object of over {MAX_CHANGE_BYTES} bytes")
+            raise DiscoveryError(f"object longer than {MAX_CHANGE_BYTES} bytes")
 
     def _read_object_line(self, line: bytes) -> Iterable[EndpointChange]:
         """Yield the change that this line completes, if it does.
--- a/anisefront/testbed/proxy.py
+++ b/anisefront/testbed/proxy.py
@@ -269,10 +269,10 @@
         try:
             for message in self._reader.feed(data):
                 if self._current is not None:
-                    raise http1.MessageFault(400, "one request at a time")
+                    raise http1.MessageError(400, "one request at a time")
                 self._keep = message.keep_alive
                 self._current = _Downstream(self._proxy, self, message)
-        except http1.MessageFault as fault:
+        except http1.MessageError as fault:
             self._keep = False
             self.answer(fault.status, {}, str(fault).encode())
 
--- a/anisefront/testbed/soak/sabotage.py
+++ b/anisefront/testbed/soak/sabotage.py
@@ -38,7 +38,7 @@
 
     def begin_drain(self: RespGatewayInstance) -> None:
         begin(self)
-        for clients in self.front.by_state.values():
+        for clients in self.frontend.by_state.values():
             for client in list(clients):
                 client.abort()
 
--- a/anisefront/testbed/workers.py
+++ b/anisefront/testbed/workers.py
@@ -240,7 +240,7 @@
             for message in self._reader.feed(data):
                 self._keep = message.keep_alive
                 self._worker.arrived(self, message)
-        except http1.MessageFault as fault:
+        except http1.MessageError as fault:
             self._keep = False
             self.answer(fault.status, {}, str(fault).encode())
 
--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -30,7 +30,7 @@
 from anisefront.policy import peer_codec, settings_document
 from anisefront.protocols import grpc, http1, http2_settings, http2_start, jsonrpc, orca, trace
 from anisefront.protocols.errors import ProtocolError
-from anisefront.protocols.http1 import MessageFault
+from anisefront.protocols.http1 import MessageError
 from anisefront.protocols.http2_headers import HeaderDecoder
 from anisefront.protocols.http2_limits import Http2Limits
 from anisefront.resp_gateway import command_mapping, endpoint_changes, instance_config, resp_codec, watch_codec
@@ -204,7 +204,7 @@
     ),
     "protocols.grpc.decode_timeout_ms": Decoder(grpc.decode_timeout_ms, [b"10m", b"1H"], (ProtocolError,)),
     "protocols.http1.Reader.feed": Decoder(
-        lambda data: http1.Reader(requests=True).feed(data), [HTTP_REQUEST], (MessageFault,)
+        lambda data: http1.Reader(requests=True).feed(data), [HTTP_REQUEST], (MessageError,)
     ),
     "protocols.http2_headers.HeaderDecoder.decode": Decoder(
         lambda data: HeaderDecoder(Http2Limits()).decode(data), [b"\x82\x86\x84\x41\x01h"], (ProtocolError,)
@@ -259,7 +259,7 @@
         [b"life.1.2", b"life.1.\xb2", b"life.%s.1" % (b"9" * 5000)],
     ),
     "upstream.http_responses.HttpResponseReader.feed": Decoder(
-        lambda data: HttpResponseReader(1000).feed(data), [HTTP_RESPONSE], (MessageFault,)
+        lambda data: HttpResponseReader(1000).feed(data), [HTTP_RESPONSE], (MessageError,)
     ),
     "upstream.inherited_requests.InheritedRequests.find_attempt": Decoder(_inherited, [b"life.1.2", b"life.1.\xb2"]),
 }
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -142,7 +142,7 @@
 def test_all_is_answered_before_the_kill_that_follows_from_the_settings(deadlines, kill_ms):
     reactor, made, ended = draining(*deadlines)
     made.request_table.open_requests = 1  # one that nothing ends
-    assert made.front.deadline_ms(1e6) <= kill_ms - 250
+    assert made.frontend.deadline_ms(1e6) <= kill_ms - 250
     for _ in range(400):
         reactor.advance(0.01)
     assert ended and ended[0] <= kill_ms - 100 and made._port is None
@@ -150,9 +150,9 @@
 
 def test_other_settings_after_a_hang_up_have_their_own_kill():
     _, made, _ = draining(5000, again=(5000, 5000))
-    assert made.front.latest_reply_ms == 3400
+    assert made.frontend.latest_reply_ms == 3400
     _, made, _ = draining(900, again=(900, 2000))
-    assert made.front.latest_reply_ms == 2400
+    assert made.frontend.latest_reply_ms == 2400
 
 
 def test_who_had_come_before_the_listener_closes_is_let_in():
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -367,7 +367,7 @@
         """Requests of several customers, until one waits for its home's word."""
         for number in range(1, 50):
             self.client = Transport()
-            self.client.protocol = self.made[0].front.buildProtocol(None)
+            self.client.protocol = self.made[0].frontend.buildProtocol(None)
             self.client.protocol.makeConnection(self.client)
             terms = b"c=look,t=rated,d=1400,units=4,spread=2,first=0"
             self.client.protocol.dataReceived(
@@ -455,7 +455,7 @@
     for _ in range(40):
         two.connect()
         two.reactor.advance(0.02)
-    assert not two.workers[0].value() and f"s{port - 7000}" not in two.made[0].book.entries
+    assert not two.workers[0].value() and f"s{port - 7000}" not in two.made[0].endpoint_directory.entries
     assert two.begun() == 1 and port not in [each[1] for each in two.reactor.tcpClients[1:]]
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,7 @@
 from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
 from anisefront.protocols import http1, jsonrpc, orca
-from anisefront.protocols.http1 import Head, MessageFault, Reader
+from anisefront.protocols.http1 import Head, MessageError, Reader
 
 
 def messages(reader, data):
@@ -33,7 +33,7 @@
     reader, out = Reader(False), []
     for at in range(0, len(CHUNKED), step):
         out += messages(reader, CHUNKED[at : at + step])
-    assert out[0].body == b"Wikipedia" and out[0].keep_alive and not reader.midway
+    assert out[0].body == b"Wikipedia" and out[0].keep_alive and not reader.has_partial_message
 
 
 def test_bodies_until_close_head_answers_and_interim_answers():
@@ -67,7 +67,7 @@
     ],
 )
 def test_what_is_no_message(data, status):
-    with pytest.raises(MessageFault) as fault:
+    with pytest.raises(MessageError) as fault:
         Reader(True).feed(data)
     assert fault.value.status == status
 
@@ -75,7 +75,7 @@
 def test_cut_off_in_the_middle():
     reader = Reader(False)
     reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc")
-    with pytest.raises(MessageFault):
+    with pytest.raises(MessageError):
         reader.close()
 
 
@@ -84,7 +84,7 @@
     for requests in (True, False):
         try:
             Reader(requests).feed(data)
-        except MessageFault:
+        except MessageError:
             pass
 
 
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -1111,7 +1111,7 @@
         lambda: 1e6 + reactor.seconds() * 1000,
     )
     made.prepare()
-    client = House.worker_transport(made.front)
+    client = House.worker_transport(made.frontend)
     terms_ = b"c=look,t=rated,d=480"
     client.protocol.dataReceived(
         resp_codec.encode_command([*ASK[:3], terms_]) + resp_codec.encode_command([b"GET", b"x"])
