--- a/tests/connection_model.py
+++ b/tests/connection_model.py
@@ -3,7 +3,7 @@
 
 from unittest import mock
 
-from test_node_front import House, other
+from test_node_front import GatewayHarness, command_with_id
 from test_node_wire import ASK, DO, SERVED
 from twisted.internet import error
 from twisted.python.failure import Failure
@@ -116,8 +116,8 @@
 
     def __init__(self, turned_away=False):
         room = {"max_connections": 0} if turned_away else {}
-        self.house, self.wire = House(max_buffered_bytes=VALUES, **room), Wire()
-        self.wire.protocol = self.house.front.buildProtocol(None)
+        self.house, self.wire = GatewayHarness(max_buffered_bytes=VALUES, **room), Wire()
+        self.wire.protocol = self.house.frontend.buildProtocol(None)
         self.wire.protocol.makeConnection(self.wire)
         self.read = []  # whole commands that were read before our half was shut: what they may be answered with
         self.number, self.half = 0, b""
@@ -149,14 +149,14 @@
                 if self.behind > PAUSE["MAX_BUFFERED"]:
                     raise Broken("a flood is read as fast as it comes")
                 self.behind += len(data)
-            arrivals = len(self.house.module.arrivals)
+            arrivals = len(self.house.controller.arrivals)
             if not (wire.shut or self.overdue):
                 self.read += allowed
             wire.protocol.dataReceived(data)
             self.house.reactor.advance(0)
-            if wire.shut and len(self.house.module.arrivals) > arrivals:
+            if wire.shut and len(self.house.controller.arrivals) > arrivals:
                 raise Broken("a request that came after our half was shut was taken")
-            self.overdue = self.overdue or spoilt or self.house.front.counts["unreadable"] > 0
+            self.overdue = self.overdue or spoilt or self.house.frontend.counts["unreadable"] > 0
 
     @staticmethod
     def _allowed(parts):
@@ -167,7 +167,7 @@
 
     def _command(self, parts=ASK):
         self.number += 1
-        return other(self.number, parts)
+        return command_with_id(self.number, parts)
 
     def _c(self):
         if not self.half:
@@ -224,13 +224,13 @@
         self.behind = 0
         for _ in range(12):
             self.house.reactor.advance(0.1)
-        self.overdue = self.overdue or self.house.front.counts["unreadable"] > 0
+        self.overdue = self.overdue or self.house.frontend.counts["unreadable"] > 0
 
     def _s(self):
-        self.house.front.close_idle()
+        self.house.frontend.close_idle()
 
     def _f(self):
-        self.house.front.fail_all()
+        self.house.frontend.fail_all()
 
     def _l(self):
         self.draining = True
@@ -241,16 +241,16 @@
         )
 
     def _g(self):
-        waiting = [each.id for each in self.house.module.arrivals if each.id not in self.sent]
+        waiting = [each.id for each in self.house.controller.arrivals if each.id not in self.sent]
         if waiting:
             self.sent.add(waiting[0])
-            self.house.module.next = [StartAttempt(waiting[0], "s1", 1400.0)]
+            self.house.controller.next = [StartAttempt(waiting[0], "s1", 1400.0)]
             self.house.request_table.batches.schedule_iteration()
 
     def _k(self):
         while len(self.workers) < len(self.house.reactor.tcpClients):
             factory = self.house.reactor.tcpClients[len(self.workers)][2]
-            transport = type(self.house).worker_transport(factory)
+            transport = type(self.house).connect_transport(factory)
             self.workers.append(transport)
             if (self.left or self.wire.shut or self.draining) and transport.value():
                 raise Broken("an attempt began for a client that had gone or was answered, or at a draining worker")
@@ -282,8 +282,8 @@
         if not all(map(bytes.startswith, found, self.read)):
             raise Broken("an answer that is another command's")
         if (
-            len(self.house.carrier.open_requests) > CAPS["MAX_OPEN_COMMANDS"]
-            or self.house.front.buffered.used > VALUES
+            len(self.house.resp_requests.open_requests) > CAPS["MAX_OPEN_COMMANDS"]
+            or self.house.frontend.buffered.used > VALUES
             or (len(self.wire.protocol.replies.pending) > CAPS["MAX_PENDING_REPLIES"] + 1)
         ):
             raise Broken("more is held than may be")
@@ -303,7 +303,7 @@
         self._e()
         self.wire.turn()
         self.house.reactor.advance(0)
-        front, carrier = self.house.front, self.house.carrier
+        front, carrier = self.house.frontend, self.house.resp_requests
         if carrier.open_requests or carrier._ids or self.house.request_table.requests:
             raise Broken("something is kept of a request that has ended")
         if front.buffered.used or any(front.by_state.values()):
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -5,7 +5,7 @@
 import socket
 import struct
 
-from test_node_front import Script
+from test_node_front import ScriptedController
 from test_node_wire import ASK, SERVED
 from test_rules import settings
 from twisted.internet.epollreactor import EPollReactor
@@ -25,7 +25,7 @@
     """One gatekeeper's sockets around a scripted module, with workers `s1` and `s2` that the test plays."""
 
     def __init__(self, **limits):
-        self.time, self.reactor, self.module, self.links = 0.0, EPollReactor(), Script(), []
+        self.time, self.reactor, self.module, self.links = 0.0, EPollReactor(), ScriptedController(), []
         self.reactor.seconds = lambda: self.time
         now = lambda: self.time * 1000 + 1000  # noqa: E731
         self.request_table = RequestTable(self.module, now, self.reactor)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -5,7 +5,7 @@
 import pytest
 from stage import Stage, reset
 from test_module import ENDPOINT_LIST, new_arrival, new_controller
-from test_node_front import House, other, sent
+from test_node_front import GatewayHarness, command_with_id, start_attempt
 from test_node_wire import ASK, SERVED
 from twisted.internet import error
 from twisted.python.failure import Failure
@@ -47,42 +47,42 @@
     ],
 )
 def test_a_disconnection_before_the_last_byte_is_written_proves_that_nothing_was_executed(full, reason, result):
-    house = House()
-    house.say(house.client(), ASK)
-    house.turn(StartAttempt(1, "s1", 400.0))
-    worker = house.worker(full)
+    house = GatewayHarness()
+    house.send(house.client(), ASK)
+    house.run_iteration(StartAttempt(1, "s1", 400.0))
+    worker = house.connect_worker(full)
     worker.protocol.connectionLost(Failure(reason))
-    house.turn()
-    assert results(house.module) == [result]
+    house.run_iteration()
+    assert results(house.controller) == [result]
 
 
 def test_a_timeout_before_the_last_byte_is_written_proves_that_nothing_was_executed():
-    house = House()
-    house.say(house.client(), ASK)
-    house.turn(StartAttempt(1, "s1", 400.0))
-    worker = house.worker(full=True)
+    house = GatewayHarness()
+    house.send(house.client(), ASK)
+    house.run_iteration(StartAttempt(1, "s1", 400.0))
+    worker = house.connect_worker(full=True)
     house.reactor.advance(0.5)
-    house.turn()
-    assert worker.aborted and results(house.module) == [AttemptResult.CONNECT_FAILED]
+    house.run_iteration()
+    assert worker.aborted and results(house.controller) == [AttemptResult.CONNECT_FAILED]
 
 
 @pytest.mark.parametrize("early", [SERVED, b"-BUSY\r\n", b"*3\r\n$2"])
 def test_bytes_that_arrive_before_the_last_byte_is_written_are_no_response(early):
     """They belong to an earlier attempt: part of a response, a late duplicate, or an overload response."""
-    house = House()
+    house = GatewayHarness()
     client = house.client()
-    house.say(client, ASK)
-    house.turn(StartAttempt(1, "s1", 400.0))
-    worker = house.worker(full=True)
+    house.send(client, ASK)
+    house.run_iteration(StartAttempt(1, "s1", 400.0))
+    worker = house.connect_worker(full=True)
     worker.protocol.dataReceived(early)
-    house.turn()
-    assert worker.aborted and results(house.module) == [AttemptResult.CONNECT_FAILED] and client.take() == b""
+    house.run_iteration()
+    assert worker.aborted and results(house.controller) == [AttemptResult.CONNECT_FAILED] and client.take() == b""
 
 
 def test_a_stray_response_on_an_idle_connection_at_the_time_of_the_write_is_sent_to_nobody(stage):
     client, worker = stage.served()
     stage.time += 0.02
-    client.sendall(resp_codec.encode_command(other(2)))
+    client.sendall(resp_codec.encode_command(command_with_id(2)))
     stage.turns()
     stage.decide(StartAttempt(2, "s1", 400.0))  # the connection is chosen and written to in this iteration
     worker.sendall(SERVED)  # a late duplicate response
@@ -96,7 +96,7 @@
 def test_a_connection_closed_by_its_worker_in_the_iteration_of_the_write_executed_nothing(stage):
     client, worker = stage.served()
     stage.time += 0.02
-    client.sendall(resp_codec.encode_command(other(2)))
+    client.sendall(resp_codec.encode_command(command_with_id(2)))
     stage.turns()
     stage.decide(StartAttempt(2, "s1", 400.0))
     worker.close()
@@ -119,18 +119,20 @@
 
 
 def test_a_response_in_single_bytes_is_complete_and_one_after_the_timeout_is_dropped():
-    house = House()
-    client, worker = sent(house)
+    house = GatewayHarness()
+    client, worker = start_attempt(house)
     for byte in SERVED:
         worker.protocol.dataReceived(bytes([byte]))
-    house.turn()
-    assert results(house.module) == [AttemptResult.OK] and client.take() == b"$5\r\nva\r\nl\r\n"
-    client, worker = sent(house, 2)
+    house.run_iteration()
+    assert results(house.controller) == [AttemptResult.OK] and client.take() == b"$5\r\nva\r\nl\r\n"
+    client, worker = start_attempt(house, 2)
     house.reactor.advance(1.5)
     worker.protocol.dataReceived(SERVED)
-    house.turn()
+    house.run_iteration()
     assert (
-        results(house.module) == [AttemptResult.OK, AttemptResult.TIMEOUT] and client.take() == b"" and worker.aborted
+        results(house.controller) == [AttemptResult.OK, AttemptResult.TIMEOUT]
+        and client.take() == b""
+        and worker.aborted
     )
 
 
@@ -138,38 +140,38 @@
 
 
 def test_a_worker_whose_address_changed_while_connecting_is_not_written_to_at_its_old_address():
-    house = House()
-    house.say(house.client(), ASK)
-    house.turn(StartAttempt(1, "s1", 400.0))
+    house = GatewayHarness()
+    house.send(house.client(), ASK)
+    house.run_iteration(StartAttempt(1, "s1", 400.0))
     house.address["s1"] = ("127.0.0.1", 7009)  # another worker may have the old address now
-    worker = house.worker()
-    house.turn()
-    assert worker.take() == b"" and worker.disconnecting and results(house.module) == [AttemptResult.DISCARDED]
+    worker = house.connect_worker()
+    house.run_iteration()
+    assert worker.take() == b"" and worker.disconnecting and results(house.controller) == [AttemptResult.DISCARDED]
 
 
 def test_an_attempt_whose_window_ends_before_its_connection_is_made_is_not_started():
-    house = House()
-    house.say(house.client(), ASK)
-    house.turn(StartAttempt(1, "s1", 1400.0, start_within_ms=200.0))
+    house = GatewayHarness()
+    house.send(house.client(), ASK)
+    house.run_iteration(StartAttempt(1, "s1", 1400.0, start_within_ms=200.0))
     house.reactor.advance(0.19)
-    first = house.worker()
+    first = house.connect_worker()
     assert first.take()
-    house.say(house.client(), other(2))
-    house.turn(StartAttempt(2, "s1", 1400.0, start_within_ms=200.0))
+    house.send(house.client(), command_with_id(2))
+    house.run_iteration(StartAttempt(2, "s1", 1400.0, start_within_ms=200.0))
     house.reactor.advance(0.21)
-    late = house.worker()
-    house.turn()
-    assert late.take() == b"" and results(house.module) == [AttemptResult.DISCARDED]
+    late = house.connect_worker()
+    house.run_iteration()
+    assert late.take() == b"" and results(house.controller) == [AttemptResult.DISCARDED]
 
 
 def test_an_attempt_of_a_request_that_was_transferred_to_a_backup_is_not_started():
-    house = House()
-    house.say(house.client(), ASK)
-    house.turn(StartAttempt(1, "s1", 400.0))
+    house = GatewayHarness()
+    house.send(house.client(), ASK)
+    house.run_iteration(StartAttempt(1, "s1", 400.0))
     house.request_table.transfer_to_backup(1)
-    late = house.worker()
-    house.turn()
-    assert late.take() == b"" and results(house.module) == [AttemptResult.DISCARDED]
+    late = house.connect_worker()
+    house.run_iteration()
+    assert late.take() == b"" and results(house.controller) == [AttemptResult.DISCARDED]
 
 
 def test_a_connection_that_is_made_after_its_attempt_was_cancelled_is_not_written_to_and_counts_once(stage):
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -6,7 +6,7 @@
 
 import pytest
 from stage import Stage, rest
-from test_node_front import other
+from test_node_front import command_with_id
 from test_node_wire import ASK
 
 from anisefront.resp_gateway import client_connection
@@ -29,7 +29,7 @@
     stage.request_table.batches.schedule_iteration()
     stage.reactor.iterate(0)  # the answer is written, the end begun
     stage.turns()
-    client.sendall(resp_codec.encode_command(other(2)))  # it crosses our end
+    client.sendall(resp_codec.encode_command(command_with_id(2)))  # it crosses our end
     stage.turns()
     assert rest(client) == b"-BUSY\r\n" and len(stage.module.arrivals) == 1
     client.close()
@@ -40,7 +40,7 @@
 def test_a_request_that_is_read_before_our_half_is_shut_is_refused_and_not_sent_on(stage):
     client = stage.client([b"PING"])
     assert client.recv(100) == b"+PONG\r\n"
-    client.sendall(resp_codec.encode_command(other(2)))  # it lies in our socket
+    client.sendall(resp_codec.encode_command(command_with_id(2)))  # it lies in our socket
     stage.front.close_idle()
     stage.turns()
     assert rest(client) == b"-BUSY 250\r\n" and not stage.module.arrivals
@@ -120,7 +120,7 @@
 
 
 def test_at_the_drains_end_each_connection_gets_its_answer_however_many_there_are(stage):
-    clients = [stage.client(other(number)) for number in range(3)]
+    clients = [stage.client(command_with_id(number)) for number in range(3)]
     stage.front.limits.max_closing = 1
     stage.front.fail_all()
     stage.turns()
@@ -128,7 +128,7 @@
 
 
 def test_a_client_for_which_there_is_no_room_is_told_so_and_its_connection_ends_cleanly(stage):
-    clients = [stage.client(other(number)) for number in range(4)]
+    clients = [stage.client(command_with_id(number)) for number in range(4)]
     assert rest(clients[3]) == b"-BUSY 250\r\n" and len(stage.module.arrivals) == 3
     clients[3].close()
     stage.turns()
@@ -164,7 +164,7 @@
 def test_a_client_that_reads_is_not_cut_off_where_its_full_buffer_was_written_to_twice(stage):
     """The transport says that its buffer is full at each write into it, and once only that it is free."""
     pong = [b"PING", b"x" * 20_000]
-    client = stage.client(ASK, pong, other(2), pong, other(3))
+    client = stage.client(ASK, pong, command_with_id(2), pong, command_with_id(3))
     stage.decide(Reject(1, 0.0))
     stage.decide(Reject(2, 0.0))  # the loop has written nothing since
     found = 0
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -2,7 +2,7 @@
 
 import pytest
 from stage import Stage, reset
-from test_node_front import House, other, sent
+from test_node_front import GatewayHarness, command_with_id, start_attempt
 from test_node_wire import SERVED
 
 from anisefront.resp_gateway import resp_codec
@@ -35,7 +35,7 @@
     spoil(worker)
     if seen:
         stage.turns()
-    client.sendall(resp_codec.encode_command(other(2)))
+    client.sendall(resp_codec.encode_command(command_with_id(2)))
     stage.reactor.iterate(0)
     stage.decide(StartAttempt(2, "s1", 400.0))
     fresh = stage.accept()
@@ -51,8 +51,8 @@
 
 def test_one_that_was_idle_for_too_long_is_not_used_even_where_no_timer_has_run_yet():
     """After a standstill the loop may ask for a connection before the sweep; on its way it may have been forgotten."""
-    house = House()
-    _, worker = sent(house)
+    house = GatewayHarness()
+    _, worker = start_attempt(house)
     worker.protocol.dataReceived(SERVED)
     house.reactor.advance(0.02)
     assert house.pool.take_idle("s1") is worker.protocol
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -2,7 +2,7 @@
 
 import pytest
 from stage import Stage, reset, rest
-from test_node_front import House, other
+from test_node_front import GatewayHarness, command_with_id
 from test_node_wire import ASK
 from twisted.internet import error
 from twisted.python.failure import Failure
@@ -28,9 +28,9 @@
     [
         b"",
         b"*2\r\n$4\r\nPI",
-        resp_codec.encode_command(other(3)),
+        resp_codec.encode_command(command_with_id(3)),
         resp_codec.encode_command(UNFIT),
-        resp_codec.encode_command(UNFIT) + resp_codec.encode_command(other(3)) + b"*2\r\n$4\r\nPI",
+        resp_codec.encode_command(UNFIT) + resp_codec.encode_command(command_with_id(3)) + b"*2\r\n$4\r\nPI",
     ],
 )
 def test_it_is_noticed_whatever_is_behind_the_request(stage, leave, behind):
@@ -47,7 +47,7 @@
 
 def test_it_is_noticed_while_what_follows_an_unfit_command_waits(stage):
     client = stage.client(ASK, UNFIT)
-    client.sendall(resp_codec.encode_command(other(3)) * 3)
+    client.sendall(resp_codec.encode_command(command_with_id(3)) * 3)
     stage.turns()
     assert len(stage.module.arrivals) == 1  # the others wait
     client.close()
@@ -60,7 +60,7 @@
 def test_what_waits_behind_an_unfit_command_has_a_cap_and_each_has_an_answer(stage):
     """They were dropped at the cap, and the request before them was called off."""
     client = stage.client(ASK, UNFIT)
-    client.sendall(resp_codec.encode_command(other(3)) * 600)
+    client.sendall(resp_codec.encode_command(command_with_id(3)) * 600)
     stage.turns(40)
     assert (
         not stage.module.ends
@@ -81,17 +81,19 @@
 
 @pytest.mark.parametrize("after_s", [0.0, 0.05, 0.1, 0.3])
 def test_an_attempt_still_connecting_for_a_client_that_left_is_not_begun(after_s):
-    house = House()
+    house = GatewayHarness()
     client = house.client()
-    house.say(client, ASK)
-    house.turn(StartAttempt(1, "s1", 400.0))
+    house.send(client, ASK)
+    house.run_iteration(StartAttempt(1, "s1", 400.0))
     client.protocol.connectionLost(Failure(error.ConnectionDone()))
-    house.turn()  # and the module calls nothing off, as where the settings forbid it
+    house.run_iteration()  # and the module calls nothing off, as where the settings forbid it
     house.reactor.advance(after_s)
-    worker = house.worker()
-    house.turn()
+    worker = house.connect_worker()
+    house.run_iteration()
     assert worker.take() == b"" and worker.disconnecting and not house.request_table.requests
-    assert [each.result for each in house.module.ends if isinstance(each, AttemptEnded)] == [AttemptResult.DISCARDED]
+    assert [each.result for each in house.controller.ends if isinstance(each, AttemptEnded)] == [
+        AttemptResult.DISCARDED
+    ]
 
 
 def test_a_first_attempt_that_was_decided_for_one_that_has_left_does_not_leave(stage):
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -9,7 +9,7 @@
 
 import pytest
 from stage import Stage, reset
-from test_node_front import House, Transport, other
+from test_node_front import GatewayHarness, Transport, command_with_id
 from test_node_wire import ASK, DO, WIRE_SETTINGS, change, found, row
 from test_rules import settings
 from test_watch import BOUND_S, HEAD
@@ -94,7 +94,7 @@
     """The process stood still; its client has gone meanwhile, and the loop has read no socket since."""
     _, resting = stage.served()
     stage.wait(0.1)
-    client = stage.client(other(2))
+    client = stage.client(command_with_id(2))
     number = stage.module.arrivals[-1].id
     if not first:
         stage.say(StartAttempt(number, "s2", 400.0))
@@ -465,15 +465,15 @@
 def test_commands_in_pieces_are_taken_once_each_whole_and_in_order():
     data = resp_codec.encode_command(ASK) + resp_codec.encode_command([b"PING"]) + resp_codec.encode_command(DO)
     for cut in range(1, len(data)):
-        house = House()
+        house = GatewayHarness()
         client = house.client()
         for piece in (data[:cut], data[cut:]):
             client.protocol.dataReceived(piece)
-            house.turn()
-        assert [each.class_name for each in house.module.arrivals] == ["look", "book"], cut
-        first, second = (each.id for each in house.module.arrivals)
-        house.turn(Fail(second))
-        house.turn(Reject(first, 0.0))
+            house.run_iteration()
+        assert [each.class_name for each in house.controller.arrivals] == ["look", "book"], cut
+        first, second = (each.id for each in house.controller.arrivals)
+        house.run_iteration(Fail(second))
+        house.run_iteration(Reject(first, 0.0))
         assert (
             client.take() == b"-BUSY\r\n+PONG\r\n-ERR failed\r\n"
             and client.protocol.state == connection_limits.ConnectionState.IDLE
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -5,7 +5,7 @@
 import json
 
 import pytest
-from test_node_front import LIST, Told, Transport
+from test_node_front import SNAPSHOT_RESPONSE, WatchHarness, Transport
 from test_node_wire import change, chunked, row
 from twisted.internet import error
 from twisted.python.failure import Failure
@@ -19,7 +19,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class Discovery(Told):
+class Discovery(WatchHarness):
     """Plays `manners` on the connections in turn, the last one for all that follow, until `until` s; then it is well.
 
     A manner hears of its link, made, and each tenth of a second how long it is open: None where it never came up."""
@@ -67,7 +67,7 @@
 
 def well(link, open_s):
     if open_s == 0:
-        say(link, LIST)
+        say(link, SNAPSHOT_RESPONSE)
     elif open_s % 2 == 0:
         say(link, b"1\r\n\n\r\n")
 
@@ -98,7 +98,7 @@
 
 def falls_silent(link, open_s):
     if open_s == 0:
-        say(link, LIST)
+        say(link, SNAPSHOT_RESPONSE)
 
 
 @pytest.mark.parametrize(
@@ -125,7 +125,10 @@
         discovery.play(0.1)
         live = [link for link in discovery.links if not link.aborted]
         assert 1 <= len(live) <= discovery_watch.MAX_WATCHES
-    say(live[0], HEAD + LIST[len(HEAD) :] if live[0] is not discovery.links[0] else LIST[len(HEAD) :])
+    say(
+        live[0],
+        HEAD + SNAPSHOT_RESPONSE[len(HEAD) :] if live[0] is not discovery.links[0] else SNAPSHOT_RESPONSE[len(HEAD) :],
+    )
     assert [each.version for each in discovery.changes][-1] == 43
     assert [link for link in discovery.links if not link.aborted] == [live[0]]
 
@@ -137,7 +140,7 @@
 
 
 def test_one_that_ends_after_each_answer_is_not_asked_in_a_circle():
-    discovery = Discovery(lambda link, open_s: say(link, LIST + b"0\r\n\r\n") if open_s == 0 else None)
+    discovery = Discovery(lambda link, open_s: say(link, SNAPSHOT_RESPONSE + b"0\r\n\r\n") if open_s == 0 else None)
     discovery.play(5)
     assert discovery.at <= 5 / discovery_watch.BACKOFF_S[0]
 
@@ -175,7 +178,7 @@
 # ---- which version -----------------------------------------------------------------------------------
 
 
-class Kept(Told):
+class Kept(WatchHarness):
     """A watch with a real book."""
 
     def __init__(self):
@@ -238,21 +241,21 @@
 
 
 def test_a_move_to_the_same_address_changes_nothing_and_two_at_once_leave_one_watch():
-    told = Told()
+    told = WatchHarness()
     link = told.link()
-    link.protocol.dataReceived(LIST)
+    link.protocol.dataReceived(SNAPSHOT_RESPONSE)
     told.watch.change_address(("127.0.0.1", 8500))
     assert len(told.reactor.tcpClients) == 1 and not link.aborted
     told.watch.change_address(("127.0.0.1", 8501))
     first = told.reactor.tcpClients[-1][2]
     told.watch.change_address(("127.0.0.1", 8502))
     assert link.aborted and first.buildProtocol(None) is None  # it came up all the same: it is closed
-    told.link().protocol.dataReceived(LIST)
+    told.link().protocol.dataReceived(SNAPSHOT_RESPONSE)
     assert len(told.watch.connections) == 1 and len(told.reactor.tcpClients) == 3
 
 
 def test_a_move_before_the_start_opens_one_watch():
-    told = Told()
+    told = WatchHarness()
     told.watch.stop()
     told.reactor.tcpClients.clear()
     fresh = discovery_watch.DiscoveryWatch(
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -26,7 +26,7 @@
 from google.protobuf.json_format import MessageToDict
 from processes import SETTINGS
 from test_config_corpus import check_text as settings_read
-from test_node_front import House
+from test_node_front import GatewayHarness
 from test_node_wire import ASK, DO, SERVED, WIRE_SETTINGS, change, found, row
 from test_rules import settings
 from twisted.internet.testing import MemoryReactorClock, StringTransport
@@ -507,20 +507,20 @@
 
 def _front(*commands: list[bytes], action: Any = None, worker: bytes = b"", raw: bytes = b"") -> tuple[bytes, bytes]:
     """What a worker and a client are sent."""
-    house = House()
+    house = GatewayHarness()
     client = house.client()
-    house.say(client, *commands)
+    house.send(client, *commands)
     if raw:
         client.protocol.dataReceived(raw)
-        house.turn()
+        house.run_iteration()
     if action is not None:
-        house.turn(action)
+        house.run_iteration(action)
     asked = b""
     if worker:
-        link = house.worker()
+        link = house.connect_worker()
         asked = link.take()
         link.protocol.dataReceived(worker)
-        house.turn()
+        house.run_iteration()
     return asked, client.take()
 
 
@@ -1111,13 +1111,13 @@
         lambda: 1e6 + reactor.seconds() * 1000,
     )
     made.prepare()
-    client = House.worker_transport(made.frontend)
+    client = GatewayHarness.connect_transport(made.frontend)
     terms_ = b"c=look,t=rated,d=480"
     client.protocol.dataReceived(
         resp_codec.encode_command([*ASK[:3], terms_]) + resp_codec.encode_command([b"GET", b"x"])
     )
     reactor.advance(0.01)
-    worker = House.worker_transport(reactor.tcpClients[-1][2])
+    worker = GatewayHarness.connect_transport(reactor.tcpClients[-1][2])
     worker.protocol.dataReceived(SERVED.replace(b",x", b"").replace(b"$22", b"$20"))
     reactor.advance(0.05)
     assert client.take().startswith(b"$5")
