--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -347,6 +347,98 @@
     ),
     "test_what_was_said_of_an_earlier_life_changes_nothing": "test_rows_of_an_earlier_process_incarnation_are_ignored",
     "test_bytes_that_no_member_sent_change_nothing": "test_malformed_messages_and_rows_of_unknown_members_are_ignored",
+    "test_ping_and_a_request_served_on_a_connection_that_is_used_again": (
+        "test_requests_to_one_worker_reuse_its_connection"
+    ),
+    "test_answers_keep_the_order_of_the_commands": "test_replies_keep_the_order_of_commands",
+    "test_what_cannot_be_used_touches_nobody_and_is_read_on_slowly": (
+        "test_invalid_commands_get_errors_and_pause_parsing"
+    ),
+    "test_another_clients_open_id_is_refused_and_its_request_goes_on": (
+        "test_duplicate_open_request_id_is_rejected_and_the_first_request_continues"
+    ),
+    "test_what_cannot_be_read_ends_the_connection_after_the_answers_of_all_before_it": (
+        "test_protocol_error_ends_the_connection_after_earlier_replies"
+    ),
+    "test_commands_beyond_the_cap_on_open_ones_are_refused_in_their_place_and_the_connection_goes_on": (
+        "test_commands_above_the_open_command_cap_are_rejected_in_order"
+    ),
+    "test_what_needs_nobody_is_answered_however_many_come_in_one_read": "test_all_pings_of_one_read_are_answered",
+    "test_what_waits_behind_an_unfit_command_is_refused_where_there_is_no_room_for_it": (
+        "test_commands_that_overflow_the_pause_buffer_are_rejected"
+    ),
+    "test_commands_read_while_the_connection_ends_are_answered_before_what_cannot_be_read": (
+        "test_commands_received_while_closing_are_answered_before_the_protocol_error"
+    ),
+    "test_half_a_command_whose_rest_has_come_and_waits_is_not_overdue": (
+        "test_partial_command_completed_during_a_pause_is_not_overdue"
+    ),
+    "test_half_a_command_is_not_overdue_while_nothing_is_read_of_its_sender": (
+        "test_partial_command_is_not_overdue_while_reading_is_paused"
+    ),
+    "test_half_a_command_ends_the_connection_after_the_answers_before_it": (
+        "test_overdue_partial_command_ends_the_connection_after_earlier_replies"
+    ),
+    "test_one_that_sends_noise_without_end_gets_what_is_owed_and_is_cut_off": (
+        "test_endless_invalid_bytes_abort_the_connection_after_outstanding_replies"
+    ),
+    "test_answers_that_wait_have_a_cap_for_a_client_that_sends_without_end": "test_pending_replies_are_bounded",
+    "test_silent_and_half_commands_are_cut_within_their_time": "test_silent_connections_and_partial_commands_time_out",
+    "test_a_client_whose_reads_end_in_half_a_command_each_time_is_not_cut_while_commands_come": (
+        "test_partial_command_timeout_restarts_with_each_completed_command"
+    ),
+    "test_where_there_are_many_connections_the_idle_ones_are_closed_after_their_time": (
+        "test_idle_connections_above_the_threshold_are_closed"
+    ),
+    "test_at_the_cap_a_connection_that_says_nothing_makes_room_and_one_with_a_request_stays": (
+        "test_connection_without_requests_is_closed_for_a_new_one_at_the_cap"
+    ),
+    "test_a_closing_connection_is_not_cut_off_while_answers_for_it_are_still_to_be_written": (
+        "test_closing_connection_is_not_aborted_before_its_replies_are_written"
+    ),
+    "test_values_held_for_open_requests_have_a_cap_and_are_let_go": (
+        "test_buffered_request_values_are_capped_and_released"
+    ),
+    "test_a_client_that_leaves_has_its_attempts_called_off": "test_disconnect_cancels_the_attempts_of_a_client",
+    "test_a_request_is_due_before_its_time_is_up_by_as_much_as_it_may_have_waited_to_be_read": (
+        "test_deadline_allows_for_the_read_delay"
+    ),
+    "test_the_end_serves_what_still_comes_and_closes_between_requests": (
+        "test_drain_serves_late_requests_and_closes_idle_connections"
+    ),
+    "test_at_the_last_moment_all_that_is_open_gets_an_answer": "test_end_of_drain_fails_open_requests",
+    "test_a_spoilt_answer_is_an_error_that_may_have_run_and_its_connection_ends": (
+        "test_malformed_reply_is_an_error_and_aborts_the_connection"
+    ),
+    "test_an_answer_that_stalls_is_spoilt_well_before_the_time_is_up": (
+        "test_stalled_reply_is_an_error_before_the_attempt_times_out"
+    ),
+    "test_more_than_one_answer_leaves_the_answer_and_ends_the_connection": (
+        "test_bytes_after_a_reply_end_the_connection"
+    ),
+    "test_a_connection_shows_for_a_while_that_nothing_more_comes_before_it_is_used_again": (
+        "test_connection_is_reused_only_after_the_quiet_period"
+    ),
+    "test_what_waits_unread_in_the_socket_ends_a_connection_instead_of_answering_the_next": (
+        "test_unread_bytes_prevent_connection_reuse"
+    ),
+    "test_an_attempt_still_connecting_when_its_worker_leaves_is_not_begun": (
+        "test_attempt_is_discarded_if_its_worker_drains_while_connecting"
+    ),
+    "test_a_worker_that_moved_or_left_keeps_no_connection": "test_connections_of_moved_or_removed_workers_are_closed",
+    "test_with_no_room_for_a_connection_an_idle_one_of_another_worker_goes": (
+        "test_idle_connection_of_another_worker_is_closed_at_the_pool_cap"
+    ),
+    "test_a_watch_that_ends_or_falls_silent_is_opened_again_from_what_is_known": (
+        "test_ended_or_silent_watch_is_reopened_from_the_known_version"
+    ),
+    "test_a_watch_that_cannot_be_read_says_so_and_begins_anew": "test_invalid_watch_is_reported_and_reopened",
+    "test_discovery_that_moves_is_followed_and_the_old_one_is_heard_no_more": (
+        "test_discovery_address_change_closes_the_old_watch"
+    ),
+    "test_peers_are_known_by_their_address_and_nothing_longer_than_the_platform_allows_goes_out": (
+        "test_peer_datagrams_are_checked_by_address_and_length"
+    ),
 }
 # Files that came for the sake of the rename; they must not make up for tests that are lost.
 NEW = {
--- a/tests/test_node_front.py
+++ b/tests/test_node_front.py
@@ -1,8 +1,8 @@
-"""The platform's front, carrier, pool, watch and peers in memory: one test a danger, each with an exact clock."""
+"""RESP frontend, worker connections, discovery watch and peer datagrams, in memory and with a simulated clock."""
 
 import pytest
 from test_node_wire import ASK, DO, SERVED, chunked
-from test_pool import Transport as Socket
+from test_pool import Transport as PoolTransport
 from test_rules import settings
 from twisted.internet import error
 from twisted.internet.testing import MemoryReactorClock
@@ -25,7 +25,7 @@
 
 
 class ScriptedController:
-    """A module that does what the test says."""
+    """Controller that records events and returns the actions that the test sets."""
 
     def __init__(self):
         self.arrivals, self.ends, self.next = [], [], []
@@ -41,7 +41,9 @@
         return out
 
 
-class Transport(Socket):
+class Transport(PoolTransport):
+    """Transport that records whether reading is paused."""
+
     def __init__(self):
         super().__init__()
         self.paused = False
@@ -57,13 +59,14 @@
             super().abortConnection()
 
     def take(self):
+        """Return and clear what was written."""
         data = self.value()
         self.clear()
         return data
 
 
 class GatewayHarness:
-    """A front, a carrier and a pool around a scripted module."""
+    """Frontend, worker requests and connection pool around a scripted controller."""
 
     def __init__(self, **limits):
         self.reactor, self.controller = MemoryReactorClock(), ScriptedController()
@@ -75,7 +78,9 @@
         )
         self.pool = ConnectionPool(
             self.reactor,
-            PoolLimits(quiet_period_s=0.01, stall_timeout_s=0.4, max_connections=limits.pop("most", 0)),
+            PoolLimits(
+                quiet_period_s=0.01, stall_timeout_s=0.4, max_connections=limits.pop("max_connections_to_endpoints", 0)
+            ),
             WorkerConnectionCodec,
             self.address.get,
         )
@@ -85,6 +90,7 @@
         )
 
     def client(self):
+        """Open a client connection; None if it is closed at once."""
         protocol = self.frontend.buildProtocol(None)
         if protocol is None:
             return None
@@ -94,21 +100,23 @@
         return transport
 
     def send(self, client, *commands):
+        """Receive commands from a client and run an iteration."""
         client.protocol.dataReceived(b"".join(map(resp_codec.encode_command, commands)))
         self.run_iteration()
 
     def run_iteration(self, *actions):
-        """Let the module say this in a turn now."""
+        """Run an event loop iteration in which the controller returns these actions."""
         self.controller.next = list(actions)
         self.request_table.batches.schedule_iteration()
         self.reactor.advance(0)
 
     def connect_worker(self, full=False):
-        """The connection that was asked for last comes up; `full`: the system takes nothing of what is written."""
+        """Establish the connection that was requested last; `full`: the kernel accepts no written bytes."""
         return self.connect_transport(self.reactor.tcpClients[-1][2], full)
 
     @staticmethod
     def connect_transport(factory, full=False):
+        """Return the transport of a new connection of a factory."""
         transport = Transport()
         transport.full = full
         transport.protocol = factory.buildProtocol(None)
@@ -117,10 +125,11 @@
 
 
 def command_with_id(number, parts=ASK):
+    """Return the command with another request id."""
     return [parts[0], parts[1], b"%016x" % number, *parts[3:]]
 
 
-def test_ping_and_a_request_served_on_a_connection_that_is_used_again():
+def test_requests_to_one_worker_reuse_its_connection():
     harness = GatewayHarness()
     client = harness.client()
     harness.send(client, [b"PING"])
@@ -140,7 +149,7 @@
     assert len(harness.reactor.tcpClients) == 1 and b"%016x" % 2 in worker.take()
 
 
-def test_answers_keep_the_order_of_the_commands():
+def test_replies_keep_the_order_of_commands():
     harness = GatewayHarness()
     client = harness.client()
     harness.send(client, ASK, command_with_id(2), [b"PING"])
@@ -151,7 +160,7 @@
     assert client.take() == b"-ERR failed\r\n-BUSY 250\r\n+PONG\r\n"
 
 
-def test_what_cannot_be_used_touches_nobody_and_is_read_on_slowly():
+def test_invalid_commands_get_errors_and_pause_parsing():
     harness = GatewayHarness()
     client = harness.client()
     harness.send(client, command_with_id(2, [ASK[0], ASK[1], ASK[2], ASK[3].replace(b"look", b"gold")]), [b"FLUSHALL"])
@@ -165,18 +174,18 @@
     assert client.take() == b"+PONG\r\n" and len(harness.controller.arrivals) == 1
 
 
-def test_another_clients_open_id_is_refused_and_its_request_goes_on():
+def test_duplicate_open_request_id_is_rejected_and_the_first_request_continues():
     harness = GatewayHarness()
-    usual, rude = harness.client(), harness.client()
-    harness.send(usual, ASK)
-    harness.send(rude, ASK)
-    assert rude.take().startswith(b"-ERR id") and len(harness.controller.arrivals) == 1
+    first, second = harness.client(), harness.client()
+    harness.send(first, ASK)
+    harness.send(second, ASK)
+    assert second.take().startswith(b"-ERR id") and len(harness.controller.arrivals) == 1
     harness.run_iteration(Reject(harness.controller.arrivals[0].id, 0.0))
-    assert usual.take() == b"-BUSY\r\n"
+    assert first.take() == b"-BUSY\r\n"
 
 
-def test_what_cannot_be_read_ends_the_connection_after_the_answers_of_all_before_it():
-    """What was open used to be called off and answered as failed, though its client had asked as it should."""
+def test_protocol_error_ends_the_connection_after_earlier_replies():
+    """Guards against failing open requests that were sent correctly before the invalid bytes."""
     harness = GatewayHarness()
     client = harness.client()
     harness.send(client, ASK)
@@ -194,32 +203,32 @@
     assert client.disconnecting and len(harness.controller.arrivals) == 2
 
 
-def test_commands_beyond_the_cap_on_open_ones_are_refused_in_their_place_and_the_connection_goes_on():
-    """60 were open, 10 more came in one read: there were 61 answers for 70 commands, then the end."""
+def test_commands_above_the_open_command_cap_are_rejected_in_order():
+    """Guards against fewer replies than commands: 10 commands in one read above 60 open ones got one reply."""
     harness = GatewayHarness()
     client = harness.client()
     harness.send(client, *[command_with_id(n) for n in range(60)])
     harness.send(client, *[command_with_id(n) for n in range(60, 70)])
-    most = client_connection.MAX_OPEN_COMMANDS
-    assert len(harness.controller.arrivals) == most and client.take() == b"" and not client.disconnecting
+    max_open = client_connection.MAX_OPEN_COMMANDS
+    assert len(harness.controller.arrivals) == max_open and client.take() == b"" and not client.disconnecting
     harness.run_iteration(*[Reject(each.id, 40.0) for each in harness.controller.arrivals])
-    assert client.take() == b"-BUSY 40\r\n" * most + b"-BUSY 250\r\n" * (70 - most)
+    assert client.take() == b"-BUSY 40\r\n" * max_open + b"-BUSY 250\r\n" * (70 - max_open)
     harness.send(client, command_with_id(70))
-    assert len(harness.controller.arrivals) == most + 1 and not client.disconnecting
+    assert len(harness.controller.arrivals) == max_open + 1 and not client.disconnecting
 
 
-def test_what_needs_nobody_is_answered_however_many_come_in_one_read():
+def test_all_pings_of_one_read_are_answered():
     harness = GatewayHarness()
     client = harness.client()
     harness.send(client, *[[b"PING"]] * 500)
     assert client.take() == b"+PONG\r\n" * 500 and not client.disconnecting
     harness.send(client, [b"PING"])
-    assert client.take() == b""  # its sender is heard no faster than others are served
+    assert client.take() == b""  # parsing is paused after a long batch
     harness.reactor.advance(input_pause.PAUSE_S)
     assert client.take() == b"+PONG\r\n" and not client.disconnecting
 
 
-def test_what_waits_behind_an_unfit_command_is_refused_where_there_is_no_room_for_it():
+def test_commands_that_overflow_the_pause_buffer_are_rejected():
     harness = GatewayHarness(max_buffered_bytes=1000)
     client = harness.client()
     harness.send(client, [b"FLUSHALL"])
@@ -232,7 +241,7 @@
     assert len(harness.controller.arrivals) == 1 and not client.paused
 
 
-def test_commands_read_while_the_connection_ends_are_answered_before_what_cannot_be_read():
+def test_commands_received_while_closing_are_answered_before_the_protocol_error():
     harness = GatewayHarness()
     client = harness.client()
     harness.send(client, [b"PING"])
@@ -244,7 +253,7 @@
     assert client.take() == b"+PONG\r\n-BUSY 250\r\n-ERR Protocol error: expected '*'\r\n"
 
 
-def test_half_a_command_whose_rest_has_come_and_waits_is_not_overdue():
+def test_partial_command_completed_during_a_pause_is_not_overdue():
     harness = GatewayHarness()
     client = harness.client()
     for _ in range(4):
@@ -253,19 +262,19 @@
     whole = resp_codec.encode_command(command_with_id(5))
     client.protocol.dataReceived(
         resp_codec.encode_command([b"FLUSHALL"]) + whole[:9]
-    )  # the pause is longer than half may wait
+    )  # the pause is longer than the timeout for a partial command
     client.protocol.dataReceived(whole[9:])
     for _ in range(12):
         harness.reactor.advance(0.1)
     assert len(harness.controller.arrivals) == 1 and not client.disconnecting
 
 
-def test_half_a_command_is_not_overdue_while_nothing_is_read_of_its_sender():
+def test_partial_command_is_not_overdue_while_reading_is_paused():
     harness = GatewayHarness()
     client = harness.client()
     whole = resp_codec.encode_command(command_with_id(5))
     client.protocol.dataReceived(whole[:9])
-    client.protocol.pauseProducing()  # it does not read: the transport's buffer is full
+    client.protocol.pauseProducing()  # the client does not read: the write buffer is full
     for _ in range(12):
         harness.reactor.advance(0.1)
     assert client.paused and not client.disconnecting
@@ -275,7 +284,7 @@
     assert len(harness.controller.arrivals) == 1
 
 
-def test_half_a_command_ends_the_connection_after_the_answers_before_it():
+def test_overdue_partial_command_ends_the_connection_after_earlier_replies():
     harness = GatewayHarness()
     client = harness.client()
     harness.send(client, ASK)
@@ -287,7 +296,7 @@
     assert client.take().startswith(b"-BUSY\r\n-ERR Protocol error: a command did not") and client.disconnecting
 
 
-def test_one_that_sends_noise_without_end_gets_what_is_owed_and_is_cut_off():
+def test_endless_invalid_bytes_abort_the_connection_after_outstanding_replies():
     harness = GatewayHarness()
     client = harness.client()
     harness.send(client, ASK)
@@ -298,7 +307,7 @@
     assert client.aborted and client.take() == b"-ERR failed\r\n-ERR Protocol error: a line of over 16 bytes\r\n"
 
 
-def test_answers_that_wait_have_a_cap_for_a_client_that_sends_without_end():
+def test_pending_replies_are_bounded():
     harness = GatewayHarness(max_buffered_bytes=100_000)
     client = harness.client()
     harness.send(client, ASK)
@@ -310,15 +319,15 @@
         harness.send(client, *[[b"PING"]] * 500)
         assert len(client.protocol.replies.pending) < 5000 and harness.frontend.buffered.used <= 100_000
         harness.reactor.advance(input_pause.PAUSE_S)
-    answers = client.take()
-    assert answers.startswith(b"-ERR failed\r\n$30000") and answers.endswith(b"+PONG\r\n" * 500)
-    assert answers.count(b"\r\n") == 1 + 10 + 3 + 10 * 500 and not client.disconnecting
+    replies = client.take()
+    assert replies.startswith(b"-ERR failed\r\n$30000") and replies.endswith(b"+PONG\r\n" * 500)
+    assert replies.count(b"\r\n") == 1 + 10 + 3 + 10 * 500 and not client.disconnecting
     assert [type(end).__name__ for end in harness.controller.ends] == [
         "ClientDisconnected"
     ] and harness.frontend.buffered.used == 0
 
 
-def test_silent_and_half_commands_are_cut_within_their_time():
+def test_silent_connections_and_partial_commands_time_out():
     harness = GatewayHarness()
     silent, half, later = harness.client(), harness.client(), harness.client()
     half.protocol.dataReceived(b"*2\r\n$4\r\nPI")
@@ -330,7 +339,7 @@
     assert not harness.frontend.by_state["busy"] and not harness.frontend.by_state["half"]
 
 
-def test_a_client_whose_reads_end_in_half_a_command_each_time_is_not_cut_while_commands_come():
+def test_partial_command_timeout_restarts_with_each_completed_command():
     harness = GatewayHarness()
     client = harness.client()
     whole = resp_codec.encode_command([b"PING"])
@@ -341,7 +350,7 @@
     assert not client.disconnecting and client.take() == b"+PONG\r\n" * 30
 
 
-def test_where_there_are_many_connections_the_idle_ones_are_closed_after_their_time():
+def test_idle_connections_above_the_threshold_are_closed():
     harness = GatewayHarness(idle_close_threshold=1)
     clients = [harness.client() for _ in range(3)]
     for client in clients:
@@ -353,7 +362,7 @@
     assert [client.disconnecting for client in clients] == [True, True, False]
 
 
-def test_at_the_cap_a_connection_that_says_nothing_makes_room_and_one_with_a_request_stays():
+def test_connection_without_requests_is_closed_for_a_new_one_at_the_cap():
     harness = GatewayHarness(max_connections=2)
     busy, silent = harness.client(), harness.client()
     harness.send(busy, ASK)
@@ -370,7 +379,7 @@
     )
 
 
-def test_a_closing_connection_is_not_cut_off_while_answers_for_it_are_still_to_be_written():
+def test_closing_connection_is_not_aborted_before_its_replies_are_written():
     harness = GatewayHarness(max_connections=1, max_closing=1)
     first = harness.client()
     harness.send(first, [b"PING"])
@@ -382,7 +391,7 @@
     assert first.aborted
 
 
-def test_values_held_for_open_requests_have_a_cap_and_are_let_go():
+def test_buffered_request_values_are_capped_and_released():
     harness = GatewayHarness(max_buffered_bytes=100)
     client = harness.client()
     harness.send(client, [*DO[:4], b"x" * 60], [*command_with_id(2, DO)[:4], b"x" * 60])
@@ -391,7 +400,7 @@
     assert client.take().endswith(b"-BUSY 250\r\n") and harness.frontend.buffered.used == 0
 
 
-def test_a_client_that_leaves_has_its_attempts_called_off():
+def test_disconnect_cancels_the_attempts_of_a_client():
     harness = GatewayHarness()
     client = harness.client()
     harness.send(client, ASK)
@@ -410,16 +419,16 @@
     )
 
 
-def test_a_request_is_due_before_its_time_is_up_by_as_much_as_it_may_have_waited_to_be_read():
-    """Four requests of a gatekeeper that had just started were read late and answered at the last moment: too late."""
+def test_deadline_allows_for_the_read_delay():
+    """Guards against late replies: requests read late by an instance that had just started were answered too late."""
     harness = GatewayHarness()
     harness.send(harness.client(), ASK)
     (arrival,) = harness.controller.arrivals
-    wait = float(ASK[3].split(b"d=")[1].split(b",")[0])
-    assert arrival.deadline_at_ms == harness.request_table.now_ms() + wait - min(100.0, wait / 10)
+    timeout_ms = float(ASK[3].split(b"d=")[1].split(b",")[0])
+    assert arrival.deadline_at_ms == harness.request_table.now_ms() + timeout_ms - min(100.0, timeout_ms / 10)
 
 
-def test_the_end_serves_what_still_comes_and_closes_between_requests():
+def test_drain_serves_late_requests_and_closes_idle_connections():
     harness = GatewayHarness()
     idle, busy = harness.client(), harness.client()
     harness.send(idle, [b"PING"])
@@ -434,7 +443,7 @@
     assert busy.disconnecting and late.disconnecting and late.take() == b"-BUSY\r\n"
 
 
-def test_at_the_last_moment_all_that_is_open_gets_an_answer():
+def test_end_of_drain_fails_open_requests():
     harness = GatewayHarness()
     client = harness.client()
     harness.send(client, ASK, command_with_id(2))
@@ -446,7 +455,7 @@
 
 
 def start_attempt(harness, number=1):
-    """A request whose attempt is out on a connection that has come up."""
+    """Start a request's attempt; return the client's transport and that of the worker's connection."""
     client = harness.client()
     harness.send(client, command_with_id(number))
     harness.run_iteration(StartAttempt(harness.controller.arrivals[-1].id, "s1", 1400.0))
@@ -454,7 +463,7 @@
 
 
 @pytest.mark.parametrize("noise", [b"HTTP/1.1 200\r\n", b"*3\r\n$3000000000\r\nxxxx", b"*3\r\n$2\r\nlong\r\n", b"\0\0"])
-def test_a_spoilt_answer_is_an_error_that_may_have_run_and_its_connection_ends(noise):
+def test_malformed_reply_is_an_error_and_aborts_the_connection(noise):
     harness = GatewayHarness()
     client, worker = start_attempt(harness)
     worker.protocol.dataReceived(noise)
@@ -462,7 +471,7 @@
     assert worker.aborted and harness.controller.ends[0].result is AttemptResult.ERROR and client.take() == b""
 
 
-def test_an_answer_that_stalls_is_spoilt_well_before_the_time_is_up():
+def test_stalled_reply_is_an_error_before_the_attempt_times_out():
     harness = GatewayHarness()
     _, worker = start_attempt(harness)
     worker.protocol.dataReceived(b"*3\r\n$50\r\nshort\r\n")
@@ -472,27 +481,27 @@
 
 
 @pytest.mark.parametrize("more", [SERVED, b"noise"])
-def test_more_than_one_answer_leaves_the_answer_and_ends_the_connection(more):
+def test_bytes_after_a_reply_end_the_connection(more):
     harness = GatewayHarness()
     client, worker = start_attempt(harness)
     worker.protocol.dataReceived(SERVED + more)
     assert client.take() == b"$5\r\nva\r\nl\r\n" and worker.disconnecting and not harness.pool._idle
-    client, worker = start_attempt(harness, 2)  # and when it comes in a later segment
+    client, worker = start_attempt(harness, 2)  # and when they arrive in a later segment
     worker.protocol.dataReceived(SERVED)
     worker.protocol.dataReceived(more)
     assert worker.aborted and not harness.pool._idle
 
 
-def test_a_connection_shows_for_a_while_that_nothing_more_comes_before_it_is_used_again():
+def test_connection_is_reused_only_after_the_quiet_period():
     harness = GatewayHarness()
     _, worker = start_attempt(harness)
     worker.protocol.dataReceived(SERVED)
-    assert harness.pool.take_idle("s1") is None  # a second copy may be on its way
+    assert harness.pool.take_idle("s1") is None  # a duplicate reply may still arrive
     harness.reactor.advance(0.02)
     assert harness.pool.take_idle("s1") is worker.protocol
 
 
-def test_what_waits_unread_in_the_socket_ends_a_connection_instead_of_answering_the_next():
+def test_unread_bytes_prevent_connection_reuse():
     harness = GatewayHarness()
     _, worker = start_attempt(harness)
     worker.protocol.dataReceived(SERVED)
@@ -501,7 +510,7 @@
     assert harness.pool.take_idle("s1") is None and worker.aborted
 
 
-def test_an_attempt_still_connecting_when_its_worker_leaves_is_not_begun():
+def test_attempt_is_discarded_if_its_worker_drains_while_connecting():
     harness = GatewayHarness()
     client = harness.client()
     harness.send(client, ASK)
@@ -517,7 +526,7 @@
     ]
 
 
-def test_a_worker_that_moved_or_left_keeps_no_connection():
+def test_connections_of_moved_or_removed_workers_are_closed():
     harness = GatewayHarness()
     _, worker = start_attempt(harness)
     harness.address["s1"] = ("127.0.0.1", 7009)
@@ -531,8 +540,8 @@
     assert harness.controller.ends[-1].result is AttemptResult.DISCARDED
 
 
-def test_with_no_room_for_a_connection_an_idle_one_of_another_worker_goes():
-    harness = GatewayHarness(most=1)
+def test_idle_connection_of_another_worker_is_closed_at_the_pool_cap():
+    harness = GatewayHarness(max_connections_to_endpoints=1)
     _, worker = start_attempt(harness)
     worker.protocol.dataReceived(SERVED)
     client = harness.client()
@@ -549,16 +558,17 @@
 
 
 class WatchHarness:
-    """A watch and what it watching."""
+    """Discovery watch, the changes that it passed on, and the errors that it reported."""
 
     def __init__(self):
-        self.reactor, self.changes, self.faults = MemoryReactorClock(), [], []
+        self.reactor, self.changes, self.errors = MemoryReactorClock(), [], []
         self.watch = DiscoveryWatch(
-            self.reactor, ("127.0.0.1", 8500), lambda: 41, self.changes.append, self.faults.append
+            self.reactor, ("127.0.0.1", 8500), lambda: 41, self.changes.append, self.errors.append
         )
         self.watch.start()
 
     def link(self, at=-1):
+        """Establish the connection that was requested as number `at`."""
         transport = Transport()
         transport.protocol = self.reactor.tcpClients[at][2].buildProtocol(None)
         transport.protocol.makeConnection(transport)
@@ -568,13 +578,13 @@
 SNAPSHOT_RESPONSE = chunked(b'{"index":43,"snapshot":true,"endpoints":[]}\n')
 
 
-def test_a_watch_that_ends_or_falls_silent_is_opened_again_from_what_is_known():
+def test_ended_or_silent_watch_is_reopened_from_the_known_version():
     watching = WatchHarness()
     link = watching.link()
     assert b"GET /v1/endpoints?watch=1&from=41 HTTP/1.1" in link.take()
     link.protocol.dataReceived(SNAPSHOT_RESPONSE)
     assert [each.version for each in watching.changes] == [43]
-    watching.reactor.advance(3.1)  # no empty line came
+    watching.reactor.advance(3.1)  # the heartbeat is missing
     watching.reactor.advance(0)
     assert len(watching.reactor.tcpClients) == 2
     watching.reactor.tcpClients[-1][2].clientConnectionFailed(None, Failure(error.ConnectionRefusedError()))
@@ -584,15 +594,15 @@
     assert link.aborted and [each.version for each in watching.changes] == [43, 43]
 
 
-def test_a_watch_that_cannot_be_read_says_so_and_begins_anew():
+def test_invalid_watch_is_reported_and_reopened():
     watching = WatchHarness()
     watching.link().protocol.dataReceived(chunked(b"}\n"))
-    assert watching.faults and not watching.changes
+    assert watching.errors and not watching.changes
     watching.reactor.advance(0.2)
     assert len(watching.reactor.tcpClients) == 2
 
 
-def test_discovery_that_moves_is_followed_and_the_old_one_is_heard_no_more():
+def test_discovery_address_change_closes_the_old_watch():
     watching = WatchHarness()
     old = watching.link()
     watching.watch.change_address(("127.0.0.1", 8501))
@@ -606,6 +616,8 @@
 
 
 class RecordingTransport:
+    """UDP transport that records what is sent."""
+
     def __init__(self):
         self.out = []
 
@@ -613,9 +625,9 @@
         self.out.append((data, address))
 
 
-def test_peers_are_known_by_their_address_and_nothing_longer_than_the_platform_allows_goes_out():
-    heard = []
-    port = PeerPort(BareDatagrams(1, (("127.0.0.2", 1), ("127.0.0.1", 1))), lambda *each: heard.append(each))
+def test_peer_datagrams_are_checked_by_address_and_length():
+    received = []
+    port = PeerPort(BareDatagrams(1, (("127.0.0.2", 1), ("127.0.0.1", 1))), lambda *each: received.append(each))
     port.transport = RecordingTransport()
     port.send(0, b"x" * 256)
     port.send(0, b"x" * 257)
@@ -625,4 +637,4 @@
     port.datagramReceived(b"a", ("127.0.0.2", 1))
     port.datagramReceived(b"b", ("127.0.0.2", 2))
     port.datagramReceived(b"c" * 300, ("127.0.0.2", 1))
-    assert heard == [(0, b"a")]
+    assert received == [(0, b"a")]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -148,7 +148,7 @@
 def test_what_cannot_be_read_is_said_once_and_the_last_list_stays_in_force():
     discovery = Discovery(lambda link, open_s: say(link, chunked(b"}\n")) if open_s == 0 else None)
     discovery.play(5)
-    assert len(discovery.faults) == 1 and not discovery.changes and discovery.at > 3
+    assert len(discovery.errors) == 1 and not discovery.changes and discovery.at > 3
 
 
 # ---- how it is written -------------------------------------------------------------------------------
@@ -259,7 +259,7 @@
     told.watch.stop()
     told.reactor.tcpClients.clear()
     fresh = discovery_watch.DiscoveryWatch(
-        told.reactor, ("127.0.0.1", 1), lambda: 0, told.changes.append, told.faults.append
+        told.reactor, ("127.0.0.1", 1), lambda: 0, told.changes.append, told.errors.append
     )
     fresh.change_address(("127.0.0.1", 2))
     assert not told.reactor.tcpClients
