--- a/tests/connection_model.py
+++ b/tests/connection_model.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from test_node_front import GatewayHarness, command_with_id
-from test_node_wire import ASK, DO, SERVED
+from test_node_wire import ASK, DO, SERVED_REPLY
 from twisted.internet import error
 from twisted.python.failure import Failure
 
@@ -259,7 +259,7 @@
         for worker in self.workers:
             if worker.value() and not worker.aborted and not worker.disconnecting:
                 worker.clear()
-                worker.protocol.dataReceived(SERVED)
+                worker.protocol.dataReceived(SERVED_REPLY)
 
     def _w(self):
         self.wire.turn()
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -6,7 +6,7 @@
 import struct
 
 from test_node_front import ScriptedController
-from test_node_wire import ASK, SERVED
+from test_node_wire import ASK, SERVED_REPLY
 from test_rules import settings
 from twisted.internet.epollreactor import EPollReactor
 
@@ -90,7 +90,7 @@
         self.say(StartAttempt(1, "s1", 400.0))
         worker = self.accept()
         assert worker.recv(1000)
-        worker.sendall(SERVED)
+        worker.sendall(SERVED_REPLY)
         self.turns()
         assert client.recv(1000) == b"$5\r\nva\r\nl\r\n"
         return client, worker
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -6,7 +6,7 @@
 from stage import Stage, reset
 from test_module import ENDPOINT_LIST, new_arrival, new_controller
 from test_node_front import GatewayHarness, command_with_id, start_attempt
-from test_node_wire import ASK, SERVED
+from test_node_wire import ASK, SERVED_REPLY
 from twisted.internet import error
 from twisted.python.failure import Failure
 
@@ -66,7 +66,7 @@
     assert worker.aborted and results(house.controller) == [AttemptResult.CONNECT_FAILED]
 
 
-@pytest.mark.parametrize("early", [SERVED, b"-BUSY\r\n", b"*3\r\n$2"])
+@pytest.mark.parametrize("early", [SERVED_REPLY, b"-BUSY\r\n", b"*3\r\n$2"])
 def test_bytes_that_arrive_before_the_last_byte_is_written_are_no_response(early):
     """They belong to an earlier attempt: part of a response, a late duplicate, or an overload response."""
     house = GatewayHarness()
@@ -85,7 +85,7 @@
     client.sendall(resp_codec.encode_command(command_with_id(2)))
     stage.turns()
     stage.decide(StartAttempt(2, "s1", 400.0))  # the connection is chosen and written to in this iteration
-    worker.sendall(SERVED)  # a late duplicate response
+    worker.sendall(SERVED_REPLY)  # a late duplicate response
     stage.turns()
     assert results(stage.module) == [AttemptResult.OK, AttemptResult.CONNECT_FAILED]
     client.setblocking(False)
@@ -121,13 +121,13 @@
 def test_a_response_in_single_bytes_is_complete_and_one_after_the_timeout_is_dropped():
     house = GatewayHarness()
     client, worker = start_attempt(house)
-    for byte in SERVED:
+    for byte in SERVED_REPLY:
         worker.protocol.dataReceived(bytes([byte]))
     house.run_iteration()
     assert results(house.controller) == [AttemptResult.OK] and client.take() == b"$5\r\nva\r\nl\r\n"
     client, worker = start_attempt(house, 2)
     house.reactor.advance(1.5)
-    worker.protocol.dataReceived(SERVED)
+    worker.protocol.dataReceived(SERVED_REPLY)
     house.run_iteration()
     assert (
         results(house.controller) == [AttemptResult.OK, AttemptResult.TIMEOUT]
--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -439,6 +439,37 @@
     "test_peers_are_known_by_their_address_and_nothing_longer_than_the_platform_allows_goes_out": (
         "test_peer_datagrams_are_checked_by_address_and_length"
     ),
+    "test_commands_cut_at_every_byte_are_the_same": "test_commands_split_at_any_byte_are_parsed",
+    "test_what_cannot_be_read_is_refused_when_it_is_read": (
+        "test_invalid_commands_are_protocol_errors_when_they_are_read"
+    ),
+    "test_a_promised_length_holds_nothing": "test_announced_length_allocates_no_memory",
+    "test_noise_is_a_fault_or_waits": "test_arbitrary_bytes_are_a_protocol_error_or_incomplete",
+    "test_what_is_written_is_read_however_it_is_cut": "test_encoded_commands_are_parsed_however_they_are_split",
+    "test_answers_cut_at_every_byte_are_the_same": "test_worker_replies_split_at_any_byte_are_parsed",
+    "test_error_lines_and_what_they_prove": "test_error_replies_are_classified",
+    "test_spoilt_answers_are_faults": "test_malformed_worker_replies_are_protocol_errors",
+    "test_what_follows_an_answer_leaves_its_connection_unclean": (
+        "test_bytes_after_a_reply_make_its_connection_unusable"
+    ),
+    "test_reports_go_by_name_and_what_cannot_be_read_is_as_none": (
+        "test_load_reports_are_read_by_name_and_invalid_ones_are_ignored"
+    ),
+    "test_refusals_tell_when_to_come_back": "test_rejections_have_a_retry_delay",
+    "test_a_request_is_read_and_goes_on_with_its_own_deadline": (
+        "test_command_is_mapped_and_forwarded_with_the_remaining_timeout"
+    ),
+    "test_the_deadline_is_found_wherever_it_stands": "test_timeout_is_replaced_at_any_position_of_the_terms",
+    "test_terms_that_cannot_be_used_are_named": "test_invalid_terms_are_rejected",
+    "test_commands_that_cannot_be_used_are_named": "test_invalid_commands_are_rejected",
+    "test_a_watch_is_read_line_by_line_however_it_is_cut": "test_watch_response_is_parsed_however_it_is_split",
+    "test_a_watch_that_cannot_be_read_is_a_fault": "test_invalid_watch_response_is_a_discovery_error",
+    "test_names_and_addresses_are_apart_and_old_news_changes_nothing": (
+        "test_names_and_addresses_are_independent_and_outdated_changes_are_ignored"
+    ),
+    "test_the_configuration_is_read_whole": "test_configuration_is_parsed",
+    "test_what_is_wrong_in_the_configuration_is_named": "test_configuration_errors_name_the_field",
+    "test_the_environment_stands_in_for_addresses": "test_environment_provides_missing_addresses",
 }
 # Files that came for the sake of the rename; they must not make up for tests that are lost.
 NEW = {
--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_identity_locks import MESSAGES as LOCK_MESSAGES
-from test_node_wire import ASK, WIRE_SETTINGS, found
+from test_node_wire import ASK, WIRE_SETTINGS, config_document
 from test_rules import settings as platform_settings
 from test_wire_bytes import RECORDED
 from wire_samples import _rpc
@@ -240,7 +240,7 @@
     ),
     "resp_gateway.instance_config.parse_config": Decoder(
         _config,
-        _json(found()),
+        _json(config_document()),
         (InstanceConfigError,),
     ),
     "resp_gateway.resp_codec.CommandReader.feed": Decoder(
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -7,7 +7,7 @@
 import time
 import tomllib
 
-from test_node_loopback import ROOT, Discovery, Node, Worker, ask, free_port, house, row  # noqa: F401
+from test_node_loopback import ROOT, Discovery, Node, Worker, ask, free_port, house, endpoint_row  # noqa: F401
 
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
 # The rooms that a gatekeeper on the platform loads, and what must never cost it memory and time at a start.
@@ -52,8 +52,8 @@
 
 def test_run_is_one_process_with_sockets_over_ipv4_only(house):  # noqa: F811
     worker = house(Worker())
-    discovery = house(Discovery(row("s1", worker.address)))
-    node = house(Run(house.folder, discovery.address, row("s1", worker.address)))
+    discovery = house(Discovery(endpoint_row("s1", worker.address)))
+    node = house(Run(house.folder, discovery.address, endpoint_row("s1", worker.address)))
     assert ask(node.client(), 1) == b"value for 0000000000000001"
     said = node.said()
     # Danger: who is let in while we still start is read late. The work of starting comes before listening.
@@ -75,8 +75,8 @@
 
 def test_run_imports_what_is_listed_and_no_more(house):  # noqa: F811
     worker = house(Worker())
-    discovery = house(Discovery(row("s1", worker.address)))
-    node = house(Run(house.folder, discovery.address, row("s1", worker.address)))
+    discovery = house(Discovery(endpoint_row("s1", worker.address)))
+    node = house(Run(house.folder, discovery.address, endpoint_row("s1", worker.address)))
     assert ask(node.client(), 1) == b"value for 0000000000000001"
     names = set(re.findall(r"^import time:[ \d|]+?([\w.]+)$", node.said(), re.M))
     assert "anisefront.resp_gateway.instance" in names
@@ -86,8 +86,8 @@
 
 def test_run_ends_soon_at_sigterm_with_what_it_had_answered(house):  # noqa: F811
     worker = house(Worker(work_s=0.2))
-    discovery = house(Discovery(row("s1", worker.address)))
-    node = house(Run(house.folder, discovery.address, row("s1", worker.address)))
+    discovery = house(Discovery(endpoint_row("s1", worker.address)))
+    node = house(Run(house.folder, discovery.address, endpoint_row("s1", worker.address)))
     client = node.client()
     assert ask(client, 1) == b"value for 0000000000000001"
     node.process.terminate()
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -3,7 +3,7 @@
 import pytest
 from stage import Stage, reset
 from test_node_front import GatewayHarness, command_with_id, start_attempt
-from test_node_wire import SERVED
+from test_node_wire import SERVED_REPLY
 
 from anisefront.resp_gateway import resp_codec
 from anisefront.policy.actions import StartAttempt
@@ -23,7 +23,7 @@
         lambda link: link.close(),
         reset,
         lambda link: link.sendall(b"*3\r\n$5"),
-        lambda link: link.sendall(SERVED),
+        lambda link: link.sendall(SERVED_REPLY),
         lambda link: link.shutdown(1),
     ],
 )
@@ -40,7 +40,7 @@
     stage.decide(StartAttempt(2, "s1", 400.0))
     fresh = stage.accept()
     assert b"%016x" % 2 in fresh.recv(1000)
-    fresh.sendall(SERVED)
+    fresh.sendall(SERVED_REPLY)
     stage.turns()
     assert client.recv(1000) == b"$5\r\nva\r\nl\r\n" and stage.pool.connections == 1
     assert [each.result for each in stage.module.ends if isinstance(each, AttemptEnded)] == [
@@ -53,7 +53,7 @@
     """After a standstill the loop may ask for a connection before the sweep; on its way it may have been forgotten."""
     house = GatewayHarness()
     _, worker = start_attempt(house)
-    worker.protocol.dataReceived(SERVED)
+    worker.protocol.dataReceived(SERVED_REPLY)
     house.reactor.advance(0.02)
     assert house.pool.take_idle("s1") is worker.protocol
     house.pool.add_idle(worker.protocol)
@@ -63,6 +63,6 @@
 
 def test_a_second_copy_while_it_rests_ends_it(stage):
     _, worker = stage.served()
-    worker.sendall(SERVED)
+    worker.sendall(SERVED_REPLY)
     stage.turns()
     assert not stage.pool.connections and not stage.pool._idle
--- a/tests/test_node_front.py
+++ b/tests/test_node_front.py
@@ -1,7 +1,7 @@
 """RESP frontend, worker connections, discovery watch and peer datagrams, in memory and with a simulated clock."""
 
 import pytest
-from test_node_wire import ASK, DO, SERVED, chunked
+from test_node_wire import ASK, DO, SERVED_REPLY, chunked_response
 from test_pool import Transport as PoolTransport
 from test_rules import settings
 from twisted.internet import error
@@ -140,7 +140,7 @@
     harness.run_iteration(StartAttempt(arrival.id, "s1", 400.0))
     worker = harness.connect_worker()
     assert worker.take() == resp_codec.encode_command([*ASK[:3], ASK[3].replace(b"480", b"400")])
-    worker.protocol.dataReceived(SERVED)
+    worker.protocol.dataReceived(SERVED_REPLY)
     harness.run_iteration()
     assert client.take() == b"$5\r\nva\r\nl\r\n" and harness.controller.ends[0].result is AttemptResult.OK
     harness.reactor.advance(0.02)
@@ -480,14 +480,14 @@
     assert worker.aborted and harness.controller.ends[0].result is AttemptResult.ERROR
 
 
-@pytest.mark.parametrize("more", [SERVED, b"noise"])
+@pytest.mark.parametrize("more", [SERVED_REPLY, b"noise"])
 def test_bytes_after_a_reply_end_the_connection(more):
     harness = GatewayHarness()
     client, worker = start_attempt(harness)
-    worker.protocol.dataReceived(SERVED + more)
+    worker.protocol.dataReceived(SERVED_REPLY + more)
     assert client.take() == b"$5\r\nva\r\nl\r\n" and worker.disconnecting and not harness.pool._idle
     client, worker = start_attempt(harness, 2)  # and when they arrive in a later segment
-    worker.protocol.dataReceived(SERVED)
+    worker.protocol.dataReceived(SERVED_REPLY)
     worker.protocol.dataReceived(more)
     assert worker.aborted and not harness.pool._idle
 
@@ -495,7 +495,7 @@
 def test_connection_is_reused_only_after_the_quiet_period():
     harness = GatewayHarness()
     _, worker = start_attempt(harness)
-    worker.protocol.dataReceived(SERVED)
+    worker.protocol.dataReceived(SERVED_REPLY)
     assert harness.pool.take_idle("s1") is None  # a duplicate reply may still arrive
     harness.reactor.advance(0.02)
     assert harness.pool.take_idle("s1") is worker.protocol
@@ -504,7 +504,7 @@
 def test_unread_bytes_prevent_connection_reuse():
     harness = GatewayHarness()
     _, worker = start_attempt(harness)
-    worker.protocol.dataReceived(SERVED)
+    worker.protocol.dataReceived(SERVED_REPLY)
     harness.reactor.advance(0.02)
     worker.handle.recv = lambda size, flags: b"*"
     assert harness.pool.take_idle("s1") is None and worker.aborted
@@ -530,7 +530,7 @@
     harness = GatewayHarness()
     _, worker = start_attempt(harness)
     harness.address["s1"] = ("127.0.0.1", 7009)
-    worker.protocol.dataReceived(SERVED)
+    worker.protocol.dataReceived(SERVED_REPLY)
     assert worker.disconnecting and not harness.pool._idle
     del harness.address["s1"]
     client = harness.client()
@@ -543,7 +543,7 @@
 def test_idle_connection_of_another_worker_is_closed_at_the_pool_cap():
     harness = GatewayHarness(max_connections_to_endpoints=1)
     _, worker = start_attempt(harness)
-    worker.protocol.dataReceived(SERVED)
+    worker.protocol.dataReceived(SERVED_REPLY)
     client = harness.client()
     harness.send(client, command_with_id(2))
     harness.run_iteration(StartAttempt(2, "s2", 400.0))
@@ -575,7 +575,7 @@
         return transport
 
 
-SNAPSHOT_RESPONSE = chunked(b'{"index":43,"snapshot":true,"endpoints":[]}\n')
+SNAPSHOT_RESPONSE = chunked_response(b'{"index":43,"snapshot":true,"endpoints":[]}\n')
 
 
 def test_ended_or_silent_watch_is_reopened_from_the_known_version():
@@ -596,7 +596,7 @@
 
 def test_invalid_watch_is_reported_and_reopened():
     watching = WatchHarness()
-    watching.link().protocol.dataReceived(chunked(b"}\n"))
+    watching.link().protocol.dataReceived(chunked_response(b"}\n"))
     assert watching.errors and not watching.changes
     watching.reactor.advance(0.2)
     assert len(watching.reactor.tcpClients) == 2
--- a/tests/test_node_loopback.py
+++ b/tests/test_node_loopback.py
@@ -13,7 +13,7 @@
 
 import pytest
 import redis
-from test_node_wire import WIRE_SETTINGS, change, found, row
+from test_node_wire import WIRE_SETTINGS, change_document, config_document, endpoint_row
 
 from anisefront.resp_gateway import resp_codec
 
@@ -82,7 +82,7 @@
     def _serve(self, link):
         self.asked.append(link.recv(4096))
         link.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self._tell(link, change(self.index, *self.rows, snapshot=True))
+        self._tell(link, change_document(self.index, *self.rows, snapshot=True))
         self.links.append(link)
         while True:
             time.sleep(0.5)
@@ -96,7 +96,7 @@
     def change(self, *rows):
         self.index += 1
         for link in self.links:
-            self._tell(link, change(self.index, *rows))
+            self._tell(link, change_document(self.index, *rows))
 
 
 def free_port():
@@ -116,13 +116,13 @@
         """It is started."""
         self.port, self.file = free_port(), folder / "config.json"
         settings = WIRE_SETTINGS | {"balancers": 1, "myNumber": 0}
-        self.config = found(
+        self.config = config_document(
             listen=f"127.0.0.1:{self.port}",
             discovery=discovery,
             settings=settings,
             peers=[],
             peer_listen=None,
-            known=change(41, *known, snapshot=True),
+            known=change_document(41, *known, snapshot=True),
             limits={"memory_mb": 64, "sockets": 128} | limits,
         )
         self.write()
@@ -195,15 +195,15 @@
 
 def test_a_client_library_is_served_and_a_list_that_changes_is_followed(house):
     one, two = house(Worker()), house(Worker())
-    discovery = house(Discovery(row("s1", one.address)))
-    node = house(Node(house.folder, discovery.address, row("s9", "127.0.0.1:1")))
+    discovery = house(Discovery(endpoint_row("s1", one.address)))
+    node = house(Node(house.folder, discovery.address, endpoint_row("s9", "127.0.0.1:1")))
     client = node.client()
     for number in range(1, 6):
         assert ask(client, number) == b"value for %016x" % number
     assert ask(client, 6, verb="Q.DO", name="book", more=",k=5c0f", body=(b"\r\n\0body",)) == b"value for %016x" % 6
     assert len(one.took) == 6 and b"from=41" in discovery.asked[0]
     assert 0 < int(one.took[0][1].split(b"d=")[1].split(b",")[0]) <= 1400
-    discovery.change(row("s1", one.address, "leaving"), row("s2", two.address))
+    discovery.change(endpoint_row("s1", one.address, "leaving"), endpoint_row("s2", two.address))
     time.sleep(0.2)
     assert ask(client, 7) == b"value for %016x" % 7 and len(two.took) == 1 and len(one.took) == 6
 
@@ -211,7 +211,7 @@
 @pytest.mark.parametrize("manner", ["spoilt", "noise", "busy", "failed", "silent"])
 def test_a_worker_that_goes_wrong_is_made_good_by_another(house, manner):
     good, bad = house(Worker()), house(Worker(manner))
-    rows = row("s1", good.address), row("s2", bad.address)
+    rows = endpoint_row("s1", good.address), endpoint_row("s2", bad.address)
     node = house(Node(house.folder, house(Discovery(*rows)).address, *rows))
     client = node.client()
     served = refused = 0
@@ -228,7 +228,13 @@
 
 def test_a_second_copy_is_never_the_next_ones_answer(house):
     double = house(Worker("double", 0.0))
-    node = house(Node(house.folder, house(Discovery(row("s1", double.address))).address, row("s1", double.address)))
+    node = house(
+        Node(
+            house.folder,
+            house(Discovery(endpoint_row("s1", double.address))).address,
+            endpoint_row("s1", double.address),
+        )
+    )
     client = node.client()
     for number in range(1, 40):
         assert ask(client, number) == b"value for %016x" % number
@@ -236,7 +242,13 @@
 
 def test_rude_clients_get_an_error_or_a_close_and_a_usual_one_beside_them_is_served(house):
     worker = house(Worker())
-    node = house(Node(house.folder, house(Discovery(row("s1", worker.address))).address, row("s1", worker.address)))
+    node = house(
+        Node(
+            house.folder,
+            house(Discovery(endpoint_row("s1", worker.address))).address,
+            endpoint_row("s1", worker.address),
+        )
+    )
     silent = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(80)]  # more than it may hold
     rude = []
     for data in (
@@ -285,8 +297,8 @@
 
 def test_a_new_configuration_moves_discovery_and_a_broken_one_ends_nothing(house):
     one, two = house(Worker()), house(Worker())
-    old, new = house(Discovery(row("s1", one.address))), house(Discovery(row("s2", two.address)))
-    node = house(Node(house.folder, old.address, row("s1", one.address)))
+    old, new = house(Discovery(endpoint_row("s1", one.address))), house(Discovery(endpoint_row("s2", two.address)))
+    node = house(Node(house.folder, old.address, endpoint_row("s1", one.address)))
     client = node.client()
     for broken in ("", "{", "[]", json.dumps({"settings": {}})):
         node.write(broken)
@@ -303,7 +315,13 @@
 
 def test_settings_may_grow_while_it_runs_and_what_peers_know_by_its_place_stays(house):
     worker = house(Worker())
-    node = house(Node(house.folder, house(Discovery(row("s1", worker.address))).address, row("s1", worker.address)))
+    node = house(
+        Node(
+            house.folder,
+            house(Discovery(endpoint_row("s1", worker.address))).address,
+            endpoint_row("s1", worker.address),
+        )
+    )
     client, settings = node.client(), node.config["settings"]
     node.write(settings=settings | {"packages": [{"name": "other", "perSecond": 5.0, "storeSize": 5.0}]})
     node.process.send_signal(signal.SIGHUP)
@@ -321,7 +339,13 @@
 
 def test_the_end_answers_what_was_taken_and_what_still_comes(house):
     worker = house(Worker(work_s=0.4))
-    node = house(Node(house.folder, house(Discovery(row("s1", worker.address))).address, row("s1", worker.address)))
+    node = house(
+        Node(
+            house.folder,
+            house(Discovery(endpoint_row("s1", worker.address))).address,
+            endpoint_row("s1", worker.address),
+        )
+    )
     answers = []
     first = threading.Thread(target=lambda: answers.append(ask(node.client(), 1)))
     first.start()
--- a/tests/test_node_wire.py
+++ b/tests/test_node_wire.py
@@ -1,4 +1,4 @@
-"""The platform's protocol without I/O: commands, answers, terms, lists, settings; cut at every byte, and spoilt."""
+"""RESP codec, command mapping, discovery codec and instance configuration, without I/O: split and malformed input."""
 
 import json
 
@@ -26,7 +26,7 @@
 # ---- commands ------------------------------------------------------------------------------------
 
 
-def test_commands_cut_at_every_byte_are_the_same():
+def test_commands_split_at_any_byte_are_parsed():
     data = resp_codec.encode_command(ASK) + resp_codec.encode_command(DO) + resp_codec.encode_command([b"PING"])
     for cut in range(len(data)):
         reader = resp_codec.CommandReader()
@@ -61,50 +61,50 @@
         b"*1\r\n$" + b"0" * 40,
     ],
 )
-def test_what_cannot_be_read_is_refused_when_it_is_read(data):
+def test_invalid_commands_are_protocol_errors_when_they_are_read(data):
     reader = resp_codec.CommandReader()
     assert reader.feed(resp_codec.encode_command([b"PING"]) + data) == [[b"PING"]]
     assert reader.error is not None and reader.error.error_line.startswith(b"ERR Protocol error")
     assert not reader.feed(resp_codec.encode_command([b"PING"])) and not reader.has_partial
 
 
-def test_a_promised_length_holds_nothing():
+def test_announced_length_allocates_no_memory():
     reader = resp_codec.CommandReader()
     reader.feed(b"*4\r\n$65536\r\n")
     assert reader.error is None and reader.has_partial and len(reader._buffer) == 0
 
 
 @given(st.binary(max_size=200))
-def test_noise_is_a_fault_or_waits(data):
+def test_arbitrary_bytes_are_a_protocol_error_or_incomplete(data):
     reader = resp_codec.CommandReader()
     reader.feed(b"*2\r\n" + data)
-    answers = resp_codec.WorkerReplyReader()
+    replies = resp_codec.WorkerReplyReader()
     try:
-        answers.feed(data)
-    except RespProtocolError as problem:
-        assert b"\r" not in problem.error_line and b"\n" not in problem.error_line
+        replies.feed(data)
+    except RespProtocolError as caught:
+        assert b"\r" not in caught.error_line and b"\n" not in caught.error_line
 
 
 @given(st.lists(st.lists(st.binary(max_size=30), min_size=1, max_size=5), max_size=5), st.integers(1, 40))
-def test_what_is_written_is_read_however_it_is_cut(commands, step):
+def test_encoded_commands_are_parsed_however_they_are_split(commands, step):
     data = b"".join(map(resp_codec.encode_command, commands))
     reader = resp_codec.CommandReader()
     assert [each for at in range(0, len(data), step) for each in reader.feed(data[at : at + step])] == commands
 
 
-# ---- answers -------------------------------------------------------------------------------------
+# ---- worker replies ------------------------------------------------------------------------------
 
-SERVED = b"*3\r\n$5\r\nva\r\nl\r\n$-1\r\n$22\r\ninflight=7,util=0.61,x\r\n"
+SERVED_REPLY = b"*3\r\n$5\r\nva\r\nl\r\n$-1\r\n$22\r\ninflight=7,util=0.61,x\r\n"
 
 
-def test_answers_cut_at_every_byte_are_the_same():
-    for cut in range(len(SERVED)):
+def test_worker_replies_split_at_any_byte_are_parsed():
+    for cut in range(len(SERVED_REPLY)):
         reader = resp_codec.WorkerReplyReader()
-        found = reader.feed(SERVED[:cut])
-        assert found is None
-        answer = reader.feed(SERVED[cut:])
+        incomplete = reader.feed(SERVED_REPLY[:cut])
+        assert incomplete is None
+        reply = reader.feed(SERVED_REPLY[cut:])
         assert (
-            answer == resp_codec.WorkerReply(b"va\r\nl", b"", b"", b"inflight=7,util=0.61,x") and not reader.has_partial
+            reply == resp_codec.WorkerReply(b"va\r\nl", b"", b"", b"inflight=7,util=0.61,x") and not reader.has_partial
         )
 
 
@@ -120,10 +120,10 @@
         (b"-ERR\r\n", None, b""),
     ],
 )
-def test_error_lines_and_what_they_prove(data, result, report):
-    answer, clean = WorkerConnectionCodec().feed(data)
-    assert classify_reply(answer) == ReplyOutcome(result, report)
-    assert clean is (result is not None)
+def test_error_replies_are_classified(data, result, report):
+    reply, reusable = WorkerConnectionCodec().feed(data)
+    assert classify_reply(reply) == ReplyOutcome(result, report)
+    assert reusable is (result is not None)
 
 
 @pytest.mark.parametrize(
@@ -144,19 +144,19 @@
         b"HTTP/1.1 200 OK\r\n",
     ],
 )
-def test_spoilt_answers_are_faults(data):
+def test_malformed_worker_replies_are_protocol_errors(data):
     with pytest.raises(RespProtocolError):
         resp_codec.WorkerReplyReader().feed(data)
 
 
-def test_what_follows_an_answer_leaves_its_connection_unclean():
-    answers = WorkerConnectionCodec()
-    assert answers.feed(SERVED)[1]
-    answer, clean = answers.feed(SERVED + b"x")
-    assert answer.payload == b"va\r\nl" and not clean
+def test_bytes_after_a_reply_make_its_connection_unusable():
+    codec = WorkerConnectionCodec()
+    assert codec.feed(SERVED_REPLY)[1]
+    reply, reusable = codec.feed(SERVED_REPLY + b"x")
+    assert reply.payload == b"va\r\nl" and not reusable
 
 
-def test_reports_go_by_name_and_what_cannot_be_read_is_as_none():
+def test_load_reports_are_read_by_name_and_invalid_ones_are_ignored():
     assert load_report_values(b"inflight=7,queue=2,util=0.61", ("util", "inflight")) == (0.61, 7.0)
     for report in (
         b"",
@@ -171,7 +171,7 @@
         assert load_report_values(report, ("util", "inflight")) == ()
 
 
-def test_refusals_tell_when_to_come_back():
+def test_rejections_have_a_retry_delay():
     assert (
         encode_rejection(0.0) == b"-BUSY\r\n"
         and encode_rejection(249.6) == b"-BUSY 250\r\n"
@@ -182,21 +182,21 @@
 # ---- terms ---------------------------------------------------------------------------------------
 
 
-def test_a_request_is_read_and_goes_on_with_its_own_deadline():
-    wanted = CommandMapper(settings()).to_request(ASK)
-    assert (wanted.customer, wanted.class_name, wanted.plan_name) == ("00000000b4d65521", "look", "rated")
-    assert (wanted.timeout_ms, wanted.units, wanted.spread, wanted.first_gateway) == (480.0, 2.0, 3, 1)
+def test_command_is_mapped_and_forwarded_with_the_remaining_timeout():
+    request = CommandMapper(settings()).to_request(ASK)
+    assert (request.customer, request.class_name, request.plan_name) == ("00000000b4d65521", "look", "rated")
+    assert (request.timeout_ms, request.units, request.spread, request.first_gateway) == (480.0, 2.0, 3, 1)
     reader = resp_codec.CommandReader()
-    assert reader.feed(wanted.worker_command(77.9)) == [[*ASK[:3], ASK[3].replace(b"d=480", b"d=77")]]
+    assert reader.feed(request.worker_command(77.9)) == [[*ASK[:3], ASK[3].replace(b"d=480", b"d=77")]]
     assert reader.feed(CommandMapper(settings()).to_request(DO).worker_command(0.2)) == [
         [*DO[:3], DO[3].replace(b"d=480", b"d=1"), DO[4]]
     ]
 
 
-def test_the_deadline_is_found_wherever_it_stands():
+def test_timeout_is_replaced_at_any_position_of_the_terms():
     for terms in (b"d=9,c=look,t=rated", b"c=look,t=rated,d=9", b"c=look,d=9,t=rated,units=1"):
-        wanted = CommandMapper(settings()).to_request([*ASK[:3], terms])
-        assert wanted.terms_before_timeout + b"9" + wanted.terms_after_timeout == terms
+        request = CommandMapper(settings()).to_request([*ASK[:3], terms])
+        assert request.terms_before_timeout + b"9" + request.terms_after_timeout == terms
 
 
 @pytest.mark.parametrize(
@@ -228,7 +228,7 @@
         (b"first=1", b"first=\xff"),
     ],
 )
-def test_terms_that_cannot_be_used_are_named(old, new):
+def test_invalid_terms_are_rejected(old, new):
     with pytest.raises(InvalidCommandError):
         CommandMapper(settings()).to_request([*ASK[:3], ASK[3].replace(old, new)])
 
@@ -247,7 +247,7 @@
         [*DO[:3], DO[3].replace(b"k=5", b"k= "), DO[4]],
     ],
 )
-def test_commands_that_cannot_be_used_are_named(parts):
+def test_invalid_commands_are_rejected(parts):
     with pytest.raises(InvalidCommandError):
         CommandMapper(settings()).to_request(parts)
 
@@ -255,7 +255,7 @@
 # ---- discovery and configuration -----------------------------------------------------------------
 
 
-def row(name, address="127.0.0.1:7000", status="active", since=0):
+def endpoint_row(name, address="127.0.0.1:7000", status="active", since=0):
     return {
         "name": name,
         "address": address,
@@ -268,25 +268,25 @@
     }
 
 
-def change(index, *rows, snapshot=False):
+def change_document(index, *rows, snapshot=False):
     return {"index": index, "snapshot": snapshot, "endpoints": list(rows)}
 
 
-def chunked(*lines):
+def chunked_response(*lines):
     return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"".join(
         b"%x\r\n%b\r\n" % (len(line), line) for line in lines
     )
 
 
-def test_a_watch_is_read_line_by_line_however_it_is_cut():
-    first = json.dumps(change(43, row("s1"), row("s2"), snapshot=True)).encode()
-    second = json.dumps(change(44, row("s2", status="left"))).encode()
-    data = chunked(first[:20], first[20:] + b"\n\n", b"\n", second + b"\n")
+def test_watch_response_is_parsed_however_it_is_split():
+    first = json.dumps(change_document(43, endpoint_row("s1"), endpoint_row("s2"), snapshot=True)).encode()
+    second = json.dumps(change_document(44, endpoint_row("s2", status="left"))).encode()
+    data = chunked_response(first[:20], first[20:] + b"\n\n", b"\n", second + b"\n")
     for step in (1, 7, len(data)):
         reader = WatchReader()
-        found = [each for at in range(0, len(data), step) for each in reader.feed(data[at : at + step])]
-        assert [each.version for each in found] == [43, 44] and found[0].snapshot
-        assert found[1].entries[0].endpoint.status is EndpointStatus.REMOVED
+        changes = [each for at in range(0, len(data), step) for each in reader.feed(data[at : at + step])]
+        assert [each.version for each in changes] == [43, 44] and changes[0].snapshot
+        assert changes[1].entries[0].endpoint.status is EndpointStatus.REMOVED
 
 
 @pytest.mark.parametrize(
@@ -294,28 +294,38 @@
     [
         b"HTTP/1.1 503 No\r\n\r\n",
         b"nonsense\r\n\r\n",
-        chunked(b"}\n"),
-        chunked(b"[]\n"),
-        chunked(b"{\n") + b"0\r\n\r\n",
-        chunked(b'{"endpoints":[{}]}\n'),
-        chunked(json.dumps(change(1, row("s", address="nowhere"))).encode() + b"\n"),
-        chunked(json.dumps(change(1, row("s", status="odd"))).encode() + b"\n"),
+        chunked_response(b"}\n"),
+        chunked_response(b"[]\n"),
+        chunked_response(b"{\n") + b"0\r\n\r\n",
+        chunked_response(b'{"endpoints":[{}]}\n'),
+        chunked_response(json.dumps(change_document(1, endpoint_row("s", address="nowhere"))).encode() + b"\n"),
+        chunked_response(json.dumps(change_document(1, endpoint_row("s", status="odd"))).encode() + b"\n"),
     ],
 )
-def test_a_watch_that_cannot_be_read_is_a_fault(data):
+def test_invalid_watch_response_is_a_discovery_error(data):
     with pytest.raises(DiscoveryError):
         WatchReader().feed(data)
 
 
-def test_names_and_addresses_are_apart_and_old_news_changes_nothing():
-    book = EndpointDirectory()
-    first = book.apply(parse_change(change(5, row("s1"), row("s2", "127.0.0.1:7001"), snapshot=True)))
+def test_names_and_addresses_are_independent_and_outdated_changes_are_ignored():
+    directory = EndpointDirectory()
+    first = directory.apply(
+        parse_change(change_document(5, endpoint_row("s1"), endpoint_row("s2", "127.0.0.1:7001"), snapshot=True))
+    )
     assert [each.id for each in first.endpoints.endpoints] == ["s1", "s2"] and first.replaced == []
-    second = book.apply(parse_change(change(6, row("s1", status="left"), row("s3"))))  # a new one at its address
-    assert second.replaced == ["s1"] and book.address_of("s1") is None and book.address_of("s3") == ("127.0.0.1", 7000)
+    second = directory.apply(
+        parse_change(change_document(6, endpoint_row("s1", status="left"), endpoint_row("s3")))
+    )  # a new worker at its address
+    assert (
+        second.replaced == ["s1"]
+        and directory.address_of("s1") is None
+        and directory.address_of("s3") == ("127.0.0.1", 7000)
+    )
     assert [each.id for each in second.endpoints.endpoints] == ["s2", "s3"]
-    assert book.apply(parse_change(change(6, row("s1")))) == AppliedChange(None, [])
-    third = book.apply(parse_change(change(7, row("s2", "127.0.0.1:7009"), row("s3", since=5))))
+    assert directory.apply(parse_change(change_document(6, endpoint_row("s1")))) == AppliedChange(None, [])
+    third = directory.apply(
+        parse_change(change_document(7, endpoint_row("s2", "127.0.0.1:7009"), endpoint_row("s3", since=5)))
+    )
     assert sorted(third.replaced) == ["s2", "s3"]
 
 
@@ -352,7 +362,7 @@
 }
 
 
-def found(**more):
+def config_document(**overrides):
     return {
         "name": "n1",
         "listen": "127.0.0.1:6379",
@@ -362,13 +372,13 @@
         "peer_listen": "127.0.0.1:7946",
         "peers": ["127.0.0.2:7946", "127.0.0.1:7946"],
         "peers_all": "127.0.0.3:7946",
-        "known": change(41, row("s1"), snapshot=True),
+        "known": change_document(41, endpoint_row("s1"), snapshot=True),
         "settings": WIRE_SETTINGS,
-    } | more
+    } | overrides
 
 
-def test_the_configuration_is_read_whole():
-    config = parse_config(found(), {})
+def test_configuration_is_parsed():
+    config = parse_config(config_document(), {})
     assert (config.name, config.seed, config.listen) == ("n1", 0x8C1F, ("127.0.0.1", 6379))
     assert (config.memory_mb, config.sockets, config.known_endpoints.version) == (64.0, 256, 41)
     assert (config.connect_timeout_ms, config.idle_ms) == (333.0, 15000.0)
@@ -377,7 +387,7 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "place"),
+    ("overrides", "place"),
     [
         ({"listen": "here"}, "listen"),
         ({"discovery": 5}, "discovery"),
@@ -389,27 +399,29 @@
         ({"peers": ["127.0.0.1:1", "x"]}, r"peers\[1\]"),
     ],
 )
-def test_what_is_wrong_in_the_configuration_is_named(more, place):
+def test_configuration_errors_name_the_field(overrides, place):
     with pytest.raises(InstanceConfigError, match=f"^{place}"):
-        parse_config(found(**more), {})
+        parse_config(config_document(**overrides), {})
 
 
-def test_the_environment_stands_in_for_addresses():
-    config = parse_config(found(listen=None, discovery=None), {"PROXY_LISTEN": "127.0.0.9:1", "PROXY_DISCOVERY": "h:2"})
+def test_environment_provides_missing_addresses():
+    config = parse_config(
+        config_document(listen=None, discovery=None), {"PROXY_LISTEN": "127.0.0.9:1", "PROXY_DISCOVERY": "h:2"}
+    )
     assert config.listen == ("127.0.0.9", 1) and config.discovery == ("h", 2)
 
 
 @pytest.mark.parametrize("key", ["classes", "packages"])
-def test_more_classes_or_plans_than_peers_messages_have_room_for_are_refused(key):
-    # Guards against a process that ends at its first message of the 17th class, and units booked under another plan.
-    row = WIRE_SETTINGS[key][0]
+def test_more_classes_or_plans_than_peer_messages_can_carry_are_rejected(key):
+    # A 17th class would raise an error at its first peer message; units of a 17th plan would go to another plan.
+    template = WIRE_SETTINGS[key][0]
 
-    def config_of(count, **more):
-        rows = [row | {"name": f"{key}-{number}"} for number in range(count)]
-        return parse_config(found(settings=WIRE_SETTINGS | {key: rows} | more), {})
+    def config_of(count, **overrides):
+        rows = [template | {"name": f"{key}-{number}"} for number in range(count)]
+        return parse_config(config_document(settings=WIRE_SETTINGS | {key: rows} | overrides), {})
 
     limits = WIRE_SETTINGS["limits"]
     config_of(16, limits=limits | {"mayTell": True})
     with pytest.raises(InstanceConfigError, match="^settings"):
         config_of(17, limits=limits | {"mayTell": True})
-    config_of(17, limits=limits | {"mayTell": False})  # nothing is sent
+    config_of(17, limits=limits | {"mayTell": False})  # no peer messages are sent
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,7 +12,7 @@
 
 import pytest
 from test_node_loopback import ROOT, Discovery, Node, Worker, ask, free_port, house  # noqa: F401
-from test_node_wire import WIRE_SETTINGS, change, found, row
+from test_node_wire import WIRE_SETTINGS, change_document, config_document, endpoint_row
 from twisted.internet.testing import MemoryReactorClock
 
 from anisefront.daemon.lifecycle import TRANSITIONS, Command, Lifecycle, Phase, Step
@@ -102,7 +102,7 @@
 
 def config(*deadlines):
     return parse_config(
-        found(
+        config_document(
             listen=f"127.0.0.1:{free_port()}",
             discovery="127.0.0.1:1",
             settings=settings(*deadlines),
@@ -208,7 +208,7 @@
         return made(folder, discovery)
     node = made.__new__(made)
     node.port, node.file = 0, folder / "config.json"
-    node.config = found(
+    node.config = config_document(
         listen=f"127.0.0.1:{free_port()}",
         discovery=discovery,
         settings=settings(5000),
@@ -270,7 +270,7 @@
         "from anisefront.resp_gateway.client_connection import ClientConnection\n"
         "before(ClientConnection, '_handle_request', signal.SIGTERM, signal.SIGTERM)"
     )
-    rows = [row("s1", worker.address)]
+    rows = [endpoint_row("s1", worker.address)]
     made = type("Made", (Staged,), {"prelude": prelude})
     node = house(made(house.folder, house(Discovery(*rows)).address, *rows))
     assert ask(node.client(), 1, wait=4000) == b"value for %016x" % 1  # it is served in the drain
@@ -279,7 +279,7 @@
 
 def test_a_second_signal_later_answers_what_is_open_and_ends(house):  # noqa: F811
     worker = house(Worker("silent"))
-    rows = [row("s1", worker.address)]
+    rows = [endpoint_row("s1", worker.address)]
     node = house(Node(house.folder, house(Discovery(*rows)).address, *rows))
     link = socket.create_connection(("127.0.0.1", node.port))
     link.settimeout(5)
@@ -299,8 +299,8 @@
 
 def test_a_hang_up_in_the_drain_moves_discovery_and_ends_nothing(house):  # noqa: F811
     one, two = house(Worker(work_s=1.0)), house(Worker())
-    old, new = house(Discovery(row("s1", one.address))), house(Discovery(row("s2", two.address)))
-    node = house(Node(house.folder, old.address, row("s1", one.address)))
+    old, new = house(Discovery(endpoint_row("s1", one.address))), house(Discovery(endpoint_row("s2", two.address)))
+    node = house(Node(house.folder, old.address, endpoint_row("s1", one.address)))
     answers = []
     first = threading.Thread(target=lambda: answers.append(ask(node.client(), 1, wait=4000)))
     first.start()
@@ -328,13 +328,13 @@
         "myNumber": 0,
         "classes": [each | {"aimMs": 300, "deadlineMs": 600} for each in WIRE_SETTINGS["classes"]],
     }
-    node.config = found(
+    node.config = config_document(
         listen=f"127.0.0.1:{node.port}",
-        discovery=house(Discovery(row("s1", worker.address))).address,
+        discovery=house(Discovery(endpoint_row("s1", worker.address))).address,
         settings=short,
         peers=[],
         peer_listen=None,
-        known=change(41, row("s1", worker.address), snapshot=True),
+        known=change_document(41, endpoint_row("s1", worker.address), snapshot=True),
     )
     node.write()
     node.log = (folder / "log").open("w+")
--- a/tests/test_terms_processes.py
+++ b/tests/test_terms_processes.py
@@ -11,7 +11,7 @@
 
 import pytest
 from test_node_loopback import ROOT, Discovery, Node, Worker, ask, house  # noqa: F401
-from test_node_wire import row
+from test_node_wire import endpoint_row
 
 from anisefront.resp_gateway import resp_codec
 
@@ -59,8 +59,8 @@
 @pytest.mark.parametrize("manner", ["silent", "ends"])
 def test_the_watch_gets_a_descriptor_where_idle_clients_hold_all_they_can(house, manner):  # noqa: F811
     old, new = house(Worker()), house(Worker())
-    discovery = house(Down(manner, row("s2", new.address)))
-    node = house(Few(house.folder, discovery.address, row("s1", old.address), sockets=SOCKETS))
+    discovery = house(Down(manner, endpoint_row("s2", new.address)))
+    node = house(Few(house.folder, discovery.address, endpoint_row("s1", old.address), sockets=SOCKETS))
     links = []
     node.process.send_signal(signal.SIGSTOP)  # so that all come in one look
     for _ in range(6 * SOCKETS):
@@ -82,13 +82,13 @@
 
 def test_of_ten_that_start_at_once_nine_are_ready_in_time_and_so_is_one_killed_under_its_clients(house):  # noqa: F811
     worker = house(Worker())
-    discovery = house(Discovery(row("s1", worker.address)))
+    discovery = house(Discovery(endpoint_row("s1", worker.address)))
     nodes = []
     for number in range(10):
         folder = house.folder / str(number)
         folder.mkdir()
         nodes.append(house(Node.__new__(Node)))
-        nodes[-1].made(folder, discovery.address, row("s1", worker.address))
+        nodes[-1].made(folder, discovery.address, endpoint_row("s1", worker.address))
 
     def ready():
         return sum(node.said().count('"ready"') for node in nodes)
@@ -119,8 +119,8 @@
 )
 def test_a_reload_and_a_drain_in_any_order_take_the_file_in_and_answer_all(house, signals, pause_s):  # noqa: F811
     one, two = house(Worker(work_s=0.6)), house(Worker())
-    old, new = house(Discovery(row("s1", one.address))), house(Discovery(row("s2", two.address)))
-    node = house(Node(house.folder, old.address, row("s1", one.address)))
+    old, new = house(Discovery(endpoint_row("s1", one.address))), house(Discovery(endpoint_row("s2", two.address)))
+    node = house(Node(house.folder, old.address, endpoint_row("s1", one.address)))
     answers = []
     client = node.client()
     first = threading.Thread(target=lambda: answers.append(ask(client, 1, wait=4000)))
@@ -141,7 +141,13 @@
 def test_a_signal_to_end_that_comes_while_the_file_is_read_is_a_drain(house):  # noqa: F811
     """The file is a pipe: the reload waits in it for its bytes, and the signal comes then."""
     worker = house(Worker(work_s=0.5))
-    node = house(Node(house.folder, house(Discovery(row("s1", worker.address))).address, row("s1", worker.address)))
+    node = house(
+        Node(
+            house.folder,
+            house(Discovery(endpoint_row("s1", worker.address))).address,
+            endpoint_row("s1", worker.address),
+        )
+    )
     answers = []
     client = node.client()
     first = threading.Thread(target=lambda: answers.append(ask(client, 1, wait=4000)))
@@ -167,7 +173,13 @@
 
 def test_a_request_on_a_connection_taken_before_or_in_the_drain_is_answered_or_not_sent_on(house):  # noqa: F811
     worker = house(Worker())
-    node = house(Node(house.folder, house(Discovery(row("s1", worker.address))).address, row("s1", worker.address)))
+    node = house(
+        Node(
+            house.folder,
+            house(Discovery(endpoint_row("s1", worker.address))).address,
+            endpoint_row("s1", worker.address),
+        )
+    )
     links = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(4)]
     node.process.send_signal(signal.SIGTERM)
     asked, number, began = [], 0, time.monotonic()
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -10,7 +10,7 @@
 import pytest
 from stage import Stage, reset
 from test_node_front import GatewayHarness, Transport, command_with_id
-from test_node_wire import ASK, DO, WIRE_SETTINGS, change, found, row
+from test_node_wire import ASK, DO, WIRE_SETTINGS, change_document, config_document, endpoint_row
 from test_rules import settings
 from test_watch import BOUND_S, HEAD
 from twisted.internet import error
@@ -221,8 +221,8 @@
     def line(self, known):
         """A whole list now and then, else what changed."""
         whole = known < 50 or self.rng.random() < 0.3
-        rows = [row(f"s{n}", f"127.0.0.1:{n}") for n in range(50 if whole else known + 1, self.index + 1)]
-        return json.dumps(change(self.index, *rows, snapshot=whole)).encode() + b"\n"
+        rows = [endpoint_row(f"s{n}", f"127.0.0.1:{n}") for n in range(50 if whole else known + 1, self.index + 1)]
+        return json.dumps(change_document(self.index, *rows, snapshot=whole)).encode() + b"\n"
 
     def take_calls(self):
         while self.at < len(self.reactor.tcpClients):
@@ -347,12 +347,15 @@
 
     def __init__(self):
         self.reactor, self.mail, self.workers, self.up = MemoryReactorClock(), [], [], 0
-        rows = [row(f"s{n}", f"127.0.0.1:{7000 + n}") for n in range(4)]
+        rows = [endpoint_row(f"s{n}", f"127.0.0.1:{7000 + n}") for n in range(4)]
         self.made = []
         for n in range(2):
             made = RespGatewayInstance(
                 parse_config(
-                    found(settings=WIRE_SETTINGS | {"myNumber": n}, known=change(41, *rows, snapshot=True)), {}
+                    config_document(
+                        settings=WIRE_SETTINGS | {"myNumber": n}, known=change_document(41, *rows, snapshot=True)
+                    ),
+                    {},
                 ),
                 self.reactor,
                 lambda: self.reactor.seconds() * 1000 + 1e6,
@@ -448,9 +451,9 @@
     two.ask()
     two.go_on()
     port = two.reactor.tcpClients[0][1]
-    rows = [row(f"s{n}", f"127.0.0.1:{7000 + n}") for n in range(4) if 7000 + n != port]
+    rows = [endpoint_row(f"s{n}", f"127.0.0.1:{7000 + n}") for n in range(4) if 7000 + n != port]
     two.made[0].apply_endpoint_change(
-        parse_change(change(43, *rows, snapshot=True))
+        parse_change(change_document(43, *rows, snapshot=True))
     )  # it still listens, and its connection comes up
     for _ in range(40):
         two.connect()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -6,7 +6,7 @@
 
 import pytest
 from test_node_front import SNAPSHOT_RESPONSE, WatchHarness, Transport
-from test_node_wire import change, chunked, row
+from test_node_wire import change_document, chunked_response, endpoint_row
 from twisted.internet import error
 from twisted.python.failure import Failure
 
@@ -146,14 +146,17 @@
 
 
 def test_what_cannot_be_read_is_said_once_and_the_last_list_stays_in_force():
-    discovery = Discovery(lambda link, open_s: say(link, chunked(b"}\n")) if open_s == 0 else None)
+    discovery = Discovery(lambda link, open_s: say(link, chunked_response(b"}\n")) if open_s == 0 else None)
     discovery.play(5)
     assert len(discovery.errors) == 1 and not discovery.changes and discovery.at > 3
 
 
 # ---- how it is written -------------------------------------------------------------------------------
 
-INDENTED = json.dumps(change(43, row("s1", "127.0.0.1:1"), row('s"}]{[', "127.0.0.1:2"), snapshot=True), indent=2)
+INDENTED = json.dumps(
+    change_document(43, endpoint_row("s1", "127.0.0.1:1"), endpoint_row('s"}]{[', "127.0.0.1:2"), snapshot=True),
+    indent=2,
+)
 
 
 def test_an_indented_object_over_several_lines_is_one_change_however_it_is_cut():
@@ -199,35 +202,42 @@
 
 def test_a_discovery_that_counts_anew_from_below_is_asked_for_all_and_believed():
     kept = Kept()
-    tell(kept.link(), change(41, row("s1", "127.0.0.1:1"), row("s2", "127.0.0.1:2"), snapshot=True))
+    tell(
+        kept.link(),
+        change_document(41, endpoint_row("s1", "127.0.0.1:1"), endpoint_row("s2", "127.0.0.1:2"), snapshot=True),
+    )
     kept.watch.connections[0].abort()
     kept.reactor.advance(0.2)
     link = kept.link()
     assert b"from=41 " in link.take()
-    tell(link, change(3, row("s1", "127.0.0.1:1", "leaving")))  # it lost its count
+    tell(link, change_document(3, endpoint_row("s1", "127.0.0.1:1", "leaving")))  # it lost its count
     assert link.aborted and set(kept.book.entries) == {"s1", "s2"}
     kept.reactor.advance(0.2)
     link = kept.link()
     assert b"from=0 " in link.take()
-    tell(link, change(3, row("s1", "127.0.0.1:1", "leaving")), change(4, row("s2", "127.0.0.1:2", "left")))
+    tell(
+        link,
+        change_document(3, endpoint_row("s1", "127.0.0.1:1", "leaving")),
+        change_document(4, endpoint_row("s2", "127.0.0.1:2", "left")),
+    )
     assert kept.book.version == 4 and set(kept.book.entries) == {"s1"}
     assert kept.book.entries["s1"].endpoint.status.value == "draining"
 
 
 def test_another_discovery_after_a_hang_up_has_versions_of_its_own():
     kept = Kept()
-    tell(kept.link(), change(41, row("s1", "127.0.0.1:1"), snapshot=True))
+    tell(kept.link(), change_document(41, endpoint_row("s1", "127.0.0.1:1"), snapshot=True))
     kept.watch.change_address(("127.0.0.1", 8501))
     link = kept.link()
     assert b"from=0 " in link.take() and set(kept.book.entries) == {"s1"}
-    tell(link, change(2, row("s1", "127.0.0.1:1", "leaving")))
+    tell(link, change_document(2, endpoint_row("s1", "127.0.0.1:1", "leaving")))
     assert kept.book.entries["s1"].endpoint.status.value == "draining"
 
 
 def test_an_answer_that_repeats_changes_nothing_and_one_that_skips_is_taken():
     kept = Kept()
     link = kept.link()
-    tell(link, change(41, row("s1", "127.0.0.1:1"), snapshot=True))
+    tell(link, change_document(41, endpoint_row("s1", "127.0.0.1:1"), snapshot=True))
     for index, status, ends in (
         (42, "leaving", "draining"),
         (41, "active", "draining"),
@@ -235,7 +245,9 @@
         (47, "active", "ready"),
     ):
         link.protocol.dataReceived(
-            chunked(json.dumps(change(index, row("s1", "127.0.0.1:1", status))).encode() + b"\n")[len(HEAD) :]
+            chunked_response(
+                json.dumps(change_document(index, endpoint_row("s1", "127.0.0.1:1", status))).encode() + b"\n"
+            )[len(HEAD) :]
         )
         assert kept.book.entries["s1"].endpoint.status.value == ends
 
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -27,7 +27,7 @@
 from processes import SETTINGS
 from test_config_corpus import check_text as settings_read
 from test_node_front import GatewayHarness
-from test_node_wire import ASK, DO, SERVED, WIRE_SETTINGS, change, found, row
+from test_node_wire import ASK, DO, SERVED_REPLY, WIRE_SETTINGS, change_document, config_document, endpoint_row
 from test_rules import settings
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
@@ -549,7 +549,7 @@
     """Commands of clients and to workers, answers of workers and to clients."""
     go = StartAttempt(1, "s1", 400.0)
     client = {
-        "served": _f(ASK, action=go, worker=SERVED),
+        "served": _f(ASK, action=go, worker=SERVED_REPLY),
         "failed": _f(ASK, action=Fail(1)),
         **{f"refused for {reason.value}": _f(ASK, action=Reject(1, 120.4, reason)) for reason in RejectionReason},
         "refused without a time": _f(ASK, action=Reject(1)),
@@ -573,14 +573,14 @@
         "too many parts": _f(raw=b"*99\r\n"),
     }
     out = {f"to a client, {name}": Sample(lambda make=make: make()[1], bytes.hex) for name, make in client.items()}
-    worker = {"asked": _f(ASK, action=go, worker=SERVED), "done": _f(DO, action=go, worker=SERVED)}
+    worker = {"asked": _f(ASK, action=go, worker=SERVED_REPLY), "done": _f(DO, action=go, worker=SERVED_REPLY)}
     out |= {f"to a worker, {name}": Sample(lambda make=make: make()[0], _wanted) for name, make in worker.items()}
     out["commands"] = Sample(
         lambda: resp_codec.encode_command(ASK) + resp_codec.encode_command(DO) + resp_codec.encode_command([b"PING"]),
         _commands,
     )
     answers = {
-        "served": SERVED,
+        "served": SERVED_REPLY,
         "busy": b"-BUSY util=0.5,inflight=3\r\n",
         "failed": b"-ERR failed util=1,inflight=2\r\n",
         "error not known": b"-ERR what\r\n",
@@ -622,9 +622,11 @@
     lines = [
         json.dumps(each).encode() + b"\n"
         for each in (
-            change(41, row("s1", "10.0.0.1:80"), row("s2", "10.0.0.2:80", since=7), snapshot=True),
-            change(42, row("s2", "10.0.0.2:81", status="leaving")),
-            change(43, row("s1", "10.0.0.1:80", status="left")),
+            change_document(
+                41, endpoint_row("s1", "10.0.0.1:80"), endpoint_row("s2", "10.0.0.2:80", since=7), snapshot=True
+            ),
+            change_document(42, endpoint_row("s2", "10.0.0.2:81", status="leaving")),
+            change_document(43, endpoint_row("s1", "10.0.0.1:80", status="left")),
         )
     ]
     head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -1103,10 +1105,10 @@
 def node_state() -> dict[str, Any]:
     """The report of a gatekeeper of the platform that has served a request, refused one and heard what is none."""
     reactor = MemoryReactorClock()
-    known = change(41, row("s1", "127.0.0.1:7001"), snapshot=True)
+    known = change_document(41, endpoint_row("s1", "127.0.0.1:7001"), snapshot=True)
     own_settings = WIRE_SETTINGS | {"balancers": 1, "myNumber": 0}
     made = RespGatewayInstance(
-        parse_config(found(settings=own_settings, known=known, peers=[], peer_listen=None), {}),
+        parse_config(config_document(settings=own_settings, known=known, peers=[], peer_listen=None), {}),
         reactor,
         lambda: 1e6 + reactor.seconds() * 1000,
     )
@@ -1118,7 +1120,7 @@
     )
     reactor.advance(0.01)
     worker = GatewayHarness.connect_transport(reactor.tcpClients[-1][2])
-    worker.protocol.dataReceived(SERVED.replace(b",x", b"").replace(b"$22", b"$20"))
+    worker.protocol.dataReceived(SERVED_REPLY.replace(b",x", b"").replace(b"$22", b"$20"))
     reactor.advance(0.05)
     assert client.take().startswith(b"$5")
     return made.state()
