--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -532,6 +532,34 @@
     "test_run_is_one_process_with_sockets_over_ipv4_only": "test_run_starts_one_process_with_ipv4_sockets_only",
     "test_run_imports_what_is_listed_and_no_more": "test_run_imports_listed_packages_only",
     "test_run_ends_soon_at_sigterm_with_what_it_had_answered": "test_run_ends_soon_after_sigterm",
+    "test_what_a_silent_watch_misses_is_told_within_the_bound": (
+        "test_change_missed_by_a_silent_watch_is_received_within_the_bound"
+    ),
+    "test_while_discovery_is_down_there_is_always_an_open_watch_for_what_it_tells_at_its_return": (
+        "test_watch_stays_open_during_an_outage_of_discovery"
+    ),
+    "test_a_watch_that_is_well_is_left_alone": "test_healthy_watch_is_not_replaced",
+    "test_one_that_ends_after_each_answer_is_not_asked_in_a_circle": (
+        "test_watch_that_ends_after_each_response_is_reopened_with_backoff"
+    ),
+    "test_what_cannot_be_read_is_said_once_and_the_last_list_stays_in_force": (
+        "test_repeated_invalid_response_is_reported_once"
+    ),
+    "test_an_indented_object_over_several_lines_is_one_change_however_it_is_cut": (
+        "test_indented_object_is_one_change_however_it_is_split"
+    ),
+    "test_an_object_that_never_ends_has_a_cap": "test_object_size_is_limited",
+    "test_a_discovery_that_counts_anew_from_below_is_asked_for_all_and_believed": (
+        "test_restarted_version_numbers_lead_to_a_full_watch"
+    ),
+    "test_another_discovery_after_a_hang_up_has_versions_of_its_own": "test_new_discovery_address_resets_the_version",
+    "test_an_answer_that_repeats_changes_nothing_and_one_that_skips_is_taken": (
+        "test_repeated_versions_are_ignored_and_skipped_ones_are_accepted"
+    ),
+    "test_a_move_to_the_same_address_changes_nothing_and_two_at_once_leave_one_watch": (
+        "test_address_changes_leave_one_watch"
+    ),
+    "test_a_move_before_the_start_opens_one_watch": "test_address_change_before_the_start_opens_one_watch",
 }
 # Files that came for the sake of the rename; they must not make up for tests that are lost.
 NEW = {
--- a/tests/test_node_front.py
+++ b/tests/test_node_front.py
@@ -567,7 +567,7 @@
         )
         self.watch.start()
 
-    def link(self, at=-1):
+    def connect(self, at=-1):
         """Establish the connection that was requested as number `at`."""
         transport = Transport()
         transport.protocol = self.reactor.tcpClients[at][2].buildProtocol(None)
@@ -579,40 +579,40 @@
 
 
 def test_ended_or_silent_watch_is_reopened_from_the_known_version():
-    watching = WatchHarness()
-    link = watching.link()
+    harness = WatchHarness()
+    link = harness.connect()
     assert b"GET /v1/endpoints?watch=1&from=41 HTTP/1.1" in link.take()
     link.protocol.dataReceived(SNAPSHOT_RESPONSE)
-    assert [each.version for each in watching.changes] == [43]
-    watching.reactor.advance(3.1)  # the heartbeat is missing
-    watching.reactor.advance(0)
-    assert len(watching.reactor.tcpClients) == 2
-    watching.reactor.tcpClients[-1][2].clientConnectionFailed(None, Failure(error.ConnectionRefusedError()))
-    watching.reactor.advance(0.11)
-    assert len(watching.reactor.tcpClients) == 3 and not link.aborted
-    watching.link().protocol.dataReceived(SNAPSHOT_RESPONSE)
-    assert link.aborted and [each.version for each in watching.changes] == [43, 43]
+    assert [each.version for each in harness.changes] == [43]
+    harness.reactor.advance(3.1)  # the heartbeat is missing
+    harness.reactor.advance(0)
+    assert len(harness.reactor.tcpClients) == 2
+    harness.reactor.tcpClients[-1][2].clientConnectionFailed(None, Failure(error.ConnectionRefusedError()))
+    harness.reactor.advance(0.11)
+    assert len(harness.reactor.tcpClients) == 3 and not link.aborted
+    harness.connect().protocol.dataReceived(SNAPSHOT_RESPONSE)
+    assert link.aborted and [each.version for each in harness.changes] == [43, 43]
 
 
 def test_invalid_watch_is_reported_and_reopened():
-    watching = WatchHarness()
-    watching.link().protocol.dataReceived(chunked_response(b"}\n"))
-    assert watching.errors and not watching.changes
-    watching.reactor.advance(0.2)
-    assert len(watching.reactor.tcpClients) == 2
+    harness = WatchHarness()
+    harness.connect().protocol.dataReceived(chunked_response(b"}\n"))
+    assert harness.errors and not harness.changes
+    harness.reactor.advance(0.2)
+    assert len(harness.reactor.tcpClients) == 2
 
 
 def test_discovery_address_change_closes_the_old_watch():
-    watching = WatchHarness()
-    old = watching.link()
-    watching.watch.change_address(("127.0.0.1", 8501))
-    assert old.aborted and watching.reactor.tcpClients[-1][:2] == ("127.0.0.1", 8501)
+    harness = WatchHarness()
+    old = harness.connect()
+    harness.watch.change_address(("127.0.0.1", 8501))
+    assert old.aborted and harness.reactor.tcpClients[-1][:2] == ("127.0.0.1", 8501)
     old.protocol.dataReceived(SNAPSHOT_RESPONSE)
-    assert not watching.changes
-    watching.link().protocol.dataReceived(SNAPSHOT_RESPONSE)
-    assert len(watching.changes) == 1
-    watching.reactor.advance(1.0)
-    assert len(watching.reactor.tcpClients) == 2
+    assert not harness.changes
+    harness.connect().protocol.dataReceived(SNAPSHOT_RESPONSE)
+    assert len(harness.changes) == 1
+    harness.reactor.advance(1.0)
+    assert len(harness.reactor.tcpClients) == 2
 
 
 class RecordingTransport:
