--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -560,6 +560,46 @@
         "test_address_changes_leave_one_watch"
     ),
     "test_a_move_before_the_start_opens_one_watch": "test_address_change_before_the_start_opens_one_watch",
+    "test_request_and_response_round": "test_request_and_response_round_trip",
+    "test_chunks_in_any_pieces": "test_chunked_body_is_decoded_however_it_is_split",
+    "test_bodies_until_close_head_answers_and_interim_answers": (
+        "test_bodies_until_close_head_responses_and_interim_responses"
+    ),
+    "test_what_is_no_message": "test_invalid_requests_are_rejected_with_a_status",
+    "test_cut_off_in_the_middle": "test_connection_closed_within_a_message_is_an_error",
+    "test_garbage_is_a_fault_or_waits": "test_arbitrary_bytes_are_an_error_or_incomplete",
+    "test_headers_that_would_break_a_message_are_not_written": "test_invalid_headers_are_not_encoded",
+    "test_jsonrpc_faults": "test_jsonrpc_error_codes",
+    "test_lines": "test_line_splitter",
+    "test_load_reports_that_cannot_be_read_are_none": "test_invalid_load_reports_are_ignored",
+    "test_request_and_answer_with_trailers_by_an_independent_client": (
+        "test_request_and_response_with_trailers_by_an_independent_client"
+    ),
+    "test_flow_control_holds_answers_back_and_lets_them_go": "test_flow_control_delays_and_resumes_responses",
+    "test_large_uploads_are_given_window_as_they_are_read": "test_window_is_extended_as_large_uploads_are_read",
+    "test_smaller_initial_window_reaches_open_streams": "test_smaller_initial_window_applies_to_open_streams",
+    "test_padding_priority_and_continuation_are_read": "test_padding_priority_and_continuation_are_decoded",
+    "test_bytes_one_by_one_are_the_same": "test_input_split_into_single_bytes_gives_the_same_events",
+    "test_breaches_end_the_connection_with_the_code_of_the_rfc": (
+        "test_protocol_violations_end_the_connection_with_the_code_of_the_rfc"
+    ),
+    "test_floods_cost_their_sender_the_connection": "test_frame_floods_end_the_connection",
+    "test_resets_by_the_thousand_cost_their_sender_the_connection": "test_rapid_resets_end_the_connection",
+    "test_endless_continuation_costs_its_sender_the_connection": "test_endless_continuation_ends_the_connection",
+    "test_calm_comes_back_with_time_and_with_work": "test_frame_allowance_is_refilled_over_time",
+    "test_streams_beyond_the_limit_are_refused_and_the_rest_goes_on": "test_streams_above_the_limit_are_refused",
+    "test_headers_that_are_not_http_reset_their_stream_only": "test_malformed_headers_reset_only_their_stream",
+    "test_a_peer_that_reads_nothing_loses_its_stream": "test_stream_is_reset_if_its_client_does_not_read",
+    "test_reset_by_the_peer_is_told_and_late_frames_for_it_are_let_by": (
+        "test_reset_by_the_client_is_reported_and_late_frames_are_ignored"
+    ),
+    "test_messages_come_out_whole_however_they_are_cut": "test_messages_are_decoded_however_they_are_split",
+    "test_time_outs": "test_timeouts",
+    "test_time_outs_that_cannot_be_read": "test_invalid_timeouts_are_rejected",
+    "test_http1_without_upgrade_is_told_so_plainly": "test_http1_without_upgrade_is_answered_with_426",
+    "test_a_proxy_that_gives_up_thousands_of_held_streams_keeps_its_connection": (
+        "test_resets_of_thousands_of_long_open_streams_keep_the_connection"
+    ),
 }
 # Files that came for the sake of the rename; they must not make up for tests that are lost.
 NEW = {
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -1,4 +1,4 @@
-"""HTTP/2 and gRPC parsers alone: against `h2`, which nobody here wrote, and against what breaks the rules."""
+"""HTTP/2 and gRPC codecs: against the independent implementation `h2`, and against protocol violations."""
 
 import struct
 
@@ -33,31 +33,31 @@
 
 
 class Pair:
-    """Our server and an `h2` client with nothing but bytes between them."""
+    """Server connection and an `h2` client that exchange bytes in memory."""
 
     def __init__(self, limits=Http2Limits()):  # noqa: B008
         self.server = Http2Connection(limits)
         self.client = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
         self.client.initiate_connection()
-        self.turn()
+        self.exchange()
 
-    def turn(self):
-        """Bytes both ways until nothing moves; our events, then the client's."""
-        ours, theirs = [], []
+    def exchange(self):
+        """Exchange bytes until neither side sends any; return the events of the server and of the client."""
+        server_events, client_events = [], []
         while True:
-            out = self.client.data_to_send()
-            ours += self.server.receive(out)
-            back = self.server.data_to_send()
-            if back:
-                theirs += self.client.receive_data(back)
-            if not out and not back:
-                return ours, theirs
-
-    def ask(self, stream=1, body=b"", ended=True):
+            sent = self.client.data_to_send()
+            server_events += self.server.receive(sent)
+            received = self.server.data_to_send()
+            if received:
+                client_events += self.client.receive_data(received)
+            if not sent and not received:
+                return server_events, client_events
+
+    def send_request(self, stream=1, body=b"", ended=True):
         self.client.send_headers(stream, HEADERS, end_stream=ended and not body)
         if body:
             self.client.send_data(stream, body, end_stream=ended)
-        return self.turn()
+        return self.exchange()
 
 
 def started():
@@ -67,12 +67,13 @@
     return server
 
 
-def raw_headers(server, stream=1, ended=True, flags=http2_frames.END_HEADERS):
+def receive_headers(server, stream=1, ended=True, flags=http2_frames.END_HEADERS):
     block = http2_headers.literal_block(*HEADERS)
     return server.receive(frame(FrameType.HEADERS, flags | http2_frames.END_STREAM * ended, stream, block))
 
 
-def broken(server, data):
+def terminate(server, data):
+    """Return the error code with which these bytes terminate the connection."""
     last = server.receive(data)[-1]
     assert isinstance(last, ConnectionTerminated), last
     assert server.closed and server.receive(HELLO) == []
@@ -80,67 +81,67 @@
     return last.code
 
 
-def test_request_and_answer_with_trailers_by_an_independent_client():
+def test_request_and_response_with_trailers_by_an_independent_client():
     pair = Pair()
-    ours, _ = pair.ask(body=b"hello")
-    assert isinstance(ours[0], RequestReceived) and (b":path", b"/a.B/C") in ours[0].headers
-    assert ours[1] == DataReceived(1, b"hello", True)
+    server_events, _ = pair.send_request(body=b"hello")
+    assert isinstance(server_events[0], RequestReceived) and (b":path", b"/a.B/C") in server_events[0].headers
+    assert server_events[1] == DataReceived(1, b"hello", True)
     pair.server.send_headers(1, grpc.RESPONSE_HEADERS)
     pair.server.send_data(1, grpc.encode_message(b"yes"), grpc.OK_TRAILERS)
-    _, theirs = pair.turn()
-    kinds = [type(event) for event in theirs]
+    _, client_events = pair.exchange()
+    kinds = [type(event) for event in client_events]
     assert kinds == [
         h2.events.ResponseReceived,
         h2.events.DataReceived,
         h2.events.TrailersReceived,
         h2.events.StreamEnded,
     ]
-    assert (b"grpc-status", b"0") in theirs[2].headers and not pair.server.streams
+    assert (b"grpc-status", b"0") in client_events[2].headers and not pair.server.streams
 
 
-def test_flow_control_holds_answers_back_and_lets_them_go():
+def test_flow_control_delays_and_resumes_responses():
     pair = Pair()
-    pair.ask()
+    pair.send_request()
     pair.server.send_headers(1, grpc.RESPONSE_HEADERS)
     pair.server.send_data(1, b"x" * 200_000, grpc.OK_TRAILERS)
     got = 0
     for _ in range(20):
-        _, theirs = pair.turn()
-        for event in theirs:
+        _, client_events = pair.exchange()
+        for event in client_events:
             if isinstance(event, h2.events.DataReceived):
                 assert got + len(event.data) <= 200_000
                 got += len(event.data)
                 pair.client.acknowledge_received_data(event.flow_controlled_length, 1)
-        if any(isinstance(event, h2.events.StreamEnded) for event in theirs):
+        if any(isinstance(event, h2.events.StreamEnded) for event in client_events):
             break
     assert got == 200_000 and not pair.server.streams
 
 
-def test_large_uploads_are_given_window_as_they_are_read():
+def test_window_is_extended_as_large_uploads_are_read():
     pair = Pair()
     pair.client.send_headers(1, HEADERS)
-    pair.turn()
+    pair.exchange()
     sent = 0
     while sent < 3_000_000:
-        room = min(pair.client.local_flow_control_window(1), 16384)
-        assert room > 0, sent
-        pair.client.send_data(1, b"y" * room)
-        sent += room
-        pair.turn()
+        sendable = min(pair.client.local_flow_control_window(1), 16384)
+        assert sendable > 0, sent
+        pair.client.send_data(1, b"y" * sendable)
+        sent += sendable
+        pair.exchange()
 
 
-def test_smaller_initial_window_reaches_open_streams():
+def test_smaller_initial_window_applies_to_open_streams():
     pair = Pair()
-    pair.ask()
+    pair.send_request()
     pair.client.update_settings({4: 10})
-    pair.turn()
+    pair.exchange()
     pair.server.send_headers(1, grpc.RESPONSE_HEADERS)
     pair.server.send_data(1, b"z" * 30)
-    _, theirs = pair.turn()
-    assert sum(len(event.data) for event in theirs if isinstance(event, h2.events.DataReceived)) == 10
+    _, client_events = pair.exchange()
+    assert sum(len(event.data) for event in client_events if isinstance(event, h2.events.DataReceived)) == 10
 
 
-def test_padding_priority_and_continuation_are_read():
+def test_padding_priority_and_continuation_are_decoded():
     server = started()
     block = http2_headers.literal_block(*HEADERS)
     padded = bytes((3,)) + struct.pack(">IB", 0, 16) + block[:10] + b"\0\0\0"
@@ -154,7 +155,7 @@
     assert isinstance(events[0], RequestReceived) and events[1] == DataReceived(1, b"ab", True)
 
 
-def test_bytes_one_by_one_are_the_same():
+def test_input_split_into_single_bytes_gives_the_same_events():
     data = (
         HELLO
         + frame(FrameType.HEADERS, http2_frames.END_HEADERS, 1, http2_headers.literal_block(*HEADERS))
@@ -194,8 +195,8 @@
         (HELLO + frame(FrameType.DATA, 0, 1, b"x" * 20000), ErrorCode.FRAME_SIZE_ERROR),
     ],
 )
-def test_breaches_end_the_connection_with_the_code_of_the_rfc(data, code):
-    assert broken(Http2Connection(), data) is code
+def test_protocol_violations_end_the_connection_with_the_code_of_the_rfc(data, code):
+    assert terminate(Http2Connection(), data) is code
 
 
 @pytest.mark.parametrize(
@@ -207,29 +208,29 @@
         frame(FrameType.DATA, 0, 1, b""),
     ],
 )
-def test_floods_cost_their_sender_the_connection(flood):
+def test_frame_floods_end_the_connection(flood):
     server = started()
-    raw_headers(server, ended=False)
-    assert broken(server, flood * 3000) is ErrorCode.ENHANCE_YOUR_CALM
+    receive_headers(server, ended=False)
+    assert terminate(server, flood * 3000) is ErrorCode.ENHANCE_YOUR_CALM
 
 
-def test_resets_by_the_thousand_cost_their_sender_the_connection():
+def test_rapid_resets_end_the_connection():
     server, block = started(), http2_headers.literal_block(*HEADERS)
     data = b"".join(
         frame(FrameType.HEADERS, 5, n, block) + frame(FrameType.RST_STREAM, 0, n, struct.pack(">L", 8))
         for n in range(1, 6001, 2)
     )
-    assert broken(server, data) is ErrorCode.ENHANCE_YOUR_CALM
+    assert terminate(server, data) is ErrorCode.ENHANCE_YOUR_CALM
 
 
-def test_endless_continuation_costs_its_sender_the_connection():
+def test_endless_continuation_ends_the_connection():
     data = frame(FrameType.HEADERS, 0, 1, b"") + frame(FrameType.CONTINUATION, 0, 1, b"") * 20
-    assert broken(started(), data) is ErrorCode.ENHANCE_YOUR_CALM
+    assert terminate(started(), data) is ErrorCode.ENHANCE_YOUR_CALM
     large = frame(FrameType.HEADERS, 0, 1, b"\0" * 16000) + frame(FrameType.CONTINUATION, 0, 1, b"\0" * 16000)
-    assert broken(started(), large) is ErrorCode.ENHANCE_YOUR_CALM
+    assert terminate(started(), large) is ErrorCode.ENHANCE_YOUR_CALM
 
 
-def test_calm_comes_back_with_time_and_with_work():
+def test_frame_allowance_is_refilled_over_time():
     server = started()
     for second in range(40):
         server.receive(frame(FrameType.PING, 0, 0, b"12345678") * 90, second * 1000.0)
@@ -237,35 +238,35 @@
     assert server.data_to_send().count(frame(FrameType.PING, http2_frames.ACK, 0, b"12345678")) == 3600
 
 
-def test_streams_beyond_the_limit_are_refused_and_the_rest_goes_on():
+def test_streams_above_the_limit_are_refused():
     server = Http2Connection(Http2Limits(max_streams=2))
     server.receive(HELLO)
     for number in (1, 3, 5):
-        raw_headers(server, number, ended=False)
+        receive_headers(server, number, ended=False)
     out = server.data_to_send()
     assert frame(FrameType.RST_STREAM, 0, 5, struct.pack(">L", ErrorCode.REFUSED_STREAM)) in out
     assert set(server.streams) == {1, 3} and not server.closed
 
 
-def test_headers_that_are_not_http_reset_their_stream_only():
+def test_malformed_headers_reset_only_their_stream():
     server = started()
     for number, extra in enumerate([("Upper", "x"), ("connection", "close"), (":late", "x"), ("x", "a\r\nb")]):
         block = http2_headers.literal_block(*HEADERS, extra)
         assert server.receive(frame(FrameType.HEADERS, 5, 2 * number + 1, block)) == []
-    assert not server.closed and isinstance(raw_headers(server, 99)[0], RequestReceived)
+    assert not server.closed and isinstance(receive_headers(server, 99)[0], RequestReceived)
 
 
-def test_a_peer_that_reads_nothing_loses_its_stream():
+def test_stream_is_reset_if_its_client_does_not_read():
     pair = Pair(Http2Limits(max_queued_bytes=100_000))
-    pair.ask()
+    pair.send_request()
     pair.server.send_headers(1, grpc.RESPONSE_HEADERS)
     pair.server.send_data(1, b"x" * 300_000)
     assert 1 not in pair.server.streams
 
 
-def test_reset_by_the_peer_is_told_and_late_frames_for_it_are_let_by():
+def test_reset_by_the_client_is_reported_and_late_frames_are_ignored():
     server = started()
-    raw_headers(server, ended=False)
+    receive_headers(server, ended=False)
     assert server.receive(frame(FrameType.RST_STREAM, 0, 1, struct.pack(">L", 8))) == [StreamReset(1, 8)]
     assert server.receive(frame(FrameType.DATA, 0, 1, b"x") + frame(FrameType.WINDOW_UPDATE, 0, 1, b"\0\0\0\1")) == []
     assert not server.closed
@@ -280,20 +281,20 @@
 
 
 @given(st.lists(st.binary(max_size=50), max_size=8), st.integers(1, 7))
-def test_messages_come_out_whole_however_they_are_cut(messages, step):
-    data, unpacker, out = b"".join(map(grpc.encode_message, messages)), grpc.MessageDecoder(100), []
+def test_messages_are_decoded_however_they_are_split(messages, step):
+    data, decoder, decoded = b"".join(map(grpc.encode_message, messages)), grpc.MessageDecoder(100), []
     for at in range(0, len(data), step):
-        out += unpacker.feed(data[at : at + step])
-    assert out == messages and not unpacker.has_partial_message
+        decoded += decoder.feed(data[at : at + step])
+    assert decoded == messages and not decoder.has_partial_message
 
 
 @pytest.mark.parametrize(("text", "ms"), [(b"5S", 5000), (b"100m", 100), (b"1H", 3.6e6), (b"7u", 0.007), (b"", None)])
-def test_time_outs(text, ms):
+def test_timeouts(text, ms):
     assert grpc.decode_timeout_ms(text) == ms
 
 
 @pytest.mark.parametrize("text", [b"5", b"S", b"123456789S", b"-1S", b"1x", b"\xff"])
-def test_time_outs_that_cannot_be_read(text):
+def test_invalid_timeouts_are_rejected(text):
     with pytest.raises(grpc.GrpcStatusError):
         grpc.decode_timeout_ms(text)
 
@@ -319,13 +320,13 @@
     assert kinds[-3:] == [h2.events.DataReceived, h2.events.TrailersReceived, h2.events.StreamEnded]
 
 
-def test_http1_without_upgrade_is_told_so_plainly():
+def test_http1_without_upgrade_is_answered_with_426():
     server = Http2Connection()
     assert isinstance(server.receive(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")[0], ConnectionTerminated)
     assert server.data_to_send().startswith(b"HTTP/1.1 426 ")
 
 
-def test_a_proxy_that_gives_up_thousands_of_held_streams_keeps_its_connection():
+def test_resets_of_thousands_of_long_open_streams_keep_the_connection():
     server, block = started(), http2_headers.literal_block(*HEADERS)
     for number in range(1, 8001, 2):
         server.receive(frame(FrameType.HEADERS, 5, number, block), 1000.0)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1, JSON-RPC and load reports, free of I/O: whole, in pieces, and wrong."""
+"""HTTP/1.1, JSON-RPC and load report codecs: complete, split and invalid input."""
 
 import base64
 import json
@@ -16,7 +16,7 @@
     return [event for event in reader.feed(data) if not isinstance(event, Head)]
 
 
-def test_request_and_response_round():
+def test_request_and_response_round_trip():
     data = http1.request("POST", "/a?b=c", {"host": "x", "x-units": "2"}, b"body")
     (message,) = messages(Reader(True), data)
     assert (message.method, message.target, message.body, message.keep_alive) == ("POST", "/a?b=c", b"body", True)
@@ -29,21 +29,21 @@
 
 
 @pytest.mark.parametrize("step", [1, 2, 3, 7, 1000])
-def test_chunks_in_any_pieces(step):
-    reader, out = Reader(False), []
+def test_chunked_body_is_decoded_however_it_is_split(step):
+    reader, received = Reader(False), []
     for at in range(0, len(CHUNKED), step):
-        out += messages(reader, CHUNKED[at : at + step])
-    assert out[0].body == b"Wikipedia" and out[0].keep_alive and not reader.has_partial_message
+        received += messages(reader, CHUNKED[at : at + step])
+    assert received[0].body == b"Wikipedia" and received[0].keep_alive and not reader.has_partial_message
 
 
-def test_bodies_until_close_head_answers_and_interim_answers():
+def test_bodies_until_close_head_responses_and_interim_responses():
     reader = Reader(False)
     assert not messages(reader, b"HTTP/1.0 200 OK\r\n\r\npart") and reader.close()[0].body == b"part"
     reader = Reader(False)
     reader.head_only = True
     assert messages(reader, b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n")[0].body == b""
-    out = messages(Reader(False), b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n")
-    assert [message.status for message in out] == [100, 204]
+    responses = messages(Reader(False), b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n")
+    assert [message.status for message in responses] == [100, 204]
 
 
 @pytest.mark.parametrize(
@@ -66,13 +66,13 @@
         (b"GET / HTTP/1.1\r\nx: " + b"y" * 20000, 431),
     ],
 )
-def test_what_is_no_message(data, status):
-    with pytest.raises(MessageError) as fault:
+def test_invalid_requests_are_rejected_with_a_status(data, status):
+    with pytest.raises(MessageError) as caught:
         Reader(True).feed(data)
-    assert fault.value.status == status
+    assert caught.value.status == status
 
 
-def test_cut_off_in_the_middle():
+def test_connection_closed_within_a_message_is_an_error():
     reader = Reader(False)
     reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc")
     with pytest.raises(MessageError):
@@ -80,7 +80,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_garbage_is_a_fault_or_waits(data):
+def test_arbitrary_bytes_are_an_error_or_incomplete(data):
     for requests in (True, False):
         try:
             Reader(requests).feed(data)
@@ -89,12 +89,12 @@
 
 
 @pytest.mark.parametrize("headers", [{"a": "x\r\ny"}, {"a b": "x"}, {"": "x"}])
-def test_headers_that_would_break_a_message_are_not_written(headers):
+def test_invalid_headers_are_not_encoded(headers):
     with pytest.raises(ValueError):
         http1.request("GET", "/", headers)
 
 
-# Examples of the JSON-RPC 2.0 specification, section 7, as far as they do not depend on methods.
+# Examples of the JSON-RPC 2.0 specification, section 7, that do not depend on methods.
 @pytest.mark.parametrize(
     ("line", "code"),
     [
@@ -107,23 +107,23 @@
         (b"[" * 100_000, -32700),
     ],
 )
-def test_jsonrpc_faults(line, code):
-    many, calls = jsonrpc.parse_line(line)
-    assert not many and [call.code for call in calls] == [code]
+def test_jsonrpc_error_codes(line, code):
+    is_batch, calls = jsonrpc.parse_line(line)
+    assert not is_batch and [call.code for call in calls] == [code]
 
 
 def test_jsonrpc_batches_and_notifications():
-    many, calls = jsonrpc.parse_line(b'[1,{"jsonrpc":"2.0","method":"a"},{"jsonrpc":"2.0","method":"b","id":null}]')
-    assert many and isinstance(calls[0], jsonrpc.InvalidCall)
+    is_batch, calls = jsonrpc.parse_line(b'[1,{"jsonrpc":"2.0","method":"a"},{"jsonrpc":"2.0","method":"b","id":null}]')
+    assert is_batch and isinstance(calls[0], jsonrpc.InvalidCall)
     assert calls[1].is_notification and not calls[2].is_notification
     assert jsonrpc.parse_line(json.dumps([1] * 300).encode())[1][0].code == -32600
 
 
-def test_lines():
-    lines = jsonrpc.LineSplitter(10)
-    assert lines.feed(b"ab\n\ncd") == [b"ab"] and lines.feed(b"e\n") == [b"cde"]
+def test_line_splitter():
+    splitter = jsonrpc.LineSplitter(10)
+    assert splitter.feed(b"ab\n\ncd") == [b"ab"] and splitter.feed(b"e\n") == [b"cde"]
     with pytest.raises(jsonrpc.LineTooLongError):
-        lines.feed(b"x" * 11)
+        splitter.feed(b"x" * 11)
 
 
 def test_load_reports_in_the_three_published_forms():
@@ -153,5 +153,5 @@
         "TEXT cpu_utilization=nan",
     ],
 )
-def test_load_reports_that_cannot_be_read_are_none(text):
+def test_invalid_load_reports_are_ignored(text):
     assert orca.select_fields(orca.decode_report({"endpoint-load-metrics": text}), ("util",)) == ()
