--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -600,6 +600,40 @@
     "test_a_proxy_that_gives_up_thousands_of_held_streams_keeps_its_connection": (
         "test_resets_of_thousands_of_long_open_streams_keep_the_connection"
     ),
+    "test_key_that_reads_like_a_listed_customer_is_another_customer": (
+        "test_api_key_equal_to_a_customer_name_is_another_customer"
+    ),
+    "test_owner_has_its_whole_quota_after_strangers_wrote_its_name": (
+        "test_customer_keeps_its_quota_when_others_send_its_name_as_key"
+    ),
+    "test_tags_are_wide_keyed_and_the_same_at_every_gateway": (
+        "test_customer_tags_are_wide_keyed_and_equal_at_every_gateway"
+    ),
+    "test_home_keeps_the_stores_of_names_with_one_checksum_apart": (
+        "test_quota_owner_separates_customers_with_equal_checksums"
+    ),
+    "test_tags_that_meet_all_the_same_refuse_the_second_customer_and_share_nothing": (
+        "test_colliding_customer_tags_reject_the_second_customer"
+    ),
+    "test_settings_with_a_secret_have_a_key_for_tags_that_no_report_shows": (
+        "test_tag_key_is_derived_from_the_secret_and_not_shown"
+    ),
+    "test_odd_names_have_tags": "test_unusual_customer_names_have_tags",
+    "test_request_id_of_one_customer_does_not_block_anothers": (
+        "test_request_ids_of_different_customers_are_independent"
+    ),
+    "test_request_id_is_free_again_for_each_customer_alone": "test_request_id_is_released_for_each_customer_separately",
+    "test_normal_form": "test_paths_are_normalized",
+    "test_unclear_paths_are_refused": "test_ambiguous_paths_are_rejected",
+    "test_no_raw_form_takes_another_route_than_its_normal_form": "test_equivalent_paths_take_the_same_route",
+    "test_a_path_goes_on_in_the_form_in_which_it_was_judged": (
+        "test_path_is_forwarded_in_the_form_in_which_it_was_routed"
+    ),
+    "test_checker_names_routes_that_never_match_and_raw_forms_that_slip_past": (
+        "test_checker_reports_unmatchable_routes_and_paths_that_bypass_a_route"
+    ),
+    "test_two_headers_that_differ_in_case_only_are_refused": "test_headers_that_differ_only_in_case_are_rejected",
+    "test_homes_are_spread_over_the_whole_fleet": "test_quota_owners_are_spread_over_all_gateways",
 }
 # Files that came for the sake of the rename; they must not make up for tests that are lost.
 NEW = {
--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -1,7 +1,8 @@
-"""Every function that reads bytes or text from outside the process returns, or raises its own error, and nothing else.
+"""Every decoder of untrusted input returns a value or raises one of its declared errors.
 
-Inputs are drawn from valid ones: a leaf or a branch of their JSON replaced by an odd value, bytes replaced or cut.
-A new decoder without a line in `DECODERS` or `OTHERS` fails a test."""
+Inputs are mutations of valid ones: a value of their JSON replaced by an unusual one, or bytes replaced or removed.
+A new decoder must be entered in `DECODERS` or `OTHERS`, or a test fails.
+"""
 
 import ast
 import json
@@ -19,7 +20,7 @@
 from test_node_wire import ASK, WIRE_SETTINGS, config_document
 from test_rules import settings as platform_settings
 from test_wire_bytes import RECORDED
-from wire_samples import _rpc
+from wire_samples import jsonrpc_response
 
 from anisefront.cluster import endpoint_file, lock_codec, member_state, membership_messages, replication_codec
 from anisefront.cluster.replication_messages import AppendAck, RelayedMessage
@@ -40,9 +41,9 @@
 from anisefront.upstream.inherited_requests import InheritedRequests
 
 PACKAGE = pathlib.Path(endpoint_file.__file__).parents[1]
-EXAMPLES = 150  # of each decoder
+EXAMPLES = 150  # mutated inputs of each decoder
 HUGE = 10**400
-ODD_VALUES = [
+UNUSUAL_VALUES = [
     None,
     True,
     -1,
@@ -107,7 +108,7 @@
 
 
 def _load(data: bytes) -> Any:
-    """The JSON value of bytes, None where there is none."""
+    """Return the JSON value of the bytes, None if they are not JSON."""
     try:
         return json.loads(data)
     except (ValueError, RecursionError):
@@ -118,7 +119,7 @@
     return data.decode("latin-1")
 
 
-def _take_over(data: bytes) -> object:
+def _decode_request_record(data: bytes) -> object:
     record = request_records.decode_record(data, {"order": None})
     return record and (record.direct_request(), record.delegating_incarnation())
 
@@ -131,7 +132,7 @@
 def _lock_message(data: bytes) -> object:
     try:
         return lock_codec.decode_body(data[1] if len(data) > 1 else 0, data[2:])
-    except struct.error as error:  # as `replication_codec.decode` reads it
+    except struct.error as error:  # `replication_codec.decode` handles it in the same way
         raise ValueError(str(error)) from error
 
 
@@ -140,14 +141,14 @@
 
 
 def _line(data: bytes) -> object:
-    """What a client gets for a line, with its parameters and its id."""
-    return _rpc(data.replace(b"\n", b" ") + b"\n")
+    """Return the response to a line, which repeats the id of its call."""
+    return jsonrpc_response(data.replace(b"\n", b" ") + b"\n")
 
 
 def _inherited(data: bytes) -> object:
-    waiting = InheritedRequests.__new__(InheritedRequests)
-    waiting._by_origin = {("life", 1): object()}
-    return waiting.find_attempt(_text(data))
+    inherited = InheritedRequests.__new__(InheritedRequests)
+    inherited._by_origin = {("life", 1): object()}
+    return inherited.find_attempt(_text(data))
 
 
 def _config(data: bytes) -> object:
@@ -168,7 +169,7 @@
 
 
 class Decoder(NamedTuple):
-    """A function over bytes, valid ones, and the errors that are its own."""
+    """A decoder as a function of bytes, valid inputs, and the errors that it may raise."""
 
     read: Callable[[bytes], object]
     samples: list[bytes]
@@ -192,7 +193,7 @@
     "cluster.membership_messages.decode_message": Decoder(membership_messages.decode_message, _recorded("membership")),
     "cluster.replication_codec.decode": Decoder(replication_codec.decode, _recorded("replication", "message")),
     "daemon.message_relay.MessageRelay.unpack": Decoder(_relay, [replication_codec.encode(AppendAck(1, 2))]),
-    "daemon.request_records.decode_record": Decoder(_take_over, _json(RECORD)),
+    "daemon.request_records.decode_record": Decoder(_decode_request_record, _json(RECORD)),
     "daemon.request_records.decode_response": Decoder(request_records.decode_response, _json(RESPONSE)),
     "frontends.jsonrpc_params.parse_params": Decoder(_params, _json(CALL), (InvalidParamsError,)),
     "policy.peer_codec.decode": Decoder(peer_codec.decode, _recorded("quota")),
@@ -263,20 +264,20 @@
     ),
     "upstream.inherited_requests.InheritedRequests.find_attempt": Decoder(_inherited, [b"life.1.2", b"life.1.\xb2"]),
 }
-# What has such a name and reads nothing from outside by itself, or what another line reads with it.
+# Functions with such names that decode no untrusted input, or that another entry covers.
 OTHERS = {
     "daemon.authenticated_datagrams.AuthenticatedDatagrams.decode",  # the samples "sealed: ..." of test_wire_bytes.py
-    "daemon.peer_port.DatagramFormat.decode",  # a protocol
-    "resp_gateway.bare_datagrams.BareDatagrams.decode",  # passes bytes on
-    "resp_gateway.instance_config.read_config_file",  # a file of the operator's, read at the start
-    "resp_gateway.resp_requests.WorkerConnectionCodec.feed",  # WorkerReplyReader.feed
-    "upstream.delegated_checks.parse_number",  # find_attempt
-    "upstream.response_reader.ResponseReader.feed",  # a protocol
+    "daemon.peer_port.DatagramFormat.decode",  # an interface
+    "resp_gateway.bare_datagrams.BareDatagrams.decode",  # returns the bytes unchanged
+    "resp_gateway.instance_config.read_config_file",  # the operator's file, read at the start
+    "resp_gateway.resp_requests.WorkerConnectionCodec.feed",  # covered by WorkerReplyReader.feed
+    "upstream.delegated_checks.parse_number",  # covered by find_attempt
+    "upstream.response_reader.ResponseReader.feed",  # an interface
 }
 
 
 def _names() -> set[str]:
-    """The functions and methods whose names say that they decode."""
+    """Return the functions and methods whose names match `NAME`."""
     names = set()
     for package in PACKAGES:
         for path in sorted((PACKAGE / package).rglob("*.py")):
@@ -292,41 +293,41 @@
     return names
 
 
-def test_each_decoder_has_its_line():
+def test_each_decoder_is_entered():
     assert _names() == set(DECODERS) | OTHERS
 
 
-def _branches(value: Any, path: tuple = ()) -> list[tuple]:
+def _paths(value: Any, path: tuple = ()) -> list[tuple]:
     found = [path]
     if isinstance(value, dict | list):
         for key in value if isinstance(value, dict) else range(len(value)):
-            found += _branches(value[key], (*path, key))
+            found += _paths(value[key], (*path, key))
     return found
 
 
-def _replaced(value: Any, path: tuple, odd: Any) -> Any:
+def _replaced(value: Any, path: tuple, replacement: Any) -> Any:
     if not path:
-        return odd
+        return replacement
     copy = value.copy()
-    copy[path[0]] = _replaced(value[path[0]], path[1:], odd)
+    copy[path[0]] = _replaced(value[path[0]], path[1:], replacement)
     return copy
 
 
 def _variants(value: Any) -> list[bytes]:
-    """Each branch replaced by each odd value, and each object with a name more that is no text."""
-    made = [_replaced(value, path, odd) for path in _branches(value) for odd in ODD_VALUES]
-    for path in _branches(value):
-        there = value
+    """Return the value with each part replaced by each unusual value, and with an invalid key in each object."""
+    variants = [_replaced(value, path, unusual) for path in _paths(value) for unusual in UNUSUAL_VALUES]
+    for path in _paths(value):
+        part = value
         for key in path:
-            there = there[key]
-        if isinstance(there, dict):
-            made.append(_replaced(value, path, there | {"\ud800": 1}))
-    return [json.dumps(each).encode() for each in made]
+            part = part[key]
+        if isinstance(part, dict):
+            variants.append(_replaced(value, path, part | {"\ud800": 1}))
+    return [json.dumps(each).encode() for each in variants]
 
 
 @st.composite
 def mutated(draw: Callable, samples: list[bytes]) -> bytes:
-    """Bytes near a valid input."""
+    """Draw a valid input with some bytes replaced, inserted or removed."""
     data = draw(st.sampled_from(samples))
     at = draw(st.integers(0, len(data)))
     cut = draw(st.integers(at, min(len(data), at + 8)))
@@ -334,7 +335,7 @@
 
 
 @pytest.mark.parametrize("name", DECODERS)
-def test_a_decoder_returns_or_raises_its_own_error(name):
+def test_decoder_returns_or_raises_a_declared_error(name):
     decoder = DECODERS[name]
     tables = [value for value in map(_load, decoder.samples) if isinstance(value, dict | list)]
     for data in (variant for table in tables for variant in _variants(table)):
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -1,4 +1,4 @@
-"""Strangers in accounts: what a caller may write that would reach another customer's quota, request or route."""
+"""Isolation of customers: no client input may reach another customer's quota, request or route."""
 
 import json
 import pathlib
@@ -27,7 +27,7 @@
 ROOT = pathlib.Path(__file__).parent.parent
 
 
-# ---- names ----------------------------------------------------------------------------------------------------
+# ---- customer names ---------------------------------------------------------------------------------------------
 
 
 def router(**more):
@@ -40,11 +40,11 @@
     )
 
 
-def test_key_that_reads_like_a_listed_customer_is_another_customer():
+def test_api_key_equal_to_a_customer_name_is_another_customer():
     owner = router(default_plan="wide").map("GET", "h", "/public/x", {"x-api-key": "k-secret"})
-    for written in ("stall-7", owner.customer, "customer:stall-7", "key:stall-7"):
-        stranger = router(default_plan="wide").map("GET", "h", "/public/x", {"x-api-key": written})
-        assert stranger.customer != owner.customer and stranger.plan == "wide"
+    for key in ("stall-7", owner.customer, "customer:stall-7", "key:stall-7"):
+        other = router(default_plan="wide").map("GET", "h", "/public/x", {"x-api-key": key})
+        assert other.customer != owner.customer and other.plan == "wide"
 
 
 @pytest.fixture(scope="module")
@@ -61,8 +61,8 @@
     running.stop()
 
 
-def test_owner_has_its_whole_quota_after_strangers_wrote_its_name(narrow):
-    """Before, the stranger got 3 of 5 units and the owner none."""
+def test_customer_keeps_its_quota_when_others_send_its_name_as_key(narrow):
+    """Guards against a client that sent another customer's name as its key: it got 3 of 5 units, the customer none."""
     for number in range(20):
         answer = narrow.check(x_api_key="stall-7", x_request_id=f"s{number}")
         narrow.log(told(answer)["x-anisefront-attempt"])
@@ -72,48 +72,48 @@
         narrow.log(told(answer)["x-anisefront-attempt"])
 
 
-# ---- tags -----------------------------------------------------------------------------------------------------
+# ---- customer tags ----------------------------------------------------------------------------------------------
 
 
-def test_tags_are_wide_keyed_and_the_same_at_every_gateway():
+def test_customer_tags_are_wide_keyed_and_equal_at_every_gateway():
     assert customer_tag("c", b"k" * 32) == customer_tag("c", b"k" * 32) != customer_tag("c", b"l" * 32)
     tags = {customer_tag(f"customer-{n}", b"fleet") for n in range(200_000)}
     assert len(tags) == 200_000 and max(tags).bit_length() > 72
-    # What CRC-32 let anybody do: two names of one sum.
+    # With CRC-32 as the tag, a client could find a name that collides with another customer's.
     import zlib
 
     assert zlib.crc32(b"plumless") == zlib.crc32(b"buckeroo")
     assert customer_tag("plumless") != customer_tag("buckeroo")
 
 
-def test_home_keeps_the_stores_of_names_with_one_checksum_apart():
-    c = new_controller(gateways=300, number=7)
-    c.handle(1000, [ENDPOINT_LIST])
+def test_quota_owner_separates_customers_with_equal_checksums():
+    controller = new_controller(gateways=300, number=7)
+    controller.handle(1000, [ENDPOINT_LIST])
     granted = {}
     for serial, name in enumerate(("plumless", "buckeroo")):
-        asks = [
+        requests = [
             QuotaMessage(QuotaMessageKind.REQUEST, customer_tag(name), 20 * serial + n, 1.0, 0.0, 1, 0)
             for n in range(1, 13)
         ]
-        actions = c.handle(1001, [PeerMessage(1 + serial, encode(1, 1.0, asks, []))])
+        actions = controller.handle(1001, [PeerMessage(1 + serial, encode(1, 1.0, requests, []))])
         granted[name] = sum(
-            told.kind is QuotaMessageKind.GRANT
-            for tell in actions_of(SendToPeer, actions)
-            for told in decode(tell.data).quota_messages
+            message.kind is QuotaMessageKind.GRANT
+            for action in actions_of(SendToPeer, actions)
+            for message in decode(action.data).quota_messages
         )
     assert granted["plumless"] == granted["buckeroo"] >= 9
 
 
-def test_tags_that_meet_all_the_same_refuse_the_second_customer_and_share_nothing(monkeypatch):
+def test_colliding_customer_tags_reject_the_second_customer(monkeypatch):
     monkeypatch.setattr(quota_borrower, "customer_tag", lambda customer, key: 6)
-    c = new_controller()
-    assert actions_of(StartAttempt, c.handle(1000, [ENDPOINT_LIST, new_arrival(1, customer="first")]))
-    actions = c.handle(1001, [new_arrival(2, customer="second"), new_arrival(3, customer="first")])
+    controller = new_controller()
+    assert actions_of(StartAttempt, controller.handle(1000, [ENDPOINT_LIST, new_arrival(1, customer="first")]))
+    actions = controller.handle(1001, [new_arrival(2, customer="second"), new_arrival(3, customer="first")])
     assert [(each.id, each.reason) for each in actions_of(Reject, actions)] == [(2, RejectionReason.INVALID)]
-    assert "second" not in c.quota_borrower.accounts and set(c.requests) == {1, 3}
+    assert "second" not in controller.quota_borrower.accounts and set(controller.requests) == {1, 3}
 
 
-def test_settings_with_a_secret_have_a_key_for_tags_that_no_report_shows():
+def test_tag_key_is_derived_from_the_secret_and_not_shown():
     text = (ROOT / "examples/loopback.conf").read_text().replace("gatekeeper 0 of 1", "gatekeeper 0 of 2")
     text += "listen peers 127.0.0.1:0\npeer 1 127.0.0.1:9\nsecret "
     first, second = (
@@ -127,18 +127,18 @@
     assert [str(change) for change in diff(first, second)] == ["secret: one -> another"]
 
 
-def test_odd_names_have_tags():
+def test_unusual_customer_names_have_tags():
     for name in ("", "\udcff", "\x00", "x" * 256):
         assert customer_tag(name) >= 0
-    c = new_controller()
-    c.handle(1000, [ENDPOINT_LIST, Arrival(1, "\udcff", "look", "rated", 5000.0)])
-    assert c.quota_borrower.accounts
+    controller = new_controller()
+    controller.handle(1000, [ENDPOINT_LIST, Arrival(1, "\udcff", "look", "rated", 5000.0)])
+    assert controller.quota_borrower.accounts
 
 
 # ---- request ids ----------------------------------------------------------------------------------------------
 
 
-def test_request_id_of_one_customer_does_not_block_anothers():
+def test_request_ids_of_different_customers_are_independent():
     desk = Desk()
     for customer in ("c", "d"):
         desk.proxied.first_check(
@@ -149,16 +149,16 @@
         )
     desk.run(0.01)
     assert [answer.verdict for answer in desk.told] == [Verdict.START_ATTEMPT, Verdict.START_ATTEMPT]
-    desk.ask("same")  # the same customer's: may be the same try over two proxies
+    desk.ask("same")  # of the same customer: it may be the same attempt over two proxies
     assert desk.told[2].reason == "in-progress"
-    # With two customers under one id a denial that names the id alone proves nothing for either.
+    # If two customers use one id, a denial that names only the id can't be attributed to either.
     assert not desk.proxied.denial_logged("same", "p")
     for answer in desk.told[:2]:
         assert desk.log(answer.attempt_name, AttemptResult.OK)
     assert desk.empty() and not desk.proxied.index.by_request_id
 
 
-def test_request_id_is_free_again_for_each_customer_alone():
+def test_request_id_is_released_for_each_customer_separately():
     desk = Desk()
     desk.ask("same")
     desk.proxied.first_check(
@@ -169,7 +169,7 @@
     )
     desk.run(0.01)
     assert desk.log(desk.told[0].attempt_name, AttemptResult.OK)
-    assert desk.proxied.denial_logged("same", "p")  # only the other is left under it
+    assert desk.proxied.denial_logged("same", "p")  # only the other customer's request is left under the id
     desk.run(0.01)
     assert desk.empty() and not desk.proxied.index.by_request_id
 
@@ -207,7 +207,7 @@
         ("/%e4%bd%a0", "/%E4%BD%A0"),
     ],
 )
-def test_normal_form(raw, form):
+def test_paths_are_normalized(raw, form):
     assert normalize_target(raw) == form and normalize_target(form) == form
 
 
@@ -243,16 +243,16 @@
         "/a\x7f",
     ],
 )
-def test_unclear_paths_are_refused(raw):
+def test_ambiguous_paths_are_rejected(raw):
     with pytest.raises(AmbiguousPathError):
         normalize_target(raw)
-    with pytest.raises(UnroutableRequestError, match="unclear-path") as fault:
+    with pytest.raises(UnroutableRequestError, match="unclear-path") as caught:
         router(default_plan="wide").map("GET", "h", raw, {"x-api-key": "k"})
-    assert fault.value.status == 400
+    assert caught.value.status == 400
 
 
-def test_no_raw_form_takes_another_route_than_its_normal_form():
-    """Every mixture of dots, slashes and encodings of two routes: it goes by the one that a worker would serve."""
+def test_equivalent_paths_take_the_same_route():
+    """Each combination of dots, slashes and encodings takes the route of the path that an endpoint would serve."""
     import itertools
 
     parts = ("/public", "/pre-order", "/..", "/.", "/%2e%2E", "//", "/x", "/%70re-order")
@@ -264,15 +264,17 @@
             except UnroutableRequestError:
                 continue
             seen += 1
-            kept: list[str] = []  # what is served, read by the shortest of readers
+            segments: list[str] = []  # segments of the path that is served, by a minimal independent parser
             for segment in raw.replace("%2e", ".").replace("%2E", ".").replace("%70", "p").split("/"):
-                kept = kept[:-1] if segment == ".." else kept + [segment] if segment not in ("", ".") else kept
-            assert mapped.target.rstrip("/") == "/" + "/".join(kept)
-            assert (mapped.class_name == "order") == (kept == ["pre-order"])
+                segments = (
+                    segments[:-1] if segment == ".." else segments + [segment] if segment not in ("", ".") else segments
+                )
+            assert mapped.target.rstrip("/") == "/" + "/".join(segments)
+            assert (mapped.class_name == "order") == (segments == ["pre-order"])
     assert seen > 1000
 
 
-def test_a_path_goes_on_in_the_form_in_which_it_was_judged(narrow):
+def test_path_is_forwarded_in_the_form_in_which_it_was_routed(narrow):
     answer = narrow.check(path="/public/%2e%2e/stock-view?q=%2e", x_request_id="n1")
     assert told(answer)[":path"] == "/stock-view?q=%2e"
     narrow.log(told(answer)["x-anisefront-attempt"], 503, "upstream_remote_reset")
@@ -299,38 +301,38 @@
     assert json.loads(sent["result"]["body"])["served"] == "/stock-view"
 
 
-def test_checker_names_routes_that_never_match_and_raw_forms_that_slip_past():
+def test_checker_reports_unmatchable_routes_and_paths_that_bypass_a_route():
     good = (ROOT / "examples/loopback.conf").read_text()
 
-    def said(line):
+    def problems_of(line):
         problems = checker.check(loader.load_text(good + line + "\n", "x.conf")).problems
         return [
             problem for problem in problems if problem.location.line == good.count("\n") + 1 or "slip" in problem.code
         ]
 
-    (never,) = said("route GET /a/../b class stock-view pool main")
+    (never,) = problems_of("route GET /a/../b class stock-view pool main")
     assert "never matches" in never.message and "write /b" in never.suggestion
-    (unclear,) = said("route GET /a%2fb class stock-view pool main")
+    (unclear,) = problems_of("route GET /a%2fb class stock-view pool main")
     assert "encoded slash" in unclear.message
-    slips = [problem for problem in said("route POST /* class stock-view pool main") if problem.code == "slips"]
+    slips = [problem for problem in problems_of("route POST /* class stock-view pool main") if problem.code == "slips"]
     assert len(slips) == 1 and "/pre-order/ goes by line" in slips[0].message
-    assert not said("route GET /a/b class stock-view pool main")
+    assert not problems_of("route GET /a/b class stock-view pool main")
 
 
 # ---- headers --------------------------------------------------------------------------------------------------
 
 
-def test_two_headers_that_differ_in_case_only_are_refused():
+def test_headers_that_differ_only_in_case_are_rejected():
     with pytest.raises(InvalidParamsError, match="'x-api-key' is there twice"):
         parse_params({"path": "/", "headers": {"X-Api-Key": "mine", "x-api-key": "yours"}})
     assert parse_params({"path": "/", "headers": {"X-Api-Key": "mine"}})[0].headers == {"x-api-key": "mine"}
 
 
-def test_homes_are_spread_over_the_whole_fleet():
-    """With the first gateway and the home from one remainder, only even numbers were homes in an even fleet."""
+def test_quota_owners_are_spread_over_all_gateways():
+    """Guards against owner and first gateway from one remainder: with 10 gateways only even numbers were owners."""
     from collections import Counter
 
     from anisefront.gateway.routing import first_gateway
 
-    homes = Counter((first_gateway(f"c{n}", b"k", 10) + customer_tag(f"c{n}", b"k") % 10) % 10 for n in range(5000))
-    assert len(homes) == 10 and max(homes.values()) < 1.3 * min(homes.values())
+    owners = Counter((first_gateway(f"c{n}", b"k", 10) + customer_tag(f"c{n}", b"k") % 10) % 10 for n in range(5000))
+    assert len(owners) == 10 and max(owners.values()) < 1.3 * min(owners.values())
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -701,7 +701,9 @@
     raise AssertionError("it is mapped")
 
 
-def _rpc(line: bytes, answer: FinalResponse = OWN_ANSWERS["served"], draining: bool = False, most: int = 512) -> bytes:
+def jsonrpc_response(
+    line: bytes, answer: FinalResponse = OWN_ANSWERS["served"], draining: bool = False, most: int = 512
+) -> bytes:
     """What a client gets for a line."""
     reactor = MemoryReactorClock()
     desk = jsonrpc_dispatcher.CallDispatcher(
@@ -749,10 +751,10 @@
         "header twice": params(headers={"a": "1", "A": "2"}),
         "bad header": params(headers={"a b": "1"}),
     }
-    samples = {name: Sample(lambda each=each: _rpc(*each), json.loads) for name, each in out.items()}
-    samples |= {name: Sample(lambda each=each: _rpc(each), json.loads) for name, each in lines.items()}
-    samples["draining"] = Sample(lambda: _rpc(call, draining=True), json.loads)
-    samples["too many connections"] = Sample(lambda: _rpc(b"", most=0), json.loads)
+    samples = {name: Sample(lambda each=each: jsonrpc_response(*each), json.loads) for name, each in out.items()}
+    samples |= {name: Sample(lambda each=each: jsonrpc_response(each), json.loads) for name, each in lines.items()}
+    samples["draining"] = Sample(lambda: jsonrpc_response(call, draining=True), json.loads)
+    samples["too many connections"] = Sample(lambda: jsonrpc_response(b"", most=0), json.loads)
     samples["calls that are read"] = Sample(
         lambda: b"[%b,%b]" % (call.strip(), line(method=1).strip()), lambda data: plain(jsonrpc_wire.parse_line(data))
     )
