--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -634,6 +634,33 @@
     ),
     "test_two_headers_that_differ_in_case_only_are_refused": "test_headers_that_differ_only_in_case_are_rejected",
     "test_homes_are_spread_over_the_whole_fleet": "test_quota_owners_are_spread_over_all_gateways",
+    "test_all_who_had_come_when_the_listener_closes_are_let_in": (
+        "test_all_pending_connections_are_accepted_when_the_listener_closes"
+    ),
+    "test_however_many_come_in_one_look_they_hold_no_more_descriptors_than_the_caps_leave_them": (
+        "test_connections_accepted_in_one_iteration_stay_within_the_descriptor_caps"
+    ),
+    "test_no_attempt_begins_for_a_client_whose_close_lies_unread": (
+        "test_no_attempt_starts_for_a_client_whose_close_is_unread"
+    ),
+    "test_no_order_of_failed_refused_silent_and_given_up_calls_keeps_a_change_back": (
+        "test_no_sequence_of_watch_faults_delays_a_change_beyond_the_bound"
+    ),
+    "test_many_beside_each_other_send_a_cold_worker_no_more_than_its_budget_and_chance": (
+        "test_many_instances_together_stay_within_the_allowance_of_a_cold_worker"
+    ),
+    "test_a_cold_worker_that_is_given_a_warm_ones_part_would_pass_it": (
+        "test_cold_worker_with_the_share_of_a_warm_one_exceeds_its_allowance"
+    ),
+    "test_a_client_that_leaves_in_any_wait_has_no_attempt_begun_after_it": (
+        "test_no_attempt_starts_after_a_disconnect_in_any_wait"
+    ),
+    "test_a_first_answer_that_leaves_out_who_drains_ends_what_is_resting_and_on_its_way_there": (
+        "test_endpoint_missing_in_a_complete_list_loses_its_connections"
+    ),
+    "test_commands_in_pieces_are_taken_once_each_whole_and_in_order": (
+        "test_split_commands_are_handled_once_and_in_order"
+    ),
 }
 # Files that came for the sake of the rename; they must not make up for tests that are lost.
 NEW = {
