--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -1,9 +1,9 @@
-"""Samples of all that leaves a process: datagrams, RESP, JSON-RPC, gRPC, HTTP, traces, the state report.
+"""Samples of all data that leaves a process: datagrams, RESP, JSON-RPC, gRPC, HTTP, traces, the state report.
 
-The one place of these tests that imports names of the project: a rename touches this file and nothing else of them.
-A sample is written to bytes, and read from bytes into plain values; what both are is recorded in `data/wire`, one file
-a group. `PYTHONPATH=.:tests python tests/wire_samples.py GROUP` records a group that has no file. It refuses one that
-has: recorded data is what other versions send and keep, so it never follows the program.
+The tests of these samples import names of the project only here, so a rename changes this file alone.
+A sample is encoded to bytes and decoded to plain values; both are recorded in `data/wire`, one file for each group.
+`PYTHONPATH=.:tests python tests/wire_samples.py GROUP` records a group that has no file, and rejects one that has:
+recordings are what other versions send and store, so they never follow the program.
 """
 
 import dataclasses
@@ -70,12 +70,12 @@
 )
 
 FOLDER = pathlib.Path(__file__).parent / "data" / "wire"
-SECRET, NOW_MS, LIFE = b"sixteen bytes at least", 1.8e12, "0123456789ab"
+SECRET, NOW_MS, INCARNATION = b"sixteen bytes at least", 1.8e12, "0123456789ab"
 WORKER, REPORTED = "10.0.0.1:8080", ("util", "inflight")
 
 
 class Sample(NamedTuple):
-    """One message or report. `same` is what two writings of it must have in common, in general all bytes."""
+    """One message or report. `same` returns the part of the bytes that must be equal in each encoding, usually all."""
 
     write: Callable[[], bytes]
     read: Callable[[bytes], Any]
@@ -83,7 +83,7 @@
 
 
 def plain(value: Any) -> Any:
-    """The value in JSON's types: records become lists of their values, enumerations numbers or texts."""
+    """Return the value in JSON's types: records as lists of their values, enumeration members as their values."""
     if isinstance(value, bytes):
         return value.hex()
     if hasattr(value, "_fields"):
@@ -100,7 +100,7 @@
 
 
 def shape(value: Any) -> Any:
-    """Keys and nesting with the type of each value. What depends on the machine's speed is an object, no more."""
+    """Return keys, nesting and the type of each value. Values that depend on the machine's speed are just objects."""
     if isinstance(value, dict):
         return {
             name: "object" if name in ("late", "slices", "notable_ms_by_cause") else shape(each)
@@ -115,29 +115,29 @@
 
 
 def _quota_read(data: bytes) -> Any:
-    news = peer_codec.decode(data)
+    message = peer_codec.decode(data)
     items = [
         [
-            int(i.kind),
-            i.customer_tag,
-            i.serial,
-            i.units,
-            i.demand_per_s,
-            i.class_index,
-            i.plan_index,
-        ]  # by name: see MESSAGES
-        for i in news.quota_messages
+            int(each.kind),
+            each.customer_tag,
+            each.serial,
+            each.units,
+            each.demand_per_s,
+            each.class_index,
+            each.plan_index,
+        ]  # by name, see MESSAGES
+        for each in message.quota_messages
     ]
     return [
-        news.boot,
-        news.sustainable_attempts,
+        message.boot,
+        message.sustainable_attempts,
         items,
-        [[seen.endpoint_tag, seen.class_index, seen.grade] for seen in news.observations],
+        [[seen.endpoint_tag, seen.class_index, seen.grade] for seen in message.observations],
     ]
 
 
 def quota_samples() -> dict[str, Sample]:
-    """Every kind of item, observations of servers, a full message, and the short forms of names."""
+    """Return samples of each kind of item, endpoint observations, a full message, and tags."""
     kinds = peer_codec.QuotaMessageKind
     items = [
         peer_codec.QuotaMessage(
@@ -158,8 +158,8 @@
         peer_codec.observation_of("10.0.0.4:8080", 15, 32.0),
     ]
 
-    def sample(boot: int, room: float, rows: list, others: list) -> Sample:
-        return Sample(lambda: peer_codec.encode(boot, room, rows, others), _quota_read)
+    def sample(boot: int, attempts: float, messages: list, observations: list) -> Sample:
+        return Sample(lambda: peer_codec.encode(boot, attempts, messages, observations), _quota_read)
 
     out = {f"item of kind {int(item.kind)}": sample(1000, 3.25, [item], []) for item in items}
     out["no items"] = sample(0xFFFF, 0.0, [], [])
@@ -193,7 +193,7 @@
 
 
 def membership_traffic() -> dict[int, bytes]:
-    """The first message of each kind, by its second byte, of a member that hears from two others and not the third."""
+    """Return the first message of each kind, by its second byte; one of three other members does not reply."""
     made, out, now = _member(0), dict[int, bytes](), 0.0
     rows = [
         _row(1, 101, 2, 0),
@@ -216,14 +216,14 @@
 
 
 def membership_read(data: bytes) -> Any:
-    """What one that hears it knows then, and what it answers at once."""
+    """Return the member rows of a receiver of the message, and its immediate replies."""
     made = _member(1)
     replies = made.handle(0.0, [(0, 100, data)])
     return [_rows_read(made.rows.values()), [[receiver, reply.hex()] for receiver, reply in replies]]
 
 
 def membership_samples() -> dict[str, Sample]:
-    """A message of every kind, the last one of a member that leaves, and rows of every status."""
+    """Return samples of each kind of message, the leave message, and rows of each status."""
     traffic = membership_traffic()
     out = {
         f"message of kind {kind}": Sample(lambda data=data: data, membership_read)
@@ -243,8 +243,8 @@
     return out
 
 
-# Fields are named, here and in all samples of records that are packed in the order of their fields: with places alone a
-# field that changed its place would be written and read alike.
+# Records that are packed in the order of their fields are built by field name: with positional arguments, swapped
+# fields would be encoded and decoded alike.
 ENTRIES = (
     replication_messages.Accepted(
         request=7, requires_ack=True, remaining_ms=900, identity=b"12345678", record=b"record"
@@ -296,7 +296,7 @@
 
 
 def replication_samples() -> dict[str, Sample]:
-    """Messages and entries of every kind."""
+    """Return samples of each kind of message and entry."""
     every = {f"message {number}": message for number, message in enumerate(MESSAGES)}
     every |= {f"entry {number}": _feed(entry) for number, entry in enumerate(ENTRIES)}
 
@@ -309,7 +309,7 @@
     }
 
 
-def _gatekeeper(reactor: MemoryReactorClock | None = None, settings_more: str = "") -> GatewayInstance:
+def _gateway_instance(reactor: MemoryReactorClock | None = None, settings_more: str = "") -> GatewayInstance:
     more = (
         "members period 100ms\nkeepers lease 600ms\nseed 7\n"
         "class order aim 4s deadline 8s worth 2 repeat keyed window 20s\n" + settings_more
@@ -327,7 +327,7 @@
     config = settings_read(text).config
     reactor = reactor or MemoryReactorClock()
     read = LoadOutcome(config, (), (), "digest", (config.routes,))
-    with mock.patch("secrets.token_hex", return_value=LIFE), mock.patch("secrets.randbits", return_value=7):
+    with mock.patch("secrets.token_hex", return_value=INCARNATION), mock.patch("secrets.randbits", return_value=7):
         return GatewayInstance(
             run_to_end(build_next_version(None, read)), reactor, lambda: 1e6 + reactor.seconds() * 1000
         )
@@ -341,19 +341,19 @@
 }
 
 
-def _taken(ask: Callable[[GatewayInstance], Any]) -> Any:
-    """What a peer would be told of a request that comes in."""
-    made, out = _gatekeeper(), []
+def _replicated_entry(ask: Callable[[GatewayInstance], Any]) -> Any:
+    """Return the entry that is replicated for an arriving request."""
+    made, out = _gateway_instance(), []
     made.replication_service.primary.accept = lambda now, taken, *lock: bool(out.append(taken)) or True
     ask(made)
     return out[0]
 
 
-def _ask_own(made: GatewayInstance) -> None:
+def _submit_direct(made: GatewayInstance) -> None:
     made.dispatcher.submit(CALL, lambda answer: None)
 
 
-def _ask_proxied(made: GatewayInstance) -> None:
+def _submit_delegated(made: GatewayInstance) -> None:
     made.delegated_requests.first_check(
         "request-1",
         lambda answer: None,
@@ -363,15 +363,15 @@
     )
 
 
-def _answer_read(data: bytes) -> Any:
+def _read_response(data: bytes) -> Any:
     answer = request_records.decode_response(data)
     rest = [answer.endpoint, answer.attempts, answer.is_rejected, answer.retry_after_ms, answer.reason]
     return [plain(answer.message), *rest]
 
 
-def _taken_over(data: bytes) -> Any:
-    """What a gatekeeper that takes a request over by its record goes on with, and under which mark of its content."""
-    made = _gatekeeper()
+def _take_over(data: bytes) -> Any:
+    """Return the state of a request that an instance takes over by its record, and its content digest."""
+    made = _gateway_instance()
     kept = ReplicatedRequest(
         request=9,
         requires_ack=True,
@@ -400,23 +400,26 @@
 
 
 def takeover_samples() -> dict[str, Sample]:
-    """Records of requests, and what becomes of them at the gatekeeper that takes over."""
+    """Return samples of replicated requests, decoded by taking them over."""
     return {
-        "own": Sample(lambda: _taken(_ask_own).record, _taken_over),
-        "proxied": Sample(lambda: _taken(_ask_proxied).record, _taken_over),
+        "own": Sample(lambda: _replicated_entry(_submit_direct).record, _take_over),
+        "proxied": Sample(lambda: _replicated_entry(_submit_delegated).record, _take_over),
     }
 
 
 def record_samples() -> dict[str, Sample]:
-    """What is kept of a request for the case that its gatekeeper is lost, of answers, and the short names."""
+    """Return samples of replicated requests and responses, and of derived keys."""
     kinds = {"view": None, "order": None}
     out = {}
-    for name, ask in (("own", _ask_own), ("proxied", _ask_proxied)):
+    for name, ask in (("own", _submit_direct), ("proxied", _submit_delegated)):
         out[f"record of a request, {name}"] = Sample(
-            lambda ask=ask: _taken(ask).record, lambda data: plain(request_records.decode_record(data, kinds))
+            lambda ask=ask: _replicated_entry(ask).record,
+            lambda data: plain(request_records.decode_record(data, kinds)),
         )
         out[f"entry of a request, {name}"] = Sample(
-            lambda ask=ask: replication_codec.encode(replication_messages.Append(1, 2, -1, 0, 1, 1, (_taken(ask),))),
+            lambda ask=ask: replication_codec.encode(
+                replication_messages.Append(1, 2, -1, 0, 1, 1, (_replicated_entry(ask),))
+            ),
             lambda data: plain(replication_codec.decode(data)),
         )
     answers = {
@@ -427,7 +430,7 @@
         "failed": FinalResponse(reason="failed"),
     }
     out |= {
-        f"answer, {name}": Sample(lambda answer=answer: request_records.encode_response(answer), _answer_read)
+        f"answer, {name}": Sample(lambda answer=answer: request_records.encode_response(answer), _read_response)
         for name, answer in answers.items()
     }
     job = DirectRequest("POST", "/order", {"x": "y"}, b"body")
@@ -440,27 +443,27 @@
 
 
 def sealed_samples() -> dict[str, Sample]:
-    """Authenticated datagrams: time and sequence are handed in, so all bytes are the same each time."""
+    """Return samples of authenticated datagrams. Time and sequence are given, so the bytes are reproducible."""
 
     def write(count: int, data: bytes) -> bytes:
-        seal = datagrams.DatagramAuthenticator(SECRET, 3, 2**41 + 5)
-        return [seal.write(9, data, NOW_MS + 0.75) for _ in range(count)][-1]
+        authenticator = datagrams.DatagramAuthenticator(SECRET, 3, 2**41 + 5)
+        return [authenticator.write(9, data, NOW_MS + 0.75) for _ in range(count)][-1]
 
     def read(data: bytes) -> Any:
-        seal = datagrams.DatagramAuthenticator(SECRET, 9, 1)
-        taken = seal.read(data, NOW_MS + 10.0)
-        return [plain(taken), seal.peers[3].process_incarnation, dict(seal.counts)]
+        authenticator = datagrams.DatagramAuthenticator(SECRET, 9, 1)
+        taken = authenticator.read(data, NOW_MS + 10.0)
+        return [plain(taken), authenticator.peers[3].process_incarnation, dict(authenticator.counts)]
 
     return {"first": Sample(lambda: write(1, b"news"), read), "third": Sample(lambda: write(3, b""), read)}
 
 
 def _sealed_read(data: bytes) -> Any:
-    seal = datagrams.DatagramAuthenticator(SECRET, 9, 1)
-    return [seal.read(data, NOW_MS + 10.0), dict(seal.counts)]
+    authenticator = datagrams.DatagramAuthenticator(SECRET, 9, 1)
+    return [authenticator.read(data, NOW_MS + 10.0), dict(authenticator.counts)]
 
 
 def rejected_samples() -> dict[str, Sample]:
-    """What is not taken: of another version, kind or class, cut off, too long, forged, misdirected, too old."""
+    """Return samples of rejected data: unknown version or kind, truncated, too long, forged, misdirected, too old."""
     quota = quota_samples()["item of kind 1"].write()
     reply = membership_traffic()[2]
     feed, sealed = replication_codec.encode(MESSAGES[0]), sealed_samples()["first"].write()
@@ -505,22 +508,22 @@
 # ---- RESP and discovery --------------------------------------------------------------------------
 
 
-def _front(*commands: list[bytes], action: Any = None, worker: bytes = b"", raw: bytes = b"") -> tuple[bytes, bytes]:
-    """What a worker and a client are sent."""
-    house = GatewayHarness()
-    client = house.client()
-    house.send(client, *commands)
+def _exchange(*commands: list[bytes], action: Any = None, worker: bytes = b"", raw: bytes = b"") -> tuple[bytes, bytes]:
+    """Return the bytes sent to a worker and to a client."""
+    harness = GatewayHarness()
+    client = harness.client()
+    harness.send(client, *commands)
     if raw:
         client.protocol.dataReceived(raw)
-        house.run_iteration()
+        harness.run_iteration()
     if action is not None:
-        house.run_iteration(action)
+        harness.run_iteration(action)
     asked = b""
     if worker:
-        link = house.connect_worker()
+        link = harness.connect_worker()
         asked = link.take()
         link.protocol.dataReceived(worker)
-        house.run_iteration()
+        harness.run_iteration()
     return asked, client.take()
 
 
@@ -529,13 +532,13 @@
     return [plain(reader.feed(data)), reader.error is None]
 
 
-def _wanted(data: bytes) -> Any:
+def _mapped_request(data: bytes) -> Any:
     (command,) = resp_codec.CommandReader().feed(data)
     wanted = command_mapping.CommandMapper(settings()).to_request(command)
     return plain(wanted)
 
 
-def _answer(data: bytes) -> Any:
+def _worker_reply(data: bytes) -> Any:
     reader = resp_codec.WorkerReplyReader()
     answer = reader.feed(data)
     return [
@@ -546,35 +549,43 @@
 
 
 def resp_samples() -> dict[str, Sample]:
-    """Commands of clients and to workers, answers of workers and to clients."""
+    """Return samples of client commands, worker commands, worker replies and client replies."""
     go = StartAttempt(1, "s1", 400.0)
     client = {
-        "served": _f(ASK, action=go, worker=SERVED_REPLY),
-        "failed": _f(ASK, action=Fail(1)),
-        **{f"refused for {reason.value}": _f(ASK, action=Reject(1, 120.4, reason)) for reason in RejectionReason},
-        "refused without a time": _f(ASK, action=Reject(1)),
-        "ping": _f([b"PING"]),
-        "ping with a text": _f([b"ping", b"x"]),
-        "client": _f([b"CLIENT", b"SETNAME", b"x"]),
-        "select": _f([b"SELECT", b"0"]),
-        "unknown": _f([b"GET", b"x"]),
-        "too few parts": _f([b"Q.ASK", b"x"]),
-        "bad customer": _f([b"Q.ASK", b"x", *ASK[2:]]),
-        "bad id": _f([*ASK[:2], b"x", ASK[3]]),
-        "no such class": _f([*ASK[:3], b"c=x,t=rated,d=1"]),
-        "term not known": _f([*ASK[:3], b"c=look,t=rated,d=1,z=1"]),
-        "wrong verb": _f([b"Q.DO", *ASK[1:]]),
-        "no such plan": _f([*ASK[:3], b"c=look,t=x,d=1"]),
-        "no key": _f([*DO[:3], b"c=book,t=rated,d=1"]),
-        "bad deadline": _f([*ASK[:3], b"c=look,t=rated,d=0"]),
-        "open id": _f(ASK, ASK, action=Reject(1)),
-        "unreadable": _f(raw=b"GET / HTTP/1.1\r\n\r\n"),
-        "bad length": _f(raw=b"*1\r\n$x\r\n"),
-        "too many parts": _f(raw=b"*99\r\n"),
+        "served": _lazy_exchange(ASK, action=go, worker=SERVED_REPLY),
+        "failed": _lazy_exchange(ASK, action=Fail(1)),
+        **{
+            f"refused for {reason.value}": _lazy_exchange(ASK, action=Reject(1, 120.4, reason))
+            for reason in RejectionReason
+        },
+        "refused without a time": _lazy_exchange(ASK, action=Reject(1)),
+        "ping": _lazy_exchange([b"PING"]),
+        "ping with a text": _lazy_exchange([b"ping", b"x"]),
+        "client": _lazy_exchange([b"CLIENT", b"SETNAME", b"x"]),
+        "select": _lazy_exchange([b"SELECT", b"0"]),
+        "unknown": _lazy_exchange([b"GET", b"x"]),
+        "too few parts": _lazy_exchange([b"Q.ASK", b"x"]),
+        "bad customer": _lazy_exchange([b"Q.ASK", b"x", *ASK[2:]]),
+        "bad id": _lazy_exchange([*ASK[:2], b"x", ASK[3]]),
+        "no such class": _lazy_exchange([*ASK[:3], b"c=x,t=rated,d=1"]),
+        "term not known": _lazy_exchange([*ASK[:3], b"c=look,t=rated,d=1,z=1"]),
+        "wrong verb": _lazy_exchange([b"Q.DO", *ASK[1:]]),
+        "no such plan": _lazy_exchange([*ASK[:3], b"c=look,t=x,d=1"]),
+        "no key": _lazy_exchange([*DO[:3], b"c=book,t=rated,d=1"]),
+        "bad deadline": _lazy_exchange([*ASK[:3], b"c=look,t=rated,d=0"]),
+        "open id": _lazy_exchange(ASK, ASK, action=Reject(1)),
+        "unreadable": _lazy_exchange(raw=b"GET / HTTP/1.1\r\n\r\n"),
+        "bad length": _lazy_exchange(raw=b"*1\r\n$x\r\n"),
+        "too many parts": _lazy_exchange(raw=b"*99\r\n"),
     }
     out = {f"to a client, {name}": Sample(lambda make=make: make()[1], bytes.hex) for name, make in client.items()}
-    worker = {"asked": _f(ASK, action=go, worker=SERVED_REPLY), "done": _f(DO, action=go, worker=SERVED_REPLY)}
-    out |= {f"to a worker, {name}": Sample(lambda make=make: make()[0], _wanted) for name, make in worker.items()}
+    worker = {
+        "asked": _lazy_exchange(ASK, action=go, worker=SERVED_REPLY),
+        "done": _lazy_exchange(DO, action=go, worker=SERVED_REPLY),
+    }
+    out |= {
+        f"to a worker, {name}": Sample(lambda make=make: make()[0], _mapped_request) for name, make in worker.items()
+    }
     out["commands"] = Sample(
         lambda: resp_codec.encode_command(ASK) + resp_codec.encode_command(DO) + resp_codec.encode_command([b"PING"]),
         _commands,
@@ -586,7 +597,7 @@
         "error not known": b"-ERR what\r\n",
         "figures": b"*3\r\n$1\r\nx\r\n:5\r\n+util=1,inflight=2\r\n",
     }
-    out |= {f"from a worker, {name}": Sample(lambda data=data: data, _answer) for name, data in answers.items()}
+    out |= {f"from a worker, {name}": Sample(lambda data=data: data, _worker_reply) for name, data in answers.items()}
     out["refusal"] = Sample(
         lambda: encode_rejection(0.0) + encode_rejection(0.2) + encode_rejection(250.0) + FAILED_REPLY, bytes.hex
     )
@@ -594,28 +605,28 @@
     return out
 
 
-def _f(*commands: list[bytes], **more: Any) -> Callable[[], tuple[bytes, bytes]]:
-    return lambda: _front(*commands, **more)
+def _lazy_exchange(*commands: list[bytes], **more: Any) -> Callable[[], tuple[bytes, bytes]]:
+    return lambda: _exchange(*commands, **more)
 
 
-def _told(data: bytes) -> Any:
-    """What is known of the workers after the answer to a watch."""
-    reader, book, out = WatchReader(), EndpointDirectory(), []
-    for told in reader.feed(data):
-        applied = book.apply(told)
+def _directory_states(data: bytes) -> Any:
+    """Return the endpoint directory after each change of a watch response."""
+    reader, directory, out = WatchReader(), EndpointDirectory(), []
+    for change in reader.feed(data):
+        applied = directory.apply(change)
         out.append(
             [
-                book.version,
+                directory.version,
                 plain(applied.endpoints),
                 applied.replaced,
-                {name: list(each.address) for name, each in book.entries.items()},
+                {name: list(each.address) for name, each in directory.entries.items()},
             ]
         )
     return out
 
 
 def discovery_samples() -> dict[str, Sample]:
-    """The request that opens a watch, and answers to it."""
+    """Return samples of the request that opens a watch, and of responses to it."""
     request = Sample(
         lambda: encode_watch_request(41, "127.0.0.1:8500"), lambda data: plain(http1.Reader(True).feed(data)[0])
     )
@@ -631,12 +642,12 @@
     ]
     head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
     answer = head + b"".join(b"%x\r\n%b\r\n" % (len(line), line) for line in lines)
-    return {"watch request": request, "changes": Sample(lambda: answer, _told)}
+    return {"watch request": request, "changes": Sample(lambda: answer, _directory_states)}
 
 
 # ---- JSON-RPC, gRPC, HTTP ------------------------------------------------------------------------
 
-OWN_ANSWERS = {
+FINAL_RESPONSES = {
     "served": FinalResponse(
         http1.Message("", "", 200, {"content-type": "text/plain"}, "gr\u00fc\u00df".encode(), True), WORKER, 2
     ),
@@ -659,19 +670,19 @@
 
 class _Transport(StringTransport):
     def setTcpNoDelay(self, wanted: bool) -> None:
-        """Nothing to set."""
+        """Do nothing."""
 
     setTcpKeepAlive = setTcpNoDelay
 
 
-class _Own:
-    """Answers each request with the same."""
+class _FixedResponse:
+    """Gives the same response to each request."""
 
     def __init__(self, answer: FinalResponse) -> None:
-        self._answer = answer
+        self._response = answer
 
     def accept(self, job: Any, done: Callable[[Any], None], *more: Any) -> None:
-        done(self._answer)
+        done(self._response)
 
 
 def _map(method: str, host: str, target: str, headers: dict) -> Any:
@@ -693,24 +704,24 @@
 
 
 def _unmapped(method: str, path: str, headers: dict[str, str]) -> bytes:
-    """The status and the word for a request that no settings map."""
+    """Return the status and the reason for a request that the settings do not route."""
     try:
-        _gatekeeper().router().map(method, "shop", path, headers)
-    except UnroutableRequestError as problem:
-        return f"{problem.status} {problem}".encode()
+        _gateway_instance().router().map(method, "shop", path, headers)
+    except UnroutableRequestError as error:
+        return f"{error.status} {error}".encode()
     raise AssertionError("it is mapped")
 
 
 def jsonrpc_response(
-    line: bytes, answer: FinalResponse = OWN_ANSWERS["served"], draining: bool = False, most: int = 512
+    line: bytes, answer: FinalResponse = FINAL_RESPONSES["served"], draining: bool = False, max_connections: int = 512
 ) -> bytes:
-    """What a client gets for a line."""
+    """Return the bytes sent to a client for a line."""
     reactor = MemoryReactorClock()
-    desk = jsonrpc_dispatcher.CallDispatcher(
-        _router, _Own(answer), lambda: 1e6, lambda customer: (0, 1), lambda: {"state": "serving"}
+    dispatcher = jsonrpc_dispatcher.CallDispatcher(
+        _router, _FixedResponse(answer), lambda: 1e6, lambda customer: (0, 1), lambda: {"state": "serving"}
     )
-    desk.draining = draining
-    connection = jsonrpc_frontend.JsonRpcFactory(reactor, desk, most).buildProtocol(None)
+    dispatcher.draining = draining
+    connection = jsonrpc_frontend.JsonRpcFactory(reactor, dispatcher, max_connections).buildProtocol(None)
     transport = _Transport()
     transport.unregisterProducer = transport.loseWriteConnection = lambda: None
     connection.makeConnection(transport)
@@ -720,7 +731,7 @@
 
 
 def jsonrpc_samples() -> dict[str, Sample]:
-    """Answers to calls: served, refused for every reason, failed, and to what is no call."""
+    """Return samples of responses: served, rejected for each reason, failed, and errors for invalid calls."""
     call = json.dumps(CALL_LINE).encode() + b"\n"
 
     def line(**more: Any) -> bytes:
@@ -729,7 +740,7 @@
     def params(**more: Any) -> bytes:
         return line(params=CALL | more)
 
-    out = {name: (call, answer) for name, answer in OWN_ANSWERS.items()}
+    out = {name: (call, answer) for name, answer in FINAL_RESPONSES.items()}
     lines = {
         "no JSON": b"{\n",
         "empty batch": b"[]\n",
@@ -754,7 +765,7 @@
     samples = {name: Sample(lambda each=each: jsonrpc_response(*each), json.loads) for name, each in out.items()}
     samples |= {name: Sample(lambda each=each: jsonrpc_response(each), json.loads) for name, each in lines.items()}
     samples["draining"] = Sample(lambda: jsonrpc_response(call, draining=True), json.loads)
-    samples["too many connections"] = Sample(lambda: jsonrpc_response(b"", most=0), json.loads)
+    samples["too many connections"] = Sample(lambda: jsonrpc_response(b"", max_connections=0), json.loads)
     samples["calls that are read"] = Sample(
         lambda: b"[%b,%b]" % (call.strip(), line(method=1).strip()), lambda data: plain(jsonrpc_wire.parse_line(data))
     )
@@ -762,7 +773,7 @@
 
 
 class _Call:
-    """Keeps what a gRPC method ends its call with."""
+    """Records the message with which a gRPC method finishes its call."""
 
     peer = "127.0.0.1"
 
@@ -774,7 +785,7 @@
 
 
 def _check(answer: CheckResponse | None, path: str = "/order", draining: bool = False) -> bytes:
-    """The answer to an authorization check."""
+    """Return the response to an authorization check."""
 
     def ask(request_id: str, reply: Callable[[Any], None], *more: Any) -> None:
         reply(answer)
@@ -782,12 +793,12 @@
     request = external_auth_pb2.CheckRequest()
     http = request.attributes.request.http
     http.method, http.path, http.host = "POST", path, "shop"
-    gate = authorization.AuthorizationService(
+    service = authorization.AuthorizationService(
         _router, SimpleNamespace(first_check=ask), lambda: 1e6, lambda customer: (0, 1)
     )
-    gate.draining = draining
+    service.draining = draining
     call = _Call()
-    gate.method()(call).message_received(request.SerializeToString())
+    service.method()(call).message_received(request.SerializeToString())
     return call.message
 
 
@@ -796,9 +807,9 @@
 
 
 def authorization_samples() -> dict[str, Sample]:
-    """Allowed with the endpoint, refused for every reason, failed, unmapped."""
+    """Return samples of check responses: allowed, rejected for each reason, failed, unroutable."""
     verdict, answer = Verdict, CheckResponse
-    go = answer(verdict.START_ATTEMPT, WORKER, 412.7, f"{LIFE}.17.0")
+    go = answer(verdict.START_ATTEMPT, WORKER, 412.7, f"{INCARNATION}.17.0")
     reasons = (*(each.value for each in RejectionReason), "in-progress", "held-requests")
     made = {
         "allowed": lambda: _check(go),
@@ -821,7 +832,7 @@
         },
     }
     out = {name: Sample(write, _response) for name, write in made.items()}
-    out["method paths"] = Sample(lambda: b" ".join(sorted(_gatekeeper().grpc.methods)), bytes.decode)
+    out["method paths"] = Sample(lambda: b" ".join(sorted(_gateway_instance().grpc.methods)), bytes.decode)
     unmapped = {
         "no route": ("GET", "/x", {}),
         "no key": ("POST", "/order", {}),
@@ -833,7 +844,7 @@
 
 
 class _Logged:
-    """Keeps what is made of a proxy's log entries."""
+    """Records how a proxy's log entries are interpreted."""
 
     def __init__(self) -> None:
         self.seen: list[Any] = []
@@ -852,9 +863,9 @@
 
 
 def _entry(status: int, flag: str = "", **headers: str) -> Any:
-    """An entry of a proxy's log for an attempt that took 12.5 ms."""
+    """Return an access log entry of an attempt that took 12.5 ms."""
     entry = accesslog_pb2.HTTPAccessLogEntry()
-    entry.request.request_headers["x-anisefront-attempt"] = f"{LIFE}.17.0"
+    entry.request.request_headers["x-anisefront-attempt"] = f"{INCARNATION}.17.0"
     entry.response.response_code.value = status
     common = entry.common_properties
     common.time_to_first_upstream_tx_byte.FromMicroseconds(1000)
@@ -875,7 +886,7 @@
 
 
 def access_log_samples() -> dict[str, Sample]:
-    """What a proxy's log entries say of attempts: statuses, the sign of an overloaded worker, every response flag."""
+    """Return samples of access log entries: statuses, the header of an overloaded endpoint, each response flag."""
     unsent = accesslog_pb2.HTTPAccessLogEntry()
     unsent.request.request_id = "request-1"
     unsent.common_properties.response_flags.unauthorized_details.SetInParent()
@@ -892,7 +903,7 @@
 
 
 def _grpc(path: str, message: bytes | None, *, change: Any = None, **headers: str) -> bytes:
-    """All bytes of the server's side of a connection with one call."""
+    """Return all bytes that the server sends on a connection with one call."""
     reactor, state = MemoryReactorClock(), health.HealthService(("one",))
     connection = GrpcFactory(reactor, state.methods()).buildProtocol(None)
     transport = _Transport()
@@ -922,7 +933,7 @@
 
 
 def _frames(data: bytes) -> Any:
-    """What a client of another make reads."""
+    """Return the headers and data that an independent client decodes."""
     client = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
     client.initiate_connection()
     client.send_headers(1, [(":method", "POST"), (":scheme", "http"), (":authority", "x"), (":path", "/")])
@@ -936,7 +947,7 @@
 
 
 def grpc_samples() -> dict[str, Sample]:
-    """Health checks and watches as frames, calls that end with another status, and the framing of messages."""
+    """Return samples of health checks and watches, calls that end with an error status, and message framing."""
     check, watch = "/grpc.health.v1.Health/Check", "/grpc.health.v1.Health/Watch"
     made = {
         "health of the server": (check, b""),
@@ -979,12 +990,12 @@
 
 
 def http_samples() -> dict[str, Sample]:
-    """Requests and responses that are written, and load reports that are read."""
-    carrier = DirectRequests(SimpleNamespace(), SimpleNamespace(), LIFE, REPORTED)
+    """Return samples of encoded requests and responses, and of load reports."""
+    direct_requests = DirectRequests(SimpleNamespace(), SimpleNamespace(), INCARNATION, REPORTED)
     job = DirectRequest("POST", "/order?a=b", {"x-idempotency-key": "key-1"}, b"two\nlines")
 
     def attempt(job: DirectRequest) -> bytes:
-        return carrier.encode_request(SimpleNamespace(request=job), "17.0", WORKER, 400.0)[0]
+        return direct_requests.encode_request(SimpleNamespace(request=job), "17.0", WORKER, 400.0)[0]
 
     def read(requests: bool) -> Callable[[bytes], Any]:
         return lambda data: [plain(each) for each in http1.Reader(requests).feed(data)]
@@ -1014,7 +1025,7 @@
     return out
 
 
-# ---- what is kept and shown ----------------------------------------------------------------------
+# ---- traces and reports --------------------------------------------------------------------------
 
 RECORDED = (
     EndpointList(
@@ -1039,10 +1050,10 @@
 
 
 def recorded_file() -> bytes:
-    """The file of a recorder that saw one of each kind."""
+    """Return the file of a recorder that recorded one event of each kind."""
     with tempfile.TemporaryDirectory() as folder:
         path = str(pathlib.Path(folder) / "trace")
-        recorder = Recorder(Recording(path, 1 << 20, 2, b"key"), 3, LIFE, 1e6)
+        recorder = Recorder(Recording(path, 1 << 20, 2, b"key"), 3, INCARNATION, 1e6)
         for number, thing in enumerate(RECORDED):
             recorder.record_event(1e6 + number * 1.125, thing)
             if number == 5:
@@ -1052,7 +1063,7 @@
 
 
 def unpacked(data: bytes) -> bytes:
-    """The file with its blocks unpacked: which bytes a list is packed to is a matter of the library's version."""
+    """Return the file with its blocks decompressed: the compressed bytes depend on the library's version."""
     head, at = data.index(b"\n") + 1, data.index(b"\n") + 1
     out = data[:head]
     while at < len(data):
@@ -1065,7 +1076,7 @@
 
 
 def trace_samples() -> dict[str, Sample]:
-    """A recorded trace, and the stand-in of a customer's name in it."""
+    """Return samples of a recorded trace and of a pseudonym in it."""
     return {
         "file": Sample(recorded_file, lambda data: plain(trace.decode_file(data)), unpacked),
         "text of the file": Sample(lambda: unpacked(recorded_file()), bytes.hex),
@@ -1074,11 +1085,11 @@
 
 
 def state_at_work() -> dict[str, Any]:
-    """The report of a gatekeeper that records, has a peer and open requests, and heard what it can't take."""
+    """Return the state report of an instance that records, has a peer and open requests, and received invalid data."""
     reactor = MemoryReactorClock()
     with tempfile.TemporaryDirectory() as folder:
-        made = _gatekeeper(reactor, f'record "{folder}/trace" key "sixteen bytes at least"\n')
-    life, peer = int(NOW_MS), datagrams.DatagramAuthenticator(SECRET, 1, int(NOW_MS))
+        made = _gateway_instance(reactor, f'record "{folder}/trace" key "sixteen bytes at least"\n')
+    incarnation, peer = int(NOW_MS), datagrams.DatagramAuthenticator(SECRET, 1, int(NOW_MS))
     made.peer_port.transport = SimpleNamespace(write=lambda data, address: None)
     made.membership_service.start()
     made.request_table.update_endpoints(EndpointList((Endpoint(WORKER, "a", 0, EndpointStatus.READY),)))
@@ -1093,19 +1104,19 @@
             made.peer_port.datagramReceived(peer.write(0, data, NOW_MS), ("127.0.0.1", 7002))
     made.peer_port.datagramReceived(b"x", ("127.0.0.1", 7002))
     reactor.advance(0.01)
-    assert made.datagram_authenticator.peers[1].process_incarnation == life
+    assert made.datagram_authenticator.peers[1].process_incarnation == incarnation
     for number in range(3):
         made.dispatcher.submit(
             CALL | {"headers": {"x-api-key": "stall-7", "x-idempotency-key": f"key-{number}"}}, lambda answer: None
         )
     made.delegated_requests.next_check("x", lambda answer: None)
-    made.replication_service.on_member_changes([member_state.MemberChange(_row(1, life, 0, 0), None)])
+    made.replication_service.on_member_changes([member_state.MemberChange(_row(1, incarnation, 0, 0), None)])
     reactor.advance(0.2)
     return made.state()
 
 
 def node_state() -> dict[str, Any]:
-    """The report of a gatekeeper of the platform that has served a request, refused one and heard what is none."""
+    """Return the state report of a platform instance that served a request and rejected an invalid command."""
     reactor = MemoryReactorClock()
     known = change_document(41, endpoint_row("s1", "127.0.0.1:7001"), snapshot=True)
     own_settings = WIRE_SETTINGS | {"balancers": 1, "myNumber": 0}
@@ -1140,9 +1151,9 @@
 
 
 def state_samples() -> dict[str, Sample]:
-    """Keys, nesting and types of the state reports, and one histogram as it is."""
+    """Return samples of the keys, nesting and types of state reports, and of a histogram."""
     return {
-        "fresh": _shown(lambda: shape(_gatekeeper().state())),
+        "fresh": _shown(lambda: shape(_gateway_instance().state())),
         "at work": _shown(lambda: shape(state_at_work())),
         "platform": _shown(lambda: shape(node_state())),
         "lateness": _shown(_lag),
@@ -1170,7 +1181,7 @@
 
 
 def recorded(group: str, folder: pathlib.Path = FOLDER) -> dict[str, tuple[bytes, Any]]:
-    """The bytes and the values of each sample of a group, as they were recorded."""
+    """Return the recorded bytes and values of each sample of a group."""
     rows = json.loads((folder / f"{group}.json").read_text())
     return {
         name: (bytes.fromhex(row["hex"]) if "hex" in row else row["text"].encode(), row["values"])
@@ -1179,7 +1190,11 @@
 
 
 def record(group: str, folder: pathlib.Path = FOLDER) -> None:
-    """Record a group. `FileExistsError` where it has been: what is recorded stays."""
+    """Record a group.
+
+    Raises:
+        FileExistsError: The group is recorded; recordings are never replaced.
+    """
     rows = []
     for name, sample in GROUPS[group]().items():
         data = sample.write()
