--- a/anisefront/resp_gateway/client_connection.py
+++ b/anisefront/resp_gateway/client_connection.py
@@ -1,16 +1,16 @@
 """One client connection: parses commands, submits requests and writes replies in the order of the commands.
 
-    NEW --first whole command--> BUSY <--> IDLE       shutdown_write: the longest idle, where there are too many
+    NEW --first full command---> BUSY <--> IDLE       shutdown_write: the longest idle, where there are too many
       |                           |
       +---- PARTIAL_COMMAND ------+                   protocol error: the rest of a command is late
     any --bytes that can't be parsed--> BUSY: nothing more is parsed --last reply--> CLOSING
     any --shutdown_write--> CLOSING --all written, our half closed--> the client closes, or a timeout aborts
     rejected for lack of capacity: CLOSING from the start; our half is closed after the first reply
 
-Each command received whole before our half of the connection is closed has exactly one reply, in order. Connections are
-closed by halves: a full close over unread bytes resets the connection, and the reset discards replies that the client
-has not read. Above a cap a command is rejected and the connection continues; an invalid command gets an error reply;
-only bytes that can't be parsed end the connection, after the replies to all commands before them.
+Each command received completely before our half of the connection is closed has exactly one reply, in order.
+Connections are closed by halves: a full close over unread bytes resets the connection, and the reset discards replies
+that the client has not read. Above a cap a command is rejected and the connection continues; an invalid command gets an
+error reply; only bytes that can't be parsed end the connection, after the replies to all commands before them.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 class Frontend(Protocol):
-    """What a connection uses of the frontend that accepted it."""
+    """Interface of the frontend, as its connections use it."""
 
     reactor: Any
     requests: RespRequests
@@ -132,7 +132,7 @@
             self.fail_all()
 
     def _buffer_input(self, data: bytes) -> None:
-        """Buffer bytes that came during a pause; on overflow reject the commands in the buffer and stop reading."""
+        """Buffer bytes received during a pause; on overflow reject the commands in the buffer and stop reading."""
         self.input.buffer(data)
         if self.input.overflowed:
             self.input.pause_reading(self.pause_reading)
@@ -226,7 +226,7 @@
         entry.reply = REJECTED.reply
 
     def _invalid_command(self, entry: PendingReply, reason: str) -> None:
-        """Reply with an error and pause: invalid commands without end would take the event loop's time from others."""
+        """Reply with an error and pause: a flood of invalid commands would take the event loop's time from others."""
         self.frontend.counts["unfit"] += 1
         entry.reply = resp_codec.encode_error(b"ERR " + reason.encode("ascii", "replace"))
         if not self._closing:
@@ -240,7 +240,7 @@
             self._process(data)
 
     def _protocol_error(self, line: bytes) -> None:
-        """Stop parsing. Commands received whole before still get their replies; then comes this error line."""
+        """Stop parsing. Commands received completely before still get their replies; then this error line is sent."""
         self.frontend.counts["unreadable"] += 1
         if self.reader.error is None:
             self.reader.error = RespProtocolError("nothing more is read")
@@ -267,7 +267,7 @@
         state = self._next_state()
         if state is not self.state:
             self.frontend.set_state(self, state)
-        # One that has sent no request yet is about to; the frontend's sweep closes it after a short time.
+        # A connection without a request yet is about to send one; the frontend's sweep closes it after a short time.
         if self.frontend.draining and state is IDLE and self._received_request:
             self.shutdown_write()
 
@@ -300,8 +300,8 @@
         self._write_closed = True
 
     def readConnectionLost(self) -> None:
-        """Withdraw open requests and close: the client has closed its half."""
-        self._withdraw_all()
+        """Cancel open requests and close: the client has closed its half."""
+        self._cancel_all()
         if not self._closing:
             self.frontend.set_state(self, CLOSING)
         self._closing = True
@@ -333,16 +333,16 @@
         self._write_closed = True
         self.transport.abortConnection()
 
-    def _withdraw_all(self) -> None:
+    def _cancel_all(self) -> None:
         self.input.cancel_timer()
         self.input.take_buffered()
         self.replies.clear()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
-        """Release all that is held for the connection."""
+        """Release all resources of the connection."""
         self._closing = True
         self._write_closed = True
         self.frontend.descriptors -= 1
         self.cancel_write_timeout()
-        self._withdraw_all()
+        self._cancel_all()
         self.frontend.remove(self)
--- a/anisefront/resp_gateway/connection_limits.py
+++ b/anisefront/resp_gateway/connection_limits.py
@@ -16,7 +16,7 @@
 class ConnectionState(enum.StrEnum):
     """What a connection waits for. The values are keys of the state report."""
 
-    NEW = "young"  # its first whole command
+    NEW = "young"  # its first complete command
     PARTIAL_COMMAND = "half"  # the rest of a command
     IDLE = "idle"  # the next command; all earlier ones have their replies
     BUSY = "busy"  # replies to commands
--- a/anisefront/resp_gateway/endpoint_changes.py
+++ b/anisefront/resp_gateway/endpoint_changes.py
@@ -156,6 +156,6 @@
         self.version = 0
 
     def address_of(self, worker: str) -> Address | None:
-        """Return where a worker listens, None where it is not listed."""
+        """Return the address of a worker, None if it is not listed."""
         entry = self.entries.get(worker)
         return entry.address if entry else None
--- a/anisefront/resp_gateway/input_pause.py
+++ b/anisefront/resp_gateway/input_pause.py
@@ -3,7 +3,7 @@
 There are two stages. They differ in what the gateway still notices:
 
 1. Parsing is paused. The transport is still read, into a bounded buffer, so that the end of the connection is noticed
-   and the client's open requests are withdrawn. Begins after an invalid command or a very long batch.
+   and the client's open requests are cancelled. Begins after an invalid command or a very long batch.
 2. Reading is paused too. Begins when the buffer is full; the kernel's flow control then stops the client.
 """
 
@@ -14,18 +14,18 @@
 
 from anisefront.resp_gateway.connection_limits import ByteBudget
 
-PAUSE_S = 0.1  # after a long batch, and for a full buffer
+PAUSE_S = 0.1  # after a long batch, and when the buffer is full
 MAX_PAUSE_S = 1.6  # after an invalid command: doubled by each one from `PAUSE_S` up to this
-MAX_BUFFERED = (64 << 10) + 1024  # bytes that wait during a pause: one whole command
+MAX_BUFFERED = (64 << 10) + 1024  # bytes that wait during a pause: one command of the maximum length
 
 
 class InputPause:
-    """State of the pause, and the bytes that came during it.
+    """State of the pause, and the bytes received during it.
 
     Attributes:
         active: Commands are not parsed now.
         reading_paused: The transport is not read either.
-        buffered: Bytes that came since parsing was paused.
+        buffered: Bytes received since parsing was paused.
     """
 
     def __init__(self, reactor: Any, budget: ByteBudget, resume: Callable[[], None]) -> None:
@@ -66,7 +66,7 @@
         self._timer = self._reactor.callLater(duration_s, self._resume)
 
     def buffer(self, data: bytes) -> None:
-        """Keep bytes until the end of the pause."""
+        """Buffer bytes until the end of the pause."""
         self.buffered += data
         self._budget.reserve(len(data))
 
--- a/anisefront/resp_gateway/reply_queue.py
+++ b/anisefront/resp_gateway/reply_queue.py
@@ -34,16 +34,16 @@
         pending: Replies to commands that are not written yet, oldest first.
     """
 
-    def __init__(self, budget: ByteBudget, withdraw: Callable[[int], None]) -> None:
+    def __init__(self, budget: ByteBudget, cancel_request: Callable[[int], None]) -> None:
         """Start empty.
 
         Args:
             budget: Counts the bytes held by the pending replies.
-            withdraw: Called with the number of an open request whose reply is not wanted any more.
+            cancel_request: Called with the number of an open request whose reply is not wanted any more.
         """
         self.pending: deque[PendingReply] = deque()
         self._budget = budget
-        self._withdraw_request = withdraw
+        self._cancel_request = cancel_request
 
     def append(self, entry: PendingReply) -> None:
         """Add the reply to the newest command."""
@@ -81,21 +81,21 @@
         return b"".join(ready)
 
     def fail_open(self, reply: bytes) -> None:
-        """Withdraw all open requests and give them this reply."""
+        """Cancel all open requests and give them this reply."""
         for entry in self.pending:
             if entry.reply is None:
-                self._withdraw(entry)
+                self._cancel(entry)
                 entry.reply = reply
 
     def clear(self) -> None:
-        """Withdraw all open requests and drop all replies."""
+        """Cancel all open requests and drop all replies."""
         for entry in self.pending:
-            self._withdraw(entry)
+            self._cancel(entry)
         self.pending.clear()
 
-    def _withdraw(self, entry: PendingReply) -> None:
+    def _cancel(self, entry: PendingReply) -> None:
         self.release(entry)
         request = entry.request
         if request is not None:
             entry.request = None
-            self._withdraw_request(request)
+            self._cancel_request(request)
--- a/anisefront/resp_gateway/resp_frontend.py
+++ b/anisefront/resp_gateway/resp_frontend.py
@@ -1,6 +1,6 @@
 """Listener for the platform's RESP clients: accepts connections, limits their number and shuts them down.
 
-It decides nothing about valid requests: each is submitted to the request table.
+No admission decision is made here: each valid request is submitted to the request table.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
     Attributes:
         counts: Events by the keys of the state report.
-        buffered: Bytes of values and replies held for open requests, and of input that waits.
+        buffered: Bytes of values and replies held for open requests, and of buffered input.
         descriptors: Connections that hold a descriptor, including those aborted in this event loop iteration.
         draining: Connections close once they are idle.
         latest_reply_ms: Deadlines are capped to this time on the request table's clock.
@@ -92,17 +92,17 @@
         """Return the time by which a request that is read now must have its reply.
 
         The client's timeout counts from when it sent the request. The request then waits in the network and in the
-        socket, for long where all clients connect at once; a reply at the end of a timeout counted from now would be
-        late by that wait.
+        socket, for a long time if all clients connect at once. A reply at the end of a timeout counted from now would
+        be late by that wait.
         """
         read_delay_ms = min(MAX_READ_DELAY_MS, timeout_ms * MAX_READ_DELAY_FRACTION)
         return min(self.now_ms() + timeout_ms - read_delay_ms, self.latest_reply_ms)
 
     def buildProtocol(self, address: object) -> ClientConnection | None:
-        """Accept a connection, if need be in the place of one that is not used.
+        """Accept a connection, if necessary in place of an unused one.
 
-        Where all are in use, the connection is rejected with a reply; where no descriptor can be spared for that, it
-        is closed at once (None).
+        If all are in use, the connection is rejected with a reply; if no descriptor is free for that, it is closed at
+        once (None).
         """
         if not self._has_descriptor():
             self.counts["closed_unread"] += 1
--- a/anisefront/resp_gateway/resp_requests.py
+++ b/anisefront/resp_gateway/resp_requests.py
@@ -133,7 +133,7 @@
             has_disconnected: Returns whether the client has closed its connection.
 
         Returns:
-            The number for `withdraw`, None where the request table is full.
+            The number for `client_disconnected`, None where the request table is full.
         """
         number = self._request_table.accept(
             self,
--- a/tests/test_connection_search.py
+++ b/tests/test_connection_search.py
@@ -118,7 +118,7 @@
     (ReplyQueue, "release", lambda self, slot: None),
     (ClientConnection, "_process", unlimited),
     (ClientConnection, "_write_ready", lambda self: None),
-    (ClientConnection, "_withdraw_all", lambda self: None),
+    (ClientConnection, "_cancel_all", lambda self: None),
     (ClientConnection, "_handle_request", unwrapped(ClientConnection._handle_request)),
     (InputPause, "take_buffered", lambda self: bytes(self.buffered)),
     (ClientConnection, "_resume_input", lambda self: None),
