--- a/anisefront/daemon/peer_port.py
+++ b/anisefront/daemon/peer_port.py
@@ -1,7 +1,7 @@
 """UDP port for messages between gateway instances.
 
 Addressing, encoding and identification of the sender are a strategy: authenticated in `authenticated_datagrams`,
-plain in `resp_gateway.bare_datagrams`.
+plain in `resp_gateway.unauthenticated_datagrams`.
 """
 
 from __future__ import annotations
--- a/anisefront/resp_gateway/instance.py
+++ b/anisefront/resp_gateway/instance.py
@@ -21,7 +21,6 @@
 from anisefront.daemon.report_document import report_of_request_table, to_document
 from anisefront.daemon.request_table import create_request_table
 from anisefront.policy.settings import Settings
-from anisefront.resp_gateway.bare_datagrams import BareDatagrams
 from anisefront.resp_gateway.command_mapping import CommandMapper
 from anisefront.resp_gateway.connection_limits import ConnectionLimits
 from anisefront.resp_gateway.discovery_watch import DiscoveryWatch
@@ -31,6 +30,7 @@
 from anisefront.resp_gateway.resp_frontend import RespFrontend
 from anisefront.resp_gateway.resp_requests import RespRequests, WorkerConnectionCodec
 from anisefront.resp_gateway.state_report import STATE_KEYS, RespStateReport
+from anisefront.resp_gateway.unauthenticated_datagrams import UnauthenticatedDatagrams
 from anisefront.upstream.connection_pool import ConnectionPool, PoolLimits
 
 # Division of the file descriptors.
@@ -99,7 +99,7 @@
         self.log = structlog.get_logger().bind(gatekeeper=config.name)
         self.peer_port: PeerPort | None = None
         if config.peer_listen is not None and settings.peer_messages_enabled:
-            datagrams = BareDatagrams(settings.number, config.peers)
+            datagrams = UnauthenticatedDatagrams(settings.number, config.peers)
             self.peer_port = PeerPort(
                 datagrams, lambda sender, data: self.request_table.receive_peer_message(sender, data)
             )
--- a/anisefront/resp_gateway/bare_datagrams.py
+++ b/anisefront/resp_gateway/unauthenticated_datagrams.py
@@ -1,4 +1,4 @@
-"""Bare datagrams between gateway instances: authentication would exceed the platform's limit on their length.
+"""Unauthenticated datagrams between gateway instances: a MAC would exceed the platform's limit on their length.
 
 A sender is identified by its address in the configuration; datagrams from other addresses are dropped.
 """
@@ -12,8 +12,8 @@
 MAX_BYTES = 256  # of a datagram, by the platform's rules
 
 
-class BareDatagrams:
-    """Datagram format that consists of the message alone."""
+class UnauthenticatedDatagrams:
+    """Datagram format without authentication: a datagram is the message alone."""
 
     undeliverable_key = "not_told"
     sent_key = "told"
--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -268,7 +268,7 @@
 OTHERS = {
     "daemon.authenticated_datagrams.AuthenticatedDatagrams.decode",  # the samples "sealed: ..." of test_wire_bytes.py
     "daemon.peer_port.DatagramFormat.decode",  # an interface
-    "resp_gateway.bare_datagrams.BareDatagrams.decode",  # returns the bytes unchanged
+    "resp_gateway.unauthenticated_datagrams.UnauthenticatedDatagrams.decode",  # returns the bytes unchanged
     "resp_gateway.instance_config.read_config_file",  # the operator's file, read at the start
     "resp_gateway.resp_requests.WorkerConnectionCodec.feed",  # covered by WorkerReplyReader.feed
     "upstream.delegated_checks.parse_number",  # covered by find_attempt
--- a/tests/test_instance_wiring.py
+++ b/tests/test_instance_wiring.py
@@ -13,7 +13,7 @@
 from anisefront.daemon.listeners import ACCEPT_BACKLOG, stop_listening
 from anisefront.daemon.peer_port import PeerPort
 from anisefront.daemon.report_document import to_document
-from anisefront.resp_gateway.bare_datagrams import BareDatagrams
+from anisefront.resp_gateway.unauthenticated_datagrams import UnauthenticatedDatagrams
 from anisefront.resp_gateway.instance import descriptor_budget
 
 SECRET = b"sixteen bytes at least"
@@ -26,7 +26,7 @@
 
 
 def bare(number):
-    return BareDatagrams(number, ADDRESSES)
+    return UnauthenticatedDatagrams(number, ADDRESSES)
 
 
 class Transport:
--- a/tests/test_node_front.py
+++ b/tests/test_node_front.py
@@ -17,7 +17,7 @@
 from anisefront.resp_gateway.connection_limits import ConnectionLimits
 from anisefront.resp_gateway.resp_frontend import RespFrontend
 from anisefront.daemon.peer_port import PeerPort
-from anisefront.resp_gateway.bare_datagrams import BareDatagrams
+from anisefront.resp_gateway.unauthenticated_datagrams import UnauthenticatedDatagrams
 from anisefront.resp_gateway.command_mapping import CommandMapper
 from anisefront.resp_gateway.discovery_watch import DiscoveryWatch
 from anisefront.policy.actions import Fail, Reject, RejectionReason, StartAttempt
@@ -627,7 +627,9 @@
 
 def test_peer_datagrams_are_checked_by_address_and_length():
     received = []
-    port = PeerPort(BareDatagrams(1, (("127.0.0.2", 1), ("127.0.0.1", 1))), lambda *each: received.append(each))
+    port = PeerPort(
+        UnauthenticatedDatagrams(1, (("127.0.0.2", 1), ("127.0.0.1", 1))), lambda *each: received.append(each)
+    )
     port.transport = RecordingTransport()
     port.send(0, b"x" * 256)
     port.send(0, b"x" * 257)
