--- a/anisefront/frontends/jsonrpc_params.py
+++ b/anisefront/frontends/jsonrpc_params.py
@@ -51,7 +51,7 @@
     forwarded_headers = {name: value for name, value in headers.items() if name not in _HOP_BY_HOP_HEADERS}
     try:
         body = strings["body"].encode() or base64.b64decode(strings["body_base64"], validate=True)
-        http1.request(strings["method"], strings["path"], forwarded_headers, body)
+        http1.encode_request(strings["method"], strings["path"], forwarded_headers, body)
     except ValueError as error:
         raise InvalidParamsError(f"no request can be made of this: {error}") from error
     return DirectRequest(strings["method"], strings["path"], forwarded_headers, body), strings["host"]
--- a/anisefront/protocols/http1.py
+++ b/anisefront/protocols/http1.py
@@ -67,7 +67,7 @@
     data: bytes
 
 
-class Reader:
+class MessageReader:
     """Reads the messages that one side of a connection sends.
 
     Attributes:
@@ -281,7 +281,7 @@
     return text
 
 
-def request(method: str, target: str, headers: dict[str, str], body: bytes = b"") -> bytes:
+def encode_request(method: str, target: str, headers: dict[str, str], body: bytes = b"") -> bytes:
     """Encode a request. Its length is computed; a length in `headers` is ignored.
 
     Raises:
@@ -293,7 +293,7 @@
     return _encode(lines, headers, body, with_length=bool(body) or method in ("POST", "PUT", "PATCH"))
 
 
-def response(status: int, headers: dict[str, str], body: bytes = b"") -> bytes:
+def encode_response(status: int, headers: dict[str, str], body: bytes = b"") -> bytes:
     """Encode a response. Its length is computed; a length in `headers` is ignored."""
     return _encode([f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}"], headers, body, with_length=True)
 
--- a/anisefront/protocols/http2_start.py
+++ b/anisefront/protocols/http2_start.py
@@ -17,7 +17,7 @@
 UPGRADED_STREAM = 1  # the stream of the request that upgrades the connection
 
 SWITCHING_PROTOCOLS = b"HTTP/1.1 101 Switching Protocols\r\nconnection: Upgrade\r\nupgrade: h2c\r\n\r\n"
-UPGRADE_REQUIRED = http1.response(
+UPGRADE_REQUIRED = http1.encode_response(
     426,
     {"upgrade": "h2c", "connection": "close"},
     b"HTTP/2 is spoken here: gRPC by prior knowledge, or Upgrade: h2c\n",
@@ -66,7 +66,7 @@
 
     def __init__(self, limits: Http2Limits) -> None:
         """Create the reader of a new connection."""
-        self._http1: http1.Reader | None = http1.Reader(
+        self._http1: http1.MessageReader | None = http1.MessageReader(
             True, limits.max_header_block_bytes, limits.max_upgrade_body_bytes
         )
         self._preface_received = False
--- a/anisefront/resp_gateway/watch_codec.py
+++ b/anisefront/resp_gateway/watch_codec.py
@@ -6,7 +6,7 @@
 import re
 from collections.abc import Iterable
 
-from anisefront.protocols.http1 import BodyChunk, Head, Message, MessageError, Reader
+from anisefront.protocols.http1 import BodyChunk, Head, Message, MessageError, MessageReader
 from anisefront.resp_gateway.endpoint_changes import EndpointChange, parse_change
 from anisefront.resp_gateway.errors import DiscoveryError
 
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         """Start before the response's head."""
-        self._http = Reader(requests=False, stream_chunks=True)
+        self._http = MessageReader(requests=False, stream_chunks=True)
         self._line = bytearray()
         self._object = bytearray()  # complete lines of an incomplete object
         self._depth = 0  # of brackets in it
--- a/anisefront/testbed/clients.py
+++ b/anisefront/testbed/clients.py
@@ -145,7 +145,7 @@
             ended(how, answer.status, answer.headers.get("x-anisefront-reason", ""))
 
         body = b"{}" if wish.method == "POST" else b""
-        data = http1.request(wish.method, wish.path, headers, body)
+        data = http1.encode_request(wish.method, wish.path, headers, body)
         self._pool.request(self.proxies[gatekeeper], data, (deadline + PATIENCE_MS) / 1000, done)
 
     def _by_rpc(
--- a/anisefront/testbed/proxy.py
+++ b/anisefront/testbed/proxy.py
@@ -224,7 +224,7 @@
             attempt=self._token,
             id=message.headers.get("x-request-id", ""),
         )
-        data = http1.request(message.method, told.get(":path", message.target), headers, message.body)
+        data = http1.encode_request(message.method, told.get(":path", message.target), headers, message.body)
         self._exchange: Exchange | None = self._proxy.pool.request(self._worker, data, allow_s, self._ended)
 
     def _ended(self, result: AttemptResult | None, answer: http1.Message | None) -> None:
@@ -260,7 +260,7 @@
 
 class _Connection(protocol.Protocol):
     def __init__(self, proxy: Proxy) -> None:
-        self._proxy, self._reader, self._current, self._keep = proxy, http1.Reader(requests=True), None, True
+        self._proxy, self._reader, self._current, self._keep = proxy, http1.MessageReader(requests=True), None, True
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
@@ -278,7 +278,7 @@
 
     def answer(self, status: int, headers: dict[str, str], body: bytes) -> None:
         self._current = None
-        self.transport.write(http1.response(status, headers, body))
+        self.transport.write(http1.encode_response(status, headers, body))
         if not self._keep:
             self.transport.loseConnection()
 
--- a/anisefront/testbed/workers.py
+++ b/anisefront/testbed/workers.py
@@ -229,7 +229,7 @@
 
 class _Connection(protocol.Protocol):
     def __init__(self, worker: Worker) -> None:
-        self._worker, self._reader, self._keep = worker, http1.Reader(requests=True), True
+        self._worker, self._reader, self._keep = worker, http1.MessageReader(requests=True), True
 
     def connectionMade(self) -> None:
         self._worker.connections.add(self)
@@ -246,7 +246,7 @@
 
     def answer(self, status: int, headers: dict[str, str], body: bytes) -> None:
         if self.connected:
-            self.transport.write(http1.response(status, ANSWER | headers, body))
+            self.transport.write(http1.encode_response(status, ANSWER | headers, body))
             if not self._keep:
                 self.transport.loseConnection()
 
--- a/anisefront/upstream/direct_requests.py
+++ b/anisefront/upstream/direct_requests.py
@@ -155,7 +155,7 @@
         """Encode an HTTP/1.1 request."""
         sent = request.request
         headers = {"host": endpoint, **sent.headers, "x-anisefront-attempt": f"{self._incarnation}.{attempt_name}"}
-        return http1.request(sent.method, sent.target, headers, sent.body), sent.method == "HEAD"
+        return http1.encode_request(sent.method, sent.target, headers, sent.body), sent.method == "HEAD"
 
     def interpret_response(self, response: http1.Message) -> tuple[AttemptResult, tuple[float, ...]]:
         """Return what the status and the headers prove, and the ORCA load report."""
--- a/anisefront/upstream/http_responses.py
+++ b/anisefront/upstream/http_responses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from anisefront.protocols.http1 import Head, Message, MessageError, Reader
+from anisefront.protocols.http1 import Head, Message, MessageError, MessageReader
 
 MIN_FINAL_STATUS = 200  # lower ones are interim
 
@@ -15,7 +15,7 @@
 
     def __init__(self, max_body_bytes: int) -> None:
         """Create a reader; a longer body is an error."""
-        self._reader = Reader(requests=False, max_body_bytes=max_body_bytes)
+        self._reader = MessageReader(requests=False, max_body_bytes=max_body_bytes)
 
     def begin(self, head_only: bool) -> None:
         """Expect a response; `head_only`: to a HEAD request, whose response has no body."""
--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -204,8 +204,8 @@
         grpc.MessageDecoder(1000).feed, [grpc.encode_message(b"hi")], (ProtocolError,)
     ),
     "protocols.grpc.decode_timeout_ms": Decoder(grpc.decode_timeout_ms, [b"10m", b"1H"], (ProtocolError,)),
-    "protocols.http1.Reader.feed": Decoder(
-        lambda data: http1.Reader(requests=True).feed(data), [HTTP_REQUEST], (MessageError,)
+    "protocols.http1.MessageReader.feed": Decoder(
+        lambda data: http1.MessageReader(requests=True).feed(data), [HTTP_REQUEST], (MessageError,)
     ),
     "protocols.http2_headers.HeaderDecoder.decode": Decoder(
         lambda data: HeaderDecoder(Http2Limits()).decode(data), [b"\x82\x86\x84\x41\x01h"], (ProtocolError,)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,7 @@
 from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
 from anisefront.protocols import http1, jsonrpc, orca
-from anisefront.protocols.http1 import Head, MessageError, Reader
+from anisefront.protocols.http1 import Head, MessageError, MessageReader
 
 
 def messages(reader, data):
@@ -17,11 +17,11 @@
 
 
 def test_request_and_response_round_trip():
-    data = http1.request("POST", "/a?b=c", {"host": "x", "x-units": "2"}, b"body")
-    (message,) = messages(Reader(True), data)
+    data = http1.encode_request("POST", "/a?b=c", {"host": "x", "x-units": "2"}, b"body")
+    (message,) = messages(MessageReader(True), data)
     assert (message.method, message.target, message.body, message.keep_alive) == ("POST", "/a?b=c", b"body", True)
     assert message.headers["x-units"] == "2"
-    (message,) = messages(Reader(False), http1.response(503, {"connection": "close"}, b"no"))
+    (message,) = messages(MessageReader(False), http1.encode_response(503, {"connection": "close"}, b"no"))
     assert (message.status, message.body, message.keep_alive) == (503, b"no", False)
 
 
@@ -30,19 +30,19 @@
 
 @pytest.mark.parametrize("step", [1, 2, 3, 7, 1000])
 def test_chunked_body_is_decoded_however_it_is_split(step):
-    reader, received = Reader(False), []
+    reader, received = MessageReader(False), []
     for at in range(0, len(CHUNKED), step):
         received += messages(reader, CHUNKED[at : at + step])
     assert received[0].body == b"Wikipedia" and received[0].keep_alive and not reader.has_partial_message
 
 
 def test_bodies_until_close_head_responses_and_interim_responses():
-    reader = Reader(False)
+    reader = MessageReader(False)
     assert not messages(reader, b"HTTP/1.0 200 OK\r\n\r\npart") and reader.close()[0].body == b"part"
-    reader = Reader(False)
+    reader = MessageReader(False)
     reader.head_only = True
     assert messages(reader, b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n")[0].body == b""
-    responses = messages(Reader(False), b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n")
+    responses = messages(MessageReader(False), b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n")
     assert [message.status for message in responses] == [100, 204]
 
 
@@ -68,12 +68,12 @@
 )
 def test_invalid_requests_are_rejected_with_a_status(data, status):
     with pytest.raises(MessageError) as caught:
-        Reader(True).feed(data)
+        MessageReader(True).feed(data)
     assert caught.value.status == status
 
 
 def test_connection_closed_within_a_message_is_an_error():
-    reader = Reader(False)
+    reader = MessageReader(False)
     reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc")
     with pytest.raises(MessageError):
         reader.close()
@@ -83,7 +83,7 @@
 def test_arbitrary_bytes_are_an_error_or_incomplete(data):
     for requests in (True, False):
         try:
-            Reader(requests).feed(data)
+            MessageReader(requests).feed(data)
         except MessageError:
             pass
 
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("headers", [{"a": "x\r\ny"}, {"a b": "x"}, {"": "x"}])
 def test_invalid_headers_are_not_encoded(headers):
     with pytest.raises(ValueError):
-        http1.request("GET", "/", headers)
+        http1.encode_request("GET", "/", headers)
 
 
 # Examples of the JSON-RPC 2.0 specification, section 7, that do not depend on methods.
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -628,7 +628,7 @@
 def discovery_samples() -> dict[str, Sample]:
     """Return samples of the request that opens a watch, and of responses to it."""
     request = Sample(
-        lambda: encode_watch_request(41, "127.0.0.1:8500"), lambda data: plain(http1.Reader(True).feed(data)[0])
+        lambda: encode_watch_request(41, "127.0.0.1:8500"), lambda data: plain(http1.MessageReader(True).feed(data)[0])
     )
     lines = [
         json.dumps(each).encode() + b"\n"
@@ -998,17 +998,19 @@
         return direct_requests.encode_request(SimpleNamespace(request=job), "17.0", WORKER, 400.0)[0]
 
     def read(requests: bool) -> Callable[[bytes], Any]:
-        return lambda data: [plain(each) for each in http1.Reader(requests).feed(data)]
+        return lambda data: [plain(each) for each in http1.MessageReader(requests).feed(data)]
 
     made = {
         "attempt": lambda: attempt(job),
         "attempt of HEAD": lambda: attempt(DirectRequest("HEAD", "/", {}, b"")),
-        "request with an empty body": lambda: http1.request("PUT", "/", {"host": "x"}),
-        "request without a body": lambda: http1.request("GET", "/", {"host": "x", "content-length": "9"}),
+        "request with an empty body": lambda: http1.encode_request("PUT", "/", {"host": "x"}),
+        "request without a body": lambda: http1.encode_request("GET", "/", {"host": "x", "content-length": "9"}),
     }
     out = {name: Sample(write, read(True)) for name, write in made.items()}
     out |= {
-        f"response {status}": Sample(lambda status=status: http1.response(status, {"a": "b"}, b"body"), read(False))
+        f"response {status}": Sample(
+            lambda status=status: http1.encode_response(status, {"a": "b"}, b"body"), read(False)
+        )
         for status in (*sorted(http1.REASONS), 418)
     }
     out |= {
