--- a/tests/test_node_loopback.py
+++ b/tests/test_node_loopback.py
@@ -50,24 +50,24 @@
         self.behavior, self.work_s, self.received = behavior, work_s, []
         super().__init__(self._serve)
 
-    def _serve(self, link):
+    def _serve(self, connection):
         reader = resp_codec.CommandReader()
-        while data := link.recv(65536):
+        while data := connection.recv(65536):
             for parts in reader.feed(data):
                 self.received.append((parts[2], parts[3]))
                 time.sleep(self.work_s)
                 value = b"value for " + parts[2]
-                good = b"*3\r\n" + resp_codec.encode_bulk(value) + b"$-1\r\n$19\r\nutil=0.5,inflight=1\r\n"
+                reply = b"*3\r\n" + resp_codec.encode_bulk(value) + b"$-1\r\n$19\r\nutil=0.5,inflight=1\r\n"
                 if self.behavior == "silent":
                     time.sleep(30)
-                link.sendall(
+                connection.sendall(
                     {
-                        "ok": good,
-                        "spoilt": b"*3\r\n$9999\r\nshort\r\n",
-                        "noise": b"\0\1\2\3\r\n",
+                        "ok": reply,
+                        "truncated": b"*3\r\n$9999\r\nshort\r\n",
+                        "invalid": b"\0\1\2\3\r\n",
                         "busy": b"-BUSY inflight=9,util=1\r\n",
                         "failed": b"-ERR failed\r\n",
-                        "double": good + good,
+                        "double": reply + reply,
                     }[self.behavior]
                 )
 
@@ -79,30 +79,32 @@
         self.index, self.rows, self.connections, self.requests = 50, list(rows), [], []
         super().__init__(self._serve)
 
-    def _serve(self, link):
-        self.requests.append(link.recv(4096))
-        link.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self._send_change(link, change_document(self.index, *self.rows, snapshot=True))
-        self.connections.append(link)
+    def _serve(self, connection):
+        self.requests.append(connection.recv(4096))
+        connection.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        self._send_change(connection, change_document(self.index, *self.rows, snapshot=True))
+        self.connections.append(connection)
         while True:
             time.sleep(0.5)
-            link.sendall(b"1\r\n\n\r\n")
+            connection.sendall(b"1\r\n\n\r\n")
 
     @staticmethod
-    def _send_change(link, document):
+    def _send_change(connection, document):
         line = json.dumps(document).encode() + b"\n"
-        link.sendall(b"%x\r\n%b\r\n" % (len(line), line))
+        connection.sendall(b"%x\r\n%b\r\n" % (len(line), line))
 
     def publish(self, *rows):
+        """Send a change of these endpoints to all watches."""
         self.index += 1
-        for link in self.connections:
-            self._send_change(link, change_document(self.index, *rows))
+        for connection in self.connections:
+            self._send_change(connection, change_document(self.index, *rows))
 
 
 def free_port():
-    with socket.socket() as link:
-        link.bind(("127.0.0.1", 0))
-        return link.getsockname()[1]
+    """Return a TCP port that is free now."""
+    with socket.socket() as connection:
+        connection.bind(("127.0.0.1", 0))
+        return connection.getsockname()[1]
 
 
 class GatewayProcess:
@@ -130,6 +132,7 @@
         self.process = self.start()
 
     def wait_until_up(self):
+        """Wait until the process answers PING."""
         deadline = time.monotonic() + 20
         while time.monotonic() < deadline:
             try:
@@ -148,14 +151,15 @@
             env={**os.environ, "PROXY_CONFIG": str(self.file)},
         )
 
-    def write_config(self, text=None, **more):
-        self.config |= more
+    def write_config(self, text=None, **overrides):
+        self.config |= overrides
         self.file.write_text(json.dumps(self.config) if text is None else text)
 
     def client(self):
         return redis.Redis("127.0.0.1", self.port, protocol=2, socket_timeout=5)
 
     def log_text(self):
+        """Return what the process has logged so far."""
         self.log.flush()
         return pathlib.Path(self.log.name).read_text()
 
@@ -188,6 +192,7 @@
 
 
 def send_request(client, number, timeout_ms=1400, verb="Q.ASK", name="look", more="", body=()):
+    """Send a request and return its reply; raises `redis.ResponseError` for an error reply."""
     return client.execute_command(
         verb,
         "00000000b4d65521",
@@ -198,8 +203,8 @@
 
 
 def test_client_library_is_served_and_endpoint_changes_are_applied(managed):
-    one, two = managed(Worker()), managed(Worker())
-    discovery = managed(Discovery(endpoint_row("s1", one.address)))
+    first_worker, second_worker = managed(Worker()), managed(Worker())
+    discovery = managed(Discovery(endpoint_row("s1", first_worker.address)))
     gateway = managed(GatewayProcess(managed.folder, discovery.address, endpoint_row("s9", "127.0.0.1:1")))
     client = gateway.client()
     for number in range(1, 6):
@@ -208,14 +213,18 @@
         send_request(client, 6, verb="Q.DO", name="book", more=",k=5c0f", body=(b"\r\n\0body",))
         == b"value for %016x" % 6
     )
-    assert len(one.received) == 6 and b"from=41" in discovery.requests[0]
-    assert 0 < int(one.received[0][1].split(b"d=")[1].split(b",")[0]) <= 1400
-    discovery.publish(endpoint_row("s1", one.address, "leaving"), endpoint_row("s2", two.address))
+    assert len(first_worker.received) == 6 and b"from=41" in discovery.requests[0]
+    assert 0 < int(first_worker.received[0][1].split(b"d=")[1].split(b",")[0]) <= 1400
+    discovery.publish(endpoint_row("s1", first_worker.address, "leaving"), endpoint_row("s2", second_worker.address))
     time.sleep(0.2)
-    assert send_request(client, 7) == b"value for %016x" % 7 and len(two.received) == 1 and len(one.received) == 6
+    assert (
+        send_request(client, 7) == b"value for %016x" % 7
+        and len(second_worker.received) == 1
+        and len(first_worker.received) == 6
+    )
 
 
-@pytest.mark.parametrize("behavior", ["spoilt", "noise", "busy", "failed", "silent"])
+@pytest.mark.parametrize("behavior", ["truncated", "invalid", "busy", "failed", "silent"])
 def test_failing_worker_is_compensated_by_another(managed, behavior):
     healthy, failing = managed(Worker()), managed(Worker(behavior))
     rows = endpoint_row("s1", healthy.address), endpoint_row("s2", failing.address)
@@ -266,36 +275,36 @@
         resp_codec.encode_command([b"Q.ASK", b"z", b"z", b"c=look"]),
         b"*4\r\n$5\r\nQ.A",
     ):
-        link = socket.create_connection(("127.0.0.1", gateway.port))
-        link.settimeout(3)
+        connection = socket.create_connection(("127.0.0.1", gateway.port))
+        connection.settimeout(3)
         try:
-            link.sendall(data)
+            connection.sendall(data)
         except OSError:
             pass
-        invalid.append(link)
+        invalid.append(connection)
     client = gateway.client()
     for number in range(1, 21):
         assert send_request(client, number) == b"value for %016x" % number
     # A long batch of valid commands is answered completely. It is sent after the others were accepted: of connections
     # accepted in one event loop iteration, those above the descriptor cap are closed unread.
-    many = socket.create_connection(("127.0.0.1", gateway.port))
-    many.settimeout(3)
-    many.sendall(resp_codec.encode_command([b"PING"]) * 300)
-    answers = b""
-    while len(answers) < 300 * len(b"+PONG\r\n"):
-        data = many.recv(65536)
+    batch_client = socket.create_connection(("127.0.0.1", gateway.port))
+    batch_client.settimeout(3)
+    batch_client.sendall(resp_codec.encode_command([b"PING"]) * 300)
+    replies = b""
+    while len(replies) < 300 * len(b"+PONG\r\n"):
+        data = batch_client.recv(65536)
         assert data
-        answers += data
-    assert answers == b"+PONG\r\n" * 300
-    for link in invalid:
+        replies += data
+    assert replies == b"+PONG\r\n" * 300
+    for connection in invalid:
         try:
-            assert link.recv(65536)[:1] in (b"", b"-")
+            assert connection.recv(65536)[:1] in (b"", b"-")
         except ConnectionError:
             pass
-    for link in silent:
-        link.settimeout(3)
+    for connection in silent:
+        connection.settimeout(3)
         try:
-            assert link.recv(100)[:1] in (b"", b"-")
+            assert connection.recv(100)[:1] in (b"", b"-")
         except ConnectionError:
             pass
     assert {each for each, _ in worker.received} == {b"%016x" % number for number in range(1, 21)}
@@ -303,21 +312,24 @@
 
 
 def test_reload_applies_a_new_discovery_address_and_ignores_invalid_configurations(managed):
-    one, two = managed(Worker()), managed(Worker())
-    old, new = managed(Discovery(endpoint_row("s1", one.address))), managed(Discovery(endpoint_row("s2", two.address)))
-    gateway = managed(GatewayProcess(managed.folder, old.address, endpoint_row("s1", one.address)))
+    first_worker, second_worker = managed(Worker()), managed(Worker())
+    old, new = (
+        managed(Discovery(endpoint_row("s1", first_worker.address))),
+        managed(Discovery(endpoint_row("s2", second_worker.address))),
+    )
+    gateway = managed(GatewayProcess(managed.folder, old.address, endpoint_row("s1", first_worker.address)))
     client = gateway.client()
     for invalid in ("", "{", "[]", json.dumps({"settings": {}})):
         gateway.write_config(invalid)
         gateway.process.send_signal(signal.SIGHUP)
         time.sleep(0.1)
-        assert send_request(client, 1 + len(one.received)) and gateway.process.poll() is None
+        assert send_request(client, 1 + len(first_worker.received)) and gateway.process.poll() is None
     gateway.wait_for_log("config_not_taken")
     gateway.write_config(discovery=new.address)
     gateway.process.send_signal(signal.SIGHUP)
     gateway.wait_for_log(f'"discovery": "{new.address}"')
     time.sleep(0.3)
-    assert send_request(client, 100) == b"value for %016x" % 100 and len(two.received) == 1
+    assert send_request(client, 100) == b"value for %016x" % 100 and len(second_worker.received) == 1
 
 
 def test_reload_may_add_classes_and_keeps_the_order_that_peers_rely_on(managed):
@@ -353,15 +365,15 @@
             endpoint_row("s1", worker.address),
         )
     )
-    answers = []
-    first = threading.Thread(target=lambda: answers.append(send_request(gateway.client(), 1)))
+    replies = []
+    first = threading.Thread(target=lambda: replies.append(send_request(gateway.client(), 1)))
     first.start()
     time.sleep(0.15)
     gateway.process.send_signal(signal.SIGTERM)
     time.sleep(0.1)
     assert send_request(gateway.client(), 2) == b"value for %016x" % 2  # new connections are accepted for a while
     first.join()
-    assert answers == [b"value for %016x" % 1]
+    assert replies == [b"value for %016x" % 1]
     assert gateway.process.wait(5) == 0
     with pytest.raises(redis.ConnectionError):
         gateway.client().ping()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -287,9 +287,9 @@
     worker = managed(Worker("silent"))
     rows = [endpoint_row("s1", worker.address)]
     gateway = managed(GatewayProcess(managed.folder, managed(Discovery(*rows)).address, *rows))
-    link = socket.create_connection(("127.0.0.1", gateway.port))
-    link.settimeout(5)
-    link.sendall(
+    connection = socket.create_connection(("127.0.0.1", gateway.port))
+    connection.settimeout(5)
+    connection.sendall(
         b"*4\r\n$5\r\nQ.ASK\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000001\r\n"
         b"$47\r\nc=look,t=rated,d=9000,units=1,spread=1,first=0\r\n".replace(b"$47", b"$46")
     )
@@ -297,18 +297,21 @@
     gateway.process.send_signal(signal.SIGTERM)
     gateway.wait_for_log("draining")
     gateway.process.send_signal(signal.SIGTERM)
-    got = b""
-    while data := link.recv(1000):
-        got += data
-    assert got.startswith(b"-") and gateway.process.wait(5) == 1
+    received = b""
+    while data := connection.recv(1000):
+        received += data
+    assert received.startswith(b"-") and gateway.process.wait(5) == 1
 
 
 def test_sighup_during_the_drain_applies_the_new_discovery_address(managed):  # noqa: F811
-    one, two = managed(Worker(work_s=1.0)), managed(Worker())
-    old, new = managed(Discovery(endpoint_row("s1", one.address))), managed(Discovery(endpoint_row("s2", two.address)))
-    gateway = managed(GatewayProcess(managed.folder, old.address, endpoint_row("s1", one.address)))
-    answers = []
-    first = threading.Thread(target=lambda: answers.append(send_request(gateway.client(), 1, timeout_ms=4000)))
+    first_worker, second_worker = managed(Worker(work_s=1.0)), managed(Worker())
+    old, new = (
+        managed(Discovery(endpoint_row("s1", first_worker.address))),
+        managed(Discovery(endpoint_row("s2", second_worker.address))),
+    )
+    gateway = managed(GatewayProcess(managed.folder, old.address, endpoint_row("s1", first_worker.address)))
+    replies = []
+    first = threading.Thread(target=lambda: replies.append(send_request(gateway.client(), 1, timeout_ms=4000)))
     first.start()
     time.sleep(0.2)
     gateway.process.send_signal(signal.SIGTERM)
@@ -318,10 +321,10 @@
     gateway.wait_for_log(f'"discovery": "{new.address}"')
     time.sleep(0.1)
     assert send_request(gateway.client(), 2) == b"value for %016x" % 2 and b"%016x" % 2 in [
-        name for name, _ in two.received
+        name for name, _ in second_worker.received
     ]
     first.join()
-    assert answers == [b"value for %016x" % 1] and gateway.process.wait(5) == 0
+    assert replies == [b"value for %016x" % 1] and gateway.process.wait(5) == 0
 
 
 def test_with_short_deadlines_the_process_ends_before_the_kill_time(managed):  # noqa: F811
@@ -349,8 +352,8 @@
     gateway.process = gateway.start()
     managed(gateway)
     gateway.wait_for_log('"ready"')
-    link = socket.create_connection(("127.0.0.1", gateway.port))
-    link.settimeout(5)
+    connection = socket.create_connection(("127.0.0.1", gateway.port))
+    connection.settimeout(5)
     terminated_at = None
     asked = answered = 0
     try:
@@ -360,11 +363,11 @@
                 terminated_at = time.monotonic()
             asked += 1
             terms = b"c=look,t=rated,d=600,units=1,spread=1,first=0"
-            link.sendall(
+            connection.sendall(
                 b"*4\r\n$5\r\nQ.ASK\r\n$16\r\n00000000b4d65521\r\n$16\r\n%016x\r\n$%d\r\n%b\r\n"
                 % (asked, len(terms), terms)
             )
-            reply = link.recv(1000)
+            reply = connection.recv(1000)
             if not reply:
                 break
             answered += 1
--- a/tests/test_terms_processes.py
+++ b/tests/test_terms_processes.py
@@ -25,11 +25,11 @@
         self.behavior, self.returns = behavior, threading.Event()
         super().__init__(*rows)
 
-    def _serve(self, link):
+    def _serve(self, connection):
         if self.behavior == "silent":
             self.returns.wait(30)
         if self.returns.is_set():
-            super()._serve(link)
+            super()._serve(connection)
 
 
 class LimitedGatewayProcess(GatewayProcess):
@@ -64,13 +64,13 @@
     gateway = managed(
         LimitedGatewayProcess(managed.folder, discovery.address, endpoint_row("s1", old.address), sockets=SOCKETS)
     )
-    links = []
+    connections = []
     gateway.process.send_signal(signal.SIGSTOP)  # so that all are accepted in one event loop iteration
     for _ in range(6 * SOCKETS):
-        link = socket.create_connection(("127.0.0.1", gateway.port))
-        link.settimeout(5)
-        links.append(link)
-        link.sendall(resp_codec.encode_command([b"PING"]))
+        connection = socket.create_connection(("127.0.0.1", gateway.port))
+        connection.settimeout(5)
+        connections.append(connection)
+        connection.sendall(resp_codec.encode_command([b"PING"]))
     gateway.process.send_signal(signal.SIGCONT)
     time.sleep(0.5)
     discovery.returns.set()
@@ -98,7 +98,7 @@
 
     until(lambda: ready() >= 9, 10.0)
     until(lambda: ready() == 10, 30.0)
-    held = [socket.create_connection(("127.0.0.1", gateways[0].port)) for _ in range(5)]
+    idle_connections = [socket.create_connection(("127.0.0.1", gateways[0].port)) for _ in range(5)]
     assert send_request(gateways[0].client(), 1) == b"value for %016x" % 1
     gateways[0].process.kill()
     gateways[0].process.wait()
@@ -106,7 +106,7 @@
     until(lambda: ready() == 11, 10.0)
     for number, gateway in enumerate(gateways):
         assert send_request(gateway.client(), 100 + number) == b"value for %016x" % (100 + number)
-    assert len(held) == 5
+    assert len(idle_connections) == 5
 
 
 # ---- a reload followed by a drain ---------------------------------------------------------------------
@@ -121,14 +121,17 @@
     ],
 )
 def test_reload_and_drain_in_any_order_apply_the_file_and_answer_all_requests(managed, signals, pause_s):  # noqa: F811
-    one, two = managed(Worker(work_s=0.6)), managed(Worker())
-    old, new = managed(Discovery(endpoint_row("s1", one.address))), managed(Discovery(endpoint_row("s2", two.address)))
-    gateway = managed(GatewayProcess(managed.folder, old.address, endpoint_row("s1", one.address)))
-    answers = []
+    first_worker, second_worker = managed(Worker(work_s=0.6)), managed(Worker())
+    old, new = (
+        managed(Discovery(endpoint_row("s1", first_worker.address))),
+        managed(Discovery(endpoint_row("s2", second_worker.address))),
+    )
+    gateway = managed(GatewayProcess(managed.folder, old.address, endpoint_row("s1", first_worker.address)))
+    replies = []
     client = gateway.client()
-    first = threading.Thread(target=lambda: answers.append(send_request(client, 1, timeout_ms=4000)))
+    first = threading.Thread(target=lambda: replies.append(send_request(client, 1, timeout_ms=4000)))
     first.start()
-    until(lambda: one.received)
+    until(lambda: first_worker.received)
     gateway.write_config(discovery=new.address)
     for number in signals:
         gateway.process.send_signal(number)
@@ -137,7 +140,7 @@
     until(lambda: new.connections)
     first.join()
     client.close()
-    assert answers == [b"value for %016x" % 1] and gateway.process.wait(8) == 0
+    assert replies == [b"value for %016x" % 1] and gateway.process.wait(8) == 0
     assert "stopped_at_once" not in gateway.log_text() and "Traceback" not in gateway.log_text()
 
 
@@ -151,9 +154,9 @@
             endpoint_row("s1", worker.address),
         )
     )
-    answers = []
+    replies = []
     client = gateway.client()
-    first = threading.Thread(target=lambda: answers.append(send_request(client, 1, timeout_ms=4000)))
+    first = threading.Thread(target=lambda: replies.append(send_request(client, 1, timeout_ms=4000)))
     first.start()
     until(lambda: worker.received)
     text = gateway.file.read_bytes()
@@ -168,7 +171,7 @@
     gateway.wait_for_log("draining")
     first.join()
     client.close()
-    assert answers == [b"value for %016x" % 1] and gateway.process.wait(8) == 0
+    assert replies == [b"value for %016x" % 1] and gateway.process.wait(8) == 0
 
 
 # ---- requests on connections that are accepted around SIGTERM -----------------------------------------
@@ -183,30 +186,34 @@
             endpoint_row("s1", worker.address),
         )
     )
-    links = [socket.create_connection(("127.0.0.1", gateway.port)) for _ in range(4)]
+    connections = [socket.create_connection(("127.0.0.1", gateway.port)) for _ in range(4)]
     gateway.process.send_signal(signal.SIGTERM)
     requests, number, began = [], 0, time.monotonic()
     while time.monotonic() < began + 0.35:  # while new connections are accepted
         number += 1
-        link = links.pop() if number % 8 == 1 and links else socket.create_connection(("127.0.0.1", gateway.port))
-        link.settimeout(5)
+        connection = (
+            connections.pop()
+            if number % 8 == 1 and connections
+            else socket.create_connection(("127.0.0.1", gateway.port))
+        )
+        connection.settimeout(5)
         data = resp_codec.encode_command(
             [b"Q.ASK", b"00000000b4d65521", b"%016x" % number, b"c=look,t=rated,d=1400,units=1,spread=1,first=0"]
         )
         try:
-            link.sendall(data[:20])
+            connection.sendall(data[:20])
             time.sleep(0.008)
-            link.sendall(data[20:])
+            connection.sendall(data[20:])
         except ConnectionError:
             pass  # the process closed it meanwhile
-        requests.append((b"%016x" % number, link))
+        requests.append((b"%016x" % number, connection))
     answered = 0
-    for number, link in requests:
+    for number, connection in requests:
         try:
-            reply = link.recv(1000)
+            reply = connection.recv(1000)
         except ConnectionError:
             reply = b""
-        link.close()
+        connection.close()
         answered += reply == resp_codec.encode_bulk(b"value for " + number)
         assert (
             reply == resp_codec.encode_bulk(b"value for " + number)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -43,9 +43,9 @@
                 behavior = self.behaviors[min(self.opened, len(self.behaviors) - 1)]
                 self.opened += 1
                 self._open(behavior, factory, timeout)
-            for link in self.transports:
-                if not link.aborted and link.since < self.reactor.seconds():
-                    link.behavior(link, round(self.reactor.seconds() - link.since, 2))
+            for transport in self.transports:
+                if not transport.aborted and transport.since < self.reactor.seconds():
+                    transport.behavior(transport, round(self.reactor.seconds() - transport.since, 2))
             if stop():
                 return
 
@@ -55,54 +55,54 @@
         elif behavior == "refused":
             factory.clientConnectionFailed(None, Failure(error.ConnectionRefusedError()))
         else:
-            link = Transport()
-            link.behavior, link.since = behavior, self.reactor.seconds()
-            link.protocol = factory.buildProtocol(None)
-            if link.protocol is not None:
-                link.protocol.makeConnection(link)
-                self.transports.append(link)
-                behavior(link, 0.0)
+            transport = Transport()
+            transport.behavior, transport.since = behavior, self.reactor.seconds()
+            transport.protocol = factory.buildProtocol(None)
+            if transport.protocol is not None:
+                transport.protocol.makeConnection(transport)
+                self.transports.append(transport)
+                behavior(transport, 0.0)
 
 
-def receive(link, data):
-    if not link.aborted:
-        link.protocol.dataReceived(data)
+def receive(transport, data):
+    if not transport.aborted:
+        transport.protocol.dataReceived(data)
 
 
-def healthy(link, open_s):
+def healthy(transport, open_s):
     if open_s == 0:
-        receive(link, SNAPSHOT_RESPONSE)
+        receive(transport, SNAPSHOT_RESPONSE)
     elif open_s % 2 == 0:
-        receive(link, b"1\r\n\n\r\n")
+        receive(transport, b"1\r\n\n\r\n")
 
 
-def sends_nothing(link, open_s):
+def sends_nothing(transport, open_s):
     """Send nothing at all."""
 
 
-def sends_head_only(link, open_s):
+def sends_head_only(transport, open_s):
     if open_s == 0:
-        receive(link, HEAD)
+        receive(transport, HEAD)
 
 
-def sends_partial_lines(link, open_s):
-    receive(link, HEAD if open_s == 0 else b"1\r\n{\r\n" if open_s == 0.05 else b"1\r\n \r\n")
+def sends_partial_lines(transport, open_s):
+    receive(transport, HEAD if open_s == 0 else b"1\r\n{\r\n" if open_s == 0.05 else b"1\r\n \r\n")
 
 
-def ends_within_an_object(link, open_s):
+def ends_within_an_object(transport, open_s):
     if open_s == 0:
-        receive(link, HEAD + b'a\r\n{"index":4\r\n0\r\n\r\n')
+        receive(transport, HEAD + b'a\r\n{"index":4\r\n0\r\n\r\n')
 
 
-def closes_connection(link, open_s):
+def closes_connection(transport, open_s):
     if open_s == 0.1:
-        link.aborted = True
-        link.protocol.connectionLost(Failure(error.ConnectionDone()))
+        transport.aborted = True
+        transport.protocol.connectionLost(Failure(error.ConnectionDone()))
 
 
-def stops_sending(link, open_s):
+def stops_sending(transport, open_s):
     if open_s == 0:
-        receive(link, SNAPSHOT_RESPONSE)
+        receive(transport, SNAPSHOT_RESPONSE)
 
 
 @pytest.mark.parametrize(
@@ -137,7 +137,7 @@
     discovery.run(discovery_watch.HEARTBEAT_TIMEOUT_S + discovery_watch.FIRST_LINE_TIMEOUT_S + 0.2)
     for _ in range(80):
         discovery.run(0.1)
-        live = [link for link in discovery.transports if not link.aborted]
+        live = [transport for transport in discovery.transports if not transport.aborted]
         assert 1 <= len(live) <= discovery_watch.MAX_WATCHES
     receive(
         live[0],
@@ -146,7 +146,7 @@
         else SNAPSHOT_RESPONSE[len(HEAD) :],
     )
     assert [each.version for each in discovery.changes][-1] == 43
-    assert [link for link in discovery.transports if not link.aborted] == [live[0]]
+    assert [transport for transport in discovery.transports if not transport.aborted] == [live[0]]
 
 
 def test_healthy_watch_is_not_replaced():
@@ -157,14 +157,16 @@
 
 def test_watch_that_ends_after_each_response_is_reopened_with_backoff():
     discovery = ScriptedDiscovery(
-        lambda link, open_s: receive(link, SNAPSHOT_RESPONSE + b"0\r\n\r\n") if open_s == 0 else None
+        lambda transport, open_s: receive(transport, SNAPSHOT_RESPONSE + b"0\r\n\r\n") if open_s == 0 else None
     )
     discovery.run(5)
     assert discovery.opened <= 5 / discovery_watch.BACKOFF_S[0]
 
 
 def test_repeated_invalid_response_is_reported_once():
-    discovery = ScriptedDiscovery(lambda link, open_s: receive(link, chunked_response(b"}\n")) if open_s == 0 else None)
+    discovery = ScriptedDiscovery(
+        lambda transport, open_s: receive(transport, chunked_response(b"}\n")) if open_s == 0 else None
+    )
     discovery.run(5)
     assert len(discovery.errors) == 1 and not discovery.changes and discovery.opened > 3
 
@@ -209,9 +211,9 @@
         self.watch.on_version_reset = self.directory.reset_version
 
 
-def send_changes(link, *changes):
+def send_changes(transport, *changes):
     """Receive the head of a response and these changes, each as a chunk."""
-    link.protocol.dataReceived(
+    transport.protocol.dataReceived(
         HEAD
         + b"".join(
             b"%x\r\n%b\n\r\n" % (len(line) + 1, line) for line in (json.dumps(each).encode() for each in changes)
@@ -227,16 +229,16 @@
     )
     harness.watch.connections[0].abort()
     harness.reactor.advance(0.2)
-    link = harness.connect()
-    assert b"from=41 " in link.take()
+    transport = harness.connect()
+    assert b"from=41 " in transport.take()
     # Discovery has restarted its version numbers.
-    send_changes(link, change_document(3, endpoint_row("s1", "127.0.0.1:1", "leaving")))
-    assert link.aborted and set(harness.directory.entries) == {"s1", "s2"}
+    send_changes(transport, change_document(3, endpoint_row("s1", "127.0.0.1:1", "leaving")))
+    assert transport.aborted and set(harness.directory.entries) == {"s1", "s2"}
     harness.reactor.advance(0.2)
-    link = harness.connect()
-    assert b"from=0 " in link.take()
+    transport = harness.connect()
+    assert b"from=0 " in transport.take()
     send_changes(
-        link,
+        transport,
         change_document(3, endpoint_row("s1", "127.0.0.1:1", "leaving")),
         change_document(4, endpoint_row("s2", "127.0.0.1:2", "left")),
     )
@@ -248,23 +250,23 @@
     harness = DirectoryWatchHarness()
     send_changes(harness.connect(), change_document(41, endpoint_row("s1", "127.0.0.1:1"), snapshot=True))
     harness.watch.change_address(("127.0.0.1", 8501))
-    link = harness.connect()
-    assert b"from=0 " in link.take() and set(harness.directory.entries) == {"s1"}
-    send_changes(link, change_document(2, endpoint_row("s1", "127.0.0.1:1", "leaving")))
+    transport = harness.connect()
+    assert b"from=0 " in transport.take() and set(harness.directory.entries) == {"s1"}
+    send_changes(transport, change_document(2, endpoint_row("s1", "127.0.0.1:1", "leaving")))
     assert harness.directory.entries["s1"].endpoint.status.value == "draining"
 
 
 def test_repeated_versions_are_ignored_and_skipped_ones_are_accepted():
     harness = DirectoryWatchHarness()
-    link = harness.connect()
-    send_changes(link, change_document(41, endpoint_row("s1", "127.0.0.1:1"), snapshot=True))
+    transport = harness.connect()
+    send_changes(transport, change_document(41, endpoint_row("s1", "127.0.0.1:1"), snapshot=True))
     for index, status, ends in (
         (42, "leaving", "draining"),
         (41, "active", "draining"),
         (42, "active", "draining"),
         (47, "active", "ready"),
     ):
-        link.protocol.dataReceived(
+        transport.protocol.dataReceived(
             chunked_response(
                 json.dumps(change_document(index, endpoint_row("s1", "127.0.0.1:1", status))).encode() + b"\n"
             )[len(HEAD) :]
@@ -274,15 +276,15 @@
 
 def test_address_changes_leave_one_watch():
     harness = WatchHarness()
-    link = harness.connect()
-    link.protocol.dataReceived(SNAPSHOT_RESPONSE)
+    transport = harness.connect()
+    transport.protocol.dataReceived(SNAPSHOT_RESPONSE)
     harness.watch.change_address(("127.0.0.1", 8500))
-    assert len(harness.reactor.tcpClients) == 1 and not link.aborted
+    assert len(harness.reactor.tcpClients) == 1 and not transport.aborted
     harness.watch.change_address(("127.0.0.1", 8501))
     first = harness.reactor.tcpClients[-1][2]
     harness.watch.change_address(("127.0.0.1", 8502))
     # The connection attempt to the outdated address succeeds late, and its connection is closed.
-    assert link.aborted and first.buildProtocol(None) is None
+    assert transport.aborted and first.buildProtocol(None) is None
     harness.connect().protocol.dataReceived(SNAPSHOT_RESPONSE)
     assert len(harness.watch.connections) == 1 and len(harness.reactor.tcpClients) == 3
 
