--- a/anisefront/frontends/authorization.py
+++ b/anisefront/frontends/authorization.py
@@ -40,7 +40,7 @@
 
 
 class AuthorizationService:
-    """What all checks share."""
+    """State that all checks share."""
 
     def __init__(
         self,
--- a/anisefront/frontends/grpc_call.py
+++ b/anisefront/frontends/grpc_call.py
@@ -23,7 +23,7 @@
 
 
 class CallConnection(Protocol):
-    """What a call uses of its connection."""
+    """Interface of the connection, as its calls use it."""
 
     transport: Any
     http2: Http2Connection
@@ -34,7 +34,7 @@
         """Return the event loop."""
 
     def flush_soon(self) -> None:
-        """Write what is to be sent at the end of this event loop iteration."""
+        """Write the pending output at the end of this event loop iteration."""
 
     def pause_reading(self) -> None:
         """Stop reading from the client."""
@@ -47,7 +47,7 @@
 
 
 class Call:
-    """One stream. A service answers through it; after its end it accepts and does nothing."""
+    """One stream. A service answers through it; after its end all responses are ignored."""
 
     __slots__ = ("_connection", "_decoder", "_headers_sent", "_stream_id", "_timer", "ended", "headers", "service")
 
--- a/anisefront/frontends/grpc_server.py
+++ b/anisefront/frontends/grpc_server.py
@@ -91,13 +91,13 @@
             call.stream_closed()
 
     def flush_soon(self) -> None:
-        """Write what is to be sent at the end of this event loop iteration, once for all its responses."""
+        """Write the pending output at the end of this event loop iteration, once for all its responses."""
         if not self._flush_scheduled:
             self._flush_scheduled = True
             self.factory.flush_soon(self)
 
     def flush(self) -> None:
-        """Write what is to be sent."""
+        """Write the pending output."""
         self._flush_scheduled = False
         data = self.http2.data_to_send()
         if data:
--- a/anisefront/frontends/jsonrpc_dispatcher.py
+++ b/anisefront/frontends/jsonrpc_dispatcher.py
@@ -15,7 +15,7 @@
 
 
 class CallDispatcher:
-    """What the calls of all connections share."""
+    """State that the calls of all connections share."""
 
     def __init__(
         self,
--- a/anisefront/resp_gateway/command_mapping.py
+++ b/anisefront/resp_gateway/command_mapping.py
@@ -1,7 +1,7 @@
 """Mapping of the platform's `Q.ASK` and `Q.DO` commands to requests, and of requests to worker commands. No I/O.
 
 A command is validated completely before it has any effect: an invalid one must neither be charged to a customer's quota
-nor reach a worker, which would close the connection on it.
+nor reach a worker, which would close the connection.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from anisefront.resp_gateway import resp_codec
 from anisefront.resp_gateway.errors import InvalidCommandError
 
-IDEMPOTENT_VERB = b"Q.ASK"  # for classes whose requests are idempotent; `Q.DO` for all others
+IDEMPOTENT_VERB = b"Q.ASK"  # for idempotent classes; `Q.DO` for all others
 REQUEST_VERBS = (IDEMPOTENT_VERB, b"Q.DO")
 COMMAND_LENGTHS = (4, 5)  # the verb, the customer, the request id, the terms, and a body or none
 CUSTOMER_ID_LIMIT = 1 << 33  # exclusive
 MAX_TIMEOUT_MS = 3_600_000
 
-# The protocol's names of the terms, and the standard terms for them.
+# Names of the terms in the protocol.
 CLASS = "c"
 PLAN = "t"
 TIMEOUT_MS = "d"
@@ -42,7 +42,7 @@
 class ClientRequest:
     """A validated request of a client.
 
-    The command for the worker is kept encoded, in the pieces around the timeout that is filled in for each attempt.
+    The worker command is stored encoded, in the parts around the timeout that each attempt fills in.
     """
 
     id: bytes
@@ -116,7 +116,7 @@
         )
 
     def _class_of(self, verb: bytes, terms: dict[str, str]) -> RequestClass:
-        """Return the request's class; check that verb, plan and idempotency key go with it."""
+        """Return the request's class; check that verb, plan and idempotency key are valid for it."""
         request_class = self._classes.get(terms.get(CLASS, ""))
         if request_class is None:
             raise InvalidCommandError("no such class", CLASS)
@@ -137,7 +137,7 @@
 
 
 def _parse_terms(encoded: bytes) -> dict[str, str]:
-    """Return the terms by the protocol's names."""
+    """Return the terms by their names in the protocol."""
     terms: dict[str, str] = {}
     try:
         pairs = encoded.decode("ascii").split(",")
@@ -152,7 +152,7 @@
 
 
 def _find_value(encoded_terms: bytes, name: str, value: str) -> int:
-    """Return the position of the value of a term that is known to be there."""
+    """Return the position of the value of a term that is known to be present."""
     prefix = name.encode() + b"="
     term = prefix + value.encode()
     if encoded_terms.startswith(term):
--- a/anisefront/resp_gateway/errors.py
+++ b/anisefront/resp_gateway/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the platform's gateway, in one hierarchy."""
+"""Errors of the RESP gateway, in one hierarchy."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RespProtocolError(RespGatewayError):
-    """The other side sent bytes that are not RESP2 in the platform's form."""
+    """The peer sent bytes that are not RESP2 as the platform uses it."""
 
     @property
     def error_line(self) -> bytes:
@@ -28,11 +28,11 @@
 
 
 class InvalidCommandError(RespGatewayError):
-    """A command is well-formed and can't be used; the text names the field."""
+    """A command is well-formed RESP, but invalid; the text names the field."""
 
 
 class DiscoveryError(RespGatewayError):
-    """Discovery sent what can't be parsed."""
+    """Discovery sent data that can't be parsed."""
 
 
 class InstanceConfigError(RespGatewayError):
--- a/anisefront/resp_gateway/resp_requests.py
+++ b/anisefront/resp_gateway/resp_requests.py
@@ -1,4 +1,4 @@
-"""Requests of RESP clients and their attempts over the connection pool to workers. No decision is made here."""
+"""Requests of RESP clients, and their attempts over the connection pool to workers; no admission decisions."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class ReplyOutcome(NamedTuple):
-    """What a worker's reply proves.
+    """Outcome of an attempt, as the worker's reply shows it.
 
     Attributes:
-        result: None for an error line that the platform does not define: it proves nothing, and leaves open whether
-            the worker reads the connection's next command.
+        result: None for an error line that the platform does not define: the outcome is unknown, and so is whether
+            the worker will read the next command on the connection.
         load_report: The report in the reply, empty where there is none.
     """
 
@@ -53,7 +53,7 @@
     def feed(self, data: bytes) -> tuple[resp_codec.WorkerReply, bool] | None:
         """Return the reply and whether the connection can be used again, None while the reply is incomplete.
 
-        It can where nothing follows the reply and the reply shows that the worker understood the command.
+        It can if nothing follows the reply and the reply shows that the worker understood the command.
         """
         reply = self._reader.feed(data)
         if reply is None:
@@ -66,7 +66,7 @@
 
 
 def classify_reply(reply: resp_codec.WorkerReply) -> ReplyOutcome:
-    """Return what a worker's reply proves."""
+    """Return the outcome of an attempt as its reply shows it."""
     if reply.payload is not None:
         return ReplyOutcome(AttemptResult.OK, reply.load_report)
     code, _, rest = reply.error.partition(b" ")
@@ -78,7 +78,7 @@
 
 
 def encode_rejection(retry_after_ms: float) -> bytes:
-    """Encode `-BUSY`, with the time after which to retry where there is one."""
+    """Encode `-BUSY`, with the time after which to retry if there is one."""
     if retry_after_ms <= 0:
         return resp_codec.encode_error(BUSY)
     return resp_codec.encode_error(b"%b %d" % (BUSY, max(1, round(retry_after_ms))))
@@ -163,7 +163,7 @@
         return entry.request.worker_command(timeout_ms), False
 
     def interpret_response(self, answer: resp_codec.WorkerReply) -> tuple[AttemptResult, tuple[float, ...]]:
-        """Return what a reply proves and its load report; after an undefined error line the work may have run."""
+        """Return the result of an attempt and its load report; an undefined error line may follow an execution."""
         outcome = classify_reply(answer)
         result = outcome.result
         if result is None:
--- a/anisefront/resp_gateway/socket_state.py
+++ b/anisefront/resp_gateway/socket_state.py
@@ -6,9 +6,9 @@
 
 
 def has_unread_close(connection: socket.socket) -> bool:
-    """Tell whether the other side has closed the connection, by a look at the first unread byte.
+    """Tell whether the peer has closed the connection, by peeking at the first unread byte.
 
-    After a stall of the process a close may lie unread in the socket. An attempt that starts before the event loop
+    After a stall of the process a close may be unread in the socket. An attempt that starts before the event loop
     reads it would be made for a client that has disconnected.
     """
     try:
