--- a/anisefront/testbed/model/draws.py
+++ b/anisefront/testbed/model/draws.py
@@ -1,8 +1,8 @@
-"""Chance for the model: what is drawn for a thing hangs on the seed, the cause and the thing alone, never on the order
-in which things happen. So two options that meet the same world part only where they act differently.
+"""Random draws that depend on the seed, the stream and the index alone, never on the order of events.
 
-Counter-based generators (Salmon et al., "Parallel random numbers: as easy as 1, 2, 3", 2011) give any block of any
-stream at once, so a long day needs no table of all its draws.
+Two options that are simulated with the same seed therefore face the same random events, and their runs differ only
+where the options act differently. Counter-based generators (Salmon et al., "Parallel random numbers: as easy as 1, 2,
+3", 2011) compute any block of any stream directly, so a long run needs no table of all its draws.
 """
 
 from __future__ import annotations
@@ -13,46 +13,52 @@
 
 import numpy as np
 
-ROWS, COLUMNS, MOST_BLOCKS = 1024, 28, 64
+BLOCK_ROWS = 1024
+COLUMNS = 28
+MAX_CACHED_BLOCKS = 64
 
 
-class Cause(IntEnum):
-    """One stream each."""
+class Stream(IntEnum):
+    """The independent random streams."""
 
-    REQUESTS = 1  # doors, pauses, service times: a row for each wish
-    MESSAGES = 2  # what peers' messages meet on their way: a row for each count of a pair
-    SEEDS = 3  # of the decision modules: a row for each life
-    TROUBLE = 4  # whom a trouble hits: a row for each trouble
-    TRAFFIC = 5  # scripted customers: a generator for each
+    REQUESTS = 1  # gateway, pauses, service times: a row for each request
+    MESSAGES = 2  # loss, duplication and delay of peer messages: an index for each message of a pair
+    SEEDS = 3  # of the controllers: a row for each incarnation
+    FAULTS = 4  # which workers a fault affects: a row for each fault
+    TRAFFIC = 5  # customers of a script: a generator for each
 
 
 class Draws:
-    """Rows of `COLUMNS` uniform numbers by cause and index."""
+    """Rows of `COLUMNS` uniform numbers, by stream and index."""
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
         self._blocks: dict[tuple[int, int], list[list[float]]] = {}
 
-    def row(self, cause: Cause, index: int) -> list[float]:
-        """The row of one thing. Blocks that were not used for long are made again when asked for."""
-        block, place = divmod(index, ROWS)
-        rows = self._blocks.get((cause, block))
+    def row(self, stream: Stream, index: int) -> list[float]:
+        """Return the row at an index. Evicted blocks are computed again on demand."""
+        block, position = divmod(index, BLOCK_ROWS)
+        rows = self._blocks.get((stream, block))
         if rows is None:
-            if len(self._blocks) >= MOST_BLOCKS:
+            if len(self._blocks) >= MAX_CACHED_BLOCKS:
                 del self._blocks[next(iter(self._blocks))]
-            rows = self.generator(cause, block).random((ROWS, COLUMNS)).tolist()
-            self._blocks[cause, block] = rows
-        return rows[place]
-
-    def one(self, cause: Cause, index: int, column: int) -> float:
-        """One number of a thing among so many that their rows would be made and let go again and again: SplitMix64
-        (Steele, Lea and Flood, 2014) over seed, cause, index and column."""
-        mixed = _mix(_mix(self._seed ^ cause << 56) ^ index) + column
+            rows = self.generator(stream, block).random((BLOCK_ROWS, COLUMNS)).tolist()
+            self._blocks[stream, block] = rows
+        return rows[position]
+
+    def uniform(self, stream: Stream, index: int, column: int) -> float:
+        """Return a single uniform number, hashed from seed, stream, index and column.
+
+        For sparse indices, such as those of messages, rows would be computed and evicted over and over. The hash is
+        SplitMix64 (Steele, Lea and Flood, 2014)."""
+        mixed = _mix(_mix(self._seed ^ stream << 56) ^ index) + column
         return (_mix(mixed) >> 11) * 2.0**-53
 
-    def generator(self, cause: Cause, number: int) -> np.random.Generator:
-        """A generator of its own."""
-        return np.random.Generator(np.random.Philox(key=[self._seed & (1 << 63) - 1, cause], counter=[0, 0, 0, number]))
+    def generator(self, stream: Stream, number: int) -> np.random.Generator:
+        """Return an independent generator for a number of a stream."""
+        return np.random.Generator(
+            np.random.Philox(key=[self._seed & (1 << 63) - 1, stream], counter=[0, 0, 0, number])
+        )
 
 
 def _mix(value: int) -> int:
@@ -63,7 +69,7 @@
 
 
 def lognormal(sigma: float, points: int = 65) -> tuple[float, ...]:
-    """Quantiles, evenly spaced and of mean 1, of times whose logarithm spreads by `sigma`."""
+    """Return evenly spaced quantiles of a log-normal distribution with mean 1; `sigma` is the deviation of the log."""
     from statistics import NormalDist
 
     normal = NormalDist()
@@ -72,10 +78,10 @@
     return tuple(value / mean for value in values)
 
 
-def quantile(shape: Sequence[float], u: float) -> float:
-    """The value at `u`, 0 to 1, between the quantiles."""
-    place = u * (len(shape) - 1)
-    low = int(place)
-    if low >= len(shape) - 1:
-        return shape[-1]
-    return shape[low] + (shape[low + 1] - shape[low]) * (place - low)
+def quantile(quantiles: Sequence[float], probability: float) -> float:
+    """Interpolate between quantiles at `probability`, from 0 to 1."""
+    position = probability * (len(quantiles) - 1)
+    low = int(position)
+    if low >= len(quantiles) - 1:
+        return quantiles[-1]
+    return quantiles[low] + (quantiles[low + 1] - quantiles[low]) * (position - low)
--- a/anisefront/testbed/model/fit.py
+++ b/anisefront/testbed/model/fit.py
@@ -14,9 +14,9 @@
 
 import numpy as np
 
-from anisefront.testbed.model.pool import Workers
+from anisefront.testbed.model.pool import WorkerModel
 from anisefront.testbed.model.traces import Attempt, Trace
-from anisefront.testbed.model.world import Network, Option, World
+from anisefront.testbed.model.world import Network, Option, Simulation
 from anisefront.testbed.script import Trouble
 
 SCALES = tuple(0.6 + 0.05 * step for step in range(13))
@@ -40,7 +40,7 @@
     shape: tuple[float, ...]
     peers_ms: tuple[float, float]  # a message between gatekeepers, least and most
 
-    def workers(self, like: Workers) -> Workers:
+    def workers(self, like: WorkerModel) -> WorkerModel:
         """Workers with these figures, and all else as `like`."""
         return replace(like, service_ms=self.service_ms, cores=self.cores, cold_from=self.cold_from, shape=self.shape)
 
@@ -140,7 +140,7 @@
     misses = {}
     for scale in SCALES:
         tried = replace(like, network=replace(like.network, peers_ms=(low * scale, high * scale)))
-        played = _marks(World(tried, trace.arrivals, troubles, 1).run().waits)
+        played = _marks(Simulation(tried, trace.arrivals, troubles, 1).run().waits)
         misses[scale] = float("inf") if played is None else float(np.abs(np.log(played / seen)).sum())
     best = min(misses, key=misses.__getitem__)
 
--- a/anisefront/testbed/model/measures.py
+++ b/anisefront/testbed/model/measures.py
@@ -1,4 +1,4 @@
-"""What a run came to: the figures that options are compared by, and the rows that reports draw."""
+"""Metrics of a simulated run: the measures that options are compared by, and the time series that reports plot."""
 
 from __future__ import annotations
 
@@ -10,62 +10,66 @@
 
 
 @dataclass(slots=True)
-class Played:
-    """One run. `service` is worth answered within the aim over worth wished for; a wish that was refused and tried
-    again counts once. Rows by second hold [worth served in time, worth wished for]."""
+class RunMetrics:
+    """Metrics of one run.
 
-    asked: float = 0.0
-    served: float = 0.0
+    `service` is the value served within the latency objective over the value requested, where the value of a request
+    is its priority weight. A request that is retried after a refusal counts once. Series by second hold
+    [value served in time, value requested].
+    """
+
+    requested_value: float = 0.0
+    served_value: float = 0.0
     waits: list[float] = field(default_factory=list)  # from arrival to the first attempt
-    answers: dict[str, int] = field(default_factory=dict)  # of tries
+    answers: dict[str, int] = field(default_factory=dict)  # of submissions, retries included
     reasons: dict[str, int] = field(default_factory=dict)  # of refusals
     by_second: dict[int, list[float]] = field(default_factory=dict)
     by_class: dict[str, dict[int, list[float]]] = field(default_factory=dict)
     by_plan: dict[str, dict[int, list[float]]] = field(default_factory=dict)
-    refused_at: dict[str, dict[int, int]] = field(default_factory=dict)  # by reason, by second
+    refusals_at: dict[str, dict[int, int]] = field(default_factory=dict)  # by reason, by second
     waits_at: dict[int, list[float]] = field(default_factory=dict)
-    out_at: dict[int, float] = field(default_factory=dict)  # attempts out, by second
-    units: dict[str, float] = field(default_factory=dict)  # sent on, by plan
-    fallen: int = 0
+    in_flight_at: dict[int, float] = field(default_factory=dict)  # attempts in flight, by second
+    units: dict[str, float] = field(default_factory=dict)  # dispatched to workers, by plan
+    crashed_workers: int = 0
 
-    def wish(self, second: int, class_name: str, plan: str, worth: float) -> None:
-        """Somebody wants something."""
-        self.asked += worth
+    def record_request(self, second: int, class_name: str, plan: str, value: float) -> None:
+        """Count a new request of a client."""
+        self.requested_value += value
         for rows in (self.by_second, self.by_class.setdefault(class_name, {}), self.by_plan.setdefault(plan, {})):
-            rows.setdefault(second, [0.0, 0.0])[1] += worth
+            rows.setdefault(second, [0.0, 0.0])[1] += value
 
-    def granted(self, second: int, class_name: str, plan: str, worth: float) -> None:
-        """It was answered within its aim; `second` is the wish's."""
-        self.served += worth
+    def record_served(self, second: int, class_name: str, plan: str, value: float) -> None:
+        """Count a request answered within its latency objective; `second` is that of its arrival."""
+        self.served_value += value
         for rows in (self.by_second, self.by_class[class_name], self.by_plan[plan]):
-            rows[second][0] += worth
+            rows[second][0] += value
 
-    def waited(self, second: int, wait_ms: float) -> None:
-        """A first attempt went out."""
+    def record_wait(self, second: int, wait_ms: float) -> None:
+        """Record how long a request waited for its first attempt."""
         self.waits.append(wait_ms)
         self.waits_at.setdefault(second, []).append(wait_ms)
 
-    def answered(self, second: int, how: str, reason: str = "") -> None:
-        """A try has its final answer."""
+    def record_answer(self, second: int, how: str, reason: str = "") -> None:
+        """Count the final answer to one submission of a request."""
         self.answers[how] = self.answers.get(how, 0) + 1
         if reason:
             self.reasons[reason] = self.reasons.get(reason, 0) + 1
-            rows = self.refused_at.setdefault(reason, {})
+            rows = self.refusals_at.setdefault(reason, {})
             rows[second] = rows.get(second, 0) + 1
 
     def measures(self) -> dict[str, float]:
-        """The figures that options are compared by."""
+        """Return the measures that options are compared by."""
         total = max(1, sum(self.answers.values()))
         return {
-            "service": self.served / self.asked if self.asked else 1.0,
-            "worst_10_s": worst(self.by_second, 10),
+            "service": self.served_value / self.requested_value if self.requested_value else 1.0,
+            "worst_10_s": lowest_served_fraction(self.by_second, 10),
             "p95_wait_ms": float(np.percentile(self.waits, 95)) if self.waits else 0.0,
             "refused": self.answers.get("refused", 0) / total,
         }
 
 
-def worst(rows: dict[int, list[float]], seconds: int) -> float:
-    """The least share served in any so many seconds that had anything to serve."""
+def lowest_served_fraction(rows: dict[int, list[float]], seconds: int) -> float:
+    """Return the lowest served fraction over any window of this many seconds that has requests."""
     if not rows:
         return 1.0
     length = max(rows) + 1
@@ -73,6 +77,6 @@
     for second, values in rows.items():
         table[second] = values
     sums = np.cumsum(np.vstack([np.zeros((1, 2)), table]), axis=0)
-    parts = sums[seconds:] - sums[:-seconds] if length > seconds else sums[-1:]
-    parts = parts[parts[:, 1] > 0]
-    return float((parts[:, 0] / parts[:, 1]).min()) if len(parts) else 1.0
+    windows = sums[seconds:] - sums[:-seconds] if length > seconds else sums[-1:]
+    windows = windows[windows[:, 1] > 0]
+    return float((windows[:, 0] / windows[:, 1]).min()) if len(windows) else 1.0
--- a/anisefront/testbed/model/pool.py
+++ b/anisefront/testbed/model/pool.py
@@ -1,6 +1,6 @@
-"""The workers' side of the model: cores, queue, cold start, dropped repeats, load reports, and what goes wrong there.
+"""Simulated workers: cores, queue, cold start, deduplication, load reports and worker faults.
 
-Times in milliseconds of the model. What a worker does is what the stand-ins on loopback do (`testbed/workers.py`).
+Times are in milliseconds of simulated time. Workers behave like the test workers on loopback (`testbed/workers.py`).
 """
 
 from __future__ import annotations
@@ -16,202 +16,234 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Workers:
-    """What all workers are like."""
+class WorkerModel:
+    """Parameters shared by all workers."""
 
     count: int = 10
     cores: int = 2
     queue: int = 32
-    service_ms: float = 20.0  # of one unit, on average
-    shape: tuple[float, ...] = NORMAL  # quantiles of service times over their mean
+    service_ms: float = 20.0  # mean for one unit
+    shape: tuple[float, ...] = NORMAL  # quantiles of service times, divided by their mean
     warm_up_ms: float = 10_000.0
-    cold_from: float = 0.2
-    fall_multiple: float = 0.0  # a cold worker that is sent more falls; 0: none does
-    fall_window_ms: float = 2000.0
+    cold_from: float = 0.2  # fraction of the capacity that a worker starts with
+    overload_multiple: float = 0.0  # a cold worker crashes above this multiple of its capacity; 0: never
+    overload_window_ms: float = 2000.0
     cells: int = 1
-    keep_ms: float = 5000.0  # how long a cell drops repeats of a key
-    reports: bool = False  # of its load, with each answer
+    deduplication_window_ms: float = 5000.0  # how long the workers of a cell drop duplicates of a key
+    load_reports: bool = False  # whether each response carries a load report
 
 
 class Job:
-    """One attempt on its way through a worker."""
+    """One attempt at a worker."""
 
-    __slots__ = ("allow_until", "attempt", "gate", "key", "life", "number", "over", "sent", "server", "u", "units")
+    __slots__ = (
+        "attempt",
+        "deadline",
+        "deduplication_key",
+        "finished",
+        "incarnation",
+        "instance",
+        "request_id",
+        "sent_at",
+        "uniform",
+        "units",
+        "worker_id",
+    )
 
     def __init__(
         self,
-        gate: int,
-        life: int,
-        number: int,
+        instance: int,
+        incarnation: int,
+        request_id: int,
         attempt: int,
-        server: str,
-        sent: float,
-        allow_until: float,
+        worker_id: str,
+        sent_at: float,
+        deadline: float,
         units: float,
-        key: int,
-        u: float,
+        deduplication_key: int,
+        uniform: float,
     ) -> None:
-        self.gate, self.life, self.number, self.attempt, self.server = gate, life, number, attempt, server
-        self.sent, self.allow_until, self.units, self.key, self.u = sent, allow_until, units, key, u
-        self.over = False  # nobody waits for it any more
+        self.instance, self.incarnation, self.request_id, self.attempt, self.worker_id = (
+            instance,
+            incarnation,
+            request_id,
+            attempt,
+            worker_id,
+        )
+        self.sent_at, self.deadline, self.units, self.deduplication_key, self.uniform = (
+            sent_at,
+            deadline,
+            units,
+            deduplication_key,
+            uniform,
+        )
+        self.finished = False  # its result was already reported, or it was cancelled or timed out
 
 
 class Worker:
-    """One worker."""
+    """One simulated worker."""
 
     __slots__ = (
         "broken_share",
-        "busy",
+        "busy_cores",
         "cell",
+        "crashed",
+        "deferred_calls",
         "error_share",
-        "fallen",
         "frozen",
         "id",
         "queue",
+        "recent_work",
         "silent",
         "slow",
         "started",
         "state",
-        "waiting",
-        "work",
         "zone",
     )
 
     def __init__(self, number: int, started: float, zone: str, cell: int) -> None:
         self.id, self.started, self.zone = f"10.0.{number >> 8}.{number & 255}:80", started, zone
-        self.busy, self.queue, self.state, self.cell = 0, deque[Job](), EndpointStatus.READY, cell
-        self.slow, self.error_share, self.silent, self.frozen, self.fallen = 1.0, 0.0, False, False, False
-        self.broken_share = 0.0  # of answers that are errors though the work was done
-        self.waiting: list[Callable[[], None]] = []  # what came or ended while it stood still
-        self.work: deque[tuple[float, float]] = deque()
+        self.busy_cores, self.queue, self.state, self.cell = 0, deque[Job](), EndpointStatus.READY, cell
+        self.slow, self.error_share, self.silent, self.frozen, self.crashed = 1.0, 0.0, False, False, False
+        self.broken_share = 0.0  # fraction of responses that are errors although the work was done
+        self.deferred_calls: list[Callable[[], None]] = []  # attempts that arrived or completed while it is frozen
+        self.recent_work: deque[tuple[float, float]] = deque()
 
 
-class Pool:
-    """All workers. `at(time, call, *values)` plans, `ended(job, result, load)` hears how an attempt ended."""
+class WorkerPool:
+    """All workers. `schedule(time, call, *values)` schedules a call; `on_end(job, result, load)` reports a result."""
 
     def __init__(
         self,
-        kind: Workers,
+        model: WorkerModel,
         zones: tuple[str, ...],
-        at: Callable[..., None],
-        ended: Callable[[Job, AttemptResult, tuple[float, ...]], None],
+        schedule: Callable[..., None],
+        on_end: Callable[[Job, AttemptResult, tuple[float, ...]], None],
     ) -> None:
-        self.kind, self._zones, self._at, self._ended = kind, zones, at, ended
-        self.now = 0.0  # set by the world before each call
+        self.model, self._zones, self._schedule, self._on_end = model, zones, schedule, on_end
+        self.now = 0.0  # set by the simulation before each call
         self.workers: dict[str, Worker] = {}
-        self._made = 0
-        self._keys: list[dict[int, float]] = [{} for _ in range(kind.cells)]
-        self.fallen = 0
-
-    def add(self, place: int, started: float = 0.0) -> Worker:
-        """One more; `place` gives its zone and cell, `started` 0 means long ago."""
-        worker = Worker(self._made, started, self._zones[place % len(self._zones)], place % self.kind.cells)
-        self._made += 1
+        self._created = 0
+        self._recent_keys: list[dict[int, float]] = [{} for _ in range(model.cells)]
+        self.crashed_workers = 0
+
+    def add(self, index: int, started: float = 0.0) -> Worker:
+        """Add a worker; `index` selects its zone and cell, and `started` 0 means that it has warmed up."""
+        worker = Worker(self._created, started, self._zones[index % len(self._zones)], index % self.model.cells)
+        self._created += 1
         self.workers[worker.id] = worker
         return worker
 
-    def listed(self) -> tuple[Endpoint, ...]:
-        """What a fleet list says."""
+    def endpoints(self) -> tuple[Endpoint, ...]:
+        """Return the workers as an endpoint list has them."""
         return tuple(Endpoint(w.id, w.zone, w.cell, w.state, 1.0, w.started) for w in self.workers.values())
 
-    def remove(self, name: str) -> None:
-        """The process is gone; what it held is reset."""
-        worker = self.workers.pop(name, None)
+    def remove(self, worker_id: str) -> None:
+        """Remove a worker whose process has exited; its queued attempts are reset."""
+        worker = self.workers.pop(worker_id, None)
         if worker is not None:
-            worker.fallen = True
+            worker.crashed = True
             for job in worker.queue:
-                self._end(job, AttemptResult.RESET)
+                self._finish(job, AttemptResult.RESET)
             worker.queue.clear()
 
-    # ---- an attempt ----------------------------------------------------------------------------
+    # ---- attempts ------------------------------------------------------------------------------
 
-    def reach(self, job: Job) -> None:
-        """An attempt has come over the network."""
-        worker = self.workers.get(job.server)
+    def receive(self, job: Job) -> None:
+        """Receive an attempt from the network."""
+        worker = self.workers.get(job.worker_id)
         if worker is None:
-            self._end(job, AttemptResult.CONNECT_FAILED)
+            self._finish(job, AttemptResult.CONNECT_FAILED)
         elif worker.frozen:
-            worker.waiting.append(lambda: self._take(worker, job))
+            worker.deferred_calls.append(lambda: self._accept(worker, job))
         else:
-            self._take(worker, job)
+            self._accept(worker, job)
 
-    def _take(self, worker: Worker, job: Job) -> None:
-        kind = self.kind
-        if kind.fall_multiple and worker.started and not worker.fallen:
-            self._press(worker, job.units * kind.service_ms)
-        if worker.fallen or worker.silent:
+    def _accept(self, worker: Worker, job: Job) -> None:
+        model = self.model
+        if model.overload_multiple and worker.started and not worker.crashed:
+            self._check_overload(worker, job.units * model.service_ms)
+        if worker.crashed or worker.silent:
             return
-        if worker.error_share and job.u * 997 % 1 < worker.error_share:
-            self._end(job, AttemptResult.ERROR)
-        elif worker.busy + len(worker.queue) >= kind.cores + kind.queue:
-            self._end(job, AttemptResult.OVERLOADED)
+        if worker.error_share and job.uniform * 997 % 1 < worker.error_share:
+            self._finish(job, AttemptResult.ERROR)
+        elif worker.busy_cores + len(worker.queue) >= model.cores + model.queue:
+            self._finish(job, AttemptResult.OVERLOADED)
         else:
             worker.queue.append(job)
-            self._next(worker)
+            self._start_jobs(worker)
 
-    def warmth(self, worker: Worker) -> float:
-        """The share of its capacity that it has by now."""
+    def warm_fraction(self, worker: Worker) -> float:
+        """Return the fraction of its full capacity that a worker has now."""
         if not worker.started:
             return 1.0
-        share = self.kind.cold_from + (1 - self.kind.cold_from) * (self.now - worker.started) / self.kind.warm_up_ms
-        return min(1.0, share)
-
-    def _press(self, worker: Worker, work: float) -> None:
-        kind, warmth = self.kind, self.warmth(worker)
-        worker.work.append((self.now, work))
-        while worker.work and self.now - worker.work[0][0] > kind.fall_window_ms:
-            worker.work.popleft()
-        budget = kind.fall_multiple * warmth * kind.cores * kind.fall_window_ms
-        if warmth < 1 and sum(each for _, each in worker.work) > budget:
-            worker.fallen, self.fallen = True, self.fallen + 1
-
-    def _next(self, worker: Worker) -> None:
-        kind = self.kind
-        while worker.queue and worker.busy < kind.cores and not worker.frozen:
+        fraction = (
+            self.model.cold_from + (1 - self.model.cold_from) * (self.now - worker.started) / self.model.warm_up_ms
+        )
+        return min(1.0, fraction)
+
+    def _check_overload(self, worker: Worker, work_ms: float) -> None:
+        model, warm_fraction = self.model, self.warm_fraction(worker)
+        worker.recent_work.append((self.now, work_ms))
+        while worker.recent_work and self.now - worker.recent_work[0][0] > model.overload_window_ms:
+            worker.recent_work.popleft()
+        budget = model.overload_multiple * warm_fraction * model.cores * model.overload_window_ms
+        if warm_fraction < 1 and sum(each for _, each in worker.recent_work) > budget:
+            worker.crashed, self.crashed_workers = True, self.crashed_workers + 1
+
+    def _start_jobs(self, worker: Worker) -> None:
+        model = self.model
+        while worker.queue and worker.busy_cores < model.cores and not worker.frozen:
             job = worker.queue.popleft()
-            if job.over:
+            if job.finished:
                 continue
-            if job.key >= 0 and self._repeated(worker.cell, job.key):
-                self._end(job, AttemptResult.OK)
+            if job.deduplication_key >= 0 and self._is_duplicate(worker.cell, job.deduplication_key):
+                self._finish(job, AttemptResult.OK)
                 continue
-            worker.busy += 1
-            took = kind.service_ms * job.units * worker.slow * quantile(kind.shape, job.u) / self.warmth(worker)
-            self._at(self.now + took, self._served, worker, job)
-
-    def _repeated(self, cell: int, key: int) -> bool:
-        keys = self._keys[cell]
-        while keys and self.now - next(iter(keys.values())) > self.kind.keep_ms:
+            worker.busy_cores += 1
+            duration_ms = (
+                model.service_ms
+                * job.units
+                * worker.slow
+                * quantile(model.shape, job.uniform)
+                / self.warm_fraction(worker)
+            )
+            self._schedule(self.now + duration_ms, self._complete, worker, job)
+
+    def _is_duplicate(self, cell: int, deduplication_key: int) -> bool:
+        keys = self._recent_keys[cell]
+        while keys and self.now - next(iter(keys.values())) > self.model.deduplication_window_ms:
             del keys[next(iter(keys))]
-        if key in keys:
+        if deduplication_key in keys:
             return True
-        keys[key] = self.now
+        keys[deduplication_key] = self.now
         return False
 
-    def _served(self, worker: Worker, job: Job) -> None:
+    def _complete(self, worker: Worker, job: Job) -> None:
         if worker.frozen:
-            worker.waiting.append(lambda: self._served(worker, job))
+            worker.deferred_calls.append(lambda: self._complete(worker, job))
             return
-        worker.busy -= 1
+        worker.busy_cores -= 1
         if worker.id not in self.workers:
-            self._end(job, AttemptResult.RESET)
+            self._finish(job, AttemptResult.RESET)
             return
-        self._next(worker)
-        if not worker.fallen and not worker.silent:
+        self._start_jobs(worker)
+        if not worker.crashed and not worker.silent:
             load = ()
-            if self.kind.reports:
-                load = (min(1.0, worker.busy / self.kind.cores), float(worker.busy + len(worker.queue)))
-            broken = worker.broken_share and job.u * 991 % 1 < worker.broken_share
-            self._ended(job, AttemptResult.ERROR if broken else AttemptResult.OK, load)
+            if self.model.load_reports:
+                load = (min(1.0, worker.busy_cores / self.model.cores), float(worker.busy_cores + len(worker.queue)))
+            broken = worker.broken_share and job.uniform * 991 % 1 < worker.broken_share
+            self._on_end(job, AttemptResult.ERROR if broken else AttemptResult.OK, load)
 
-    def _end(self, job: Job, result: AttemptResult) -> None:
-        self._ended(job, result, ())
+    def _finish(self, job: Job, result: AttemptResult) -> None:
+        self._on_end(job, result, ())
 
-    # ---- what goes wrong -----------------------------------------------------------------------
+    # ---- faults --------------------------------------------------------------------------------
 
-    def thaw(self, worker: Worker) -> None:
-        """A worker that stood still goes on with what came meanwhile."""
+    def resume(self, worker: Worker) -> None:
+        """Resume a frozen worker with what arrived and completed meanwhile."""
         worker.frozen = False
-        waiting, worker.waiting = worker.waiting, []
-        for call in waiting:
+        deferred_calls, worker.deferred_calls = worker.deferred_calls, []
+        for call in deferred_calls:
             call()
-        self._next(worker)
+        self._start_jobs(worker)
--- a/anisefront/testbed/model/scripted.py
+++ b/anisefront/testbed/model/scripted.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from anisefront.config.types import Config
-from anisefront.testbed.model.draws import Cause, Draws
+from anisefront.testbed.model.draws import Draws, Stream
 from anisefront.testbed.model.traces import Arrival
 from anisefront.testbed.script import Script
 
@@ -23,7 +23,7 @@
     for crowd in script.crowds:
         for number in range(crowd.count):
             customer += 1
-            rng = draws.generator(Cause.TRAFFIC, customer)
+            rng = draws.generator(Stream.TRAFFIC, customer)
             rate = (crowd.per_s or plans[crowd.plan].rate_per_s * crowd.of_quota) / 1000
             at = 0.0
             while at < script.length_ms:
--- a/anisefront/testbed/model/study.py
+++ b/anisefront/testbed/model/study.py
@@ -95,7 +95,7 @@
 
 def play(study: Study, option: int, seed: int) -> Figures:
     """One run in this process."""
-    from anisefront.testbed.model.world import World
+    from anisefront.testbed.model.world import Simulation
 
     spec = study.options[option]
     made, troubles = _made(spec), _lines(spec.troubles)
@@ -106,7 +106,7 @@
     chosen = made[seed % len(made)]
     if chosen.clients.retries:
         arrivals = [each for each in arrivals if not each.is_retry]  # these the model's clients make themselves
-    world = World(chosen, arrivals, troubles, seed)
+    world = Simulation(chosen, arrivals, troubles, seed)
     try:
         played = world.run()
     except Exception as problem:
@@ -121,37 +121,37 @@
             "by_class": played.by_class,
             "by_plan": played.by_plan,
             "waits": {second: round(max(waits), 2) for second, waits in played.waits_at.items()},
-            "out": played.out_at,
-            "refused": played.refused_at,
+            "out": played.in_flight_at,
+            "refused": played.refusals_at,
             "units": played.units,
         }
     return {
         "measures": played.measures(),
         "answers": played.answers,
         "reasons": played.reasons,
-        "fallen": played.fallen,
+        "fallen": played.crashed_workers,
         "series": json.loads(json.dumps(series)),
     }
 
 
 def option_of(spec: OptionSpec) -> Any:
     """The option without its fit."""
-    from anisefront.testbed.model.pool import Workers
+    from anisefront.testbed.model.pool import WorkerModel
     from anisefront.testbed.model.world import Clients, Network, Option
 
     config = config_of(spec.settings, spec.name)
     settings = config.settings
-    workers = Workers(
+    workers = WorkerModel(
         spec.workers,
         spec.cores,
         spec.queue,
         spec.service_ms,
         warm_up_ms=settings.warm_up_ms,
         cold_from=settings.slow_start_initial_factor,
-        fall_multiple=settings.overload_multiple,
-        fall_window_ms=settings.overload_window_ms,
+        overload_multiple=settings.overload_multiple,
+        overload_window_ms=settings.overload_window_ms,
         cells=spec.cells,
-        reports=bool(settings.load_report_fields),
+        load_reports=bool(settings.load_report_fields),
     )
     return Option(
         settings,
--- a/anisefront/testbed/model/troubles.py
+++ b/anisefront/testbed/model/troubles.py
@@ -1,7 +1,7 @@
-"""What goes wrong in a model's day: the lines of a day's script, by the same names as on loopback.
+"""Fault injection in the simulation: the fault lines of a day script, with the names that a loopback run uses.
 
 deploy, errors, broken-answers, slow, silence, freeze-workers, kill-workers, freeze-gatekeeper, kill-gatekeeper,
-datagrams, surge, partition, preempt; `logs`, `broken-roster` and `replay-datagrams` change nothing in a model
+datagrams, surge, partition, preempt; `logs`, `broken-roster` and `replay-datagrams` have no effect in the simulation
 """
 
 from __future__ import annotations
@@ -10,132 +10,132 @@
 from typing import TYPE_CHECKING, Any
 
 from anisefront.policy.events import EndpointStatus
-from anisefront.testbed.model.draws import Cause
+from anisefront.testbed.model.draws import Stream
 from anisefront.testbed.model.pool import Worker
 from anisefront.testbed.script import WORKER_FIGURES, Trouble
 
 if TYPE_CHECKING:
     from anisefront.testbed.model.traces import Arrival
-    from anisefront.testbed.model.world import World
+    from anisefront.testbed.model.world import Simulation
 
-WITHOUT_EFFECT = ("logs", "broken-roster", "replay-datagrams")
-TOLD_MS = 150.0  # of a drain: the roster is looked at ten times a second
-MOST_COPIES = 8
+IGNORED_FAULTS = ("logs", "broken-roster", "replay-datagrams")
+DRAIN_NOTICE_MS = 150.0  # until gatekeepers see a drain: the endpoint file is polled ten times a second
+MAX_COPIES = 8  # of one arrival during a surge
 
 
-class Troubles:
-    """The troubles of one run. It acts on the world; the world asks it about messages and surges."""
+class FaultInjector:
+    """Injects the faults of one run: it changes the simulation, which queries it about messages and surges."""
 
-    def __init__(self, world: World, troubles: Sequence[Trouble]) -> None:
-        self._world, self._planned = world, troubles
-        self.lose = self.double = 0.0
-        self._parted = 0
-        self._surges: dict[str, float] = {}
+    def __init__(self, simulation: Simulation, faults: Sequence[Trouble]) -> None:
+        self._simulation, self._planned_faults = simulation, faults
+        self.loss_rate = self.duplicate_rate = 0.0
+        self._active_partitions = 0
+        self._surge_factors: dict[str, float] = {}
 
     def plan(self) -> None:
-        """Put all on the world's agenda."""
-        for number, trouble in enumerate(self._planned):
-            if trouble.name in WORKER_FIGURES:
-                self._world.at(trouble.at_ms, self._on_figure, trouble.name, number, trouble.values)
-            elif trouble.name not in WITHOUT_EFFECT:
-                call = getattr(self, "_on_" + trouble.name.replace("-", "_"))
-                self._world.at(trouble.at_ms, call, number, trouble.values)
-
-    def parted(self, sender: int, receiver: int) -> bool:
-        """Whether the rooms of two gatekeepers can't reach each other now."""
-        zones = self._world.zones
-        return self._parted > 0 and sender % len(zones) != receiver % len(zones)
-
-    def copies(self, recorded: Arrival, index: int) -> int:
-        """How many times an arrival comes in a surge of its plan."""
-        times = self._surges.get(recorded.plan, 1.0)
+        """Schedule all faults."""
+        for number, fault in enumerate(self._planned_faults):
+            if fault.name in WORKER_FIGURES:
+                self._simulation.schedule(fault.at_ms, self._on_worker_attribute, fault.name, number, fault.values)
+            elif fault.name not in IGNORED_FAULTS:
+                call = getattr(self, "_on_" + fault.name.replace("-", "_"))
+                self._simulation.schedule(fault.at_ms, call, number, fault.values)
+
+    def partitioned(self, sender: int, receiver: int) -> bool:
+        """Whether a network partition separates the zones of two gatekeepers now."""
+        zones = self._simulation.zones
+        return self._active_partitions > 0 and sender % len(zones) != receiver % len(zones)
+
+    def copies(self, arrival: Arrival, index: int) -> int:
+        """Return how many copies of an arrival to send, given the surges of its plan."""
+        times = self._surge_factors.get(arrival.plan, 1.0)
         if times == 1.0:
             return 1
         whole = int(times)
-        return min(MOST_COPIES, whole + (self._world.draws.row(Cause.REQUESTS, index)[27] < times - whole))
+        return min(MAX_COPIES, whole + (self._simulation.draws.row(Stream.REQUESTS, index)[27] < times - whole))
 
-    def _for(self, values: dict[str, Any], call: Any, *more: object) -> None:
-        self._world.at(self._world.now + values.get("for", 5000.0), call, *more)
+    def _schedule_end(self, values: dict[str, Any], call: Any, *more: object) -> None:
+        self._simulation.schedule(self._simulation.now + values.get("for", 5000.0), call, *more)
 
-    def _some(self, number: int, values: dict[str, Any]) -> list[Worker]:
-        row = self._world.draws.row(Cause.TROUBLE, number)
-        ready = [worker for worker in self._world.pool.workers.values() if worker.state is EndpointStatus.READY]
-        ranked = sorted(range(len(ready)), key=lambda place: row[place % len(row)] + place // len(row))
-        return [ready[place] for place in ranked[: values.get("workers", 1)]]
+    def _select_workers(self, number: int, values: dict[str, Any]) -> list[Worker]:
+        row = self._simulation.draws.row(Stream.FAULTS, number)
+        ready = [worker for worker in self._simulation.pool.workers.values() if worker.state is EndpointStatus.READY]
+        ranked = sorted(range(len(ready)), key=lambda index: row[index % len(row)] + index // len(row))
+        return [ready[index] for index in ranked[: values.get("workers", 1)]]
 
     @staticmethod
-    def _set(workers: list[Worker], name: str, value: Any) -> None:
-        for worker in workers:
-            setattr(worker, name, value)
+    def _set(targets: list[Any], name: str, value: Any) -> None:
+        for target in targets:
+            setattr(target, name, value)
 
-    def _on_figure(self, name: str, number: int, values: dict[str, Any]) -> None:
-        figure, word, given, after = WORKER_FIGURES[name]
-        workers = self._some(number, values)
-        self._set(workers, figure, values.get(word, given))
-        self._for(values, self._set, workers, figure, after)
+    def _on_worker_attribute(self, name: str, number: int, values: dict[str, Any]) -> None:
+        attribute, key, default, reset_value = WORKER_FIGURES[name]
+        workers = self._select_workers(number, values)
+        self._set(workers, attribute, values.get(key, default))
+        self._schedule_end(values, self._set, workers, attribute, reset_value)
 
     def _on_freeze_workers(self, number: int, values: dict[str, Any]) -> None:
-        for worker in self._some(number, values):
+        for worker in self._select_workers(number, values):
             worker.frozen = True
-            self._for(values, self._world.pool.thaw, worker)
+            self._schedule_end(values, self._simulation.pool.resume, worker)
 
     def _on_kill_workers(self, number: int, values: dict[str, Any]) -> None:
-        for worker in self._some(number, values):
-            self._world.pool.remove(worker.id)
-        self._world.tell_fleet()
+        for worker in self._select_workers(number, values):
+            self._simulation.pool.remove(worker.id)
+        self._simulation.publish_endpoints()
 
     def _on_preempt(self, number: int, values: dict[str, Any]) -> None:
-        """Workers are taken away after a short notice, and cold ones come in their place after a while."""
-        for place, worker in enumerate(self._some(number, values)):
+        """Remove workers after a short notice, and start cold ones in their place later."""
+        for index, worker in enumerate(self._select_workers(number, values)):
             worker.state = EndpointStatus.DRAINING
-            self._world.at(self._world.now + values.get("notice", 2000.0), self._retire, worker.id)
-            self._world.at(self._world.now + values.get("for", 5000.0), self._cold, place)
-        self._world.tell_fleet(TOLD_MS)
+            self._simulation.schedule(self._simulation.now + values.get("notice", 2000.0), self._retire, worker.id)
+            self._simulation.schedule(self._simulation.now + values.get("for", 5000.0), self._start_cold_worker, index)
+        self._simulation.publish_endpoints(DRAIN_NOTICE_MS)
 
-    def _cold(self, place: int) -> None:
-        self._world.pool.add(place, self._world.now)
-        self._world.tell_fleet()
+    def _start_cold_worker(self, index: int) -> None:
+        self._simulation.pool.add(index, self._simulation.now)
+        self._simulation.publish_endpoints()
 
     def _on_freeze_gatekeeper(self, number: int, values: dict[str, Any]) -> None:
-        gate = values.get("number", 0) % len(self._world.gates)
-        self._world.gates[gate].frozen = []
-        self._for(values, self._world.thaw, gate)
+        instance = values.get("number", 0) % len(self._simulation.instances)
+        self._simulation.instances[instance].frozen = []
+        self._schedule_end(values, self._simulation.resume, instance)
 
     def _on_kill_gatekeeper(self, number: int, values: dict[str, Any]) -> None:
-        gate = values.get("number", 0) % len(self._world.gates)
-        self._world.stop(gate)
-        back = values.get("back-after", 1500.0) + self._world.option.network.start_ms
-        self._world.at(self._world.now + back, self._world.start, gate)
+        instance = values.get("number", 0) % len(self._simulation.instances)
+        self._simulation.kill(instance)
+        delay_ms = values.get("back-after", 1500.0) + self._simulation.option.network.start_ms
+        self._simulation.schedule(self._simulation.now + delay_ms, self._simulation.restart, instance)
 
     def _on_datagrams(self, number: int, values: dict[str, Any]) -> None:
-        self.lose, self.double = values.get("lose", 0.0), values.get("double", 0.0)
-        self._for(values, self._set, [self], "lose", 0.0)
-        self._for(values, self._set, [self], "double", 0.0)
+        self.loss_rate, self.duplicate_rate = values.get("lose", 0.0), values.get("double", 0.0)
+        self._schedule_end(values, self._set, [self], "loss_rate", 0.0)
+        self._schedule_end(values, self._set, [self], "duplicate_rate", 0.0)
 
     def _on_partition(self, number: int, values: dict[str, Any]) -> None:
-        self._parted += 1
-        self._for(values, self._heal)
+        self._active_partitions += 1
+        self._schedule_end(values, self._heal)
 
     def _heal(self) -> None:
-        self._parted -= 1
+        self._active_partitions -= 1
 
     def _on_surge(self, number: int, values: dict[str, Any]) -> None:
-        self._surges[values["plan"]] = values.get("times", 3.0)
-        self._for(values, self._surges.pop, values["plan"], None)
+        self._surge_factors[values["plan"]] = values.get("times", 3.0)
+        self._schedule_end(values, self._surge_factors.pop, values["plan"], None)
 
     def _on_deploy(self, number: int, values: dict[str, Any]) -> None:
-        old = [worker for worker in self._world.pool.workers.values() if worker.state is EndpointStatus.READY]
-        for place, worker in enumerate(old):
-            at = self._world.now + values.get("over", 10_000.0) * place / len(old)
-            self._world.at(at, self._replace, place, worker, values.get("drain", 2000.0))
+        old = [worker for worker in self._simulation.pool.workers.values() if worker.state is EndpointStatus.READY]
+        for index, worker in enumerate(old):
+            at = self._simulation.now + values.get("over", 10_000.0) * index / len(old)
+            self._simulation.schedule(at, self._replace, index, worker, values.get("drain", 2000.0))
 
-    def _replace(self, place: int, old: Worker, drain_ms: float) -> None:
+    def _replace(self, index: int, old: Worker, drain_ms: float) -> None:
         old.state = EndpointStatus.DRAINING
-        self._world.tell_fleet(TOLD_MS)
-        self._world.pool.add(place, self._world.now)
-        self._world.tell_fleet()
-        self._world.at(self._world.now + drain_ms, self._retire, old.id)
-
-    def _retire(self, name: str) -> None:
-        self._world.pool.remove(name)
-        self._world.tell_fleet()
+        self._simulation.publish_endpoints(DRAIN_NOTICE_MS)
+        self._simulation.pool.add(index, self._simulation.now)
+        self._simulation.publish_endpoints()
+        self._simulation.schedule(self._simulation.now + drain_ms, self._retire, old.id)
+
+    def _retire(self, worker_id: str) -> None:
+        self._simulation.pool.remove(worker_id)
+        self._simulation.publish_endpoints()
--- a/anisefront/testbed/model/world.py
+++ b/anisefront/testbed/model/world.py
@@ -1,8 +1,8 @@
-"""Discrete events: gatekeepers with the real module, their messages, the clients and the workers, from one seed.
+"""Discrete-event simulation of gatekeepers that run the real controller, their messages, clients and workers.
 
-What is drawn for a wish hangs on the wish alone (`draws.py`), so that two options meet the same world. What a client
-does after a refusal depends on the option, and from there on arrivals differ; their draws stay the wish's own. Times
-in milliseconds of the model; nothing here reads a clock.
+Random draws depend on the seed and the request alone (`draws.py`), so two options face the same random events. What a
+client does after a refusal depends on the option, so arrivals differ from there on, but each request keeps its own
+draws. Times are in milliseconds of simulated time; nothing here reads a clock.
 """
 
 from __future__ import annotations
@@ -16,104 +16,133 @@
 from anisefront.policy.controller import Controller
 from anisefront.policy.events import Arrival, AttemptEnded, AttemptResult, EndpointList, Event, PeerMessage, TimerFired
 from anisefront.policy.settings import Idempotency, Settings
-from anisefront.testbed.model.draws import Cause, Draws
-from anisefront.testbed.model.measures import Played
-from anisefront.testbed.model.pool import Job, Pool, Workers
-from anisefront.testbed.model.traces import Arrival as Recorded
+from anisefront.testbed.model.draws import Draws, Stream
+from anisefront.testbed.model.measures import RunMetrics
+from anisefront.testbed.model.pool import Job, WorkerModel, WorkerPool
+from anisefront.testbed.model.traces import Arrival as RecordedArrival
 from anisefront.testbed.model.traces import Attempt
-from anisefront.testbed.model.troubles import Troubles
+from anisefront.testbed.model.troubles import FaultInjector
 from anisefront.testbed.script import Trouble
 
-GRAIN_MS = 5.0  # wake-ups are kept to it, as the gatekeeper's ledger does
-LAST_MS = 30_000.0  # after the last arrival: longer than any deadline
-SOCKET_HOLDS = 250  # messages in a datagram socket of the usual size
-MOST_TRIES = 4  # of one wish; each has its own columns of the wish's draws
-_DOOR, _PAUSE, _LEFT, _SERVICE = 0, 4, 8, 12  # first columns of a wish's row
+TIMER_RESOLUTION_MS = 5.0  # timers are rounded up to it, as in the gatekeeper
+MAX_TAIL_MS = 30_000.0  # simulated after the last arrival; longer than any deadline
+SOCKET_BUFFER_MESSAGES = 250  # capacity of a datagram socket with the default buffer size
+MAX_CLIENT_ATTEMPTS = 4  # submissions of one request; each has its own columns in the request's row of draws
+# First columns of each group of draws in the row of a request.
+_GATEWAY_COLUMN = 0
+_PAUSE_COLUMN = 4
+_UNUSED_COLUMN = 8
+_SERVICE_TIME_COLUMN = 12
 
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """What the ways take and lose. Milliseconds, one way."""
+    """Network delays, one way and in milliseconds, and message loss."""
 
-    front_ms: float = 0.5  # between a client, over its proxy, and a gatekeeper
+    front_ms: float = 0.5  # between a client and a gatekeeper, including the proxy
     worker_ms: float = 1.0
-    peers_ms: tuple[float, float] = (2.0, 10.0)
-    lose: float = 0.0  # of messages between gatekeepers
-    roster_ms: float = 500.0
-    start_ms: float = 800.0  # from a gatekeeper's process being started to its first request
+    peers_ms: tuple[float, float] = (2.0, 10.0)  # between gatekeepers: minimum and maximum
+    lose: float = 0.0  # fraction of messages between gatekeepers that are lost
+    roster_ms: float = 500.0  # until gatekeepers see a change of the endpoint list
+    start_ms: float = 800.0  # from the start of a gatekeeper's process to its first request
 
 
 @dataclass(frozen=True, slots=True)
 class Clients:
-    """What those do that are refused."""
+    """How clients retry refused requests."""
 
     retries: int = 0
-    pause_ms: tuple[float, float] = (200.0, 1000.0)
+    pause_ms: tuple[float, float] = (200.0, 1000.0)  # before a retry: minimum and maximum
 
 
 @dataclass(frozen=True, slots=True)
 class Option:
-    """What is compared: settings as a gatekeeper has them, how many gatekeepers, the workers, the ways, the clients."""
+    """The configuration under comparison: settings, gatekeepers, workers, network and clients."""
 
     settings: Settings
     gateways: int = 3
     spread: int = 3
-    workers: Workers = Workers()  # noqa: RUF009 - frozen
+    workers: WorkerModel = WorkerModel()  # noqa: RUF009 - frozen
     network: Network = Network()  # noqa: RUF009 - frozen
     clients: Clients = Clients()  # noqa: RUF009 - frozen
-    zones: tuple[str, ...] = ()  # gatekeepers and workers are spread over them in turn; none: all in the settings' own
+    zones: tuple[str, ...] = ()  # assigned to gatekeepers and workers in turn; empty: the zone of the settings
 
 
-class Try:
-    """One request as a gatekeeper knows it."""
+class ClientRequest:
+    """One submission of a client's request to a gatekeeper; a retry is another submission of the same request."""
 
-    __slots__ = ("at", "attempts", "due", "ended", "gate", "heard", "recorded", "tries", "wish")
+    __slots__ = (
+        "arrival",
+        "attempts",
+        "deadline",
+        "ended",
+        "instance",
+        "received_at",
+        "request_index",
+        "retry_count",
+        "sent_at",
+    )
 
-    def __init__(self, recorded: Recorded, wish: int, tries: int, at: float, due: float, gate: int) -> None:
-        self.recorded, self.wish, self.tries, self.at, self.due, self.gate = recorded, wish, tries, at, due, gate
-        self.attempts, self.ended, self.heard = 0, False, at  # when its gatekeeper took it in
+    def __init__(
+        self,
+        arrival: RecordedArrival,
+        request_index: int,
+        retry_count: int,
+        sent_at: float,
+        deadline: float,
+        instance: int,
+    ) -> None:
+        self.arrival, self.request_index, self.retry_count, self.sent_at, self.deadline, self.instance = (
+            arrival,
+            request_index,
+            retry_count,
+            sent_at,
+            deadline,
+            instance,
+        )
+        self.attempts, self.ended, self.received_at = 0, False, sent_at  # received: by its gatekeeper
 
 
-class Gate:
-    """One gatekeeper: its module, and whether it runs."""
+class GatewayInstance:
+    """One gatekeeper: its controller and the state of its process."""
 
-    __slots__ = ("controller", "dead", "frozen", "life", "unread", "wakes")
+    __slots__ = ("controller", "dead", "frozen", "incarnation", "timers", "unread_messages")
 
     def __init__(self, controller: Controller) -> None:
-        self.controller, self.life, self.dead = controller, 0, False
-        self.frozen: list[Event] | None = None  # what came while it stood still
-        self.wakes: set[float] = set()
-        self.unread = 0  # messages that came while it stood still
+        self.controller, self.incarnation, self.dead = controller, 0, False
+        self.frozen: list[Event] | None = None  # events received while its process is paused; None: it runs
+        self.timers: set[float] = set()
+        self.unread_messages = 0  # peer messages received while its process is paused
 
 
-class World:
-    """One run of one option."""
+class Simulation:
+    """One simulated run of one option."""
 
     def __init__(
-        self, option: Option, arrivals: Sequence[Recorded], troubles: Sequence[Trouble] = (), seed: int = 1
+        self, option: Option, arrivals: Sequence[RecordedArrival], faults: Sequence[Trouble] = (), seed: int = 1
     ) -> None:
-        self.option, self.arrivals, self.draws, self.played = option, arrivals, Draws(seed), Played()
-        self.now, self._order, self._heap = 0.0, 0, list[tuple[float, int, Callable[..., None], tuple]]()
+        self.option, self.arrivals, self.draws, self.metrics = option, arrivals, Draws(seed), RunMetrics()
+        self.now, self._sequence, self._event_queue = 0.0, 0, list[tuple[float, int, Callable[..., None], tuple]]()
         settings = option.settings
         self.zones = option.zones or (settings.zone,)
-        self.pool = Pool(option.workers, self.zones, self.at, self._ended)
-        self.troubles = Troubles(self, troubles)
+        self.pool = WorkerPool(option.workers, self.zones, self.schedule, self._end_attempt)
+        self.faults = FaultInjector(self, faults)
         self._classes = {kind.name: kind for kind in settings.classes}
         self._plans = {plan.name: plan for plan in settings.plans}
-        self._tries: dict[int, Try] = {}
+        self._requests: dict[int, ClientRequest] = {}
         self._jobs: dict[tuple[int, int], Job] = {}
-        self._counts: dict[int, int] = {}  # attempts so far, by try
-        self._told = [0] * (option.gateways * option.gateways)  # messages of each pair so far
-        self._serial = self._out = 0
-        self._firsts: dict[str, int] = {}
-        self.attempts: list[Attempt] | None = None  # a list here is given all attempts that ended
-        self.lives = 0
-        self.gates = [Gate(self.module(n)) for n in range(option.gateways)]
-
-    def module(self, number: int) -> Controller:
-        """A gatekeeper's module as it is when its process starts."""
-        self.lives += 1
-        seed = int(self.draws.row(Cause.SEEDS, self.lives)[0] * (1 << 48))
+        self._attempt_counts: dict[int, int] = {}  # attempts so far, by request id
+        self._peer_message_counts = [0] * (option.gateways * option.gateways)  # messages so far, by sender and receiver
+        self._last_request_id = self._in_flight = 0
+        self._first_gateways: dict[str, int] = {}
+        self.attempt_log: list[Attempt] | None = None  # set to a list to record all ended attempts
+        self.incarnations = 0
+        self.instances = [GatewayInstance(self.create_controller(n)) for n in range(option.gateways)]
+
+    def create_controller(self, number: int) -> Controller:
+        """Create the controller of a gatekeeper whose process starts."""
+        self.incarnations += 1
+        seed = int(self.draws.row(Stream.SEEDS, self.incarnations)[0] * (1 << 48))
         settings = replace(
             self.option.settings,
             gateways=self.option.gateways,
@@ -122,276 +151,289 @@
         )
         return Controller(settings, seed)
 
-    def run(self) -> Played:
-        """Play to the end of the last request."""
-        for place in range(self.option.workers.count):
-            self.pool.add(place)
-        for gate in range(len(self.gates)):
-            self.at(0.0, self.hand, gate, self.fleet())
-        self.troubles.plan()
-        self.at(1000.0, self._each_second)
-        arrivals, place, heap = self.arrivals, 0, self._heap
-        last = (arrivals[-1].at if arrivals else 0.0) + LAST_MS
+    def run(self) -> RunMetrics:
+        """Run until the last request has ended, and return the metrics."""
+        for index in range(self.option.workers.count):
+            self.pool.add(index)
+        for instance in range(len(self.instances)):
+            self.schedule(0.0, self.deliver, instance, self.endpoint_list())
+        self.faults.plan()
+        self.schedule(1000.0, self._sample_in_flight)
+        arrivals, position, event_queue = self.arrivals, 0, self._event_queue
+        last = (arrivals[-1].at if arrivals else 0.0) + MAX_TAIL_MS
         while True:
-            due = arrivals[place].at if place < len(arrivals) else float("inf")
-            if heap and heap[0][0] < due:
-                if heap[0][0] > last:
+            next_arrival_at = arrivals[position].at if position < len(arrivals) else float("inf")
+            if event_queue and event_queue[0][0] < next_arrival_at:
+                if event_queue[0][0] > last:
                     break
-                self.now, _, call, values = heapq.heappop(heap)
+                self.now, _, call, values = heapq.heappop(event_queue)
                 self.pool.now = self.now
                 call(*values)
-            elif place < len(arrivals):
-                self.now = self.pool.now = due
-                for copy in range(self.troubles.copies(arrivals[place], place)):
-                    self._wish(place if copy == 0 else -place * 8 - copy, arrivals[place])
-                place += 1
+            elif position < len(arrivals):
+                self.now = self.pool.now = next_arrival_at
+                for copy in range(self.faults.copies(arrivals[position], position)):
+                    self._start_request(position if copy == 0 else -position * 8 - copy, arrivals[position])
+                position += 1
             else:
                 break
-            if place == len(arrivals) and not self._tries:
+            if position == len(arrivals) and not self._requests:
                 break
-        self.played.fallen = self.pool.fallen
-        return self.played
+        self.metrics.crashed_workers = self.pool.crashed_workers
+        return self.metrics
 
-    def at(self, at: float, call: Callable[..., None], *values: object) -> None:
-        """Plan a call."""
-        self._order += 1
-        heapq.heappush(self._heap, (at, self._order, call, values))
+    def schedule(self, at: float, call: Callable[..., None], *values: object) -> None:
+        """Schedule a call for a simulated time; calls for the same time run in the order of scheduling."""
+        self._sequence += 1
+        heapq.heappush(self._event_queue, (at, self._sequence, call, values))
 
-    def _each_second(self) -> None:
-        self.played.out_at[int(self.now // 1000)] = float(self._out)
-        self.at(self.now + 1000.0, self._each_second)
+    def _sample_in_flight(self) -> None:
+        self.metrics.in_flight_at[int(self.now // 1000)] = float(self._in_flight)
+        self.schedule(self.now + 1000.0, self._sample_in_flight)
 
     # ---- gatekeepers ---------------------------------------------------------------------------
 
-    def hand(self, number: int, *events: Event) -> None:
-        """Events for a gatekeeper, and what its module makes of them."""
-        gate = self.gates[number]
-        if gate.dead:
+    def deliver(self, number: int, *events: Event) -> None:
+        """Deliver events to a gatekeeper and execute the actions of its controller."""
+        instance = self.instances[number]
+        if instance.dead:
             return
-        if gate.frozen is not None:
+        if instance.frozen is not None:
             if isinstance(events[0], PeerMessage):
-                gate.unread += 1
-                if gate.unread > SOCKET_HOLDS:
-                    return  # nobody reads the socket, and it is full
-            gate.frozen += events
+                instance.unread_messages += 1
+                if instance.unread_messages > SOCKET_BUFFER_MESSAGES:
+                    return  # the paused process does not read its socket, whose buffer is full
+            instance.frozen += events
             return
         now = self.now
         for event in events:
-            if type(event) is Arrival and event.id in self._tries:
-                self._tries[event.id].heard = now
-        for action in gate.controller.handle(now, list(events)):
+            if type(event) is Arrival and event.id in self._requests:
+                self._requests[event.id].received_at = now
+        for action in instance.controller.handle(now, list(events)):
             if isinstance(action, SetTimer):
-                at = -(-(now + action.delay_ms) // GRAIN_MS) * GRAIN_MS
-                if at not in gate.wakes:
-                    gate.wakes.add(at)
-                    self.at(max(at, now + 0.01), self._wake, number, gate.life, at, action.name)
+                at = -(-(now + action.delay_ms) // TIMER_RESOLUTION_MS) * TIMER_RESOLUTION_MS
+                if at not in instance.timers:
+                    instance.timers.add(at)
+                    self.schedule(max(at, now + 0.01), self._fire_timer, number, instance.incarnation, at, action.name)
             elif isinstance(action, StartAttempt):
-                self._send(number, gate, action)
+                self._send(number, instance, action)
             elif isinstance(action, SendToPeer):
-                self._tell(number, action)
+                self._send_to_peer(number, action)
             elif isinstance(action, Reject):
-                self._answer(action.id, "refused", action.reason.value)
+                self._finish_request(action.id, "refused", action.reason.value)
             elif isinstance(action, Fail):
-                self._answer(action.id, "failed")
+                self._finish_request(action.id, "failed")
             elif isinstance(action, CancelAttempt):
                 job = self._jobs.get((action.id, action.attempt))
                 if job is not None:
-                    self.at(now, self._ended, job, AttemptResult.CANCELLED, ())
-
-    def _wake(self, number: int, life: int, at: float, name: str) -> None:
-        gate = self.gates[number]
-        if gate.life == life:
-            gate.wakes.discard(at)
-            self.hand(number, TimerFired(name))
-
-    def _tell(self, sender: int, action: SendToPeer) -> None:
-        pair = sender * len(self.gates) + action.receiver
-        self._told[pair] += 1
-        network, index = self.option.network, pair << 32 | self._told[pair]
-        lose, double = max(network.lose, self.troubles.lose), self.troubles.double
-        if lose and self.draws.one(Cause.MESSAGES, index, 0) < lose or self.troubles.parted(sender, action.receiver):
+                    self.schedule(now, self._end_attempt, job, AttemptResult.CANCELLED, ())
+
+    def _fire_timer(self, number: int, incarnation: int, at: float, name: str) -> None:
+        instance = self.instances[number]
+        if instance.incarnation == incarnation:
+            instance.timers.discard(at)
+            self.deliver(number, TimerFired(name))
+
+    def _send_to_peer(self, sender: int, action: SendToPeer) -> None:
+        pair = sender * len(self.instances) + action.receiver
+        self._peer_message_counts[pair] += 1
+        network, index = self.option.network, pair << 32 | self._peer_message_counts[pair]
+        loss_rate, duplicate_rate = max(network.lose, self.faults.loss_rate), self.faults.duplicate_rate
+        if (
+            loss_rate
+            and self.draws.uniform(Stream.MESSAGES, index, 0) < loss_rate
+            or self.faults.partitioned(sender, action.receiver)
+        ):
             return
         low, high = network.peers_ms
-        for copy in range(1 + (double > 0 and self.draws.one(Cause.MESSAGES, index, 1) < double)):
-            delay = low + (high - low) * self.draws.one(Cause.MESSAGES, index, 2 + copy)
-            self.at(self.now + delay, self.hand, action.receiver, PeerMessage(sender, action.data))
-
-    def stop(self, number: int) -> None:
-        """The process is killed: what it held is lost."""
-        gate = self.gates[number]
-        gate.dead, gate.life = True, gate.life + 1
-        for name, each in list(self._tries.items()):
-            if each.gate == number:
-                self._answer(name, "lost")
-
-    def start(self, number: int) -> None:
-        """A new life with nothing but the fleet list."""
-        gate = self.gates[number]
-        gate.controller, gate.dead, gate.frozen, gate.wakes = self.module(number), False, None, set()
-        self.hand(number, self.fleet())
-
-    def thaw(self, number: int) -> None:
-        """A gatekeeper that stood still hears all that came. Clients whose time is up have gone."""
-        gate = self.gates[number]
-        events, gate.frozen, gate.unread = gate.frozen or [], None, 0
-        for name, each in list(self._tries.items()):
-            if each.gate == number and each.due < self.now:
-                self._answer(name, "none")
-        if not gate.dead:
-            self.hand(number, *events)
+        for copy in range(1 + (duplicate_rate > 0 and self.draws.uniform(Stream.MESSAGES, index, 1) < duplicate_rate)):
+            delay = low + (high - low) * self.draws.uniform(Stream.MESSAGES, index, 2 + copy)
+            self.schedule(self.now + delay, self.deliver, action.receiver, PeerMessage(sender, action.data))
+
+    def kill(self, number: int) -> None:
+        """Kill a gatekeeper's process; the requests that it held are lost."""
+        instance = self.instances[number]
+        instance.dead, instance.incarnation = True, instance.incarnation + 1
+        for request_id, request in list(self._requests.items()):
+            if request.instance == number:
+                self._finish_request(request_id, "lost")
+
+    def restart(self, number: int) -> None:
+        """Start a new incarnation of a gatekeeper that knows the endpoint list and nothing else."""
+        instance = self.instances[number]
+        instance.controller, instance.dead, instance.frozen, instance.timers = (
+            self.create_controller(number),
+            False,
+            None,
+            set(),
+        )
+        self.deliver(number, self.endpoint_list())
+
+    def resume(self, number: int) -> None:
+        """Resume a paused gatekeeper with the events received meanwhile; clients past their deadline have left."""
+        instance = self.instances[number]
+        events, instance.frozen, instance.unread_messages = instance.frozen or [], None, 0
+        for request_id, request in list(self._requests.items()):
+            if request.instance == number and request.deadline < self.now:
+                self._finish_request(request_id, "none")
+        if not instance.dead:
+            self.deliver(number, *events)
 
     # ---- clients -------------------------------------------------------------------------------
 
-    def _wish(self, wish: int, recorded: Recorded) -> None:
-        self.played.wish(int(recorded.at // 1000), recorded.class_name, recorded.plan, self._worth(recorded))
-        self._try(wish, recorded, 0, recorded.left)
+    def _start_request(self, request_index: int, arrival: RecordedArrival) -> None:
+        self.metrics.record_request(
+            int(arrival.at // 1000), arrival.class_name, arrival.plan, self._request_value(arrival)
+        )
+        self._send_request(request_index, arrival, 0, arrival.left)
 
-    def _first(self, customer: str) -> int:
-        """The first gateway of a customer's set."""
-        first = self._firsts.get(customer)
+    def _first_gateway(self, customer: str) -> int:
+        """Return the first of the gateways that a customer is assigned to."""
+        first = self._first_gateways.get(customer)
         if first is None:
-            first = first_gateway(customer, self.option.settings.tag_key, len(self.gates))
-            self._firsts[customer] = first
+            first = first_gateway(customer, self.option.settings.tag_key, len(self.instances))
+            self._first_gateways[customer] = first
         return first
 
-    def _try(self, wish: int, recorded: Recorded, tries: int, left: float) -> None:
-        row, gates = self.draws.row(Cause.REQUESTS, abs(wish)), len(self.gates)
-        first, spread = self._first(recorded.customer), min(self.option.spread, gates)
-        if tries == 0 and 0 <= recorded.gateway < gates:
-            number = recorded.gateway
+    def _send_request(self, request_index: int, arrival: RecordedArrival, retry_count: int, left: float) -> None:
+        row, instances = self.draws.row(Stream.REQUESTS, abs(request_index)), len(self.instances)
+        first, spread = self._first_gateway(arrival.customer), min(self.option.spread, instances)
+        if retry_count == 0 and 0 <= arrival.gateway < instances:
+            number = arrival.gateway
         else:
-            number = (first + int(row[_DOOR + tries] * spread)) % gates
-        self._serial += 1
-        name, sent = self._serial, self.now
-        self._tries[name] = Try(recorded, wish, tries, sent, sent + left, number)
-        if self.gates[number].dead:
-            self.at(sent + self.option.network.front_ms, self._answer, name, "lost")
+            number = (first + int(row[_GATEWAY_COLUMN + retry_count] * spread)) % instances
+        self._last_request_id += 1
+        request_id, sent_at = self._last_request_id, self.now
+        self._requests[request_id] = ClientRequest(arrival, request_index, retry_count, sent_at, sent_at + left, number)
+        if self.instances[number].dead:
+            self.schedule(sent_at + self.option.network.front_ms, self._finish_request, request_id, "lost")
             return
-        self.at(
-            sent + self.option.network.front_ms,
-            self.hand,
+        self.schedule(
+            sent_at + self.option.network.front_ms,
+            self.deliver,
             number,
             Arrival(
-                name,
-                recorded.customer,
-                recorded.class_name,
-                recorded.plan,
-                sent + self.option.network.front_ms + left,
-                recorded.units,
+                request_id,
+                arrival.customer,
+                arrival.class_name,
+                arrival.plan,
+                sent_at + self.option.network.front_ms + left,
+                arrival.units,
                 first,
                 spread,
-                tries > 0 or recorded.is_retry,
-                recorded.copies,
+                retry_count > 0 or arrival.is_retry,
+                arrival.copies,
             ),
         )
 
-    def _worth(self, recorded: Recorded) -> float:
+    def _request_value(self, arrival: RecordedArrival) -> float:
         return (
-            self._classes[recorded.class_name].priority_weight
-            * self._plans[recorded.plan].priority_multiplier
-            * recorded.units
+            self._classes[arrival.class_name].priority_weight
+            * self._plans[arrival.plan].priority_multiplier
+            * arrival.units
         )
 
-    def _answer(self, name: int, how: str, reason: str = "") -> None:
-        each = self._tries.get(name)
-        if each is None or each.ended:
+    def _finish_request(self, request_id: int, how: str, reason: str = "") -> None:
+        request = self._requests.get(request_id)
+        if request is None or request.ended:
             return
-        each.ended = True
-        recorded, came = each.recorded, self.now + self.option.network.front_ms
-        self.played.answered(int(recorded.at // 1000), how, reason)
-        if how == "served" and came - each.at <= self._classes[recorded.class_name].latency_objective_ms:
-            self.played.granted(int(recorded.at // 1000), recorded.class_name, recorded.plan, self._worth(recorded))
-        elif how == "refused" and each.tries < min(self.option.clients.retries, MOST_TRIES - 1):
-            row, (low, high) = self.draws.row(Cause.REQUESTS, abs(each.wish)), self.option.clients.pause_ms
-            self.at(
-                came + low + (high - low) * row[_PAUSE + each.tries],
-                self._try,
-                each.wish,
-                recorded,
-                each.tries + 1,
-                recorded.left,
+        request.ended = True
+        arrival, answered_at = request.arrival, self.now + self.option.network.front_ms
+        self.metrics.record_answer(int(arrival.at // 1000), how, reason)
+        if how == "served" and answered_at - request.sent_at <= self._classes[arrival.class_name].latency_objective_ms:
+            self.metrics.record_served(
+                int(arrival.at // 1000), arrival.class_name, arrival.plan, self._request_value(arrival)
+            )
+        elif how == "refused" and request.retry_count < min(self.option.clients.retries, MAX_CLIENT_ATTEMPTS - 1):
+            row, (low, high) = self.draws.row(Stream.REQUESTS, abs(request.request_index)), self.option.clients.pause_ms
+            self.schedule(
+                answered_at + low + (high - low) * row[_PAUSE_COLUMN + request.retry_count],
+                self._send_request,
+                request.request_index,
+                arrival,
+                request.retry_count + 1,
+                arrival.left,
             )
-        if not each.attempts:
-            del self._tries[name]
+        if not request.attempts:
+            del self._requests[request_id]
 
     # ---- attempts ------------------------------------------------------------------------------
 
-    def _send(self, number: int, gate: Gate, action: StartAttempt) -> None:
-        each = self._tries.get(action.id)
-        if each is None:
-            self.hand(number, AttemptEnded(action.id, 0, action.endpoint, 0.0, AttemptResult.DISCARDED, True))
+    def _send(self, number: int, instance: GatewayInstance, action: StartAttempt) -> None:
+        request = self._requests.get(action.id)
+        if request is None:
+            self.deliver(number, AttemptEnded(action.id, 0, action.endpoint, 0.0, AttemptResult.DISCARDED, True))
             return
-        recorded, attempt = each.recorded, self._attempt(action.id)
+        arrival, attempt = request.arrival, self._next_attempt(action.id)
         if attempt == 0:
-            self.played.waited(int(recorded.at // 1000), self.now - each.heard)
-            self.played.units[recorded.plan] = self.played.units.get(recorded.plan, 0.0) + recorded.units
-        row = self.draws.row(Cause.REQUESTS, abs(each.wish))
-        keyed = self._classes[recorded.class_name].idempotency is Idempotency.KEYED
+            self.metrics.record_wait(int(arrival.at // 1000), self.now - request.received_at)
+            self.metrics.units[arrival.plan] = self.metrics.units.get(arrival.plan, 0.0) + arrival.units
+        row = self.draws.row(Stream.REQUESTS, abs(request.request_index))
+        keyed = self._classes[arrival.class_name].idempotency is Idempotency.KEYED
         job = Job(
             number,
-            gate.life,
+            instance.incarnation,
             action.id,
             attempt,
             action.endpoint,
             self.now,
             self.now + action.timeout_ms,
-            recorded.units,
-            each.wish if keyed else -1,
-            row[_SERVICE + (4 * each.tries + attempt) % 16],
+            arrival.units,
+            request.request_index if keyed else -1,
+            row[_SERVICE_TIME_COLUMN + (4 * request.retry_count + attempt) % 16],
         )
         self._jobs[action.id, attempt] = job
-        each.attempts += 1
-        self._out += 1
-        self.at(self.now + self.option.network.worker_ms, self.pool.reach, job)
-        self.at(job.allow_until, self._ended, job, AttemptResult.TIMEOUT, ())
-
-    def _attempt(self, name: int) -> int:
-        count = self._counts.get(name, 0)
-        self._counts[name] = count + 1
+        request.attempts += 1
+        self._in_flight += 1
+        self.schedule(self.now + self.option.network.worker_ms, self.pool.receive, job)
+        self.schedule(job.deadline, self._end_attempt, job, AttemptResult.TIMEOUT, ())
+
+    def _next_attempt(self, request_id: int) -> int:
+        count = self._attempt_counts.get(request_id, 0)
+        self._attempt_counts[request_id] = count + 1
         return count
 
-    def _ended(self, job: Job, result: AttemptResult, load: tuple[float, ...]) -> None:
-        """The first end of an attempt counts; the gatekeeper hears of it after the way back."""
-        if job.over:
+    def _end_attempt(self, job: Job, result: AttemptResult, load: tuple[float, ...]) -> None:
+        """End an attempt once; the gatekeeper receives the result after the network delay."""
+        if job.finished:
             return
-        job.over = True
+        job.finished = True
         delay = 0.0 if result in (AttemptResult.TIMEOUT, AttemptResult.CANCELLED) else self.option.network.worker_ms
-        self.at(self.now + delay, self._heard, job, result, load)
-
-    def _heard(self, job: Job, result: AttemptResult, load: tuple[float, ...]) -> None:
-        self._jobs.pop((job.number, job.attempt), None)
-        self._out -= 1
-        each, gate = self._tries.get(job.number), self.gates[job.gate]
-        if self.attempts is not None and each is not None:
-            worker = self.pool.workers.get(job.server)
-            self.attempts.append(
+        self.schedule(self.now + delay, self._report_result, job, result, load)
+
+    def _report_result(self, job: Job, result: AttemptResult, load: tuple[float, ...]) -> None:
+        self._jobs.pop((job.request_id, job.attempt), None)
+        self._in_flight -= 1
+        request, instance = self._requests.get(job.request_id), self.instances[job.instance]
+        if self.attempt_log is not None and request is not None:
+            worker = self.pool.workers.get(job.worker_id)
+            self.attempt_log.append(
                 Attempt(
-                    job.sent,
-                    job.server,
-                    each.recorded.class_name,
+                    job.sent_at,
+                    job.worker_id,
+                    request.arrival.class_name,
                     job.units,
                     result.value,
-                    self.now - job.sent,
+                    self.now - job.sent_at,
                     worker.started if worker else 0.0,
                 )
             )
-        if gate.life == job.life and gate.frozen is None and result is AttemptResult.OK:
-            self._answer(job.number, "served")
-        if each is not None:
-            each.attempts -= 1
-            if each.ended and not each.attempts:
-                self._tries.pop(job.number, None)
-                self._counts.pop(job.number, None)
-        if gate.life == job.life:
-            self.hand(
-                job.gate,
+        if instance.incarnation == job.incarnation and instance.frozen is None and result is AttemptResult.OK:
+            self._finish_request(job.request_id, "served")
+        if request is not None:
+            request.attempts -= 1
+            if request.ended and not request.attempts:
+                self._requests.pop(job.request_id, None)
+                self._attempt_counts.pop(job.request_id, None)
+        if instance.incarnation == job.incarnation:
+            self.deliver(
+                job.instance,
                 AttemptEnded(
-                    job.number,
+                    job.request_id,
                     job.attempt,
-                    job.server,
-                    self.now - job.sent,
+                    job.worker_id,
+                    self.now - job.sent_at,
                     result,
-                    each is None or each.ended,
+                    request is None or request.ended,
                     0.0,
                     0,
                     load,
@@ -400,12 +442,12 @@
 
     # ---- discovery -----------------------------------------------------------------------------
 
-    def fleet(self) -> EndpointList:
-        """A complete list of now."""
-        return EndpointList(self.pool.listed())
+    def endpoint_list(self) -> EndpointList:
+        """Return the current list of all workers."""
+        return EndpointList(self.pool.endpoints())
 
-    def tell_fleet(self, after_ms: float | None = None) -> None:
-        """All gatekeepers hear of the workers as they are now, after a while."""
-        fleet, delay = self.fleet(), self.option.network.roster_ms if after_ms is None else after_ms
-        for gate in range(len(self.gates)):
-            self.at(self.now + delay, self.hand, gate, fleet)
+    def publish_endpoints(self, after_ms: float | None = None) -> None:
+        """Send the current endpoint list to all gatekeepers after the discovery delay."""
+        endpoint_list, delay = self.endpoint_list(), self.option.network.roster_ms if after_ms is None else after_ms
+        for instance in range(len(self.instances)):
+            self.schedule(self.now + delay, self.deliver, instance, endpoint_list)
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -13,9 +13,9 @@
 import simpy
 
 from anisefront.testbed.model.draws import lognormal
-from anisefront.testbed.model.pool import Workers
+from anisefront.testbed.model.pool import WorkerModel
 from anisefront.testbed.model.traces import Arrival
-from anisefront.testbed.model.world import Network, Option, World
+from anisefront.testbed.model.world import Network, Option, Simulation
 from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 TURNS = 3
@@ -70,14 +70,14 @@
     ]
 
 
-class OnSimpy(World):
+class SimpySimulation(Simulation):
     """The same world whose agenda is a `simpy.Environment`."""
 
     def __init__(self, *values):
         self.env = simpy.Environment()
         super().__init__(*values)
 
-    def at(self, at, call, *values):
+    def schedule(self, at, call, *values):
         """As the world's own."""
         event = self.env.timeout(max(0.0, at - self.env.now))
         event.callbacks.append(lambda _: self._happen(call, values))
@@ -90,17 +90,17 @@
         """As the world's own."""
         for place in range(self.option.workers.count):
             self.pool.add(place)
-        for gate in range(len(self.gates)):
-            self.at(0.0, self.hand, gate, self.fleet())
+        for instance in range(len(self.instances)):
+            self.schedule(0.0, self.deliver, instance, self.endpoint_list())
         for place, each in enumerate(self.arrivals):
-            self.at(each.at, self._wish, place, each)
+            self.schedule(each.at, self._start_request, place, each)
         self.env.run(self.arrivals[-1].at + 3000.0)
-        return self.played
+        return self.metrics
 
 
 def option(gateways, workers):
     """A fleet of a size."""
-    return Option(SETTINGS, gateways, min(gateways, 8), Workers(workers, 2, 32, 40.0, lognormal(0.4)), Network())
+    return Option(SETTINGS, gateways, min(gateways, 8), WorkerModel(workers, 2, 32, 40.0, lognormal(0.4)), Network())
 
 
 def timed(kind, fleet, arrivals):
@@ -113,17 +113,17 @@
 
 def share(fleet, arrivals):
     """Of the time of a run, what the module took."""
-    world, spent = World(fleet, arrivals, (), 1), [0.0]
-    for gate in world.gates:
+    world, spent = Simulation(fleet, arrivals, (), 1), [0.0]
+    for instance in world.instances:
 
-        def handle(now, events, kept=gate.controller.handle):
+        def handle(now, events, kept=instance.controller.handle):
             began = time.perf_counter()
             try:
                 return kept(now, events)
             finally:
                 spent[0] += time.perf_counter() - began
 
-        gate.controller.handle = handle
+        instance.controller.handle = handle
     began = time.perf_counter()
     world.run()
     return spent[0] / (time.perf_counter() - began)
@@ -133,7 +133,7 @@
     """One fleet in a process of its own: seconds for a simulated second, and the most memory."""
     code = (
         f"from benchmarks.model import *; a = traffic({seconds}, {rate}, 4000); b = time.process_time();"
-        f"World(option({gateways}, {workers}), a, (), 1).run();"
+        f"Simulation(option({gateways}, {workers}), a, (), 1).run();"
         f"print(json.dumps([(time.process_time() - b) / {seconds},"
         "resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024]))"
     )
@@ -144,13 +144,13 @@
     arrivals, fleet = traffic(20, 200, 200), option(3, 20)
     rates = {"ours": [], "simpy": []}
     for _ in range(TURNS):
-        rates["ours"].append(timed(World, fleet, arrivals)[0])
-        rates["simpy"].append(timed(OnSimpy, fleet, arrivals)[0])
+        rates["ours"].append(timed(Simulation, fleet, arrivals)[0])
+        rates["simpy"].append(timed(SimpySimulation, fleet, arrivals)[0])
     ours, other = (statistics.median(rates[name]) for name in ("ours", "simpy"))
     print(f"requests a second on one core: {ours:.0f}; the same events on simpy {other:.0f} ({ours / other:.2f})")
     print(f"the module's share of the time: {share(fleet, arrivals):.2f}")
     cores = len(os.sched_getaffinity(0))
-    code = "from benchmarks.model import *; timed(World, option(3, 20), traffic(20, 200, 200))"
+    code = "from benchmarks.model import *; timed(Simulation, option(3, 20), traffic(20, 200, 200))"
     began = time.perf_counter()
     many = [subprocess.Popen([sys.executable, "-c", code]) for _ in range(cores)]
     for each in many:
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -11,8 +11,8 @@
 from anisefront.daemon.recorder import Recorder
 from anisefront.testbed.model import compare, traces
 from anisefront.testbed.model.traces import Arrival, Trace
-from anisefront.testbed.model.pool import Workers
-from anisefront.testbed.model.world import Option, World
+from anisefront.testbed.model.pool import WorkerModel
+from anisefront.testbed.model.world import Option, Simulation
 from anisefront.testbed.script import Trouble
 from anisefront.protocols import trace
 from anisefront.policy import events
@@ -123,9 +123,9 @@
 
 def test_the_same_seed_plays_the_same_day():
     option = Option(SETTINGS)
-    first, second = (World(option, traffic(10), (), 3).run() for _ in range(2))
+    first, second = (Simulation(option, traffic(10), (), 3).run() for _ in range(2))
     assert first.measures() == second.measures() and first.answers == second.answers
-    assert World(option, traffic(10), (), 4).run().waits != first.waits
+    assert Simulation(option, traffic(10), (), 4).run().waits != first.waits
     assert sum(first.answers.values()) == 600 and first.measures()["service"] > 0.9
 
 
@@ -145,9 +145,9 @@
     ids=lambda each: each.name,
 )
 def test_troubles_cost_service_and_every_request_ends(trouble):
-    option = Option(SETTINGS, workers=Workers(count=4, service_ms=35.0))
-    quiet = World(option, traffic(20), (), 1).run()
-    rough = World(option, traffic(20), (trouble,), 1).run()
+    option = Option(SETTINGS, workers=WorkerModel(count=4, service_ms=35.0))
+    quiet = Simulation(option, traffic(20), (), 1).run()
+    rough = Simulation(option, traffic(20), (trouble,), 1).run()
     assert sum(rough.answers.values()) == sum(quiet.answers.values()) == 1200
     assert rough.measures()["worst_10_s"] < quiet.measures()["worst_10_s"]
 
@@ -162,15 +162,15 @@
 
 
 def test_a_against_a_is_no_difference_and_fewer_workers_are_worse():
-    arrivals, fine = traffic(15), Option(SETTINGS, workers=Workers(count=5, service_ms=40.0))
-    poor = Option(SETTINGS, workers=Workers(count=1, service_ms=40.0))
+    arrivals, fine = traffic(15), Option(SETTINGS, workers=WorkerModel(count=5, service_ms=40.0))
+    poor = Option(SETTINGS, workers=WorkerModel(count=1, service_ms=40.0))
     both = [fine, poor]
-    played = [[World(option, arrivals, (), seed).run().measures() for seed in range(1, 9)] for option in both]
+    played = [[Simulation(option, arrivals, (), seed).run().measures() for seed in range(1, 9)] for option in both]
     found = compare.findings(*played)
     assert {each.measure: each.verdict for each in found}["service"] == "worse"
     assert compare.enough(played[0], played[0]) == 8 and compare.enough(*played, narrow=1e-6) is None
     rng, alarms = np.random.default_rng(2), 0
-    pool = [World(fine, arrivals, (), seed).run().measures() for seed in range(24)]
+    pool = [Simulation(fine, arrivals, (), seed).run().measures() for seed in range(24)]
     for _ in range(60):
         drawn = rng.permutation(24)
         found = compare.findings([pool[n] for n in drawn[:12]], [pool[n] for n in drawn[12:]])
--- a/tests/test_study.py
+++ b/tests/test_study.py
@@ -15,12 +15,12 @@
 from anisefront.testbed.day import settings_text
 from anisefront.testbed.model import fit as fitting
 from anisefront.testbed.model import imported, search, traces
-from anisefront.testbed.model.draws import Cause, Draws, lognormal, quantile
-from anisefront.testbed.model.pool import Workers
+from anisefront.testbed.model.draws import Stream, Draws, lognormal, quantile
+from anisefront.testbed.model.pool import WorkerModel
 from anisefront.testbed.model.store import Store
 from anisefront.testbed.model.study import OptionSpec, Runner, Study, Traffic, Unfit, collect, play
 from anisefront.testbed.model.traces import Arrival, Attempt, Trace
-from anisefront.testbed.model.world import Clients, Network, Option, World
+from anisefront.testbed.model.world import Clients, Network, Option, Simulation
 from anisefront.testbed.script import Trouble
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -50,19 +50,19 @@
 def test_draws_hang_on_seed_cause_and_index_alone():
     one, other = Draws(3), Draws(3)
     wanted = [0, 5000, 3, 10**9, 5000, 1023, 1024]
-    rows = [one.row(Cause.REQUESTS, index) for index in wanted]
-    assert rows == [other.row(Cause.REQUESTS, index) for index in reversed(wanted)][::-1]
-    few = [one.one(Cause.MESSAGES, n << 32 | m, c) for n in range(20) for m in range(40) for c in range(3)]
+    rows = [one.row(Stream.REQUESTS, index) for index in wanted]
+    assert rows == [other.row(Stream.REQUESTS, index) for index in reversed(wanted)][::-1]
+    few = [one.uniform(Stream.MESSAGES, n << 32 | m, c) for n in range(20) for m in range(40) for c in range(3)]
     assert (
         len(set(few)) == 2400
         and np.mean(few) == pytest.approx(0.5, abs=0.02)
         and np.std(few) == pytest.approx(12**-0.5, abs=0.01)
-        and few[7] == other.one(Cause.MESSAGES, 2, 1)
+        and few[7] == other.uniform(Stream.MESSAGES, 2, 1)
     )
-    assert one.row(Cause.MESSAGES, 3) != one.row(Cause.REQUESTS, 3) != Draws(4).row(Cause.REQUESTS, 3)
+    assert one.row(Stream.MESSAGES, 3) != one.row(Stream.REQUESTS, 3) != Draws(4).row(Stream.REQUESTS, 3)
     for index in range(0, 1024 * 200, 1024):  # blocks are let go, and made again the same
-        one.row(Cause.REQUESTS, index)
-    assert len(one._blocks) <= 64 and one.row(Cause.REQUESTS, 5000) == rows[1]
+        one.row(Stream.REQUESTS, index)
+    assert len(one._blocks) <= 64 and one.row(Stream.REQUESTS, 5000) == rows[1]
 
 
 def test_quantiles_of_a_shape():
@@ -82,29 +82,29 @@
 
 
 def test_repeats_of_clients_hang_on_the_option_and_their_draws_on_the_wish():
-    arrivals, option = traffic(15, rate=150), Option(SETTINGS, workers=Workers(count=4, service_ms=40.0))
+    arrivals, option = traffic(15, rate=150), Option(SETTINGS, workers=WorkerModel(count=4, service_ms=40.0))
     from dataclasses import replace
 
-    once = World(option, arrivals, (), 2).run()
-    again = World(replace(option, clients=Clients(retries=2)), arrivals, (), 2).run()
+    once = Simulation(option, arrivals, (), 2).run()
+    again = Simulation(replace(option, clients=Clients(retries=2)), arrivals, (), 2).run()
     assert sum(once.answers.values()) == len(arrivals) < sum(again.answers.values()) <= 3 * len(arrivals)
-    assert again.asked == once.asked  # a wish counts once, however often it is tried
+    assert again.requested_value == once.requested_value  # a wish counts once, however often it is tried
 
 
 def test_surges_come_from_a_trace_too():
     arrivals = traffic(10)
     surge = Trouble(2000, "surge", {"plan": "small", "times": 2.5, "for": 4000.0})
-    plain, more = (World(Option(SETTINGS), arrivals, troubles, 1).run() for troubles in ((), (surge,)))
+    plain, more = (Simulation(Option(SETTINGS), arrivals, troubles, 1).run() for troubles in ((), (surge,)))
     extra = sum(2000 <= each.at < 6000 for each in arrivals)
     assert sum(more.answers.values()) - sum(plain.answers.values()) == pytest.approx(1.5 * extra, rel=0.1)
 
 
 def test_a_partition_parts_rooms_and_heals():
     option = Option(SETTINGS, gateways=4, spread=4, zones=("a", "b"), network=Network(lose=0.0))
-    world = World(option, traffic(5), (Trouble(1000, "partition", {"for": 2000.0}),), 1)
+    world = Simulation(option, traffic(5), (Trouble(1000, "partition", {"for": 2000.0}),), 1)
     seen = []
-    kept = world.troubles.parted
-    world.troubles.parted = (
+    kept = world.faults.partitioned
+    world.faults.partitioned = (
         lambda sender, receiver: seen.append((world.now, sender, receiver, kept(sender, receiver))) or seen[-1][3]
     )
     world.run()
@@ -115,9 +115,11 @@
 
 
 def test_cold_workers_that_are_sent_too_much_fall():
-    workers = Workers(count=2, service_ms=60.0, fall_multiple=0.3, fall_window_ms=1000.0, warm_up_ms=8000.0)
-    played = World(Option(SETTINGS, workers=workers), traffic(15), (Trouble(1000, "deploy", {"over": 500.0}),), 1).run()
-    assert played.fallen
+    workers = WorkerModel(count=2, service_ms=60.0, overload_multiple=0.3, overload_window_ms=1000.0, warm_up_ms=8000.0)
+    played = Simulation(
+        Option(SETTINGS, workers=workers), traffic(15), (Trouble(1000, "deploy", {"over": 500.0}),), 1
+    ).run()
+    assert played.crashed_workers
 
 
 # ---- studies --------------------------------------------------------------------------------------------------
@@ -198,17 +200,17 @@
 
 @pytest.mark.parametrize(("service", "cold"), [(40.0, 0.2), (20.0, 0.5)])
 def test_a_fit_finds_the_workers_that_made_the_trace(service, cold):
-    workers = Workers(count=5, service_ms=service, cold_from=cold, warm_up_ms=8000, shape=lognormal(0.4))
+    workers = WorkerModel(count=5, service_ms=service, cold_from=cold, warm_up_ms=8000, shape=lognormal(0.4))
     # Enough to do that workers queue now and then, or nothing tells how many cores they have.
-    world = World(
+    world = Simulation(
         Option(SETTINGS, workers=workers),
         traffic(40, rate=130.0),
         (Trouble(6000, "deploy", {"over": 8000.0, "drain": 2000.0}),),
         3,
     )
-    world.attempts = []
+    world.attempt_log = []
     world.run()
-    found = fitting.fit(Trace(attempts=world.attempts), 8000.0, draws=20)
+    found = fitting.fit(Trace(attempts=world.attempt_log), 8000.0, draws=20)
     assert found.best.service_ms == pytest.approx(service, rel=0.06)
     assert found.best.cold_from == pytest.approx(cold, abs=0.08) and found.best.cores == 2
     low, high = found.interval("service_ms")
@@ -216,7 +218,7 @@
     back = fitting.Fit.from_json(json.loads(json.dumps(found.to_json())))
     assert back == found
     with pytest.raises(fitting.TooShort, match="200 are due"):
-        fitting.fit(Trace(attempts=world.attempts[:150]), 8000.0)
+        fitting.fit(Trace(attempts=world.attempt_log[:150]), 8000.0)
     with pytest.raises(ValueError, match="is missing"):
         fitting.Fit.from_json({"best": {}})
 
@@ -235,12 +237,12 @@
 
 
 def test_times_of_messages_are_found_by_playing_the_trace_again():
-    arrivals, workers = traffic(25, rate=90.0), Workers(count=4, service_ms=35.0)
+    arrivals, workers = traffic(25, rate=90.0), WorkerModel(count=4, service_ms=35.0)
     option = Option(SETTINGS, workers=workers)
-    world = World(Option(SETTINGS, workers=workers, network=Network(peers_ms=(2.0, 8.0))), arrivals, (), 9)
-    world.attempts = []
+    world = Simulation(Option(SETTINGS, workers=workers, network=Network(peers_ms=(2.0, 8.0))), arrivals, (), 9)
+    world.attempt_log = []
     waits = [(0.0, wait) for wait in world.run().waits]
-    trace = Trace(arrivals, world.attempts, waits)
+    trace = Trace(arrivals, world.attempt_log, waits)
     rough = fitting.fit(trace, 5000.0, draws=3)
     from dataclasses import replace
 
@@ -248,7 +250,7 @@
     found = fitting.refined(off, option, trace)
     assert sum(found.best.peers_ms) == pytest.approx(10.0, rel=0.07)
     assert found.draws[0].peers_ms[1] / rough.draws[0].peers_ms[1] == pytest.approx(sum(found.best.peers_ms) / 13.0)
-    assert fitting.refined(off, option, Trace(arrivals, world.attempts, waits[:20])) == off
+    assert fitting.refined(off, option, Trace(arrivals, world.attempt_log, waits[:20])) == off
 
 
 # ---- search ---------------------------------------------------------------------------------------------------
