--- a/anisefront/testbed/model/world.py
+++ b/anisefront/testbed/model/world.py
@@ -17,11 +17,11 @@
 from anisefront.policy.events import Arrival, AttemptEnded, AttemptResult, EndpointList, Event, PeerMessage, TimerFired
 from anisefront.policy.settings import Idempotency, Settings
 from anisefront.testbed.model.draws import Draws, Stream
+from anisefront.testbed.model.faults import FaultInjector
 from anisefront.testbed.model.measures import RunMetrics
 from anisefront.testbed.model.pool import Job, WorkerModel, WorkerPool
 from anisefront.testbed.model.traces import Arrival as RecordedArrival
 from anisefront.testbed.model.traces import Attempt
-from anisefront.testbed.model.troubles import FaultInjector
 from anisefront.testbed.script import Trouble
 
 TIMER_RESOLUTION_MS = 5.0  # timers are rounded up to it, as in the gatekeeper
