--- a/anisefront/cli/load.py
+++ b/anisefront/cli/load.py
@@ -70,7 +70,7 @@
             raise click.ClickException(
                 "; ".join(f"{day}:{problem.location.line}: {problem.message}" for problem in problems)
             )
-        arrivals = scripted.arrivals(script, config, seed)
+        arrivals = scripted.generate_arrivals(script, config, seed)
     else:
         trace = recorded.load(traces)
         for problem in trace.problems:
--- a/anisefront/cli/model.py
+++ b/anisefront/cli/model.py
@@ -13,8 +13,8 @@
 import click
 
 from anisefront.testbed.model.store import Store
-from anisefront.testbed.model.study import OptionSpec, Runner, Study, Traffic, Unfit, collect, config_of
-from anisefront.testbed.model.study import option_of
+from anisefront.testbed.model.study import OptionSpec, Runner, Study, Traffic, InvalidStudyError, collect, load_config
+from anisefront.testbed.model.study import build_option
 
 BATCH = 8  # seeds that are run before the stop condition is checked again
 _OPTION_KEYS: dict[str, tuple[str, Callable[[str], Any]]] = {
@@ -39,7 +39,7 @@
     def invoke(self, context: click.Context) -> Any:
         try:
             return super().invoke(context)
-        except Unfit as error:
+        except InvalidStudyError as error:
             raise click.ClickException(str(error)) from error
 
 
@@ -59,21 +59,21 @@
     try:
         settings = Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise Unfit(f"{path}: {error}") from error
+        raise InvalidStudyError(f"{path}: {error}") from error
     values: dict[str, Any] = {"name": text, **spec_values}
     for pair in pairs:
         key, equals, value = pair.partition("=")
         if key not in _OPTION_KEYS or not equals:
-            raise Unfit(f"{pair!r} in {text!r}: write key=value, with a key of {', '.join(_OPTION_KEYS)}")
+            raise InvalidStudyError(f"{pair!r} in {text!r}: write key=value, with a key of {', '.join(_OPTION_KEYS)}")
         name, parse = _OPTION_KEYS[key]
         try:
             values[name] = parse(value)
         except ValueError as error:
-            raise Unfit(f"{pair!r} in {text!r}: {error}") from error
+            raise InvalidStudyError(f"{pair!r} in {text!r}: {error}") from error
     if values.get("gatekeepers", 3) < 1 or values.get("workers", 10) < 1 or values.get("cores", 2) < 1:
-        raise Unfit(f"{text!r}: at least one gatekeeper, worker and core are due")
+        raise InvalidStudyError(f"{text!r}: at least one gatekeeper, worker and core are due")
     spec = OptionSpec(settings=settings, **values)
-    config_of(spec.settings, path)  # reports errors in the settings before any run
+    load_config(spec.settings, path)  # reports errors in the settings before any run
     return spec
 
 
@@ -119,7 +119,7 @@
 
 def _build_study(texts: tuple[str, ...], shared_options: dict[str, Any]) -> Study:
     if bool(shared_options["traces"]) == bool(shared_options["day"]):
-        raise Unfit("what comes is due: --trace FILE for each gatekeeper, or --day SCRIPT")
+        raise InvalidStudyError("what comes is due: --trace FILE for each gatekeeper, or --day SCRIPT")
     spec_values: dict[str, Any] = {"troubles": tuple(shared_options["troubles"])}
     if shared_options["fitted"]:
         from anisefront.testbed.model.fit import Fit
@@ -127,8 +127,8 @@
         try:
             fits = [Fit.from_json(json.loads(Path(path).read_text())) for path in shared_options["fitted"]]
         except ValueError as error:
-            raise Unfit(f"--fit: {error}; make it with `anisefront model fit`") from error
-        spec_values["fit"] = json.dumps(Fit.joined(fits).to_json())
+            raise InvalidStudyError(f"--fit: {error}; make it with `anisefront model fit`") from error
+        spec_values["fit"] = json.dumps(Fit.merged(fits).to_json())
     day = Path(shared_options["day"]).read_text() if shared_options["day"] else ""
     if day:
         spec_values |= _fleet_of_day(day)
@@ -148,7 +148,9 @@
 
     script, problems = scripts.read(text)
     if problems:
-        raise Unfit("; ".join(f"the day, line {problem.location.line}: {problem.message}" for problem in problems))
+        raise InvalidStudyError(
+            "; ".join(f"the day, line {problem.location.line}: {problem.message}" for problem in problems)
+        )
     workers = script.workers
     return {
         "gatekeepers": script.gatekeepers,
@@ -202,11 +204,11 @@
         Runner(shared_options["processes"]) as runner,
         _Progress(seeds * len(study.options)) as progress,
     ):
-        name = store.begin(study, kind)
-        known = store.known(name)
+        name = store.add_study(study, kind)
+        known = store.load_runs(name)
 
         def store_run(option: int, seed: int, figures: dict) -> None:
-            store.keep(name, option, seed, figures)
+            store.save_run(name, option, seed, figures)
             progress.advance()
 
         runs: list[list[dict]] = []
@@ -245,18 +247,18 @@
     Exit with 1 if AFTER is worse in some measure. An interrupted comparison continues with the stored runs."""
     from anisefront.testbed.model import compare as comparison
 
-    if runs < comparison.LEAST_RUNS:
-        raise Unfit(f"--runs {runs}: at least {comparison.LEAST_RUNS} pairs are due for an interval")
+    if runs < comparison.MIN_RUNS:
+        raise InvalidStudyError(f"--runs {runs}: at least {comparison.MIN_RUNS} pairs are due for an interval")
     study = _build_study((before, after), shared_options)
 
     def enough(results: list[list[dict]]) -> int | None:
         first, second = ([run_result["measures"] for run_result in option] for option in results)
-        return comparison.enough(first, second, narrow)
+        return comparison.runs_for_precision(first, second, narrow)
 
     name, results = _run_study(study, "compare", runs, shared_options, enough)
-    findings = comparison.findings(*([run_result["measures"] for run_result in option] for option in results))
+    findings = comparison.compare_measures(*([run_result["measures"] for run_result in option] for option in results))
     for finding in findings:
-        click.echo(comparison.words(finding, len(results[0])))
+        click.echo(comparison.format_comparison(finding, len(results[0])))
     click.echo(f"study {name}", err=True)
     sys.exit(1 if any(finding.verdict == "worse" for finding in findings) else 0)
 
@@ -280,12 +282,12 @@
         click.echo(problem, err=True)
     try:
         text = Path(settings).read_text()
-        worker_fit = fitting.fit(trace, config_of(text, settings).settings.warm_up_ms)
+        worker_fit = fitting.fit(trace, load_config(text, settings).settings.warm_up_ms)
         if workers:
             spec = OptionSpec(settings, text, len(traces), workers)
-            worker_fit = fitting.refined(worker_fit, option_of(spec), trace)
-    except fitting.TooShort as error:
-        raise Unfit(str(error)) from error
+            worker_fit = fitting.fit_message_delays(worker_fit, build_option(spec), trace)
+    except fitting.TraceTooShortError as error:
+        raise InvalidStudyError(str(error)) from error
     json.dump(worker_fit.to_json(), out)
     out.write("\n")
     click.echo(f"{worker_fit.attempts} attempts, {worker_fit.cold_attempts} of them at cold workers", err=True)
@@ -330,11 +332,11 @@
     ):
 
         def run_seeds(studied: Study, seeds: list[int]) -> list[dict[str, float]]:
-            name = store.begin(studied, "search")
-            known = store.known(name)
+            name = store.add_study(studied, "search")
+            known = store.load_runs(name)
 
             def store_run(number: int, seed: int, figures: dict) -> None:
-                store.keep(name, number, seed, figures)
+                store.save_run(name, number, seed, figures)
                 progress.advance()
 
             return [run_result["measures"] for run_result in collect(runner, studied, seeds, known, store_run)[0]]
@@ -354,7 +356,7 @@
     import datetime
 
     with Store(store_path) as store:
-        for row in store.listed():
+        for row in store.list_studies():
             created = datetime.datetime.fromtimestamp(row["made_s"]).strftime("%Y-%m-%d %H:%M")
             click.echo(f"{row['id']}  {created}  {row['kind']:8} {row['runs']:4} runs  {' | '.join(row['options'])}")
 
@@ -370,18 +372,18 @@
 
     with Store(store_path) as store:
         try:
-            stored_study = store.study(study)
+            stored_study = store.find_study(study)
         except KeyError as error:
-            raise Unfit(f"{study!r} names no study, or several: see `anisefront model list`") from error
-        names = [row["id"] for row in store.listed() if row["id"].startswith(study)]
-        known = store.known(names[0])
+            raise InvalidStudyError(f"{study!r} names no study, or several: see `anisefront model list`") from error
+        names = [row["id"] for row in store.list_studies() if row["id"].startswith(study)]
+        known = store.load_runs(names[0])
     seeds = [
         seed
         for seed in sorted({seed for _, seed in known})
         if all((number, seed) in known for number in range(len(stored_study.options)))
     ]
     if not seeds or not stored_study.series:
-        raise Unfit(f"study {names[0]} has no complete run with time series to plot")
+        raise InvalidStudyError(f"study {names[0]} has no complete run with time series to plot")
     runs = [[known[number, seed] for seed in seeds] for number in range(len(stored_study.options))]
-    Path(out).write_text(model_report.page(stored_study, names[0], runs, Path(plots) if plots else None))
+    Path(out).write_text(model_report.render_page(stored_study, names[0], runs, Path(plots) if plots else None))
     click.echo(f"{out}: {len(seeds)} runs of each option")
--- a/anisefront/cli/trace.py
+++ b/anisefront/cli/trace.py
@@ -30,7 +30,7 @@
     from anisefront.testbed.model import traces
 
     with open(out, "wb") as file:
-        file.write(traces.written(recorded))
+        file.write(traces.encode_trace(recorded))
     click.echo(f"{out}: {len(recorded.arrivals)} arrivals, {len(recorded.attempts)} attempts")
 
 
@@ -85,7 +85,7 @@
     """Replace customers by new pseudonyms, and workers by numbers."""
     from anisefront.testbed.model import traces
 
-    _write(traces.anonymised(_load(files), key.encode()), out)
+    _write(traces.anonymise(_load(files), key.encode()), out)
 
 
 @trace.command("import")
--- a/anisefront/testbed/load/plan.py
+++ b/anisefront/testbed/load/plan.py
@@ -41,13 +41,13 @@
     out = []
     for number, each in enumerate(arrivals):
         route = routes[each.class_name]
-        front = "jsonrpc" if each.copies else "grpc"
+        front = "jsonrpc" if each.hedging_allowed else "grpc"
         if front not in fronts:
             front = fronts[0]
         headers = [
             (config.customer_header, each.customer.partition(":")[2] or each.customer),
             ("x-request-id", f"load-{number}"),
-            ("x-envoy-expected-rq-timeout-ms", str(int(each.left))),
+            ("x-envoy-expected-rq-timeout-ms", str(int(each.remaining_ms))),
         ]
         if route.units_header:
             headers.append((route.units_header, f"{each.units:g}"))
@@ -55,7 +55,15 @@
             headers.append((config.repeat_header, "1"))
         method = route.pattern.methods[0] if route.pattern.methods[0] != "*" else "GET"
         out.append(
-            Shot(each.at / 1000 / speed, front, method, route.pattern.path, tuple(headers), each.class_name, each.left)
+            Shot(
+                each.at / 1000 / speed,
+                front,
+                method,
+                route.pattern.path,
+                tuple(headers),
+                each.class_name,
+                each.remaining_ms,
+            )
         )
     return out
 
--- a/anisefront/testbed/model/__init__.py
+++ b/anisefront/testbed/model/__init__.py
@@ -1,1 +1,1 @@
-"""A model of the fleet that runs the very module of the gatekeepers, and what is needed to ask it things."""
+"""Simulation of a fleet whose gatekeepers run the real controller, with fitting, comparison, search and reports."""
--- a/anisefront/testbed/model/fit.py
+++ b/anisefront/testbed/model/fit.py
@@ -1,7 +1,8 @@
-"""What workers are like, from what gatekeepers recorded: service times, cores, the way there and back, cold starts.
+"""Fit of worker parameters to recorded traces: service times, cores, network delays and cold starts.
 
-Every figure comes with its uncertainty: blocks of time are drawn again (Künsch, "The jackknife and the bootstrap for
-general stationary observations", 1989) and all is fitted anew, so that a forecast can carry what the trace leaves open.
+Every parameter comes with its uncertainty: blocks of time are resampled (Künsch, "The jackknife and the bootstrap for
+general stationary observations", 1989) and everything is fitted again, so that a forecast includes the uncertainty
+that the trace leaves.
 """
 
 from __future__ import annotations
@@ -19,39 +20,43 @@
 from anisefront.testbed.model.world import Network, Option, Simulation
 from anisefront.testbed.script import Trouble
 
-SCALES = tuple(0.6 + 0.05 * step for step in range(13))
-BLOCK_MS = 2000.0  # longer than what one attempt's trouble lasts
-PEERS_MS, MOST_ROUND_MS = (2.0, 10.0), 60.0  # where nothing tells them; a home that answers later was asked again
-DRAWS, POINTS, LEAST, MOST_CORES = 40, 65, 200, 16
+PEER_DELAY_SCALES = tuple(0.6 + 0.05 * step for step in range(13))
+BLOCK_MS = 2000.0  # longer than the effects of a single attempt last
+DEFAULT_PEERS_MS = (2.0, 10.0)  # delay of peer messages if the trace does not determine it: minimum and maximum
+MAX_ROUND_TRIP_MS = 60.0  # longer waits include a repeated query to the home instance
+BOOTSTRAP_DRAWS = 40
+SHAPE_POINTS = 65
+MIN_ATTEMPTS = 200
+MAX_CORES = 16
 
 
-class TooShort(Exception):
-    """A trace that tells too little; the text says what is missing."""
+class TraceTooShortError(Exception):
+    """A trace with too little data for a fit; the message says what is missing."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fitted:
-    """One set of figures. Milliseconds; `way_ms` there and back together."""
+    """One set of parameters, in milliseconds; `way_ms` is the network round trip to a worker."""
 
     service_ms: float
     way_ms: float
     cores: int
-    cold_from: float
-    shape: tuple[float, ...]
-    peers_ms: tuple[float, float]  # a message between gatekeepers, least and most
+    cold_from: float  # fraction of the capacity that a worker starts with
+    shape: tuple[float, ...]  # quantiles of service times, divided by their mean
+    peers_ms: tuple[float, float]  # delay of a message between gatekeepers: minimum and maximum
 
-    def workers(self, like: WorkerModel) -> WorkerModel:
-        """Workers with these figures, and all else as `like`."""
-        return replace(like, service_ms=self.service_ms, cores=self.cores, cold_from=self.cold_from, shape=self.shape)
+    def workers(self, base: WorkerModel) -> WorkerModel:
+        """Return `base` with the fitted worker parameters."""
+        return replace(base, service_ms=self.service_ms, cores=self.cores, cold_from=self.cold_from, shape=self.shape)
 
-    def network(self, like: Network) -> Network:
-        """Ways with this figure."""
-        return replace(like, worker_ms=max(0.05, self.way_ms / 2), peers_ms=self.peers_ms)
+    def network(self, base: Network) -> Network:
+        """Return `base` with the fitted network delays."""
+        return replace(base, worker_ms=max(0.05, self.way_ms / 2), peers_ms=self.peers_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """The figures, and draws of what they might as well be."""
+    """The best parameters, and bootstrap draws of them."""
 
     best: Fitted
     draws: tuple[Fitted, ...]
@@ -59,10 +64,11 @@
     cold_attempts: int
 
     @staticmethod
-    def joined(fits: Sequence[Fit]) -> Fit:
-        """One of several days' fits: days differ by more than one day's blocks tell, and a forecast is to carry that.
+    def merged(fits: Sequence[Fit]) -> Fit:
+        """Merge the fits of several days, so that a forecast includes the variation between days.
 
-        As many draws of each as the one with the fewest has."""
+        Each fit contributes as many draws as the one with the fewest has.
+        """
         least = min(len(each.draws) for each in fits)
         return Fit(
             fits[0].best,
@@ -72,13 +78,13 @@
         )
 
     def interval(self, name: str, level: float = 0.9) -> tuple[float, float]:
-        """Of one figure."""
+        """Return the confidence interval of one parameter."""
         values = [getattr(each, name) for each in self.draws]
         low, high = np.quantile(values, [(1 - level) / 2, (1 + level) / 2])
         return float(low), float(high)
 
     def to_json(self) -> dict[str, Any]:
-        """Plain values, for a file."""
+        """Return plain values for a file."""
         return {
             "best": asdict(self.best),
             "draws": [asdict(each) for each in self.draws],
@@ -88,9 +94,9 @@
 
     @staticmethod
     def from_json(data: dict[str, Any]) -> Fit:
-        """Back from `to_json`; raises `ValueError` where it is no fit."""
+        """Restore a fit from `to_json`; raises `ValueError` for other data."""
         try:
-            made = [
+            parameters = [
                 Fitted(
                     each["service_ms"],
                     each["way_ms"],
@@ -101,165 +107,184 @@
                 )
                 for each in (data["best"], *data["draws"])
             ]
-            return Fit(made[0], tuple(made[1:]), data["attempts"], data["cold_attempts"])
-        except (KeyError, TypeError) as problem:
-            raise ValueError(f"no fit: {problem} is missing") from problem
+            return Fit(parameters[0], tuple(parameters[1:]), data["attempts"], data["cold_attempts"])
+        except (KeyError, TypeError) as error:
+            raise ValueError(f"not a fit: {error} is missing") from error
 
 
-def fit(trace: Trace, warm_up_ms: float, draws: int = DRAWS, seed: int = 1) -> Fit:
-    """All figures of a trace; raises `TooShort`. `warm_up_ms` is the settings'."""
-    rows = _rows(trace.attempts)
+def fit(trace: Trace, warm_up_ms: float, draws: int = BOOTSTRAP_DRAWS, seed: int = 1) -> Fit:
+    """Fit all parameters to a trace; raises `TraceTooShortError`. `warm_up_ms` is that of the settings."""
+    rows = _served_attempts(trace.attempts)
     warm = rows[(rows[:, _AGE] < 0) | (rows[:, _AGE] >= warm_up_ms)]
-    if len(warm) < LEAST:
-        raise TooShort(f"{len(warm)} attempts that warm workers served: too few to tell anything, {LEAST} are due")
+    if len(warm) < MIN_ATTEMPTS:
+        raise TraceTooShortError(
+            f"{len(warm)} attempts were served by warm workers: too few for a fit, {MIN_ATTEMPTS} are due"
+        )
     waits = np.array(trace.waits, dtype=float).reshape(-1, 2)
-    best = _fit(rows, waits, warm_up_ms)
-    rng, first = np.random.default_rng(seed), float(rows[:, _AT].min())
-    last = int((rows[:, _AT].max() - first) // BLOCK_MS) + 1
-    groups, asked = (_blocks(times - first, last) for times in (rows[:, _AT], waits[:, 0]))
-    drawn = []
+    best = _fit_parameters(rows, waits, warm_up_ms)
+    rng, first = np.random.default_rng(seed), float(rows[:, _SENT_AT].min())
+    last = int((rows[:, _SENT_AT].max() - first) // BLOCK_MS) + 1
+    attempt_blocks, wait_blocks = (_rows_by_block(times - first, last) for times in (rows[:, _SENT_AT], waits[:, 0]))
+    bootstrap_draws = []
     for _ in range(draws):
         chosen = rng.integers(0, last, last)
-        again = rows[np.concatenate([groups[n] for n in chosen])]
-        if len(again) < LEAST // 4:
+        resampled = rows[np.concatenate([attempt_blocks[n] for n in chosen])]
+        if len(resampled) < MIN_ATTEMPTS // 4:
             continue
-        drawn.append(_fit(again, waits[np.concatenate([asked[n] for n in chosen])], warm_up_ms))
-    return Fit(best, tuple(drawn), len(rows), len(rows) - len(warm))
+        bootstrap_draws.append(
+            _fit_parameters(resampled, waits[np.concatenate([wait_blocks[n] for n in chosen])], warm_up_ms)
+        )
+    return Fit(best, tuple(bootstrap_draws), len(rows), len(rows) - len(warm))
 
 
-def refined(found: Fit, option: Option, trace: Trace, troubles: Sequence[Trouble] = ()) -> Fit:
-    """The fit with the times of messages for which the model's own play of the trace comes nearest to its waits.
+def fit_message_delays(found: Fit, option: Option, trace: Trace, faults: Sequence[Trouble] = ()) -> Fit:
+    """Return the fit with the message delays for which a simulation of the trace reproduces its waits best.
 
-    Waits are lengthened by more than messages, so that no part of them tells these alone; played again, they are
-    lengthened in the same way (indirect inference: Gourieroux, Monfort and Renault, 1993). All draws move alike."""
-    seen = _marks([wait for _, wait in trace.waits])
-    if seen is None:
+    Waits also have causes other than messages, so they do not determine the delays directly; a simulation has the same
+    causes (indirect inference: Gourieroux, Monfort and Renault, 1993). All draws are scaled alike.
+    """
+    observed = _wait_quantiles([wait for _, wait in trace.waits])
+    if observed is None:
         return found
-    like = replace(option, workers=found.best.workers(option.workers), network=found.best.network(option.network))
+    base = replace(option, workers=found.best.workers(option.workers), network=found.best.network(option.network))
     low, high = found.best.peers_ms
-    misses = {}
-    for scale in SCALES:
-        tried = replace(like, network=replace(like.network, peers_ms=(low * scale, high * scale)))
-        played = _marks(Simulation(tried, trace.arrivals, troubles, 1).run().waits)
-        misses[scale] = float("inf") if played is None else float(np.abs(np.log(played / seen)).sum())
-    best = min(misses, key=misses.__getitem__)
-
-    def moved(each: Fitted) -> Fitted:
+    deviations = {}
+    for scale in PEER_DELAY_SCALES:
+        candidate = replace(base, network=replace(base.network, peers_ms=(low * scale, high * scale)))
+        simulated = _wait_quantiles(Simulation(candidate, trace.arrivals, faults, 1).run().waits)
+        deviations[scale] = float("inf") if simulated is None else float(np.abs(np.log(simulated / observed)).sum())
+    best = min(deviations, key=deviations.__getitem__)
+
+    def scaled(each: Fitted) -> Fitted:
         return replace(each, peers_ms=(each.peers_ms[0] * best, each.peers_ms[1] * best))
 
-    return replace(found, best=moved(found.best), draws=tuple(moved(each) for each in found.draws))
+    return replace(found, best=scaled(found.best), draws=tuple(scaled(each) for each in found.draws))
 
 
-def _marks(waits: Sequence[float]) -> np.ndarray | None:
-    """What waits are compared by: places of those that were no mere turn of the loop, and of all."""
+def _wait_quantiles(waits: Sequence[float]) -> np.ndarray | None:
+    """Return the quantiles by which waits are compared: of waits longer than an event loop turn, and of all."""
     all_ = np.asarray(waits, dtype=float)
-    asked = all_[(all_ > 0.5) & (all_ < MOST_ROUND_MS)]
-    if len(asked) < 50:
+    queried = all_[(all_ > 0.5) & (all_ < MAX_ROUND_TRIP_MS)]
+    if len(queried) < 50:
         return None
-    return np.maximum(0.1, np.array([*np.quantile(asked, [0.25, 0.5, 0.75]), np.quantile(all_, 0.9)]))
+    return np.maximum(0.1, np.array([*np.quantile(queried, [0.25, 0.5, 0.75]), np.quantile(all_, 0.9)]))
 
 
-def _blocks(times: np.ndarray, count: int) -> list[np.ndarray]:
-    """Places of the times in each block."""
+def _rows_by_block(times: np.ndarray, count: int) -> list[np.ndarray]:
+    """Return the indices of the times in each block."""
     numbers = (times // BLOCK_MS).astype(int)
     return [np.flatnonzero(numbers == block) for block in range(count)]
 
 
-_AT, _TOOK, _UNITS, _OTHERS, _AGE = range(5)
+_SENT_AT, _DURATION, _UNITS, _CONCURRENT, _AGE = range(5)
 
 
-def _rows(attempts: list[Attempt]) -> np.ndarray:
-    """Attempts that were served: when, how long, units, how many others were at that worker, its age (-1: old)."""
+def _served_attempts(attempts: list[Attempt]) -> np.ndarray:
+    """Return served attempts as rows: start, duration, units, concurrent attempts at the worker, its age (-1: warm)."""
     spans: dict[str, tuple[list[float], list[float]]] = {}
     for each in sorted(attempts, key=lambda one: one.at):
         spans.setdefault(each.worker, ([], []))[0].append(each.at)
-        spans[each.worker][1].append(each.at + each.took)
+        spans[each.worker][1].append(each.at + each.duration_ms)
     for _, ends in spans.values():
         ends.sort()
     rows = []
     for each in attempts:
         if each.result == "ok":
             begins, ends = spans[each.worker]
-            others = bisect.bisect_left(begins, each.at) - bisect.bisect_right(ends, each.at)
+            concurrent = bisect.bisect_left(begins, each.at) - bisect.bisect_right(ends, each.at)
             age = each.at - each.started if each.started else -1.0
-            rows.append((each.at, each.took, each.units, others, age))
+            rows.append((each.at, each.duration_ms, each.units, concurrent, age))
     return np.array(rows, dtype=float).reshape(-1, 5)
 
 
-def _fit(rows: np.ndarray, waits: np.ndarray, warm_up_ms: float) -> Fitted:
-    old = (rows[:, _AGE] < 0) | (rows[:, _AGE] >= warm_up_ms)
-    alone = rows[old & (rows[:, _OTHERS] <= 0)]
-    if len(alone) < 30:
-        alone = rows[old & (rows[:, _OTHERS] <= np.quantile(rows[old, _OTHERS], 0.2))]
-    service, way = _line(alone)
+def _fit_parameters(rows: np.ndarray, waits: np.ndarray, warm_up_ms: float) -> Fitted:
+    warm = (rows[:, _AGE] < 0) | (rows[:, _AGE] >= warm_up_ms)
+    uncontended = rows[warm & (rows[:, _CONCURRENT] <= 0)]
+    if len(uncontended) < 30:
+        uncontended = rows[warm & (rows[:, _CONCURRENT] <= np.quantile(rows[warm, _CONCURRENT], 0.2))]
+    service, round_trip = _fit_service_and_network(uncontended)
     shape = np.quantile(
-        np.maximum(0.02, (alone[:, _TOOK] - way) / (service * alone[:, _UNITS])), (np.arange(POINTS) + 0.5) / POINTS
+        np.maximum(0.02, (uncontended[:, _DURATION] - round_trip) / (service * uncontended[:, _UNITS])),
+        (np.arange(SHAPE_POINTS) + 0.5) / SHAPE_POINTS,
     )
     mean = float(shape.mean())
     service, shape = service * mean, shape / mean
-    cores = _cores(rows[old], way)
+    cores = _fit_cores(rows[warm], round_trip)
     return Fitted(
         float(service),
-        float(way),
+        float(round_trip),
         cores,
-        _cold(rows[~old], service, way, cores, warm_up_ms, shape),
+        _fit_cold_start(rows[~warm], service, round_trip, cores, warm_up_ms, shape),
         tuple(float(value) for value in shape),
-        _peers(waits[:, 1]),
+        _fit_peer_delays(waits[:, 1]),
     )
 
 
-def _peers(waits: np.ndarray) -> tuple[float, float]:
-    """What a message between gatekeepers takes. A request that its home lends to waits for two of them, each evenly
-    spread, so that their sum is a triangle: its first quarter and its middle give both ends. Its low end is mixed with
-    requests whose home is here, its upper half with those that waited for more than their home."""
-    asked = waits[(waits > 0.5) & (waits < MOST_ROUND_MS)]
-    if len(asked) < 50:
-        return PEERS_MS
-    low, middle = (float(each) for each in np.quantile(asked[asked > np.median(asked) / 5], [0.25, 0.5]))
-    spread = max(0.1, (middle - low) / (1 - math.sqrt(0.5)))
-    return max(0.05, (middle - spread) / 2), (middle + spread) / 2
+def _fit_peer_delays(waits: np.ndarray) -> tuple[float, float]:
+    """Fit the minimum and maximum delay of a message between gatekeepers.
+
+    A request that needs a grant from its home instance waits for two messages. Each delay is uniform, so their sum has
+    a triangular distribution, whose lower quartile and median determine both ends. The low end also contains requests
+    whose home is the local instance, and the upper half those that waited for more than their home.
+    """
+    queried = waits[(waits > 0.5) & (waits < MAX_ROUND_TRIP_MS)]
+    if len(queried) < 50:
+        return DEFAULT_PEERS_MS
+    lower_quartile, median = (
+        float(each) for each in np.quantile(queried[queried > np.median(queried) / 5], [0.25, 0.5])
+    )
+    spread = max(0.1, (median - lower_quartile) / (1 - math.sqrt(0.5)))
+    return max(0.05, (median - spread) / 2), (median + spread) / 2
+
 
+def _fit_service_and_network(rows: np.ndarray) -> tuple[float, float]:
+    """Fit the service time of a unit and the network round trip, by least squares over the units.
 
-def _line(rows: np.ndarray) -> tuple[float, float]:
-    """Time of a unit and time of the way, by least squares over the units. Where all are of one size the way can't be
-    told from the work: it is taken as half of the shortest time, 2 ms at most."""
-    units, took = rows[:, _UNITS], rows[:, _TOOK]
-    least = float(took.min())
+    If all requests have the same size, the round trip cannot be separated from the work: it is taken as half of the
+    shortest duration, 2 ms at most.
+    """
+    units, duration_ms = rows[:, _UNITS], rows[:, _DURATION]
+    shortest = float(duration_ms.min())
     if units.std() > 0:
-        slope = float(((units - units.mean()) * (took - took.mean())).mean() / units.var())
-        way = float(took.mean() - slope * units.mean())
-        if slope > 0 and 0 <= way <= least:
-            return slope, way
-    way = min(2.0, least / 2)
-    return float(((took - way) / units).mean()), way
-
-
-def _cores(rows: np.ndarray, way: float) -> int:
-    """How many are served at once: with `n` cores who finds `k` others waits for k - n + 1 ends, n at a time."""
-    others, took = np.clip(rows[:, _OTHERS], 0, 40).astype(int), (rows[:, _TOOK] - way) / rows[:, _UNITS]
-    counts = np.bincount(others, minlength=41)
-    seen = np.flatnonzero(counts >= 20)
-    if not len(seen):
+        slope = float(((units - units.mean()) * (duration_ms - duration_ms.mean())).mean() / units.var())
+        round_trip = float(duration_ms.mean() - slope * units.mean())
+        if slope > 0 and 0 <= round_trip <= shortest:
+            return slope, round_trip
+    round_trip = min(2.0, shortest / 2)
+    return float(((duration_ms - round_trip) / units).mean()), round_trip
+
+
+def _fit_cores(rows: np.ndarray, round_trip: float) -> int:
+    """Fit the cores: with `n` cores an attempt that finds `k` others waits for k - n + 1 completions, n at a time."""
+    concurrent, duration_ms = (
+        np.clip(rows[:, _CONCURRENT], 0, 40).astype(int),
+        (rows[:, _DURATION] - round_trip) / rows[:, _UNITS],
+    )
+    counts = np.bincount(concurrent, minlength=41)
+    observed = np.flatnonzero(counts >= 20)
+    if not len(observed):
         return 2
-    means = np.array([np.median(took[others == k]) for k in seen])
-    base, weights = means[0], np.sqrt(counts[seen])
+    means = np.array([np.median(duration_ms[concurrent == k]) for k in observed])
+    base, weights = means[0], np.sqrt(counts[observed])
     errors = [
-        float((weights * (means / base - 1 - np.maximum(0, seen - n + 1) / n) ** 2).sum())
-        for n in range(1, MOST_CORES + 1)
+        float((weights * (means / base - 1 - np.maximum(0, observed - n + 1) / n) ** 2).sum())
+        for n in range(1, MAX_CORES + 1)
     ]
-    # Where no worker was ever full, more cores than were used at once can't be told apart: the fewest that fit.
+    # If no worker was ever saturated, larger numbers of cores fit equally well: take the smallest.
     return 1 + int(np.argmin(np.round(errors, 6)))
 
 
-def _cold(rows: np.ndarray, service: float, way: float, cores: int, warm_up_ms: float, shape: np.ndarray) -> float:
-    """The share of its capacity that a worker has at first, by least squares of the logarithms."""
-    rows = rows[rows[:, _OTHERS] < cores]
+def _fit_cold_start(
+    rows: np.ndarray, service: float, round_trip: float, cores: int, warm_up_ms: float, shape: np.ndarray
+) -> float:
+    """Fit the fraction of its capacity that a worker starts with, by least squares of the logarithms."""
+    rows = rows[rows[:, _CONCURRENT] < cores]
     if len(rows) < 20:
         return 1.0 if not len(rows) else 0.5
-    slowed = np.log(np.maximum(0.05, (rows[:, _TOOK] - way) / (service * rows[:, _UNITS])))
+    log_slowdown = np.log(np.maximum(0.05, (rows[:, _DURATION] - round_trip) / (service * rows[:, _UNITS])))
     grid = np.linspace(0.05, 1.0, 96)
     age = np.clip(rows[:, _AGE] / warm_up_ms, 0, 1)
     expected = -np.log(grid[:, None] + (1 - grid[:, None]) * age)
-    # The mean of the logarithms is less than the logarithm of the mean, for a warm worker's times as for these.
-    errors = ((slowed - np.log(shape).mean() - expected) ** 2).mean(axis=1)
+    # The mean of the logarithms is below the logarithm of the mean; correct by that of warm workers' service times.
+    errors = ((log_slowdown - np.log(shape).mean() - expected) ** 2).mean(axis=1)
     return float(grid[int(np.argmin(errors))])
--- a/anisefront/testbed/model/imported.py
+++ b/anisefront/testbed/model/imported.py
@@ -1,4 +1,4 @@
-"""Proxies' access logs as a trace: `envoy.data.accesslog.v3.HTTPAccessLogEntry` as protobuf's JSON, a line each."""
+"""Import of proxy access logs as a trace: one `envoy.data.accesslog.v3.HTTPAccessLogEntry` as protobuf JSON a line."""
 
 from __future__ import annotations
 
@@ -13,14 +13,17 @@
 from anisefront.testbed.model.traces import Arrival, Attempt, Trace
 from anisefront.upstream.attempt_results import end_from_flags
 
-MOST_PROBLEMS = 20
+MAX_PROBLEMS = 20  # reported one by one; the rest are counted
 
 
 def read(
-    lines: Iterable[str], classes: dict[str, str], customer_header: str, plan: str, left_ms: float, key: bytes
+    lines: Iterable[str], classes: dict[str, str], customer_header: str, plan: str, deadline_ms: float, key: bytes
 ) -> Trace:
-    """The trace in some lines. `classes` gives the class by path prefix, the longest that fits. What can't be taken is
-    told by its line and left out."""
+    """Convert lines of an access log to a trace.
+
+    `classes` maps path prefixes to classes; the longest matching prefix applies. Lines that cannot be converted are
+    left out and reported by number.
+    """
     out, left_out = Trace(), 0
     prefixes = sorted(classes, key=len, reverse=True)
     rows: list[tuple[float, Arrival, Attempt | None]] = []
@@ -30,10 +33,10 @@
         entry = accesslog_pb2.HTTPAccessLogEntry()
         try:
             json_format.Parse(line, entry, ignore_unknown_fields=True)
-        except json_format.ParseError as problem:
+        except json_format.ParseError as error:
             left_out += 1
-            if len(out.problems) < MOST_PROBLEMS:
-                out.problems.append(f"line {number}: no access log entry: {str(problem)[:120]}")
+            if len(out.problems) < MAX_PROBLEMS:
+                out.problems.append(f"line {number}: not an access log entry: {str(error)[:120]}")
             continue
         request, common = entry.request, entry.common_properties
         name = next((classes[prefix] for prefix in prefixes if request.path.startswith(prefix)), "")
@@ -41,18 +44,22 @@
         if not name or not customer or not common.HasField("start_time"):
             left_out += 1
             missing = (
-                "its path has no class"
+                "no class matches its path"
                 if not name
-                else f"it has no {customer_header}"
+                else f"no header {customer_header}"
                 if not customer
-                else "it has no start time"
+                else "no start time"
             )
-            if len(out.problems) < MOST_PROBLEMS:
+            if len(out.problems) < MAX_PROBLEMS:
                 out.problems.append(f"line {number}: {missing}")
             continue
         at = common.start_time.ToMicroseconds() / 1000
         rows.append(
-            (at, Arrival(at, trace.pseudonym(key, customer), name, plan, 1.0, left_ms, -1), _attempt(entry, at, name))
+            (
+                at,
+                Arrival(at, trace.pseudonym(key, customer), name, plan, 1.0, deadline_ms, -1),
+                _attempt(entry, at, name),
+            )
         )
     if left_out:
         out.problems.append(f"{left_out} lines left out")
@@ -71,13 +78,15 @@
     common = entry.common_properties
     if not common.HasField("upstream_remote_address"):
         return None
-    where = common.upstream_remote_address.socket_address
-    sent = common.time_to_first_upstream_tx_byte.ToMicroseconds() / 1000
-    took = common.time_to_last_upstream_rx_byte.ToMicroseconds() / 1000 - sent
+    remote = common.upstream_remote_address.socket_address
+    sent_at = common.time_to_first_upstream_tx_byte.ToMicroseconds() / 1000
+    duration_ms = common.time_to_last_upstream_rx_byte.ToMicroseconds() / 1000 - sent_at
     flags = {field.name for field, _ in common.response_flags.ListFields()}
     result = end_from_flags(flags, entry.response.response_code.value, entry.response.response_headers).result
     return (
-        Attempt(at + sent, f"{where.address}:{where.port_value}", name, 1.0, result.value, max(0.0, took), 0.0)
+        Attempt(
+            at + sent_at, f"{remote.address}:{remote.port_value}", name, 1.0, result.value, max(0.0, duration_ms), 0.0
+        )
         if result is not AttemptResult.DISCARDED
         else None
     )
--- a/anisefront/testbed/model/scripted.py
+++ b/anisefront/testbed/model/scripted.py
@@ -1,6 +1,6 @@
-"""A day's script as traffic for the model: the same crowds, mix and deadlines that the loopback day plays.
+"""Traffic for the simulation from a day script, with the customers, mix and deadlines of a loopback run.
 
-Every customer has a generator of its own, so that one crowd more changes no other's arrivals.
+Every customer has its own random generator, so an additional group of customers changes no other's arrivals.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 from anisefront.testbed.model.traces import Arrival
 from anisefront.testbed.script import Script
 
-STEP_MS = 500.0  # customers who would come later than this ask themselves again, so that a surge is felt by all
+STEP_MS = 500.0  # longer gaps are drawn again after this time, so that a surge affects all customers
 
 
-def arrivals(script: Script, config: Config, seed: int) -> list[Arrival]:
-    """What comes over the script's length, in order of time; surges are in it."""
+def generate_arrivals(script: Script, config: Config, seed: int) -> list[Arrival]:
+    """Generate the arrivals of a script in order of time, surges included."""
     draws, out, customer = Draws(seed), [], 0
     plans = {plan.name: plan for plan in config.settings.plans}
-    kinds = {kind.name: kind for kind in config.settings.classes}
-    counted = {route.class_name: bool(route.units_header) for route in config.routes}
+    classes = {each.name: each for each in config.settings.classes}
+    has_units = {route.class_name: bool(route.units_header) for route in config.routes}
     names, shares = list(script.mix), [share / sum(script.mix.values()) for share in script.mix.values()]
     for crowd in script.crowds:
         for number in range(crowd.count):
@@ -27,13 +27,13 @@
             rate = (crowd.per_s or plans[crowd.plan].rate_per_s * crowd.of_quota) / 1000
             at = 0.0
             while at < script.length_ms:
-                now_rate = rate * _surge(script, crowd.plan, at)
+                now_rate = rate * _surge_factor(script, crowd.plan, at)
                 step = float(rng.exponential(1 / now_rate)) if now_rate else STEP_MS * 2
                 at += min(step, STEP_MS)
                 if step <= STEP_MS and at < script.length_ms:
                     name = names[int(rng.choice(len(names), p=shares))]
-                    units = float(rng.choice((1, 1, 1, 2))) if counted.get(name) else 1.0
-                    left = kinds[name].deadline_ms * float(rng.uniform(0.6, 1.0))
+                    units = float(rng.choice((1, 1, 1, 2))) if has_units.get(name) else 1.0
+                    remaining_ms = classes[name].deadline_ms * float(rng.uniform(0.6, 1.0))
                     out.append(
                         Arrival(
                             at,
@@ -41,7 +41,7 @@
                             name,
                             crowd.plan,
                             units,
-                            left,
+                            remaining_ms,
                             int(rng.integers(script.gatekeepers)),
                             False,
                             bool(rng.random() < script.own_share),
@@ -51,13 +51,13 @@
     return out
 
 
-def _surge(script: Script, plan: str, at: float) -> float:
-    times = 1.0
+def _surge_factor(script: Script, plan: str, at: float) -> float:
+    factor = 1.0
     for trouble in script.troubles:
         if (
             trouble.name == "surge"
             and trouble.values["plan"] == plan
             and trouble.at_ms <= at < trouble.at_ms + trouble.values.get("for", 5000.0)
         ):
-            times = trouble.values.get("times", 3.0)
-    return times
+            factor = trouble.values.get("times", 3.0)
+    return factor
--- a/anisefront/testbed/model/search.py
+++ b/anisefront/testbed/model/search.py
@@ -1,8 +1,8 @@
-"""Searches over the model: the day that costs most, and the smallest fleet that keeps a stated service.
+"""Searches by simulation: the fault that degrades a fleet most, and the smallest fleet that meets a measure.
 
-The weakest day is looked for by a tree-structured Parzen estimator (Bergstra et al., 2011; `optuna`), which takes
-kinds and figures together and needs few runs. Proposals come in batches of a fixed size, so that the search is the
-same on any number of processes; runs that are stored are not played again.
+The fault is searched by a tree-structured Parzen estimator (Bergstra et al., 2011; `optuna`), which handles kinds and
+parameters together and needs few runs. Proposals come in batches of a fixed size, so that the search is the same on
+any number of processes; stored runs are not repeated.
 """
 
 from __future__ import annotations
@@ -15,12 +15,14 @@
 import numpy as np
 
 from anisefront.testbed.model.compare import interval
-from anisefront.testbed.model.study import Study, Unfit, arrivals_of
-
-Played = Callable[[Study, list[int]], list[dict[str, float]]]
-BATCH, SEEDS, FRESH = 4, (1, 2), 8
-# For each kind of trouble: what may be drawn, from and to.
-KINDS: dict[str, dict[str, tuple[float, float]]] = {
+from anisefront.testbed.model.study import InvalidStudyError, Study, load_arrivals
+
+RunMeasures = Callable[[Study, list[int]], list[dict[str, float]]]
+BATCH_SIZE = 4
+SEARCH_SEEDS = (1, 2)
+VALIDATION_RUNS = 8
+# Ranges of the parameters of each kind of fault; times are in seconds, `share` is a fraction of the workers.
+FAULT_PARAMETERS: dict[str, dict[str, tuple[float, float]]] = {
     "deploy": {"over": (2, 60), "drain": (0.5, 5)},
     "slow": {"share": (0.1, 1.0), "times": (1.5, 8), "for": (2, 30)},
     "errors": {"share": (0.1, 1.0), "for": (2, 30)},
@@ -33,10 +35,10 @@
 }
 
 
-def line(kind: str, at_s: float, drawn: dict[str, float], workers: int) -> str:
-    """The trouble as a script has it. A `share` is of the workers; figures of time are in seconds."""
+def fault_line(kind: str, at_s: float, parameters: dict[str, float], workers: int) -> str:
+    """Format a fault as a line of a script; times are in seconds, `share` is a fraction of the workers."""
     words = ["at", f"{at_s:.2f}s", kind]
-    for name, value in drawn.items():
+    for name, value in parameters.items():
         if name == "share":
             words += ["workers", str(max(1, round(value * workers)))]
         elif name == "times":
@@ -46,47 +48,57 @@
     return " ".join(words)
 
 
-def length_s(study: Study) -> float:
-    """How long the traffic lasts."""
-    arrivals = arrivals_of(study.traffic, study.options[0].settings, 1)
+def traffic_length_s(study: Study) -> float:
+    """Return the duration of the traffic in seconds."""
+    arrivals = load_arrivals(study.traffic, study.options[0].settings, 1)
     return max(1.0, arrivals[-1].at / 1000)
 
 
-def weakest_day(study: Study, played: Played, measure: str, kinds: tuple[str, ...], runs: int) -> dict[str, Any]:
-    """The one trouble, and its time and figures, under which the measure falls most. `runs` bounds the search; the
-    loss that is told comes from fresh seeds, since the best of many is flattered by its luck."""
+def weakest_day(
+    study: Study, run_seeds: RunMeasures, measure: str, kinds: tuple[str, ...], runs: int
+) -> dict[str, Any]:
+    """Find the single fault, with its time and parameters, that lowers a measure most, within a number of runs.
+
+    The reported difference is measured with fresh seeds, since the extreme of many noisy results is biased.
+    """
     import optuna
 
-    unknown = set(kinds) - set(KINDS)
+    unknown = set(kinds) - set(FAULT_PARAMETERS)
     if unknown:
-        raise Unfit(f"--kind {sorted(unknown)[0]}: known are {', '.join(KINDS)}")
-    if runs < BATCH * len(SEEDS) + 2 * FRESH:
-        raise Unfit(f"--runs {runs}: at least {BATCH * len(SEEDS) + 2 * FRESH} are due for a search")
+        raise InvalidStudyError(f"--kind {sorted(unknown)[0]}: known are {', '.join(FAULT_PARAMETERS)}")
+    if runs < BATCH_SIZE * len(SEARCH_SEEDS) + 2 * VALIDATION_RUNS:
+        raise InvalidStudyError(
+            f"--runs {runs}: a search needs at least {BATCH_SIZE * len(SEARCH_SEEDS) + 2 * VALIDATION_RUNS}"
+        )
     optuna.logging.set_verbosity(optuna.logging.WARNING)
-    option, length = study.options[0], length_s(study)
-    sampler = optuna.samplers.TPESampler(seed=1, n_startup_trials=3 * BATCH, constant_liar=True)
+    option, length = study.options[0], traffic_length_s(study)
+    sampler = optuna.samplers.TPESampler(seed=1, n_startup_trials=3 * BATCH_SIZE, constant_liar=True)
     search = optuna.create_study(direction="minimize", sampler=sampler)
     tried: dict[str, float] = {}
-    for _ in range((runs - 2 * FRESH) // (BATCH * len(SEEDS))):
+    for _ in range((runs - 2 * VALIDATION_RUNS) // (BATCH_SIZE * len(SEARCH_SEEDS))):
         batch = []
-        for trial in (search.ask() for _ in range(BATCH)):
-            kind = trial.suggest_categorical("kind", sorted(kinds or KINDS))
+        for trial in (search.ask() for _ in range(BATCH_SIZE)):
+            kind = trial.suggest_categorical("kind", sorted(kinds or FAULT_PARAMETERS))
             at = trial.suggest_float("at", 0.05, 0.9)
-            drawn = {name: trial.suggest_float(f"{kind} {name}", *ends) for name, ends in KINDS[kind].items()}
-            batch.append((trial, line(kind, at * length, drawn, option.workers)))
+            parameters = {
+                name: trial.suggest_float(f"{kind} {name}", *ends) for name, ends in FAULT_PARAMETERS[kind].items()
+            }
+            batch.append((trial, fault_line(kind, at * length, parameters, option.workers)))
         for trial, text in batch:
-            value = float(np.mean([run[measure] for run in played(_with(study, text), list(SEEDS))]))
+            value = float(np.mean([run[measure] for run in run_seeds(_with_fault(study, text), list(SEARCH_SEEDS))]))
             search.tell(trial, value)
             tried[text] = value
     worst = min(tried, key=tried.__getitem__)
-    fresh = list(range(1001, 1001 + FRESH))
-    quiet, rough = (np.array([run[measure] for run in played(each, fresh)]) for each in (study, _with(study, worst)))
-    low, high = interval(rough - quiet, 0.9)
+    fresh = list(range(1001, 1001 + VALIDATION_RUNS))
+    baseline, degraded = (
+        np.array([run[measure] for run in run_seeds(each, fresh)]) for each in (study, _with_fault(study, worst))
+    )
+    low, high = interval(degraded - baseline, 0.9)
     return {
         "trouble": worst,
         "measure": measure,
-        "without": round(float(quiet.mean()), 4),
-        "with": round(float(rough.mean()), 4),
+        "without": round(float(baseline.mean()), 4),
+        "with": round(float(degraded.mean()), 4),
         "difference": [round(low, 4), round(high, 4)],
         "tried": len(tried),
         "next": [
@@ -96,46 +108,57 @@
     }
 
 
-def _with(study: Study, text: str) -> Study:
+def _with_fault(study: Study, text: str) -> Study:
     option = study.options[0]
     return replace(study, options=(replace(option, troubles=(*option.troubles, text)),))
 
 
 def smallest_fleet(
-    study: Study, played: Played, measure: str, keep: float, part: str, most: int, runs: int
+    study: Study, run_seeds: RunMeasures, measure: str, minimum: float, resource: str, max_size: int, runs: int
 ) -> dict[str, Any]:
-    """The fewest workers or gatekeepers of which the mean of the measure is surely at least `keep`.
-
-    By halving: service does not fall as a fleet grows. A size stays undecided, and counts as too small, where its
-    interval at 95% still holds `keep` after its part of the runs."""
-    if not 0 < keep < 1:
-        raise Unfit(f"--keep {keep:g}: a share between 0 and 1 is due")
-    now = getattr(study.options[0], part)
-    low, high, table = 0, most or 4 * now, {}
-    each_runs = max(8, runs // max(1, math.ceil(math.log2(high + 1)) + 1))
-
-    def enough(size: int) -> bool:
-        sized = replace(study, options=(replace(study.options[0], **{part: size}),))
+    """Find the smallest number of workers or gatekeepers for which the mean of a measure is at least `minimum`.
+
+    Bisection applies because service does not fall as a fleet grows. A size is undecided, and counts as too small, if
+    its 95% interval still contains `minimum` after its part of the runs.
+    """
+    if not 0 < minimum < 1:
+        raise InvalidStudyError(f"--keep {minimum:g}: must be between 0 and 1")
+    current_size = getattr(study.options[0], resource)
+    low, high, results_by_size = 0, max_size or 4 * current_size, {}
+    runs_per_size = max(8, runs // max(1, math.ceil(math.log2(high + 1)) + 1))
+
+    def is_sufficient(size: int) -> bool:
+        sized = replace(study, options=(replace(study.options[0], **{resource: size}),))
         values: list[float] = []
-        while len(values) < each_runs:
-            seeds = list(range(len(values) + 1, min(each_runs, len(values) + BATCH) + 1))
-            values += [run[measure] for run in played(sized, seeds)]
-            if len(values) < 8 and len(values) < each_runs:
+        while len(values) < runs_per_size:
+            seeds = list(range(len(values) + 1, min(runs_per_size, len(values) + BATCH_SIZE) + 1))
+            values += [run[measure] for run in run_seeds(sized, seeds)]
+            if len(values) < 8 and len(values) < runs_per_size:
                 continue
             ends = interval(np.array(values), 0.95)
-            if ends[0] >= keep or ends[1] < keep:
+            if ends[0] >= minimum or ends[1] < minimum:
                 break
-        table[size] = {
+        results_by_size[size] = {
             "mean": round(float(np.mean(values)), 4),
             "interval": [round(end, 4) for end in ends],
             "runs": len(values),
-            "verdict": "keeps" if ends[0] >= keep else "falls short" if ends[1] < keep else "undecided",
+            "verdict": "keeps" if ends[0] >= minimum else "falls short" if ends[1] < minimum else "undecided",
         }
-        return ends[0] >= keep
+        return ends[0] >= minimum
 
-    if not enough(high):
-        return {"smallest": None, "why": f"even {high} {part} do not surely keep {keep:g}", "tried": table}
+    if not is_sufficient(high):
+        return {
+            "smallest": None,
+            "why": f"even {high} {resource} do not meet {minimum:g} with confidence",
+            "tried": results_by_size,
+        }
     while high - low > 1:
         middle = (low + high) // 2
-        low, high = (low, middle) if enough(middle) else (middle, high)
-    return {"smallest": high, "part": part, "measure": measure, "keep": keep, "tried": dict(sorted(table.items()))}
+        low, high = (low, middle) if is_sufficient(middle) else (middle, high)
+    return {
+        "smallest": high,
+        "part": resource,
+        "measure": measure,
+        "keep": minimum,
+        "tried": dict(sorted(results_by_size.items())),
+    }
--- a/anisefront/testbed/model/store.py
+++ b/anisefront/testbed/model/store.py
@@ -1,4 +1,4 @@
-"""Runs that were played, in one SQLite file: listed, compared, and resumed after a kill at the cost of one run."""
+"""Storage of simulated runs in one SQLite file, so that an interrupted study loses only the runs in progress."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from dataclasses import asdict
 from typing import Any
 
-from anisefront.testbed.model.study import Figures, OptionSpec, Study, Traffic
+from anisefront.testbed.model.study import OptionSpec, RunFigures, Study, Traffic
 
-_TABLES = """
+_SCHEMA = """
 create table if not exists studies (id text primary key, made_s real, kind text, spec text);
 create table if not exists runs (study text, option integer, seed integer, figures blob,
                                  primary key (study, option, seed));
@@ -19,60 +19,63 @@
 
 
 class Store:
-    """Use as a context; `path` is made where it is not there. `:memory:` keeps nothing."""
+    """Database of studies and their runs; a context manager. A missing file is created; `:memory:` stores nothing."""
 
     def __init__(self, path: str) -> None:
-        self._base = sqlite3.connect(path, timeout=30.0)
-        self._base.executescript(_TABLES)
+        self._database = sqlite3.connect(path, timeout=30.0)
+        self._database.executescript(_SCHEMA)
 
     def __enter__(self) -> Store:
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._base.close()
+        self._database.close()
 
-    def begin(self, study: Study, kind: str) -> str:
-        """The study's name; one that is known goes on."""
-        name = study.identity()
-        self._base.execute(
-            "insert or ignore into studies values (?, ?, ?, ?)", (name, time.time(), kind, json.dumps(asdict(study)))
+    def add_study(self, study: Study, kind: str) -> str:
+        """Store a study unless it is there already, and return its identifier."""
+        study_id = study.identity()
+        self._database.execute(
+            "insert or ignore into studies values (?, ?, ?, ?)",
+            (study_id, time.time(), kind, json.dumps(asdict(study))),
         )
-        self._base.commit()
-        return name
+        self._database.commit()
+        return study_id
 
-    def known(self, name: str) -> dict[tuple[int, int], Figures]:
-        """All runs of a study, by option and seed."""
-        rows = self._base.execute("select option, seed, figures from runs where study = ?", (name,))
+    def load_runs(self, study_id: str) -> dict[tuple[int, int], RunFigures]:
+        """Return all runs of a study, by option and seed."""
+        rows = self._database.execute("select option, seed, figures from runs where study = ?", (study_id,))
         return {(option, seed): json.loads(zlib.decompress(data)) for option, seed, data in rows}
 
-    def keep(self, name: str, option: int, seed: int, figures: Figures) -> None:
-        """One run, at once and whole: a kill loses the runs under way and no more."""
+    def save_run(self, study_id: str, option: int, seed: int, figures: RunFigures) -> None:
+        """Store and commit one run, so that a crash loses only the runs in progress."""
         data = zlib.compress(json.dumps(figures, sort_keys=True, separators=(",", ":")).encode(), 6)
-        self._base.execute("insert or replace into runs values (?, ?, ?, ?)", (name, option, seed, data))
-        self._base.commit()
+        self._database.execute("insert or replace into runs values (?, ?, ?, ?)", (study_id, option, seed, data))
+        self._database.commit()
 
-    def listed(self) -> list[dict[str, Any]]:
-        """All studies, the newest first."""
-        rows = self._base.execute(
+    def list_studies(self) -> list[dict[str, Any]]:
+        """Return all studies, the newest first."""
+        rows = self._database.execute(
             "select id, made_s, kind, spec, (select count(*) from runs where study = id) "
             "from studies order by made_s desc"
         ).fetchall()
         return [
             {
-                "id": name,
-                "made_s": made,
+                "id": study_id,
+                "made_s": created_s,
                 "kind": kind,
                 "runs": runs,
                 "options": [option["name"] for option in json.loads(spec)["options"]],
             }
-            for name, made, kind, spec, runs in rows
+            for study_id, created_s, kind, spec, runs in rows
         ]
 
-    def study(self, name: str) -> Study:
-        """The study whose name begins so; `KeyError` where none or several do."""
-        rows = self._base.execute("select spec from studies where id like ?", (name.replace("%", "") + "%",)).fetchall()
+    def find_study(self, prefix: str) -> Study:
+        """Return the study whose identifier starts with `prefix`; raises `KeyError` unless exactly one does."""
+        rows = self._database.execute(
+            "select spec from studies where id like ?", (prefix.replace("%", "") + "%",)
+        ).fetchall()
         if len(rows) != 1:
-            raise KeyError(name)
+            raise KeyError(prefix)
         spec = json.loads(rows[0][0])
         options = tuple(
             OptionSpec(**{key: tuple(value) if isinstance(value, list) else value for key, value in option.items()})
--- a/anisefront/testbed/model/study.py
+++ b/anisefront/testbed/model/study.py
@@ -1,7 +1,7 @@
-"""A study: options, traffic and troubles as plain values, what one run of it comes to, and many runs side by side.
+"""Studies: options, traffic and faults as plain values, the simulation of one run, and many runs in parallel.
 
-All that a run needs is in its task, so that any process, now or after a kill, plays the same run to the same figures.
-A task may name another version of the decision module; then its process loads that one before anything else.
+A task contains all that its run needs, so that any process, also after an interruption, computes the same figures for
+the same run. A task may name another version of the decision module; its process then loads that one before any other.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from pathlib import Path
 from typing import Any
 
-Figures = dict[str, Any]  # "measures" and "series" of one run
-POLICY = Path(__file__).parent.parent.parent / "policy"
+RunFigures = dict[str, Any]  # of one run, as `simulate_run` returns them and the store keeps them
+POLICY_DIRECTORY = Path(__file__).parent.parent.parent / "policy"
 
 
-class Unfit(Exception):
-    """A study that can't be played: place, fault and mend."""
+class InvalidStudyError(Exception):
+    """A study that cannot be simulated; the message says what is wrong where."""
 
 
 @dataclass(frozen=True, slots=True)
 class OptionSpec:
-    """One option. `module` is a folder with another version's decision files; "" is this version."""
+    """One option. `module` is a directory with another version of the decision module; "" is this version."""
 
     name: str
     settings: str  # the text of a settings file
@@ -37,26 +37,26 @@
     queue: int = 32
     cells: int = 1
     retries: int = 2
-    lose: float = 0.0  # share of messages between gatekeepers
-    start_ms: float = 800.0  # of a gatekeeper's process
+    lose: float = 0.0  # fraction of messages between gatekeepers that are lost
+    start_ms: float = 800.0  # until a gatekeeper's process has started
     zones: tuple[str, ...] = ()
     fit: str = ""  # JSON of a `Fit`
-    troubles: tuple[str, ...] = ()  # lines of a script, "at 30s slow workers 10 times 3 for 10s"
+    troubles: tuple[str, ...] = ()  # fault lines of a script, "at 30s slow workers 10 times 3 for 10s"
     module: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """What comes: recorded files, or a day's script from which each seed draws its own."""
+    """The traffic of a study: recorded files, or a day script from which each seed draws its own arrivals."""
 
     traces: tuple[str, ...] = ()
-    scale: int = 1
+    scale: int = 1  # multiple of the customers of a recording
     day: str = ""  # the text of a script
     begin_s: float = 0.0
-    end_s: float = 0.0  # 0: to the end
+    end_s: float = 0.0  # 0: the end of the recording
 
     def digest(self) -> str:
-        """Tells one traffic from another, by contents and not by names."""
+        """Return a digest of the contents of the traffic, independent of file names."""
         digest = hashlib.blake2b(json.dumps([self.scale, self.day, self.begin_s, self.end_s]).encode(), digest_size=16)
         for path in self.traces:
             digest.update(hashlib.blake2b(Path(path).read_bytes()).digest())
@@ -65,25 +65,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Study:
-    """Options that are played on the same traffic; each seed is one world for all of them."""
+    """Options that are simulated on the same traffic; each seed gives all of them the same random events."""
 
     options: tuple[OptionSpec, ...]
     traffic: Traffic
-    series: bool = field(default=True)  # keep what reports draw
+    series: bool = field(default=True)  # whether to store the time series that reports plot
 
     def identity(self) -> str:
-        """Names the study by all that its figures hang on, this program's own text included."""
+        """Return an identifier of everything that determines the figures, including the sources of the program."""
         parts = [
             [asdict(replace(option, name="")) for option in self.options],
             self.traffic.digest(),
             self.series,
-            [_digest(Path(option.module) if option.module else POLICY) for option in self.options],
-            _digest(Path(__file__).parent),
+            [_directory_digest(Path(option.module) if option.module else POLICY_DIRECTORY) for option in self.options],
+            _directory_digest(Path(__file__).parent),
         ]
         return hashlib.blake2b(json.dumps(parts).encode(), digest_size=8).hexdigest()
 
 
-def _digest(folder: Path) -> str:
+def _directory_digest(folder: Path) -> str:
     digest = hashlib.blake2b(digest_size=16)
     for path in sorted(folder.glob("*.py")):
         digest.update(path.name.encode() + b"\0" + path.read_bytes())
@@ -93,53 +93,53 @@
 # ---- one run --------------------------------------------------------------------------------------------------
 
 
-def play(study: Study, option: int, seed: int) -> Figures:
-    """One run in this process."""
+def simulate_run(study: Study, option: int, seed: int) -> RunFigures:
+    """Simulate one run in this process."""
     from anisefront.testbed.model.world import Simulation
 
     spec = study.options[option]
-    made, troubles = _made(spec), _lines(spec.troubles)
-    arrivals = arrivals_of(study.traffic, spec.settings, seed)
-    script = _script(study.traffic.day) if study.traffic.day else None
-    if script is not None:  # its surges are in the traffic
-        troubles += tuple(each for each in script.troubles if each.name != "surge")
-    chosen = made[seed % len(made)]
-    if chosen.clients.retries:
-        arrivals = [each for each in arrivals if not each.is_retry]  # these the model's clients make themselves
-    world = Simulation(chosen, arrivals, troubles, seed)
+    options, faults = _fitted_options(spec), _parse_faults(spec.troubles)
+    arrivals = load_arrivals(study.traffic, spec.settings, seed)
+    script = _parse_script(study.traffic.day) if study.traffic.day else None
+    if script is not None:  # the generated arrivals already contain its surges
+        faults += tuple(each for each in script.troubles if each.name != "surge")
+    chosen_option = options[seed % len(options)]
+    if chosen_option.clients.retries:
+        arrivals = [each for each in arrivals if not each.is_retry]  # the simulated clients retry by themselves
+    simulation = Simulation(chosen_option, arrivals, faults, seed)
     try:
-        played = world.run()
-    except Exception as problem:
-        raise Unfit(
-            f"option {spec.name}, seed {seed}, {world.now / 1000:.3f} s into the day: "
-            f"{type(problem).__name__}: {problem}"
-        ) from problem
+        metrics = simulation.run()
+    except Exception as error:
+        raise InvalidStudyError(
+            f"option {spec.name}, seed {seed}, {simulation.now / 1000:.3f} s into the day: "
+            f"{type(error).__name__}: {error}"
+        ) from error
     series: dict[str, Any] = {}
     if study.series:
         series = {
-            "service": played.by_second,
-            "by_class": played.by_class,
-            "by_plan": played.by_plan,
-            "waits": {second: round(max(waits), 2) for second, waits in played.waits_at.items()},
-            "out": played.in_flight_at,
-            "refused": played.refusals_at,
-            "units": played.units,
+            "service": metrics.by_second,
+            "by_class": metrics.by_class,
+            "by_plan": metrics.by_plan,
+            "waits": {second: round(max(waits), 2) for second, waits in metrics.waits_at.items()},
+            "out": metrics.in_flight_at,
+            "refused": metrics.refusals_at,
+            "units": metrics.units,
         }
     return {
-        "measures": played.measures(),
-        "answers": played.answers,
-        "reasons": played.reasons,
-        "fallen": played.crashed_workers,
+        "measures": metrics.measures(),
+        "answers": metrics.answers,
+        "reasons": metrics.reasons,
+        "fallen": metrics.crashed_workers,
         "series": json.loads(json.dumps(series)),
     }
 
 
-def option_of(spec: OptionSpec) -> Any:
-    """The option without its fit."""
+def build_option(spec: OptionSpec) -> Any:
+    """Build the option that a specification describes, without its fit."""
     from anisefront.testbed.model.pool import WorkerModel
     from anisefront.testbed.model.world import Clients, Network, Option
 
-    config = config_of(spec.settings, spec.name)
+    config = load_config(spec.settings, spec.name)
     settings = config.settings
     workers = WorkerModel(
         spec.workers,
@@ -165,11 +165,11 @@
 
 
 @functools.lru_cache(maxsize=4)
-def _made(spec: OptionSpec) -> tuple[Any, ...]:
-    """The option for each draw of its fit, one where it has none."""
+def _fitted_options(spec: OptionSpec) -> tuple[Any, ...]:
+    """Return an option for each draw of the fit, or a single option without a fit."""
     from anisefront.testbed.model.fit import Fit
 
-    option = option_of(spec)
+    option = build_option(spec)
     if not spec.fit:
         return (option,)
     return tuple(
@@ -179,13 +179,16 @@
 
 
 @functools.lru_cache(maxsize=8)
-def config_of(text: str, name: str) -> Any:
-    """Checked settings; raises `Unfit`. The fleet's size is the option's, so a lone file is taken for one of many."""
+def load_config(text: str, name: str) -> Any:
+    """Return checked settings; raises `InvalidStudyError`.
+
+    The size of the fleet is that of the option, so messages between peers are enabled even if the file has no peers.
+    """
     from anisefront.config import checker, loader, messages
 
     found = checker.check(loader.load_text(text, name))
     if found.config is None:
-        raise Unfit(
+        raise InvalidStudyError(
             "\n".join(messages.format_problem(found.loaded, each) for each in found.problems if each.severity == 2)
         )
     config = found.config
@@ -194,68 +197,71 @@
 
 
 @functools.lru_cache(maxsize=4)
-def _script(text: str) -> Any:
+def _parse_script(text: str) -> Any:
     from anisefront.testbed import script as scripts
 
     script, problems = scripts.read(text)
     if problems:
-        raise Unfit("; ".join(f"line {each.location.line}: {each.message}" for each in problems))
+        raise InvalidStudyError("; ".join(f"line {each.location.line}: {each.message}" for each in problems))
     return script
 
 
-def _lines(lines: tuple[str, ...]) -> tuple[Any, ...]:
-    return tuple(_script("\n".join(lines)).troubles) if lines else ()
+def _parse_faults(lines: tuple[str, ...]) -> tuple[Any, ...]:
+    return tuple(_parse_script("\n".join(lines)).troubles) if lines else ()
 
 
 @functools.lru_cache(maxsize=2)
-def _recorded(traffic: Traffic) -> tuple[Any, ...]:
+def _load_recorded(traffic: Traffic) -> tuple[Any, ...]:
     from anisefront.testbed.model import traces
 
-    whole = traces.load(traffic.traces)
+    recording = traces.load(traffic.traces)
     if traffic.begin_s or traffic.end_s:
-        whole = traces.cut(whole, traffic.begin_s * 1000, traffic.end_s * 1000 or float("inf"))
+        recording = traces.cut(recording, traffic.begin_s * 1000, traffic.end_s * 1000 or float("inf"))
     if traffic.scale > 1:
-        whole = traces.scale(whole, traffic.scale, 1)
-    if len(whole.arrivals) < 100:
-        raise Unfit(f"{len(whole.arrivals)} arrivals: too few to tell anything, 100 are due")
-    return tuple(whole.arrivals)
+        recording = traces.scale(recording, traffic.scale, 1)
+    if len(recording.arrivals) < 100:
+        raise InvalidStudyError(f"the traffic has {len(recording.arrivals)} arrivals; at least 100 are needed")
+    return tuple(recording.arrivals)
 
 
-def arrivals_of(traffic: Traffic, settings: str, seed: int) -> list[Any]:
-    config = config_of(settings, "settings")
+def load_arrivals(traffic: Traffic, settings: str, seed: int) -> list[Any]:
+    """Return the arrivals of a run; raises `InvalidStudyError` for classes or plans that the settings lack."""
+    config = load_config(settings, "settings")
     if traffic.day:
         from anisefront.testbed.model import scripted
 
-        return scripted.arrivals(_script(traffic.day), config, seed)
-    arrivals = list(_recorded(traffic))
-    settings_of = config.settings
-    for what, known, name in (("classes", settings_of.classes, "class_name"), ("plans", settings_of.plans, "plan")):
+        return scripted.generate_arrivals(_parse_script(traffic.day), config, seed)
+    arrivals = list(_load_recorded(traffic))
+    checked = config.settings
+    for what, known, name in (("classes", checked.classes, "class_name"), ("plans", checked.plans, "plan")):
         unknown = {getattr(each, name) for each in arrivals} - {each.name for each in known}
         if unknown:
-            raise Unfit(f"the trace has {what} that the settings don't: {', '.join(sorted(unknown))}")
+            raise InvalidStudyError(
+                f"the trace has {what} that the settings do not define: {', '.join(sorted(unknown))}"
+            )
     return arrivals
 
 
-# ---- many -----------------------------------------------------------------------------------------------------
+# ---- many runs ------------------------------------------------------------------------------------------------
 
 Task = tuple[Study, int, int]
 
 
-def _begin(module: str) -> None:
-    """A worker process: with another version of the decision module, before anything imports this one's."""
+def _initialize_process(module: str) -> None:
+    """Initialize a worker process; another version of the decision module is set up before any import of this one."""
     if module:
         import anisefront.policy
 
         anisefront.policy.__path__ = [module]
 
 
-def _play(task: Task) -> tuple[int, int, Figures]:
+def _run_task(task: Task) -> tuple[int, int, RunFigures]:
     study, option, seed = task
-    return option, seed, play(study, option, seed)
+    return option, seed, simulate_run(study, option, seed)
 
 
 class Runner:
-    """Plays tasks on several processes, one group of them for each version of the module. Use as a context."""
+    """Runs tasks on several processes, with a pool for each version of the decision module; a context manager."""
 
     def __init__(self, processes: int) -> None:
         self._processes = max(1, processes)
@@ -268,23 +274,25 @@
         for pool in self._pools.values():
             pool.terminate()
 
-    def run(self, study: Study, wanted: list[tuple[int, int]]) -> Iterator[tuple[int, int, Figures]]:
-        """Figures of (option, seed) pairs as they are ready, in any order."""
+    def run(self, study: Study, wanted: list[tuple[int, int]]) -> Iterator[tuple[int, int, RunFigures]]:
+        """Yield the figures of (option, seed) pairs as they complete, in any order."""
         if self._processes == 1 and not any(option.module for option in study.options):
-            yield from (_play((study, option, seed)) for option, seed in wanted)
+            yield from (_run_task((study, option, seed)) for option, seed in wanted)
             return
         groups: dict[str, list[Task]] = {}
         for option, seed in wanted:
             groups.setdefault(study.options[option].module, []).append((study, option, seed))
         for module, tasks in groups.items():
-            yield from self._pool(module).imap_unordered(_play, tasks)
+            yield from self._pool(module).imap_unordered(_run_task, tasks)
 
     def _pool(self, module: str) -> Any:
         if module not in self._pools:
             if module and not (Path(module) / "controller.py").exists():
-                raise Unfit(f"{module}: no controller.py there; name a folder with a version's decision files")
+                raise InvalidStudyError(
+                    f"{module}: no controller.py there; give the directory of a version of the decision module"
+                )
             context = multiprocessing.get_context("spawn" if module or "twisted" in sys.modules else "fork")
-            self._pools[module] = context.Pool(self._processes, _begin, (module,))
+            self._pools[module] = context.Pool(self._processes, _initialize_process, (module,))
         return self._pools[module]
 
 
@@ -292,12 +300,15 @@
     runner: Runner,
     study: Study,
     seeds: list[int],
-    known: dict[tuple[int, int], Figures],
-    keep: Callable[[int, int, Figures], None],
-) -> list[list[Figures]]:
-    """Figures of each option for these seeds, in their order; what is not known yet is played and kept."""
+    known: dict[tuple[int, int], RunFigures],
+    store_run: Callable[[int, int, RunFigures], None],
+) -> list[list[RunFigures]]:
+    """Return the figures of each option in the order of the seeds.
+
+    Runs missing in `known` are simulated and passed to `store_run`.
+    """
     missing = [(option, seed) for seed in seeds for option in range(len(study.options)) if (option, seed) not in known]
     for option, seed, figures in runner.run(study, missing):
         known[option, seed] = figures
-        keep(option, seed, figures)
+        store_run(option, seed, figures)
     return [[known[option, seed] for seed in seeds] for option in range(len(study.options))]
--- a/anisefront/testbed/model/world.py
+++ b/anisefront/testbed/model/world.py
@@ -284,7 +284,7 @@
         self.metrics.record_request(
             int(arrival.at // 1000), arrival.class_name, arrival.plan, self._request_value(arrival)
         )
-        self._send_request(request_index, arrival, 0, arrival.left)
+        self._send_request(request_index, arrival, 0, arrival.remaining_ms)
 
     def _first_gateway(self, customer: str) -> int:
         """Return the first of the gateways that a customer is assigned to."""
@@ -321,7 +321,7 @@
                 first,
                 spread,
                 retry_count > 0 or arrival.is_retry,
-                arrival.copies,
+                arrival.hedging_allowed,
             ),
         )
 
@@ -351,7 +351,7 @@
                 request.request_index,
                 arrival,
                 request.retry_count + 1,
-                arrival.left,
+                arrival.remaining_ms,
             )
         if not request.attempts:
             del self._requests[request_id]
--- a/benchmarks/calibration.py
+++ b/benchmarks/calibration.py
@@ -15,7 +15,7 @@
 from anisefront.testbed.day import settings_text
 from anisefront.testbed.model import calibrate, fit, traces
 from anisefront.testbed.model.store import Store
-from anisefront.testbed.model.study import OptionSpec, Runner, Study, Traffic, collect, config_of, option_of
+from anisefront.testbed.model.study import OptionSpec, Runner, Study, Traffic, collect, load_config, build_option
 
 ROOT = pathlib.Path(__file__).parent.parent
 SETTINGS = ROOT / "examples/bad-saturday/gatekeeper.conf"
@@ -108,11 +108,11 @@
         for number in range(FIT_DAYS):
             where = folder / f"calm-{number}"
             whole = traces.load([str(path) for path in sorted(where.glob("*.trace*"))])
-            made = fit.fit(whole, config_of(conf, "conf").settings.warm_up_ms)
+            made = fit.fit(whole, load_config(conf, "conf").settings.warm_up_ms)
             script, _ = scripts.read(calm[number])
-            fits.append(fit.refined(made, option_of(spec(calm[number])), whole, script.troubles))
+            fits.append(fit.fit_message_delays(made, build_option(spec(calm[number])), whole, script.troubles))
             starts.append(start_ms(where))
-        found, start = fit.Fit.joined(fits), statistics.mean(starts)
+        found, start = fit.Fit.merged(fits), statistics.mean(starts)
         print(f"  a gatekeeper starts in {start:.0f} ms; messages take {[each.best.peers_ms for each in fits]}")
         for name in ("service_ms", "way_ms", "cores", "cold_from"):
             print(f"  {name}: {getattr(found.best, name):.3f}, nine in ten {found.interval(name)}")
@@ -121,8 +121,10 @@
         for name, line in DAYS.items():
             text = BASE.replace("SEED", "1") + line
             study = Study((spec(text, fitted, start),), Traffic(day=text), series=False)
-            key = store.begin(study, "forecast")
-            runs = collect(runner, study, list(range(1, RUNS + 1)), {}, lambda *row, key=key: store.keep(key, *row))[0]
+            key = store.add_study(study, "forecast")
+            runs = collect(
+                runner, study, list(range(1, RUNS + 1)), {}, lambda *row, key=key: store.save_run(key, *row)
+            )[0]
             forecasts[name] = [each["measures"] for each in runs]
         rows, verdicts = [], []
         with concurrent.futures.ThreadPoolExecutor(SIDE_BY_SIDE) as threads:
@@ -130,11 +132,13 @@
             played = threads.map(lambda each: play(each[2], BASE.replace("SEED", str(each[1])) + DAYS[each[0]]), wanted)
             for (name, seed, where), verdict in zip(wanted, played, strict=True):
                 verdicts.append(verdict)
-                for row in calibrate.check(f"{name}, {seed}", forecasts[name], calibrate.observed(where, conf)):
+                for row in calibrate.check_forecast(
+                    f"{name}, {seed}", forecasts[name], calibrate.observed_measures(where, conf)
+                ):
                     rows.append(row)
                     print(
-                        f"{row.day:30} {row.measure:12} {row.low:8.3f} {row.middle:8.3f} {row.high:8.3f}  seen "
-                        f"{row.seen:8.3f} {'' if row.inside else 'OUTSIDE'}",
+                        f"{row.day:30} {row.measure:12} {row.low:8.3f} {row.median:8.3f} {row.high:8.3f}  seen "
+                        f"{row.observed:8.3f} {'' if row.inside else 'OUTSIDE'}",
                         flush=True,
                     )
         print(json.dumps(calibrate.coverage(rows), indent=1))
--- a/benchmarks/ordering.py
+++ b/benchmarks/ordering.py
@@ -71,7 +71,7 @@
             list(threads.map(lambda each: play(each[3], each[4]), wanted))
         seen = {}
         for option, trouble, _, where, _, conf in wanted:
-            seen.setdefault((option, trouble), []).append(calibrate.observed(where, conf)["service"])
+            seen.setdefault((option, trouble), []).append(calibrate.observed_measures(where, conf)["service"])
         noise = max(max(values) - min(values) for values in seen.values())
         print(f"days of one option differ by up to {noise:.3f}")
         print(f"{'trouble':28}" + "".join(f"{option:>34}" for option in OPTIONS))
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -14,7 +14,7 @@
 from anisefront.cli.main import main
 from anisefront.testbed.load import plan, sender
 from anisefront.testbed.load.report import Report
-from anisefront.testbed.model.traces import Arrival, Trace, written
+from anisefront.testbed.model.traces import Arrival, Trace, encode_trace
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -127,7 +127,7 @@
     running = Running(ROOT / "examples/loopback.conf")
     try:
         recorded = tmp_path / "t.trace"
-        recorded.write_bytes(written(Trace(arrivals(300, 5.0), begin=1.7e12, end=1.7e12 + 1500)))
+        recorded.write_bytes(encode_trace(Trace(arrivals(300, 5.0), begin=1.7e12, end=1.7e12 + 1500)))
         done = CliRunner().invoke(
             main,
             [
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -166,14 +166,17 @@
     poor = Option(SETTINGS, workers=WorkerModel(count=1, service_ms=40.0))
     both = [fine, poor]
     played = [[Simulation(option, arrivals, (), seed).run().measures() for seed in range(1, 9)] for option in both]
-    found = compare.findings(*played)
+    found = compare.compare_measures(*played)
     assert {each.measure: each.verdict for each in found}["service"] == "worse"
-    assert compare.enough(played[0], played[0]) == 8 and compare.enough(*played, narrow=1e-6) is None
+    assert (
+        compare.runs_for_precision(played[0], played[0]) == 8
+        and compare.runs_for_precision(*played, half_width=1e-6) is None
+    )
     rng, alarms = np.random.default_rng(2), 0
     pool = [Simulation(fine, arrivals, (), seed).run().measures() for seed in range(24)]
     for _ in range(60):
         drawn = rng.permutation(24)
-        found = compare.findings([pool[n] for n in drawn[:12]], [pool[n] for n in drawn[12:]])
+        found = compare.compare_measures([pool[n] for n in drawn[:12]], [pool[n] for n in drawn[12:]])
         alarms += any(each.verdict != "too small to tell" and each.low != each.high for each in found)
     assert alarms <= 6  # a tenth is stated
 
@@ -190,7 +193,7 @@
 def test_a_verdict_that_is_too_small_says_how_many_runs():
     rng = np.random.default_rng(3)
     rows = [[{name: value for name in compare.MEASURES} for value in rng.normal(mean, 1.0, 10)] for mean in (0, 0.05)]
-    line = compare.words(compare.findings(*rows)[0], 10)
+    line = compare.format_comparison(compare.compare_measures(*rows)[0], 10)
     assert "too small to tell with 10 runs; about" in line
 
 
--- a/tests/test_study.py
+++ b/tests/test_study.py
@@ -18,7 +18,7 @@
 from anisefront.testbed.model.draws import Stream, Draws, lognormal, quantile
 from anisefront.testbed.model.pool import WorkerModel
 from anisefront.testbed.model.store import Store
-from anisefront.testbed.model.study import OptionSpec, Runner, Study, Traffic, Unfit, collect, play
+from anisefront.testbed.model.study import InvalidStudyError, OptionSpec, Runner, Study, Traffic, collect, simulate_run
 from anisefront.testbed.model.traces import Arrival, Attempt, Trace
 from anisefront.testbed.model.world import Clients, Network, Option, Simulation
 from anisefront.testbed.script import Trouble
@@ -76,7 +76,7 @@
     """Nothing of an option may reach back: a trouble at the end of an hour leaves the hour before as it was."""
     late = "at 6s slow workers 4 times 20 for 2s"
     made = study({}, {"troubles": (late,)})
-    first, second = (play(made, option, 5)["series"] for option in (0, 1))
+    first, second = (simulate_run(made, option, 5)["series"] for option in (0, 1))
     assert [first["service"][str(n)] for n in range(5)] == [second["service"][str(n)] for n in range(5)]
     assert first["waits"]["3"] == second["waits"]["3"] and first["service"] != second["service"]
 
@@ -136,15 +136,15 @@
 
     def go(path, processes, die_after):
         with Store(str(path)) as store, Runner(processes) as runner:
-            name, kept = store.begin(made, "compare"), []
+            name, kept = store.add_study(made, "compare"), []
 
             def keep(option, seed, figures):
-                store.keep(name, option, seed, figures)
+                store.save_run(name, option, seed, figures)
                 kept.append(seed)
                 if len(kept) == die_after:
                     raise KeyboardInterrupt
 
-            return collect(runner, made, seeds, store.known(name), keep), len(kept)
+            return collect(runner, made, seeds, store.load_runs(name), keep), len(kept)
 
     with pytest.raises(KeyboardInterrupt):
         go(tmp_path / "a", 1, 3)
@@ -166,10 +166,10 @@
     ]
     assert len({each.identity() for each in [plain, *others]}) == 5
     with Store(str(tmp_path / "s")) as store:
-        name = store.begin(plain, "run")
-        assert store.study(name[:5]) == plain and store.listed()[0]["id"] == name
+        name = store.add_study(plain, "run")
+        assert store.find_study(name[:5]) == plain and store.list_studies()[0]["id"] == name
         with pytest.raises(KeyError):
-            store.study("zz")
+            store.find_study("zz")
 
 
 def test_another_version_of_the_module_plays_in_the_same_world(tmp_path):
@@ -180,7 +180,7 @@
     made = study({}, {"module": str(tmp_path / "policy")})
     with Runner(1) as runner:
         here, there = collect(runner, made, [1], {}, lambda *_: None)
-    assert here[0] == play(made, 0, 1) and here[0]["measures"] != there[0]["measures"]
+    assert here[0] == simulate_run(made, 0, 1) and here[0]["measures"] != there[0]["measures"]
     path = tmp_path / "policy/controller.py"
     path.write_text(
         path.read_text().replace(
@@ -189,9 +189,12 @@
             1,
         )
     )
-    with Runner(1) as runner, pytest.raises(Unfit, match="option o1, seed 1, 0.000 s into the day: ArithmeticError"):
+    with (
+        Runner(1) as runner,
+        pytest.raises(InvalidStudyError, match="option o1, seed 1, 0.000 s into the day: ArithmeticError"),
+    ):
         collect(runner, made, [1], {}, lambda *_: None)
-    with Runner(1) as runner, pytest.raises(Unfit, match="no controller.py there"):
+    with Runner(1) as runner, pytest.raises(InvalidStudyError, match="no controller.py there"):
         collect(runner, study({}, {"module": str(tmp_path)}), [1], {}, lambda *_: None)
 
 
@@ -217,7 +220,7 @@
     assert low < found.best.service_ms < high and (high - low) / service < 0.2
     back = fitting.Fit.from_json(json.loads(json.dumps(found.to_json())))
     assert back == found
-    with pytest.raises(fitting.TooShort, match="200 are due"):
+    with pytest.raises(fitting.TraceTooShortError, match="200 are due"):
         fitting.fit(Trace(attempts=world.attempt_log[:150]), 8000.0)
     with pytest.raises(ValueError, match="is missing"):
         fitting.Fit.from_json({"best": {}})
@@ -247,17 +250,17 @@
     from dataclasses import replace
 
     off = replace(rough, best=replace(rough.best, peers_ms=(2.6, 10.4)), draws=rough.draws)
-    found = fitting.refined(off, option, trace)
+    found = fitting.fit_message_delays(off, option, trace)
     assert sum(found.best.peers_ms) == pytest.approx(10.0, rel=0.07)
     assert found.draws[0].peers_ms[1] / rough.draws[0].peers_ms[1] == pytest.approx(sum(found.best.peers_ms) / 13.0)
-    assert fitting.refined(off, option, Trace(arrivals, world.attempt_log, waits[:20])) == off
+    assert fitting.fit_message_delays(off, option, Trace(arrivals, world.attempt_log, waits[:20])) == off
 
 
 # ---- search ---------------------------------------------------------------------------------------------------
 
 
 def direct(made, seeds):
-    return [play(made, 0, seed)["measures"] for seed in seeds]
+    return [simulate_run(made, 0, seed)["measures"] for seed in seeds]
 
 
 def test_the_weakest_day_is_worse_than_the_plain_one_and_the_same_again():
@@ -265,7 +268,7 @@
     found = search.weakest_day(made, direct, "service", ("slow", "freeze-gatekeeper", "partition"), 48)
     assert found["difference"][1] < -0.05 and found["with"] < found["without"] and "at " in found["trouble"]
     assert scripts.read(found["trouble"])[1] == []
-    with pytest.raises(Unfit, match="--kind storm: known are deploy"):
+    with pytest.raises(InvalidStudyError, match="--kind storm: known are deploy"):
         search.weakest_day(made, direct, "service", ("storm",), 48)
 
 
@@ -331,7 +334,15 @@
 def test_traces_are_cut_merged_scaled_and_anonymised(tmp_path):
     arrivals = [
         Arrival(
-            each.at, each.customer, each.class_name, each.plan, each.units, each.left, n % 3, n % 7 == 0, n % 2 == 0
+            each.at,
+            each.customer,
+            each.class_name,
+            each.plan,
+            each.units,
+            each.remaining_ms,
+            n % 3,
+            n % 7 == 0,
+            n % 2 == 0,
         )
         for n, each in enumerate(traffic(20))
     ]
@@ -341,12 +352,16 @@
     whole = Trace(arrivals, attempts, [], begin=1.7e12, end=1.7e12 + 20_000)
     whole.answers["served"] = 1200
     path = tmp_path / "t.trace"
-    path.write_bytes(traces.written(whole))
+    path.write_bytes(traces.encode_trace(whole))
     back = traces.load([str(path)])
     assert len(back.arrivals) == 1200 and back.answers == whole.answers and not back.problems
     for kept, given in zip(back.arrivals, arrivals, strict=True):
         assert kept.at == pytest.approx(given.at, abs=0.01) and kept.gateway == given.gateway
-        assert (kept.customer, kept.is_retry, kept.copies) == (given.customer, given.is_retry, given.copies)
+        assert (kept.customer, kept.is_retry, kept.hedging_allowed) == (
+            given.customer,
+            given.is_retry,
+            given.hedging_allowed,
+        )
     assert [each.started for each in back.attempts[:2]] == pytest.approx([0.0, 500.0], abs=0.01)
     for command, more in (
         ("cut", ("--from", 5, "--to", 9)),
@@ -397,7 +412,7 @@
     ]
     whole = imported.read(lines, {"/stock": "view", "/pre-order": "order"}, "x-api-key", "small", 2000.0, b"k")
     assert len(whole.arrivals) == 121 and whole.answers == {"served": 120, "failed": 1}
-    assert {each.class_name for each in whole.arrivals} == {"view", "order"} and whole.attempts[0].took == 40.0
+    assert {each.class_name for each in whole.arrivals} == {"view", "order"} and whole.attempts[0].duration_ms == 40.0
     assert len({each.customer for each in whole.arrivals}) == 5 and "k1" not in str(whole.arrivals[:9])
     assert [problem.split(":")[0] for problem in whole.problems] == ["line 121", "line 122", "2 lines left out"]
     (tmp_path / "log").write_text("\n".join(lines))
