--- a/anisefront/testbed/model/faults.py
+++ b/anisefront/testbed/model/faults.py
@@ -15,8 +15,8 @@
 from anisefront.testbed.script import WORKER_FIGURES, Trouble
 
 if TYPE_CHECKING:
+    from anisefront.testbed.model.simulation import Simulation
     from anisefront.testbed.model.traces import Arrival
-    from anisefront.testbed.model.world import Simulation
 
 IGNORED_FAULTS = ("logs", "broken-roster", "replay-datagrams")
 DRAIN_NOTICE_MS = 150.0  # until gatekeepers see a drain: the endpoint file is polled ten times a second
--- a/anisefront/testbed/model/fit.py
+++ b/anisefront/testbed/model/fit.py
@@ -16,8 +16,8 @@
 import numpy as np
 
 from anisefront.testbed.model.pool import WorkerModel
+from anisefront.testbed.model.simulation import Network, Option, Simulation
 from anisefront.testbed.model.traces import Attempt, Trace
-from anisefront.testbed.model.world import Network, Option, Simulation
 from anisefront.testbed.script import Trouble
 
 PEER_DELAY_SCALES = tuple(0.6 + 0.05 * step for step in range(13))
--- a/anisefront/testbed/model/study.py
+++ b/anisefront/testbed/model/study.py
@@ -95,7 +95,7 @@
 
 def simulate_run(study: Study, option: int, seed: int) -> RunFigures:
     """Simulate one run in this process."""
-    from anisefront.testbed.model.world import Simulation
+    from anisefront.testbed.model.simulation import Simulation
 
     spec = study.options[option]
     options, faults = _fitted_options(spec), _parse_faults(spec.troubles)
@@ -137,7 +137,7 @@
 def build_option(spec: OptionSpec) -> Any:
     """Build the option that a specification describes, without its fit."""
     from anisefront.testbed.model.pool import WorkerModel
-    from anisefront.testbed.model.world import Clients, Network, Option
+    from anisefront.testbed.model.simulation import Clients, Network, Option
 
     config = load_config(spec.settings, spec.name)
     settings = config.settings
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -15,7 +15,7 @@
 from anisefront.testbed.model.draws import lognormal
 from anisefront.testbed.model.pool import WorkerModel
 from anisefront.testbed.model.traces import Arrival
-from anisefront.testbed.model.world import Network, Option, Simulation
+from anisefront.testbed.model.simulation import Network, Option, Simulation
 from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 TURNS = 3
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -12,7 +12,7 @@
 from anisefront.testbed.model import compare, traces
 from anisefront.testbed.model.traces import Arrival, Trace
 from anisefront.testbed.model.pool import WorkerModel
-from anisefront.testbed.model.world import Option, Simulation
+from anisefront.testbed.model.simulation import Option, Simulation
 from anisefront.testbed.script import Trouble
 from anisefront.protocols import trace
 from anisefront.policy import events
--- a/tests/test_study.py
+++ b/tests/test_study.py
@@ -20,7 +20,7 @@
 from anisefront.testbed.model.store import Store
 from anisefront.testbed.model.study import InvalidStudyError, OptionSpec, Runner, Study, Traffic, collect, simulate_run
 from anisefront.testbed.model.traces import Arrival, Attempt, Trace
-from anisefront.testbed.model.world import Clients, Network, Option, Simulation
+from anisefront.testbed.model.simulation import Clients, Network, Option, Simulation
 from anisefront.testbed.script import Trouble
 
 ROOT = pathlib.Path(__file__).parent.parent
