--- a/anisefront/daemon/lifecycle.py
+++ b/anisefront/daemon/lifecycle.py
@@ -2,7 +2,7 @@
 
     starting --ready--> serving --terminate--> draining --drained--> ended
        |                                          |
-       '--terminate--> ended                      '--terminate--> hurried --drained--> ended
+       '--terminate--> ended                      '--terminate--> ending drain --drained--> ended
 
 A step without a transition is ignored: no listener opens after a drain has begun, and nothing ends twice.
 """
@@ -19,7 +19,7 @@
     STALE = auto()  # starting, with settings that were read before a SIGHUP
     SERVING = auto()
     DRAINING = auto()
-    HURRIED = auto()  # draining, with all open requests to be answered immediately
+    ENDING_DRAIN = auto()  # draining, with all open requests to be answered immediately
     ENDED = auto()
 
 
@@ -28,7 +28,7 @@
 
     READY = auto()  # everything is prepared except the listeners
     TERMINATE = auto()
-    HANG_UP = auto()  # SIGHUP
+    RELOAD_REQUESTED = auto()  # SIGHUP
     DRAINED = auto()
     FAULT = auto()  # the process can't start or continue
 
@@ -46,22 +46,22 @@
 
 TRANSITIONS: dict[tuple[Phase, Step], tuple[Phase, Command | None]] = {
     (Phase.STARTING, Step.READY): (Phase.SERVING, Command.LISTEN),
-    (Phase.STARTING, Step.HANG_UP): (Phase.STALE, None),
+    (Phase.STARTING, Step.RELOAD_REQUESTED): (Phase.STALE, None),
     (Phase.STARTING, Step.TERMINATE): (Phase.ENDED, Command.STOP),
     (Phase.STARTING, Step.FAULT): (Phase.ENDED, Command.STOP),
     (Phase.STALE, Step.READY): (Phase.SERVING, Command.LISTEN_AND_RELOAD),
     (Phase.STALE, Step.TERMINATE): (Phase.ENDED, Command.STOP),
     (Phase.STALE, Step.FAULT): (Phase.ENDED, Command.STOP),
-    (Phase.SERVING, Step.HANG_UP): (Phase.SERVING, Command.RELOAD),
+    (Phase.SERVING, Step.RELOAD_REQUESTED): (Phase.SERVING, Command.RELOAD),
     (Phase.SERVING, Step.TERMINATE): (Phase.DRAINING, Command.DRAIN),
     (Phase.SERVING, Step.FAULT): (Phase.ENDED, Command.STOP),
     # Requests that are open during a drain use the current endpoint list, so a reload must still have an effect.
-    (Phase.DRAINING, Step.HANG_UP): (Phase.DRAINING, Command.RELOAD),
-    (Phase.DRAINING, Step.TERMINATE): (Phase.HURRIED, Command.END_DRAIN),
+    (Phase.DRAINING, Step.RELOAD_REQUESTED): (Phase.DRAINING, Command.RELOAD),
+    (Phase.DRAINING, Step.TERMINATE): (Phase.ENDING_DRAIN, Command.END_DRAIN),
     (Phase.DRAINING, Step.DRAINED): (Phase.ENDED, Command.STOP),
     (Phase.DRAINING, Step.FAULT): (Phase.ENDED, Command.STOP),
-    (Phase.HURRIED, Step.DRAINED): (Phase.ENDED, Command.STOP),
-    (Phase.HURRIED, Step.FAULT): (Phase.ENDED, Command.STOP),
+    (Phase.ENDING_DRAIN, Step.DRAINED): (Phase.ENDED, Command.STOP),
+    (Phase.ENDING_DRAIN, Step.FAULT): (Phase.ENDED, Command.STOP),
 }
 
 
--- a/anisefront/daemon/process.py
+++ b/anisefront/daemon/process.py
@@ -177,7 +177,7 @@
         while self._pending_signals:
             arrived.add(self._pending_signals.pop())
         if signal.SIGHUP in arrived:
-            self._advance(Step.HANG_UP)
+            self._advance(Step.RELOAD_REQUESTED)
         if arrived - {signal.SIGHUP}:
             self._log.info("signal", signals=sorted(signal.Signals(number).name for number in arrived))
             self._advance(Step.TERMINATE)
--- a/anisefront/daemon/reload_scheduler.py
+++ b/anisefront/daemon/reload_scheduler.py
@@ -1,8 +1,8 @@
 """Scheduling of settings reloads: one at a time, in slices between iterations of the event loop.
 
-    idle --hang up--> reading --ended--> idle
-                      reading --hang up--> due --ended--> reading
-    any --stop--> over
+    idle --reload requested--> reading --ended--> idle
+                               reading --reload requested--> reload pending --ended--> reading
+    any --stop--> stopped
 
 A reload that has begun is completed: if each one cancelled the previous one, a request each second could prevent all
 of them. Any number of reload requests in the meantime cause one more read, which finds the newest files.
@@ -32,14 +32,14 @@
 
     IDLE = auto()
     READING = auto()
-    DUE = auto()  # reading, and another read must follow, since files may have changed
-    OVER = auto()  # the gateway instance drains: the current settings remain in use
+    RELOAD_PENDING = auto()  # reading, and another read must follow, since files may have changed
+    STOPPED = auto()  # the gateway instance drains: the current settings remain in use
 
 
 class Step(Enum):
     """An event that changes the phase."""
 
-    HANG_UP = auto()  # a reload is requested
+    RELOAD_REQUESTED = auto()  # a reload is requested
     ENDED = auto()  # the change was applied or rejected, or it failed
     STOP = auto()
 
@@ -53,14 +53,14 @@
 
 
 TRANSITIONS: dict[tuple[Phase, Step], tuple[Phase, Command | None]] = {
-    (Phase.IDLE, Step.HANG_UP): (Phase.READING, Command.BEGIN),
-    (Phase.READING, Step.HANG_UP): (Phase.DUE, None),
+    (Phase.IDLE, Step.RELOAD_REQUESTED): (Phase.READING, Command.BEGIN),
+    (Phase.READING, Step.RELOAD_REQUESTED): (Phase.RELOAD_PENDING, None),
     (Phase.READING, Step.ENDED): (Phase.IDLE, None),
-    (Phase.DUE, Step.ENDED): (Phase.READING, Command.BEGIN),
-    (Phase.IDLE, Step.STOP): (Phase.OVER, None),
-    (Phase.READING, Step.STOP): (Phase.OVER, Command.CANCEL),
-    (Phase.DUE, Step.STOP): (Phase.OVER, Command.CANCEL),
-    (Phase.OVER, Step.HANG_UP): (Phase.OVER, Command.IGNORE),
+    (Phase.RELOAD_PENDING, Step.ENDED): (Phase.READING, Command.BEGIN),
+    (Phase.IDLE, Step.STOP): (Phase.STOPPED, None),
+    (Phase.READING, Step.STOP): (Phase.STOPPED, Command.CANCEL),
+    (Phase.RELOAD_PENDING, Step.STOP): (Phase.STOPPED, Command.CANCEL),
+    (Phase.STOPPED, Step.RELOAD_REQUESTED): (Phase.STOPPED, Command.IGNORE),
 }
 
 
@@ -100,7 +100,7 @@
 
     def request_reload(self) -> None:
         """Request a read of the files, which may have changed."""
-        self._advance(Step.HANG_UP)
+        self._advance(Step.RELOAD_REQUESTED)
 
     def stop(self) -> None:
         """Cancel a running reload and ignore further requests."""
--- a/anisefront/daemon/settings_updates.py
+++ b/anisefront/daemon/settings_updates.py
@@ -94,7 +94,7 @@
             digest=self.version.digest,
             age_ms=round(self._clock() - self._applied_ms),
             fault=self._fault,
-            is_reading=scheduler.phase in (Phase.READING, Phase.DUE),
+            is_reading=scheduler.phase in (Phase.READING, Phase.RELOAD_PENDING),
             outcomes=dict(self._outcomes),
             work_ms=round(scheduler.work_ms, 1),
             slices=scheduler.slices.report()["late"],
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -135,7 +135,7 @@
 @pytest.mark.parametrize("key", list(reload_scheduler.TRANSITIONS), ids=lambda key: f"{key[0].name}-{key[1].name}")
 def test_each_row_taken_out_is_found_out(key, monkeypatch):
     monkeypatch.delitem(reload_scheduler.TRANSITIONS, key)
-    if key == (Phase.OVER, reload_scheduler.Step.HANG_UP):  # it only says why nothing is done
+    if key == (Phase.STOPPED, reload_scheduler.Step.RELOAD_REQUESTED):  # it only says why nothing is done
         play = Play(0)
         play.reloader.stop()
         play.reloader.request_reload()
@@ -224,7 +224,7 @@
 
     def turns(self, most=10_000):
         for _ in range(most):
-            if self.made.updates.scheduler.phase in (Phase.IDLE, Phase.OVER):
+            if self.made.updates.scheduler.phase in (Phase.IDLE, Phase.STOPPED):
                 return self.settings()
             self.reactor.turn()
         raise AssertionError("it does not rest")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -30,7 +30,7 @@
         for step in steps:
             if step is Step.DRAINED and not {Command.DRAIN} & set(done):
                 continue  # it cannot come before the drain begins
-            hung_up |= step is Step.HANG_UP and phase in (Phase.STARTING, Phase.STALE)
+            hung_up |= step is Step.RELOAD_REQUESTED and phase in (Phase.STARTING, Phase.STALE)
             phase, command = table.get((phase, step), (phase, None))
             if command is None:
                 if step is Step.READY and phase in (Phase.STARTING, Phase.STALE):
@@ -39,7 +39,7 @@
                     return steps, "SIGTERM is ignored"
                 if step is Step.DRAINED and phase is not Phase.ENDED:
                     return steps, "it does not end"
-                if step is Step.HANG_UP and phase in (Phase.SERVING, Phase.DRAINING):
+                if step is Step.RELOAD_REQUESTED and phase in (Phase.SERVING, Phase.DRAINING):
                     return steps, "SIGHUP is ignored"
                 if step is Step.FAULT and phase is not Phase.ENDED:
                     return steps, "a fault does not end the process"
@@ -75,7 +75,7 @@
         assert not any(
             command is Command.END_DRAIN for _, command in remaining.values()
         )  # a second SIGTERM would have no effect
-    elif key == (Phase.HURRIED, Step.DRAINED):
+    elif key == (Phase.ENDING_DRAIN, Step.DRAINED):
         assert violation(remaining, 5) is not None
     else:
         assert violation(remaining) is not None
@@ -85,7 +85,7 @@
     lifecycle = Lifecycle()
     assert [
         lifecycle.advance(step)
-        for step in (Step.HANG_UP, Step.READY, Step.TERMINATE, Step.READY, Step.HANG_UP, Step.DRAINED, Step.TERMINATE)
+        for step in (Step.RELOAD_REQUESTED, Step.READY, Step.TERMINATE, Step.READY, Step.RELOAD_REQUESTED, Step.DRAINED, Step.TERMINATE)
     ] == [None, Command.LISTEN_AND_RELOAD, Command.DRAIN, None, Command.RELOAD, Command.STOP, None]
 
 
