--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -15,6 +15,114 @@
 TESTS = pathlib.Path(__file__).parent
 BEFORE = (TESTS / "data" / "collected_before.txt").read_text(encoding="utf-8").splitlines()
 RENAMED: dict[str, str] = {
+    "test_worker_fails_after_the_check_said_yes": "test_endpoint_fails_after_the_check_was_allowed",
+    "test_check_ahead_of_its_log_waits_for_it": "test_a_check_before_the_log_of_its_attempt_waits_for_the_log",
+    "test_proxy_out_of_time_while_our_ok_is_on_the_wire": "test_proxy_timeout_while_the_check_response_is_in_transit",
+    "test_unsent_is_no_proof_where_two_asked_with_one_id": (
+        "test_a_denial_proves_nothing_if_two_checks_had_one_request_id"
+    ),
+    "test_no_log_in_time_may_have_run": "test_an_attempt_without_a_log_may_have_been_executed",
+    "test_late_log_of_a_request_that_has_its_answer_closes_the_books": (
+        "test_a_late_log_of_an_answered_request_ends_its_attempt"
+    ),
+    "test_proxy_that_does_not_ask_again_gets_nothing_more": (
+        "test_a_proxy_without_a_further_check_gets_no_further_attempt"
+    ),
+    "test_send_that_waited_for_its_check_is_decided_anew_if_its_worker_drains": (
+        "test_a_withheld_attempt_is_decided_again_if_its_endpoint_drains"
+    ),
+    "test_client_leaves_while_held": "test_client_disconnects_while_queued",
+    "test_client_gone_midway_ends_the_request": "test_client_disconnect_during_an_attempt_ends_the_request",
+    "test_full_ledger_turns_away_at_once": "test_a_full_request_table_rejects_at_once",
+    "test_every_request_is_answered_before_its_time_whatever_is_lost": (
+        "test_every_request_is_answered_before_its_deadline_without_any_logs"
+    ),
+    "test_after_a_standstill_the_answers_in_our_sockets_come_before_wake_ups": (
+        "test_after_a_stall_responses_in_the_socket_buffers_precede_timers"
+    ),
+    "test_module_that_raises_leaves_nobody_unanswered": "test_a_controller_error_fails_all_open_requests",
+    "test_outcome_table_of_the_operators_page_is_the_code": "test_outcome_table_of_the_operators_page_matches_the_code",
+    "test_second_copies_and_cancels_on_our_own_connections": (
+        "test_hedged_attempts_and_cancellation_over_own_connections"
+    ),
+    "test_proxies_are_never_asked_for_a_second_copy": "test_delegated_requests_are_never_hedged",
+    "test_a_turn_is_bounded_and_serves_all_lines_in_turn": "test_an_iteration_is_bounded_and_serves_all_queues_in_turn",
+    "test_peers_messages_that_no_turn_takes_in_are_dropped_at_their_cap": (
+        "test_peer_messages_above_the_queue_limit_are_dropped"
+    ),
+    "test_an_answer_that_is_due_while_a_turn_is_cut_is_given_in_time": (
+        "test_a_response_that_is_due_while_iterations_are_cut_short_is_sent_in_time"
+    ),
+    "test_an_action_that_cannot_be_carried_out_takes_nothing_else_with_it": (
+        "test_an_action_that_fails_does_not_affect_other_requests"
+    ),
+    "test_bytes_of_accounts_are_near_what_the_allocator_counts": (
+        "test_estimated_bytes_of_accounts_are_close_to_the_allocated_ones"
+    ),
+    "test_a_report_costs_the_same_however_much_is_kept": (
+        "test_a_memory_report_costs_the_same_for_any_number_of_entries"
+    ),
+    "test_the_collector_walks_old_things_only_when_little_is_held": (
+        "test_full_collections_run_only_while_few_requests_are_open"
+    ),
+    "test_what_a_change_of_settings_leaves_is_walked_again_once_a_day": (
+        "test_objects_frozen_after_a_settings_change_are_collected_once_a_day"
+    ),
+    "test_a_batch_of_ten_thousand_log_entries_holds_up_no_check": (
+        "test_ten_thousand_log_entries_at_once_delay_no_check"
+    ),
+    "test_a_client_that_is_worked_on_is_not_read_from": "test_a_client_is_not_read_from_while_its_message_is_processed",
+    "test_a_port_that_cannot_be_had_ends_the_start_at_whatever_step": (
+        "test_an_error_in_any_step_of_the_start_ends_the_process"
+    ),
+    "test_calls_that_lay_unread_when_the_drain_began_have_an_answer": (
+        "test_calls_that_were_unread_when_the_drain_began_are_answered"
+    ),
+    "test_a_drain_that_ends_with_a_call_open_answers_it": "test_an_open_call_is_answered_when_the_drain_times_out",
+    "test_what_may_change": "test_which_settings_may_change_while_running",
+    "test_live": "test_changes_and_rejections_of_a_running_process",
+    "test_what_was_spent_stays_spent_and_what_is_here_keeps_its_class": (
+        "test_a_change_keeps_spent_quota_and_the_class_of_earlier_requests"
+    ),
+    "test_no_order_of_writes_hang_ups_turns_and_stops_breaks_a_promise": (
+        "test_invariants_hold_in_any_order_of_writes_reloads_iterations_and_stops"
+    ),
+    "test_requests_go_first_and_settings_get_their_turn_all_the_same": (
+        "test_requests_have_priority_and_reloads_still_progress"
+    ),
+    "test_a_change_is_in_force_whole_with_its_version_and_digest": (
+        "test_a_change_is_applied_as_a_whole_with_its_version_and_digest"
+    ),
+    "test_a_bad_change_is_refused_whole_and_the_next_good_one_is_taken": (
+        "test_an_invalid_change_is_rejected_as_a_whole_and_the_next_valid_one_applied"
+    ),
+    "test_the_digest_of_files_is_the_one_of_the_version_that_they_come_to": (
+        "test_the_digest_command_prints_the_digest_of_the_version"
+    ),
+    "test_the_file_of_a_service_that_is_taken_away_takes_its_routes_with_it": (
+        "test_removing_the_file_of_a_service_removes_its_routes"
+    ),
+    "test_a_folder_that_can_not_be_listed_takes_no_routes_away": "test_an_unreadable_folder_removes_no_routes",
+    "test_files_that_are_written_all_the_time_are_told_so": "test_a_file_that_changes_during_every_read_is_reported",
+    "test_a_file_that_vanishes_between_its_finding_and_its_reading_costs_one_reading_more": (
+        "test_a_file_that_is_removed_before_it_is_read_causes_one_more_read"
+    ),
+    "test_hang_ups_during_a_reading_are_one_more": "test_reload_requests_during_a_read_cause_one_more_read",
+    "test_a_hang_up_while_it_drains_and_a_drain_while_it_reads_change_nothing": (
+        "test_a_reload_during_a_drain_and_a_drain_during_a_reload_change_nothing"
+    ),
+    "test_what_nobody_foresaw_leaves_the_old_version_and_the_next_hang_up_works": (
+        "test_an_unexpected_exception_keeps_the_version_and_the_next_reload_works"
+    ),
+    "test_a_version_that_is_no_longer_in_force_is_let_go_by_reference_counts": (
+        "test_an_outdated_version_is_freed_by_reference_counting"
+    ),
+    "test_the_module_hears_of_its_own_settings_only_and_before_what_arrives_after_them": (
+        "test_the_controller_receives_only_its_own_settings_and_before_later_arrivals"
+    ),
+    "test_what_became_of_a_request_is_told_by_the_class_that_it_came_with": (
+        "test_an_outcome_is_reported_by_the_class_that_the_request_arrived_with"
+    ),
     # The limit of the module's lines was lifted by the users; each file of policy/ has a limit instead.
     "test_size_limits": "test_policy_modules_are_small",
     "test_a_pulse_tells_whose_time_it_was": "test_event_loop_monitor_names_the_cause_of_each_lateness",
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The request table and its attempt handlers on a simulated clock: each hard case of the path, caused by hand."""
+"""The request table and its attempt handlers on a simulated clock: races, timeouts and failures of the proxy path."""
 
 from dataclasses import replace
 from types import SimpleNamespace
@@ -37,7 +37,7 @@
 
 
 class Desk:
-    """A ledger with the carrier for proxies, and what each check was told."""
+    """A request table with the handler of delegated requests, and the responses to all checks."""
 
     def __init__(self, plan=None, classes=CLASSES, **more):
         self.clock = Clock()
@@ -119,7 +119,7 @@
         ("unsafe", AttemptResult.TIMEOUT, Verdict.FAILED),
     ],
 )
-def test_worker_fails_after_the_check_said_yes(kind, result, verdict):
+def test_endpoint_fails_after_the_check_was_allowed(kind, result, verdict):
     desk = Desk()
     desk.ask(kind=kind)
     first = desk.told[0]
@@ -127,7 +127,7 @@
     desk.again(first.attempt_name)
     second = desk.told[1]
     assert second.verdict is verdict
-    if kind == "keyed":  # only where repeats are dropped
+    if kind == "keyed":  # only an endpoint of the same cell drops repeated executions
         cells = {server.id: server.cell for server in SERVERS}
         assert cells[second.endpoint] == cells[first.endpoint]
     if verdict is Verdict.START_ATTEMPT:
@@ -135,7 +135,7 @@
     assert desk.empty()
 
 
-def test_check_ahead_of_its_log_waits_for_it():
+def test_a_check_before_the_log_of_its_attempt_waits_for_the_log():
     desk = Desk()
     desk.ask(kind="unsafe")
     desk.again(desk.told[0].attempt_name)
@@ -144,10 +144,10 @@
     assert desk.told[1].verdict is Verdict.START_ATTEMPT and desk.told[1].attempt_name == "life.1.1"
 
 
-def test_proxy_out_of_time_while_our_ok_is_on_the_wire():
+def test_proxy_timeout_while_the_check_response_is_in_transit():
     desk = Desk()
     desk.ask("r9")
-    assert desk.told[0].verdict is Verdict.START_ATTEMPT  # it was counted, and went out
+    assert desk.told[0].verdict is Verdict.START_ATTEMPT  # the attempt counts as started
     assert not desk.proxied.denial_logged("r9", "another proxy")
     assert desk.proxied.denial_logged("r9", "p")
     desk.run(0.01)
@@ -155,7 +155,7 @@
     assert not desk.log(desk.told[0].attempt_name, AttemptResult.OK)
 
 
-def test_unsent_is_no_proof_where_two_asked_with_one_id():
+def test_a_denial_proves_nothing_if_two_checks_had_one_request_id():
     desk = Desk()
     desk.ask("r")
     desk.ask("r")
@@ -165,7 +165,7 @@
     assert desk.empty() and desk.request_table.counts["attempts"] == 1
 
 
-def test_no_log_in_time_may_have_run():
+def test_an_attempt_without_a_log_may_have_been_executed():
     desk = Desk()
     desk.ask(kind="unsafe", due_ms=500)
     desk.run(2.5)
@@ -173,45 +173,46 @@
     assert not desk.log(desk.told[0].attempt_name, AttemptResult.OK)
 
 
-def test_late_log_of_a_request_that_has_its_answer_closes_the_books():
+def test_a_late_log_of_an_answered_request_ends_its_attempt():
     desk = Desk()
     desk.ask(kind="safe", due_ms=300)
-    desk.run(0.4)  # the module's guard has answered; the proxy has not asked for it
+    desk.run(0.4)  # the controller has rejected it before its deadline; the proxy has not asked for the response
     assert desk.request_table.counts["refused"] == 1 and not desk.empty()
     desk.log(desk.told[0].attempt_name, AttemptResult.OK)
     assert desk.empty() and desk.request_table.counts["served"] == 0
 
 
-def test_proxy_that_does_not_ask_again_gets_nothing_more():
+def test_a_proxy_without_a_further_check_gets_no_further_attempt():
     desk = Desk()
     desk.ask()
     desk.log(desk.told[0].attempt_name, AttemptResult.RESET)
-    assert not desk.empty()  # the next attempt waits for its check
+    assert not desk.empty()  # the next attempt waits for a check
     desk.run(0.6)
     assert desk.empty() and len(desk.told) == 1
     desk.again(desk.told[0].attempt_name)
     assert desk.told[1].verdict is Verdict.FAILED
 
 
-def test_send_that_waited_for_its_check_is_decided_anew_if_its_worker_drains():
+def test_a_withheld_attempt_is_decided_again_if_its_endpoint_drains():
     desk = Desk()
     desk.ask()
     desk.log(desk.told[0].attempt_name, AttemptResult.RESET)
-    parked = next(iter(desk.proxied.index.by_number.values())).withheld.endpoint
+    withheld_endpoint = next(iter(desk.proxied.index.by_number.values())).withheld.endpoint
     desk.request_table.update_endpoints(
         EndpointList(
             tuple(
-                Endpoint(s.id, s.zone, s.cell, EndpointStatus.DRAINING if s.id == parked else s.status) for s in SERVERS
+                Endpoint(s.id, s.zone, s.cell, EndpointStatus.DRAINING if s.id == withheld_endpoint else s.status)
+                for s in SERVERS
             )
         )
     )
     desk.again(desk.told[0].attempt_name)
-    assert desk.told[1].verdict is Verdict.START_ATTEMPT and desk.told[1].endpoint != parked
+    assert desk.told[1].verdict is Verdict.START_ATTEMPT and desk.told[1].endpoint != withheld_endpoint
     desk.log(desk.told[1].attempt_name, AttemptResult.OK)
     assert desk.empty()
 
 
-def test_client_leaves_while_held():
+def test_client_disconnects_while_queued():
     desk = Desk(Plan("wide", 1, 1))
     numbers = [desk.ask(f"r{n}") for n in range(3)]
     assert [answer.verdict for answer in desk.told] == [Verdict.START_ATTEMPT]
@@ -222,14 +223,14 @@
     assert desk.empty() and desk.request_table.counts["left"] == 1
 
 
-def test_client_gone_midway_ends_the_request():
+def test_client_disconnect_during_an_attempt_ends_the_request():
     desk = Desk()
     desk.ask(kind="safe")
     desk.log(desk.told[0].attempt_name, AttemptResult.CANCELLED, over=True)
     assert desk.empty() and len(desk.told) == 1
 
 
-def test_full_ledger_turns_away_at_once():
+def test_a_full_request_table_rejects_at_once():
     desk = Desk(Plan("wide", 0.1, 1))
     desk.request_table.max_open_requests = 2
     for number in range(4):
@@ -238,35 +239,35 @@
     assert desk.request_table.counts["turned_away"] == 2
 
 
-def test_every_request_is_answered_before_its_time_whatever_is_lost():
+def test_every_request_is_answered_before_its_deadline_without_any_logs():
     desk = Desk(Plan("wide", 20, 20))
     due = {}
     for number in range(200):
         desk.ask(f"r{number}", ("safe", "keyed", "unsafe")[number % 3], 300.0 + number % 7 * 100)
         due[number] = desk.request_table.now_ms()
-    desk.run(5.0)  # no log ever comes
+    desk.run(5.0)  # no log arrives
     assert desk.empty() and len(desk.told) == 200
     assert desk.request_table.counts["accepted"] == 200
 
 
-class Late(Clock):
-    """A clock whose process stands still: sockets are read only after timers have run."""
+class StallingClock(Clock):
+    """A clock whose process stalls: sockets are read only after timers have run."""
 
-    def stand_still(self, seconds, sockets):
+    def stall(self, seconds, sockets):
         self.rightNow += seconds
-        self.advance(0)  # timers first, as an event loop does
+        self.advance(0)  # an event loop runs timers first
         sockets()
         for _ in range(60):
             self.advance(0.001)
 
 
-def test_after_a_standstill_the_answers_in_our_sockets_come_before_wake_ups():
+def test_after_a_stall_responses_in_the_socket_buffers_precede_timers():
     desk = Desk()
-    late = Late()
-    late.rightNow = desk.clock.seconds()
+    stalling_clock = StallingClock()
+    stalling_clock.rightNow = desk.clock.seconds()
     desk.ask(kind="unsafe", due_ms=1000)
-    desk.clock.__class__ = Late
-    desk.clock.stand_still(
+    desk.clock.__class__ = StallingClock
+    desk.clock.stall(
         1.5, lambda: desk.proxied.attempt_logged(desk.told[0].attempt_name, AttemptResult.OK, 20.0, (), False)
     )
     assert desk.request_table.counts["served"] == 1 and desk.request_table.counts["failed"] == 0
@@ -296,7 +297,7 @@
     assert result_of_response(status, headers) is result
 
 
-def test_module_that_raises_leaves_nobody_unanswered():
+def test_a_controller_error_fails_all_open_requests():
     desk, faults = Desk(Plan("wide", 0.1, 1)), []
     desk.request_table._on_controller_error = faults.append
     desk.ask("r0")
@@ -309,7 +310,7 @@
     assert desk.told[-1].reason == "held-requests"
 
 
-def test_outcome_table_of_the_operators_page_is_the_code():
+def test_outcome_table_of_the_operators_page_matches_the_code():
     import pathlib
     import re
 
@@ -321,82 +322,82 @@
     ]
 
 
-class Lines:
-    """A pool in which a test answers for the workers."""
+class FakePool:
+    """A connection pool whose responses the test provides."""
 
     def __init__(self):
-        self.asked = []
+        self.requests = []
 
-    def request(self, worker, data, allow_s, done, head_only=False, may_begin=lambda: True):
-        exchange = type("Exchange", (), {"worker": worker, "done": staticmethod(done), "called_off": False})()
+    def request(self, endpoint, data, timeout_s, on_end, head_only=False, may_start=lambda: True):
+        exchange = type("Exchange", (), {"endpoint": endpoint, "on_end": staticmethod(on_end), "cancelled": False})()
 
         def cancel():
-            exchange.called_off = True
-            done(AttemptResult.CANCELLED, None)
+            exchange.cancelled = True
+            on_end(AttemptResult.CANCELLED, None)
 
         exchange.cancel = cancel
-        self.asked.append(exchange)
+        self.requests.append(exchange)
         return exchange
 
 
-def test_second_copies_and_cancels_on_our_own_connections():
+def test_hedged_attempts_and_cancellation_over_own_connections():
     from anisefront.upstream.direct_requests import DirectRequest, DirectRequests
     from anisefront.protocols.http1 import Message
 
-    patient = tuple(replace(kind, latency_objective_ms=1900) for kind in CLASSES)
-    desk = Desk(classes=patient, hedging_enabled=True)
-    lines, answers = Lines(), []
-    own = DirectRequests(desk.request_table, lines, "life", ())
-    own.accept(
+    slow_classes = tuple(replace(kind, latency_objective_ms=1900) for kind in CLASSES)
+    desk = Desk(classes=slow_classes, hedging_enabled=True)
+    pool, responses = FakePool(), []
+    direct_requests = DirectRequests(desk.request_table, pool, "life", ())
+    direct_requests.accept(
         DirectRequest("GET", "/a", {}, b""),
-        answers.append,
+        responses.append,
         RequestTerms("c", "safe", "wide", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
     )
     desk.run(0.01)
-    assert len(lines.asked) == 1
-    desk.run(0.9)  # silence: the module sends a second copy, elsewhere
-    assert len(lines.asked) == 2 and lines.asked[0].worker != lines.asked[1].worker and not answers
-    lines.asked[1].done(None, Message("", "", 200, {}, b"ok", True))
+    assert len(pool.requests) == 1
+    desk.run(0.9)  # without a response the controller hedges to another endpoint
+    assert len(pool.requests) == 2 and pool.requests[0].endpoint != pool.requests[1].endpoint and not responses
+    pool.requests[1].on_end(None, Message("", "", 200, {}, b"ok", True))
     desk.run(0.01)
-    assert [answer.message.body for answer in answers] == [b"ok"] and lines.asked[0].called_off
-    assert desk.empty() and not own.open_requests and not own._exchanges
-    own.accept(
+    assert [answer.message.body for answer in responses] == [b"ok"] and pool.requests[0].cancelled
+    assert desk.empty() and not direct_requests.open_requests and not direct_requests._exchanges
+    direct_requests.accept(
         DirectRequest("GET", "/a", {}, b""),
-        answers.append,
+        responses.append,
         RequestTerms("c", "unsafe", "wide", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
     )
     desk.run(1.0)
-    assert len(lines.asked) == 3  # never a copy of what must not run twice
+    assert len(pool.requests) == 3  # a request that must not be executed twice is never hedged
 
 
-def test_proxies_are_never_asked_for_a_second_copy():
+def test_delegated_requests_are_never_hedged():
     desk = Desk(classes=tuple(replace(kind, latency_objective_ms=1900) for kind in CLASSES), hedging_enabled=True)
     desk.ask(kind="safe")
     desk.run(1.0)
     assert len(desk.told) == 1 and desk.request_table.counts["attempts"] == 1
 
 
-# ---- the turn ------------------------------------------------------------------------------------------------------
+# ---- event loop iterations -----------------------------------------------------------------------------------------
 
 
-class Slow:
-    """A module of which every event takes a while on the desk's own clock; it notes what it was handed."""
+class SlowController:
+    """A controller that spends simulated time on each event and records the batches that it receives."""
 
     def __init__(self, desk, each_ms):
-        self.desk, self.each_ms, self.turns = desk, each_ms, []
+        self.desk, self.each_ms, self.batches_seen = desk, each_ms, []
 
     def handle(self, now, events):
-        self.turns.append((now, [type(event).__name__ for event in events]))
+        self.batches_seen.append((now, [type(event).__name__ for event in events]))
         self.desk.clock.rightNow += self.each_ms * len(events) / 1000
         return []
 
 
-def test_a_turn_is_bounded_and_serves_all_lines_in_turn():
+def test_an_iteration_is_bounded_and_serves_all_queues_in_turn():
     from anisefront.gateway.event_batches import MAX_ITERATION_MS, SLICE_EVENTS
 
     desk = Desk()
     request_table = desk.request_table
-    slow = request_table.controller = Slow(desk, 0.05)
+    slow_controller = request_table.controller = SlowController(desk, 0.05)
     for number in range(400):
         request_table.batches.post(AttemptEnded(number, 0, "w", 1.0, AttemptResult.OK, True))
     for _ in range(200):
@@ -404,23 +405,23 @@
         request_table.receive_peer_message(1, b"x")
     request_table.update_endpoints(EndpointList(SERVERS))
     ends = []
-    request_table.batches.after_iteration.append(lambda: ends.append(len(slow.turns)))
+    request_table.batches.after_iteration.append(lambda: ends.append(len(slow_controller.batches_seen)))
     desk.clock.advance(0)
-    first = [name for _, names in slow.turns[: ends[0]] for name in names]
+    first = [name for _, names in slow_controller.batches_seen[: ends[0]] for name in names]
     assert (
         first[0] == "EndpointList" and len(first) < 200
-    )  # a turn's time is up after about 80 events of 50 microseconds
-    assert len(ends) > 5  # between them the loop reads its sockets
+    )  # the time of an iteration suffices for about 80 events of 50 microseconds
+    assert len(ends) > 5  # the event loop reads its sockets in between
     assert request_table.batches.duration_ms.worst_ms < MAX_ITERATION_MS + 3 * SLICE_EVENTS * 0.05 + 0.1
     assert abs(first.count("AttemptEnded") - first.count("Arrival")) <= SLICE_EVENTS and first.count("PeerMessage") > 0
-    assert request_table.batches.waiting == 0 and sum(len(names) for _, names in slow.turns) == 801
-    order = slow.turns[0][1]
+    assert request_table.batches.waiting == 0 and sum(len(names) for _, names in slow_controller.batches_seen) == 801
+    order = slow_controller.batches_seen[0][1]
     assert (
         order[1:17] == ["AttemptEnded"] * 16 and order[17:33] == ["Arrival"] * 16 and order[33:] == ["PeerMessage"] * 16
     )
 
 
-def test_peers_messages_that_no_turn_takes_in_are_dropped_at_their_cap():
+def test_peer_messages_above_the_queue_limit_are_dropped():
     from anisefront.gateway.event_batches import MAX_PEER_MESSAGES
 
     desk = Desk()
@@ -431,7 +432,7 @@
     assert desk.told
 
 
-def test_an_answer_that_is_due_while_a_turn_is_cut_is_given_in_time():
+def test_a_response_that_is_due_while_iterations_are_cut_short_is_sent_in_time():
     desk = Desk(Plan("narrow", 0.001, 1))
     desk.proxied.first_check(
         "first",
@@ -439,31 +440,31 @@
         RequestTerms("c", "safe", "narrow", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
     )
     desk.run(0.01)
-    answers = []
-    due = desk.request_table.now_ms() + 300
+    answered_ms = []
+    due_ms = desk.request_table.now_ms() + 300
     desk.proxied.first_check(
         "held",
-        lambda answer: answers.append(desk.request_table.now_ms()),
-        RequestTerms("c", "safe", "narrow", due, 1.0, 0, 1, False),
+        lambda answer: answered_ms.append(desk.request_table.now_ms()),
+        RequestTerms("c", "safe", "narrow", due_ms, 1.0, 0, 1, False),
     )
     desk.run(0.1)
-    kept = desk.request_table.controller.handle
+    handle = desk.request_table.controller.handle
 
     def slow(now, events):
         desk.clock.rightNow += 0.0002 * len(events)
-        return kept(now, events)
+        return handle(now, events)
 
     desk.request_table.controller.handle = slow
-    for _ in range(40):  # a flood that never lets a turn take all in
+    for _ in range(40):  # more events than an iteration can process
         for number in range(60):
             desk.request_table.attempt_ended(10**6 + number, 0, AttemptResult.OK)
             desk.request_table.receive_peer_message(0, b"flood")
         desk.run(0.005)
-    assert answers and answers[0] <= due
+    assert answered_ms and answered_ms[0] <= due_ms
 
 
-def test_an_action_that_cannot_be_carried_out_takes_nothing_else_with_it():
-    class Module:
+def test_an_action_that_fails_does_not_affect_other_requests():
+    class ScriptedController:
         def __init__(self):
             self.next, self.events = [], []
 
@@ -472,31 +473,31 @@
             out, self.next = self.next, []
             return out
 
-    class Carrier:
-        def __init__(self, good):
-            self.good, self.did = good, []
+    class RecordingHandler:
+        def __init__(self, working):
+            self.working, self.did = working, []
 
         def start_attempt(self, *what):
             self.reject(*what)
 
         def reject(self, *what):
-            if not self.good:
+            if not self.working:
                 raise OSError("no more descriptors")
             self.did.append(what)
 
     reactor, raised = MemoryReactorClock(), []
-    module, bad, good = Module(), Carrier(False), Carrier(True)
-    request_table = RequestTable(module, lambda: reactor.seconds() * 1000, reactor, on_action_error=raised.append)
+    controller, failing, working = ScriptedController(), RecordingHandler(False), RecordingHandler(True)
+    request_table = RequestTable(controller, lambda: reactor.seconds() * 1000, reactor, on_action_error=raised.append)
     request_table.update_endpoints(EndpointList((Endpoint("s1", "z", 0, EndpointStatus.READY),)))
-    for carrier in (bad, good, bad, good):
-        request_table.accept(carrier, RequestTerms("f", "look", "rated", 5000.0))
-    module.next = [StartAttempt(1, "s1", 100.0), StartAttempt(2, "s1", 100.0), Reject(3), Reject(4)]
+    for handler in (failing, working, failing, working):
+        request_table.accept(handler, RequestTerms("f", "look", "rated", 5000.0))
+    controller.next = [StartAttempt(1, "s1", 100.0), StartAttempt(2, "s1", 100.0), Reject(3), Reject(4)]
     reactor.advance(0)
     reactor.advance(0)
-    assert [type(each) for each in raised] == [OSError, OSError] and len(good.did) == 2
-    assert [each.result for each in module.events if isinstance(each, AttemptEnded)] == [AttemptResult.ERROR]
+    assert [type(each) for each in raised] == [OSError, OSError] and len(working.did) == 2
+    assert [each.result for each in controller.events if isinstance(each, AttemptEnded)] == [AttemptResult.ERROR]
     assert set(request_table.requests) == {1, 2} and request_table.open_requests == 2
-    module.next = [StartAttempt(1, "s1", 100.0)]
+    controller.next = [StartAttempt(1, "s1", 100.0)]
     request_table._on_action_error = None
     request_table.batches.schedule_iteration()
     with pytest.raises(OSError):
@@ -505,9 +506,9 @@
 
 @pytest.mark.parametrize("offset_ms", range(5))
 @pytest.mark.parametrize(("tick_ms", "margin_ms"), [(TICK_MS, 0.0), (1.0, 100 * MAX_READ_DELAY_FRACTION)])
-def test_a_final_answer_without_a_response_is_given_before_the_deadline(tick_ms, margin_ms, offset_ms):
-    # Guards against answers that are late by the grain of the timers. The platform's front, whose tick may be 1 ms,
-    # makes requests due before their clients' timeouts, here one of 100 ms.
+def test_a_final_response_without_an_attempt_result_is_sent_before_the_deadline(tick_ms, margin_ms, offset_ms):
+    # Guards against final responses that are late by the granularity of the timers. The RESP frontend, whose tick may
+    # be 1 ms, sets deadlines before its clients' timeouts, here one of 100 ms.
     desk = Desk()
     table = desk.request_table
     table.change_settings(replace(table.controller.settings, tick_ms=tick_ms))
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The process's own matters: memory by purpose, the collector, the event loop monitor."""
+"""The process of a gateway instance: memory report, garbage collection, event loop monitor, start and drain."""
 
 import gc
 import json
@@ -24,85 +24,91 @@
 SHARED = (Settings, Plan, RequestClass, Controller)
 
 
-def test_bytes_of_accounts_are_near_what_the_allocator_counts():
-    c = new_controller(gateways=1, peer_messages_enabled=False, inbox_per_s=0)
-    c.handle(1000, [ENDPOINT_LIST])
-    c.handle(1001, [new_arrival(1, customer="warm")])
+def test_estimated_bytes_of_accounts_are_close_to_the_allocated_ones():
+    controller = new_controller(gateways=1, peer_messages_enabled=False, inbox_per_s=0)
+    controller.handle(1000, [ENDPOINT_LIST])
+    controller.handle(1001, [new_arrival(1, customer="warm")])
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for number in range(4000):
-        c.quota_borrower.account_for(1002.0, new_arrival(number, customer=f"customer-{number}"), c.plans["rated"])
-    taken = tracemalloc.get_traced_memory()[0] - before
+        controller.quota_borrower.account_for(
+            1002.0, new_arrival(number, customer=f"customer-{number}"), controller.plans["rated"]
+        )
+    allocated = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    told_ = memory.report([memory.Purpose("accounts", lambda: c.quota_borrower.accounts, lambda: 7)], SHARED)[
+    report = memory.report([memory.Purpose("accounts", lambda: controller.quota_borrower.accounts, lambda: 7)], SHARED)[
         "accounts"
     ]
-    assert told_["count"] == 4001 and told_["most"] == 7
-    assert told_["bytes"] == pytest.approx(taken, rel=0.5)  # the tags' own table is in what was taken too
+    assert report["count"] == 4001 and report["most"] == 7
+    assert report["bytes"] == pytest.approx(
+        allocated, rel=0.5
+    )  # the allocated bytes include the table of customer tags
 
 
-def test_a_report_costs_the_same_however_much_is_kept():
+def test_a_memory_report_costs_the_same_for_any_number_of_entries():
     few, many = ({n: [n] for n in range(count)} for count in (10, 100_000))
-    for kept in (few, many):
-        assert memory.report([memory.Purpose("x", lambda kept=kept: kept)], ())["x"]["count"] == len(kept)
-    loop = []
-    loop.append(loop)
-    assert memory.size(loop, ()) < 200  # what refers to itself ends
+    for entries in (few, many):
+        assert memory.report([memory.Purpose("x", lambda entries=entries: entries)], ())["x"]["count"] == len(entries)
+    cyclic = []
+    cyclic.append(cyclic)
+    assert memory.size(cyclic, ()) < 200  # a cyclic reference is not followed forever
 
 
-def test_the_collector_walks_old_things_only_when_little_is_held(monkeypatch):
-    clock, held, full = Clock(), [10_000], []
-    kept = gc.get_threshold()
-    one = collector.Collector(clock, lambda: held[0])
+def test_full_collections_run_only_while_few_requests_are_open(monkeypatch):
+    clock, open_requests, full_collections_s = Clock(), [10_000], []
+    thresholds = gc.get_threshold()
+    scheduler = collector.Collector(clock, lambda: open_requests[0])
     try:
-        one.start()
+        scheduler.start()
         assert gc.get_threshold()[2] == collector.OLD_THRESHOLD
         gc.callbacks.append(
-            lambda phase, info: full.append(clock.seconds()) if phase == "stop" and info["generation"] == 2 else None
+            lambda phase, info: full_collections_s.append(clock.seconds())
+            if phase == "stop" and info["generation"] == 2
+            else None
         )
         clock.pump([60.0] * 29)
-        assert not full
+        assert not full_collections_s
         clock.pump([60.0])
-        assert full == [1800.0]  # at last all the same
-        held[0] = 3
+        assert full_collections_s == [1800.0]  # at the latest after the maximum interval
+        open_requests[0] = 3
         clock.pump([60.0] * 2)
-        assert full[1:] == [1860.0, 1920.0] and sum(one.pauses.counts) >= 3
+        assert full_collections_s[1:] == [1860.0, 1920.0] and sum(scheduler.pauses.counts) >= 3
     finally:
         gc.callbacks.clear()
-        gc.set_threshold(*kept)
+        gc.set_threshold(*thresholds)
         gc.unfreeze()
 
 
-def test_what_a_change_of_settings_leaves_is_walked_again_once_a_day():
-    clock, kept = Clock(), gc.get_threshold()
-    one = collector.Collector(clock, lambda: 0)
+def test_objects_frozen_after_a_settings_change_are_collected_once_a_day():
+    clock, thresholds = Clock(), gc.get_threshold()
+    scheduler = collector.Collector(clock, lambda: 0)
     try:
-        one.freeze_new_objects()
-        assert gc.get_freeze_count() == 0  # who has not begun leaves the collector alone
-        one.start()
+        scheduler.freeze_new_objects()
+        assert gc.get_freeze_count() == 0  # nothing is frozen before the start
+        scheduler.start()
         settings = [[number] for number in range(5000)]
-        one.freeze_new_objects()
-        seen = []
+        scheduler.freeze_new_objects()
+        tracked_objects = []
         gc.callbacks.append(
-            lambda phase, info: seen.append(len(gc.get_objects(2)))
+            lambda phase, info: tracked_objects.append(len(gc.get_objects(2)))
             if phase == "start" and info["generation"] == 2
             else None
         )
         clock.pump([60.0] * 3)
-        assert len(seen) == 3 and max(seen) < len(settings)
+        assert len(tracked_objects) == 3 and max(tracked_objects) < len(settings)
         clock.advance(collector.MAX_FROZEN_S)
-        assert seen[-1] > len(settings) and len(gc.get_objects(2)) < len(settings)
+        assert tracked_objects[-1] > len(settings) and len(gc.get_objects(2)) < len(settings)
     finally:
         gc.callbacks.clear()
-        gc.set_threshold(*kept)
+        gc.set_threshold(*thresholds)
         gc.unfreeze()
 
 
 def test_event_loop_monitor_names_the_cause_of_each_lateness(monkeypatch):
     clock, late = Clock(), []
-    told_ = SchedulerSample(150, 90, 5), SchedulerSample(400, 95, 195)
-    readings = iter([SchedulerSample(0, 0, 0), told_[0], told_[0], told_[1], told_[1]])
+    samples = SchedulerSample(150, 90, 5), SchedulerSample(400, 95, 195)
+    readings = iter([SchedulerSample(0, 0, 0), samples[0], samples[0], samples[1], samples[1]])
     monkeypatch.setattr(event_loop_monitor, "read_thread_times", lambda pid, now: next(readings))
     monitor = event_loop_monitor.EventLoopMonitor(clock, lambda: clock.seconds() * 1000, lambda *row: late.append(row))
     monitor.start()
@@ -112,7 +118,7 @@
     assert monitor.lag.report()["worst_ms"] == 200.0
 
 
-def test_a_batch_of_ten_thousand_log_entries_holds_up_no_check(tmp_path):
+def test_ten_thousand_log_entries_at_once_delay_no_check(tmp_path):
     import pathlib
 
     from envoy.service.accesslog.v3 import als_pb2
@@ -141,8 +147,8 @@
         running.stop()
 
 
-def test_a_client_that_is_worked_on_is_not_read_from():
-    """The log stream's message is large; what comes behind it waits in the socket and not with us."""
+def test_a_client_is_not_read_from_while_its_message_is_processed():
+    """While a large message of a log stream is processed, further data stay in the socket instead of our buffers."""
     from twisted.internet.testing import StringTransport
 
     from anisefront.frontends.grpc_server import GrpcFactory
@@ -186,19 +192,19 @@
     client.send_data(1, wire_grpc.encode_message(b"x"))
     connection.dataReceived(client.data_to_send())
     assert transport.producerState == "paused"
-    connection.pauseProducing()  # its buffer is full as well
+    connection.pauseProducing()  # the write buffer is full as well
     clock.advance(0)
     assert transport.producerState == "paused"
     connection.resumeProducing()
     assert transport.producerState == "producing"
 
 
-def test_a_port_that_cannot_be_had_ends_the_start_at_whatever_step():
-    """The step before listening was outside the guard for a while: the process would have stood there for good."""
+def test_an_error_in_any_step_of_the_start_ends_the_process():
+    """Guards against an exception in the step before listening, which once left a process that never ended."""
     code = (
         "import types\nfrom anisefront.daemon import process\n"
         "def taken(*_): raise OSError('port taken')\n"
-        "def strange(*_): raise RuntimeError('port taken, and nobody foresaw it')\n"
+        "def strange(*_): raise RuntimeError('port taken, unexpectedly')\n"
         "nothing = types.SimpleNamespace(start=lambda: None)\n"
         "made = types.SimpleNamespace(start={start}, collector=nothing)\n"
         "raise SystemExit(process.run(lambda *_: made, 'error', 'one', {before}))"
@@ -214,12 +220,12 @@
         assert ended.returncode == 1 and "port taken" in ended.stderr and "ready" not in ended.stdout
 
 
-def test_calls_that_lay_unread_when_the_drain_began_have_an_answer():
-    """Twenty clients have sent their calls while it stood still; then it is told to end, and wakes."""
+def test_calls_that_were_unread_when_the_drain_began_are_answered():
+    """Twenty clients send calls while the process is stopped; it then gets SIGTERM and is continued."""
     running = Running(ROOT / "examples/loopback.conf")
     links = []
     try:
-        running.state()  # one connection in a look: the next takes in no more
+        running.state()  # one connection accepted by this read: Twisted's next read accepts no more than one
         running.process.send_signal(signal.SIGSTOP)
         for number in range(20):
             links.append(socket.create_connection(running.where["jsonrpc"].split(":"), 5))
@@ -248,8 +254,8 @@
         running.stop()
 
 
-def test_a_drain_that_ends_with_a_call_open_answers_it(tmp_path):
-    """A worker that never answers, and a drain shorter than the request's time."""
+def test_an_open_call_is_answered_when_the_drain_times_out(tmp_path):
+    """The worker never responds, and the drain timeout is shorter than the request's deadline."""
     with socket.create_server(("127.0.0.1", 0)) as worker, socket.socket(type=socket.SOCK_DGRAM) as spare:
         spare.bind(("127.0.0.1", 0))
         port = spare.getsockname()[1]
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change while a gatekeeper runs: whole or not at all, and each request by one version only."""
+"""Settings changes of a running gateway: applied or rejected as a whole, and one version for each request."""
 
 import os
 import pathlib
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "words"),
     [
         ("burst 12", "burst 13", []),
         ("drain 6s", "drain 7s", []),
@@ -37,14 +37,14 @@
         ("class view aim 1s", "class first aim 1s deadline 2s repeat safe\nclass view aim 1s", ["classes"]),
     ],
 )
-def test_what_may_change(old, new, said):
+def test_which_settings_may_change_while_running(old, new, words):
     before, after = check_text(GOOD).config, check_text(GOOD.replace(old, new, 1)).config
     faults = immutable_settings.rejected_changes(before, after)
-    assert len(faults) == len(said) and all(word in fault for word, fault in zip(said, faults, strict=True)), faults
+    assert len(faults) == len(words) and all(word in fault for word, fault in zip(words, faults, strict=True)), faults
 
 
-class Changing:
-    """A gatekeeper whose settings file can be written anew."""
+class RunningWithSettings:
+    """A gateway process whose settings file can be rewritten."""
 
     def __init__(self, folder):
         self.path = folder / "live.conf"
@@ -63,15 +63,15 @@
         return self.running.state()["settings"]
 
 
-def test_live(tmp_path):
-    live = Changing(tmp_path)
+def test_changes_and_rejections_of_a_running_process(tmp_path):
+    live = RunningWithSettings(tmp_path)
     running = live.running
     try:
         began = told(running.check(x_request_id="r1"))
         assert live.write(live.text.replace("GET /stock-view", "GET /other"))["version"] == 2
         assert running.check(path="/stock-view").denied_response.status.code == 404
         assert told(running.check(path="/other", x_request_id="r2"))
-        # a request that arrived before has its further attempt as it would have had
+        # a request that arrived before the change still gets its next attempt
         running.log(began["x-anisefront-attempt"], 503, "upstream_remote_reset")
         again = told(
             running.check(path="/stock-view", x_request_id="r1", x_anisefront_attempt=began["x-anisefront-attempt"])
@@ -88,22 +88,22 @@
         running.stop()
 
 
-def test_what_was_spent_stays_spent_and_what_is_here_keeps_its_class():
+def test_a_change_keeps_spent_quota_and_the_class_of_earlier_requests():
     desk = Desk(Plan("wide", 10, 5))
     for number in range(5):
         desk.ask(f"r{number}", kind="unsafe")
     assert len(desk.told) == 5
     old = desk.request_table.controller.settings
-    kinds = tuple(RequestClass(kind.name, 500, 2000, 1.0, Idempotency.IDEMPOTENT) for kind in old.classes)
+    classes = tuple(RequestClass(kind.name, 500, 2000, 1.0, Idempotency.IDEMPOTENT) for kind in old.classes)
     desk.request_table.change_settings(
         type(old)(
             **{name: getattr(old, name) for name in old.__slots__}
-            | {"classes": kinds, "plans": (Plan("wide", 10, 50),)}
+            | {"classes": classes, "plans": (Plan("wide", 10, 50),)}
         )
     )
     desk.run(0.02)
     desk.ask("r5", kind="unsafe")
-    assert len(desk.told) == 5  # a larger burst is not granted at once
+    assert len(desk.told) == 5  # a larger burst does not take effect immediately
     desk.log(desk.told[0].attempt_name, AttemptResult.RESET)
     desk.again(desk.told[0].attempt_name)
     assert desk.told[5].verdict.value == "failed"  # it arrived as unsafe
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -1,4 +1,4 @@
-"""Changes of settings beside service: every order of signals and steps, and each outcome on a simulated loop."""
+"""Reloads beside requests: random orders of signals and steps, and each outcome on a simulated event loop."""
 
 import gc
 import os
@@ -23,13 +23,13 @@
 from anisefront.cluster import replication_messages
 from anisefront.policy.events import Arrival
 
-# ---- every order, on files in memory ------------------------------------------------------------------
+# ---- random orders, on files in memory ----------------------------------------------------------------
 
 
-class Loop(MemoryReactorClock):
-    """A loop on a simulated clock, one turn at a time: what a call plans at once comes in the next turn."""
+class IterationReactor(MemoryReactorClock):
+    """A reactor on a simulated clock that runs one iteration at a time; calls scheduled in it run in the next."""
 
-    def turn(self):
+    def run_iteration(self):
         self.rightNow += reload_scheduler.PAUSE_S
         for each in [each for each in self.calls if each.getTime() <= self.seconds()]:
             if each in self.calls:
@@ -38,110 +38,116 @@
                 each.func(*each.args, **each.kw)
 
 
-class Log:
+class RecordingLog:
     def __init__(self):
-        self.lines = []
+        self.entries = []
 
     def __getattr__(self, level):
-        return lambda event, **more: self.lines.append((event, more))
+        return lambda event, **more: self.entries.append((event, more))
 
 
 BAD = -1
 
 
-class Play:
-    """One drawn order of writes, hang-ups, turns of the loop and perhaps a stop; the first broken promise, or None."""
+class RandomSchedule:
+    """A random order of writes, reload requests, iterations and perhaps a stop; `run` returns a broken invariant."""
 
     def __init__(self, seed):
-        self.rng, self.reactor, self.log, self.content, self.ever = random.Random(seed), Loop(), Log(), 0, {0}
-        self.force, self.readings = 0, 0
-        play = self
+        self.rng, self.reactor, self.log, self.content, self.written = (
+            random.Random(seed),
+            IterationReactor(),
+            RecordingLog(),
+            0,
+            {0},
+        )
+        self.applied, self.reads = 0, 0
+        schedule = self
 
         class Read:
             def __init__(self, path, environment):
-                self.whole = True
+                self.is_complete = True
 
             def steps(self):
-                play.readings += 1
-                found, was_whole, self.whole = play.content, self.whole, False
+                schedule.reads += 1
+                content_read, was_complete, self.is_complete = schedule.content, self.is_complete, False
                 for _ in range(3):
                     yield
-                if not was_whole:  # it went on from half of a reading
+                if not was_complete:  # it continued from an interrupted read
                     return LoadOutcome(-2, (), (), "")
-                if found == BAD:
-                    raise ValueError("nobody foresaw this")
-                self.whole = True
-                return LoadOutcome(found, (), (), "")
+                if content_read == BAD:
+                    raise ValueError("unexpected")
+                self.is_complete = True
+                return LoadOutcome(content_read, (), (), "")
 
         self.source = SettingsSource("", {}, Read)
         self.reloader = ReloadScheduler(
             self.reactor, self.change, lambda: False, self.log, self.raised, iter(range(10_000)).__next__
-        )  # one step a turn
+        )  # one step per iteration
 
     def raised(self, problem):
         assert isinstance(problem, ValueError)
 
     def change(self):
         outcome = yield from self.source.steps()
-        self.force = outcome.config
+        self.applied = outcome.config
 
     def run(self):
-        rng, hang_ups, stopped, told = self.rng, 0, None, None
+        rng, reload_requests, state_at_stop, expected = self.rng, 0, None, None
         for number in range(rng.randrange(4, 30)):
-            what = rng.choice(["write", "hang up", "turn", "turn", "turn", "turn", "stop"])
+            what = rng.choice(["write", "request reload", "iterate", "iterate", "iterate", "iterate", "stop"])
             if what == "write":
                 self.content = number + 1 if rng.random() < 0.8 else BAD
-                self.ever.add(self.content)
-                told = None
-            elif what == "hang up":
+                self.written.add(self.content)
+                expected = None
+            elif what == "request reload":
                 self.reloader.request_reload()
-                hang_ups += 1
-                told = self.content
-            elif what == "turn":
-                self.reactor.turn()
+                reload_requests += 1
+                expected = self.content
+            elif what == "iterate":
+                self.reactor.run_iteration()
             elif rng.random() < 0.2:
                 self.reloader.stop()
-                stopped = stopped or (self.force, self.readings)
+                state_at_stop = state_at_stop or (self.applied, self.reads)
         for _ in range(200):
-            self.reactor.turn()
-        if self.force not in self.ever - {BAD}:
-            return "what stood in no file is in force"
-        if stopped:
-            if (self.force, self.readings) != stopped or self.reactor.getDelayedCalls():
-                return "something after the stop"
+            self.reactor.run_iteration()
+        if self.applied not in self.written - {BAD}:
+            return "settings that were in no file are applied"
+        if state_at_stop:
+            if (self.applied, self.reads) != state_at_stop or self.reactor.getDelayedCalls():
+                return "a change or a timer after the stop"
             return None
-        if self.readings > hang_ups:
-            return "readings that nobody asked for"
-        if told not in (None, BAD, self.force):
-            return "the last change is not in force"
-        return "it does not rest" if self.reloader.phase is not Phase.IDLE else None
+        if self.reads > reload_requests:
+            return "more reads than requested"
+        if expected not in (None, BAD, self.applied):
+            return "the last change is not applied"
+        return "the scheduler does not become idle" if self.reloader.phase is not Phase.IDLE else None
 
 
-def broken(rounds=1500):
+def first_violation(rounds=1500):
     for seed in range(rounds):
         try:
-            fault = Play(seed).run()
+            fault = RandomSchedule(seed).run()
         except ValueError:
-            fault = "what nobody foresaw ends the loop's call"
+            fault = "an unexpected exception reaches the event loop"
         if fault:
             return fault
     return None
 
 
-def test_no_order_of_writes_hang_ups_turns_and_stops_breaks_a_promise():
-    assert broken() is None
+def test_invariants_hold_in_any_order_of_writes_reloads_iterations_and_stops():
+    assert first_violation() is None
 
 
 @pytest.mark.parametrize("key", list(reload_scheduler.TRANSITIONS), ids=lambda key: f"{key[0].name}-{key[1].name}")
 def test_each_row_taken_out_is_found_out(key, monkeypatch):
     monkeypatch.delitem(reload_scheduler.TRANSITIONS, key)
-    if key == (Phase.STOPPED, reload_scheduler.Step.RELOAD_REQUESTED):  # it only says why nothing is done
-        play = Play(0)
-        play.reloader.stop()
-        play.reloader.request_reload()
-        assert play.log.lines == []
+    if key == (Phase.STOPPED, reload_scheduler.Step.RELOAD_REQUESTED):  # it only logs why the request is ignored
+        schedule = RandomSchedule(0)
+        schedule.reloader.stop()
+        schedule.reloader.request_reload()
+        assert schedule.log.entries == []
     else:
-        assert broken() is not None
+        assert first_violation() is not None
 
 
 @pytest.mark.parametrize("guard", ["whole", "raised", "dropped"])
@@ -151,51 +157,53 @@
     elif guard == "raised":
 
         def raised(self, problem):
-            raise problem  # as without the except clause: the change never ends
+            raise problem  # as without the except clause: the reload never ends
 
-        monkeypatch.setattr(Play, "raised", raised)
+        monkeypatch.setattr(RandomSchedule, "raised", raised)
     else:
 
         def take(self, step, inner=ReloadScheduler._advance):
             steps = self._steps
             inner(self, step)
             if step is reload_scheduler.Step.STOP and steps is not None:
-                self._steps = self._change()  # what was dropped goes on
+                self._steps = self._change()  # the cancelled reload continues
 
         monkeypatch.setattr(ReloadScheduler, "_advance", take)
-    assert broken() is not None
+    assert first_violation() is not None
 
 
-def test_requests_go_first_and_settings_get_their_turn_all_the_same():
-    reactor, busy, done = Loop(), [True], []
+def test_requests_have_priority_and_reloads_still_progress():
+    reactor, busy, done = IterationReactor(), [True], []
 
     def change():
         for number in range(3):
             done.append(number)
             yield
 
-    one = ReloadScheduler(reactor, change, lambda: busy[0], Log(), done.append, iter(range(100)).__next__)
-    one.request_reload()
+    scheduler = ReloadScheduler(
+        reactor, change, lambda: busy[0], RecordingLog(), done.append, iter(range(100)).__next__
+    )
+    scheduler.request_reload()
     for _ in range(reload_scheduler.MAX_DEFERRALS):
-        reactor.turn()
+        reactor.run_iteration()
     assert done == []
-    reactor.turn()
+    reactor.run_iteration()
     assert done == [0]
     busy[0] = False
-    reactor.turn()
+    reactor.run_iteration()
     assert done == [0, 1]
 
 
-# ---- a gatekeeper on a simulated loop -----------------------------------------------------------------
+# ---- a gateway instance on a simulated event loop -----------------------------------------------------
 
 TEXT = GOOD.replace("0 of 2", "0 of 1").replace("peer 1", "# peer 1").replace("listen peers", "listen jsonrpc")
 
 
-class Staged:
-    """A gatekeeper with a file of settings and a folder of services that it includes; one step of settings a turn."""
+class SimulatedInstance:
+    """A gateway instance with a settings file and a folder of included services; one reload step per iteration."""
 
     def __init__(self, folder, make=incremental_loader.IncrementalLoader, text=TEXT):
-        self.folder, self.reactor = folder, Loop()
+        self.folder, self.reactor = folder, IterationReactor()
         (folder / "services").mkdir()
         self.path = folder / "gatekeeper.conf"
         self.path.write_text(text + 'include "services/*.conf"\n')
@@ -208,7 +216,7 @@
             source=self.source,
         )
         self.made.updates.scheduler._seconds = iter(range(1_000_000)).__next__
-        self.log = Log()
+        self.log = RecordingLog()
         self.made.log = self.made.updates._log = self.made.updates.scheduler._log = self.log
 
     def service(self, name, more="class view pool stalls"):
@@ -216,111 +224,118 @@
         new.write_text(f"route GET /{name} {more}\n")
         new.replace(self.folder / f"services/{name}.conf")
 
-    def takes(self, path):
+    def class_of(self, path):
         try:
             return self.made.authorization.router().map("GET", "h", path, {"x-api-key": "k-1"}).class_name
         except UnroutableRequestError:
             return None
 
-    def turns(self, most=10_000):
+    def run_until_idle(self, most=10_000):
         for _ in range(most):
             if self.made.updates.scheduler.phase in (Phase.IDLE, Phase.STOPPED):
                 return self.settings()
-            self.reactor.turn()
-        raise AssertionError("it does not rest")
+            self.reactor.run_iteration()
+        raise AssertionError("the scheduler does not become idle")
 
     def change(self):
         self.made.reload()
-        return self.turns()
+        return self.run_until_idle()
 
     def settings(self):
         return self.made.state()["settings"]
 
-    def said(self, event):
-        return [more for name, more in self.log.lines if name == event]
+    def logged(self, event):
+        return [more for name, more in self.log.entries if name == event]
 
 
 @pytest.fixture
-def stage(tmp_path):
-    return Staged(tmp_path)
-
-
-def test_a_change_is_in_force_whole_with_its_version_and_digest(stage):
-    before = stage.settings()
-    stage.service("two")
-    after = stage.change()
-    assert stage.takes("/two") == "view" and (before["version"], after["version"]) == (1, 2)
-    assert after["digest"] == stage.made.version.digest != before["digest"] and after["fault"] == ""
-    assert stage.said("settings")[0]["routes_added"] == ["GET */two"]
-    again = stage.change()  # nothing in the files is another
+def simulated(tmp_path):
+    return SimulatedInstance(tmp_path)
+
+
+def test_a_change_is_applied_as_a_whole_with_its_version_and_digest(simulated):
+    before = simulated.settings()
+    simulated.service("two")
+    after = simulated.change()
+    assert simulated.class_of("/two") == "view" and (before["version"], after["version"]) == (1, 2)
+    assert after["digest"] == simulated.made.version.digest != before["digest"] and after["fault"] == ""
+    assert simulated.logged("settings")[0]["routes_added"] == ["GET */two"]
+    again = simulated.change()  # the files are unchanged
     assert again["readings"] == {"taken": 1, "same": 1}
     assert all(again[name] == after[name] for name in ("version", "digest", "fault", "reading"))
 
 
 @pytest.mark.parametrize(
-    ("break_it", "said"),
+    ("break_it", "expected_fault"),
     [
-        (lambda stage: stage.service("two", "class vieww pool stalls"), "two.conf:1:22: error"),
+        (lambda simulated: simulated.service("two", "class vieww pool stalls"), "two.conf:1:22: error"),
         (
-            lambda stage: stage.path.write_text(stage.path.read_text().replace("warm-up 10s", "warm-up 11s")),
+            lambda simulated: simulated.path.write_text(
+                simulated.path.read_text().replace("warm-up 10s", "warm-up 11s")
+            ),
             "'pool' can't change while running",
         ),
-        (lambda stage: stage.path.unlink(), "gatekeeper.conf"),
-        (lambda stage: stage.path.write_text(stage.path.read_text() + 'include "gone.conf"\n'), "gone.conf"),
-        (lambda stage: os.mkfifo(stage.folder / "services/pipe.conf"), "not a regular file"),
+        (lambda simulated: simulated.path.unlink(), "gatekeeper.conf"),
+        (
+            lambda simulated: simulated.path.write_text(simulated.path.read_text() + 'include "gone.conf"\n'),
+            "gone.conf",
+        ),
+        (lambda simulated: os.mkfifo(simulated.folder / "services/pipe.conf"), "not a regular file"),
     ],
 )
-def test_a_bad_change_is_refused_whole_and_the_next_good_one_is_taken(stage, break_it, said):
-    text = stage.path.read_text()
-    stage.service("three")
-    break_it(stage)
-    after = stage.change()
-    assert said in after["fault"] and after["version"] == 1 and stage.takes("/three") is None
-    assert said in stage.said("settings_not_taken")[0]["faults"][0]
-    stage.path.write_text(text)
-    stage.service("two")
-    (stage.folder / "services/pipe.conf").unlink(missing_ok=True)
-    after = stage.change()
-    assert after["fault"] == "" and after["version"] == 2 and stage.takes("/three") and stage.takes("/two")
-
-
-def test_the_digest_of_files_is_the_one_of_the_version_that_they_come_to(stage):
+def test_an_invalid_change_is_rejected_as_a_whole_and_the_next_valid_one_applied(simulated, break_it, expected_fault):
+    text = simulated.path.read_text()
+    simulated.service("three")
+    break_it(simulated)
+    after = simulated.change()
+    assert expected_fault in after["fault"] and after["version"] == 1 and simulated.class_of("/three") is None
+    assert expected_fault in simulated.logged("settings_not_taken")[0]["faults"][0]
+    simulated.path.write_text(text)
+    simulated.service("two")
+    (simulated.folder / "services/pipe.conf").unlink(missing_ok=True)
+    after = simulated.change()
+    assert (
+        after["fault"] == "" and after["version"] == 2 and simulated.class_of("/three") and simulated.class_of("/two")
+    )
+
+
+def test_the_digest_command_prints_the_digest_of_the_version(simulated):
     from click.testing import CliRunner
 
     from anisefront.cli.config import config
 
-    stage.service("two")
-    said = CliRunner().invoke(config, ["digest", str(stage.path)])
-    assert said.exit_code == 0 and said.output.strip() == stage.change()["digest"]
-    stage.service("two", "class vieww pool stalls")
-    assert CliRunner().invoke(config, ["digest", str(stage.path)]).exit_code == 2
+    simulated.service("two")
+    result = CliRunner().invoke(config, ["digest", str(simulated.path)])
+    assert result.exit_code == 0 and result.output.strip() == simulated.change()["digest"]
+    simulated.service("two", "class vieww pool stalls")
+    assert CliRunner().invoke(config, ["digest", str(simulated.path)]).exit_code == 2
 
 
-def test_the_file_of_a_service_that_is_taken_away_takes_its_routes_with_it(stage):
-    stage.service("two")
-    stage.change()
-    (stage.folder / "services/one.conf").unlink()
-    assert stage.change()["version"] == 3 and stage.takes("/one") is None and stage.takes("/two")
+def test_removing_the_file_of_a_service_removes_its_routes(simulated):
+    simulated.service("two")
+    simulated.change()
+    (simulated.folder / "services/one.conf").unlink()
+    assert simulated.change()["version"] == 3 and simulated.class_of("/one") is None and simulated.class_of("/two")
 
 
-def test_a_folder_that_can_not_be_listed_takes_no_routes_away(stage, monkeypatch):
+def test_an_unreadable_folder_removes_no_routes(simulated, monkeypatch):
     inner = os.listdir
 
-    def listed(path):  # as of a folder without rights
+    def listed(path):  # as for a folder without read permission
         if str(path).endswith("services"):
             raise PermissionError(13, "Permission denied", str(path))
         return inner(path)
 
     monkeypatch.setattr(os, "listdir", listed)
-    after = stage.change()
-    assert "Permission denied" in after["fault"] and "services" in after["fault"] and stage.takes("/one")
+    after = simulated.change()
+    assert "Permission denied" in after["fault"] and "services" in after["fault"] and simulated.class_of("/one")
     monkeypatch.undo()
-    stage.service("two")
-    assert stage.change()["fault"] == "" and stage.takes("/two")
+    simulated.service("two")
+    assert simulated.change()["fault"] == "" and simulated.class_of("/two")
 
 
 def writing(monkeypatch, write):
-    """Whenever the file of service one has been read, something is written."""
+    """Call `write` whenever the file of service one has been read."""
     inner = DiskFiles.read
 
     def read(self, path):
@@ -332,68 +347,72 @@
     monkeypatch.setattr(DiskFiles, "read", read)
 
 
-def test_a_file_that_changes_while_it_is_read_is_read_again(stage, monkeypatch):
+def test_a_file_that_changes_while_it_is_read_is_read_again(simulated, monkeypatch):
     writes = []
 
     def write():
         if not writes:
-            writes.append(stage.service("one", "class order pool stalls"))
-            stage.service("two")
+            writes.append(simulated.service("one", "class order pool stalls"))
+            simulated.service("two")
 
     writing(monkeypatch, write)
-    stage.service("one", "class view pool stalls # touched")
-    after = stage.change()
-    assert after["version"] == 2 and stage.takes("/one") == "order" and stage.takes("/two")
+    simulated.service("one", "class view pool stalls # touched")
+    after = simulated.change()
+    assert after["version"] == 2 and simulated.class_of("/one") == "order" and simulated.class_of("/two")
 
 
-def test_files_that_are_written_all_the_time_are_told_so(stage, monkeypatch):
-    writing(monkeypatch, lambda: stage.service("one", f"class view pool stalls # {os.urandom(4).hex()}"))
-    stage.service("one", "class order pool stalls")
-    after = stage.change()
+def test_a_file_that_changes_during_every_read_is_reported(simulated, monkeypatch):
+    writing(monkeypatch, lambda: simulated.service("one", f"class view pool stalls # {os.urandom(4).hex()}"))
+    simulated.service("one", "class order pool stalls")
+    after = simulated.change()
     assert "one.conf' changed while it was read" in after["fault"]
-    assert after["version"] == 1 and stage.takes("/one") == "view"
+    assert after["version"] == 1 and simulated.class_of("/one") == "view"
     monkeypatch.undo()
-    assert stage.change()["fault"] == ""
+    assert simulated.change()["fault"] == ""
 
 
-def test_a_file_that_vanishes_between_its_finding_and_its_reading_costs_one_reading_more(stage, monkeypatch):
-    stage.service("two")
+def test_a_file_that_is_removed_before_it_is_read_causes_one_more_read(simulated, monkeypatch):
+    simulated.service("two")
     inner = DiskFiles.find
 
     def find(self, pattern):
         found = inner(self, pattern)
-        (stage.folder / "services/two.conf").unlink(missing_ok=True)
+        (simulated.folder / "services/two.conf").unlink(missing_ok=True)
         return found
 
     monkeypatch.setattr(DiskFiles, "find", find)
-    stage.service("three")
-    assert stage.change()["fault"] == "" and stage.takes("/three") and stage.takes("/two") is None
+    simulated.service("three")
+    assert simulated.change()["fault"] == "" and simulated.class_of("/three") and simulated.class_of("/two") is None
 
 
-def test_hang_ups_during_a_reading_are_one_more(stage):
-    stage.service("two")
-    stage.made.reload()
-    stage.reactor.turn()
-    stage.service("two", "class order pool stalls")
+def test_reload_requests_during_a_read_cause_one_more_read(simulated):
+    simulated.service("two")
+    simulated.made.reload()
+    simulated.reactor.run_iteration()
+    simulated.service("two", "class order pool stalls")
     for _ in range(5):
-        stage.made.reload()
-    after = stage.turns()
-    assert stage.takes("/two") == "order" and sum(after["readings"].values()) == 2
-
-
-def test_a_hang_up_while_it_drains_and_a_drain_while_it_reads_change_nothing(stage):
-    stage.service("two")
-    stage.made.reload()
-    stage.reactor.turn()
-    stage.made.drain()
-    assert stage.said("reading_dropped") and not stage.settings()["reading"]
-    stage.made.reload()
-    assert stage.said("hang_up_ignored")
-    stage.reactor.pump([0.01] * 100)
-    assert stage.settings()["version"] == 1 and stage.takes("/two") is None and stage.made._drain.is_complete
+        simulated.made.reload()
+    after = simulated.run_until_idle()
+    assert simulated.class_of("/two") == "order" and sum(after["readings"].values()) == 2
+
+
+def test_a_reload_during_a_drain_and_a_drain_during_a_reload_change_nothing(simulated):
+    simulated.service("two")
+    simulated.made.reload()
+    simulated.reactor.run_iteration()
+    simulated.made.drain()
+    assert simulated.logged("reading_dropped") and not simulated.settings()["reading"]
+    simulated.made.reload()
+    assert simulated.logged("hang_up_ignored")
+    simulated.reactor.pump([0.01] * 100)
+    assert (
+        simulated.settings()["version"] == 1
+        and simulated.class_of("/two") is None
+        and simulated.made._drain.is_complete
+    )
 
 
-def test_what_nobody_foresaw_leaves_the_old_version_and_the_next_hang_up_works(tmp_path):
+def test_an_unexpected_exception_keeps_the_version_and_the_next_reload_works(tmp_path):
     class Raising(incremental_loader.IncrementalLoader):
         raises = False
 
@@ -403,63 +422,63 @@
                 raise ZeroDivisionError("by nothing")
             return (yield from super().steps())
 
-    stage = Staged(tmp_path, Raising)
-    stage.service("two")
+    simulated = SimulatedInstance(tmp_path, Raising)
+    simulated.service("two")
     Raising.raises = True
-    after = stage.change()
-    assert "ZeroDivisionError: by nothing" in after["fault"] and after["version"] == 1 and stage.takes("/one")
-    assert "steps" in stage.said("reload_raised")[0]["trace"]
+    after = simulated.change()
+    assert "ZeroDivisionError: by nothing" in after["fault"] and after["version"] == 1 and simulated.class_of("/one")
+    assert "steps" in simulated.logged("reload_raised")[0]["trace"]
     Raising.raises = False
-    after = stage.change()
-    assert after["fault"] == "" and after["version"] == 2 and stage.takes("/two")
+    after = simulated.change()
+    assert after["fault"] == "" and after["version"] == 2 and simulated.class_of("/two")
 
 
-def test_a_version_that_is_no_longer_in_force_is_let_go_by_reference_counts(stage):
+def test_an_outdated_version_is_freed_by_reference_counting(simulated):
     gc.collect()
     gc.disable()
     try:
-        gone = []
+        outdated_routers = []
         for number in range(3):
-            gone.append(weakref.ref(stage.made.version.router))
-            stage.service("two", f"class view pool stalls units {number + 1}")
-            stage.change()
-            stage.service("bad", "class vieww pool stalls")
-            stage.change()
-            (stage.folder / "services/bad.conf").unlink()
-        assert [each() for each in gone] == [None] * 3 and stage.settings()["version"] == 4
+            outdated_routers.append(weakref.ref(simulated.made.version.router))
+            simulated.service("two", f"class view pool stalls units {number + 1}")
+            simulated.change()
+            simulated.service("bad", "class vieww pool stalls")
+            simulated.change()
+            (simulated.folder / "services/bad.conf").unlink()
+        assert [each() for each in outdated_routers] == [None] * 3 and simulated.settings()["version"] == 4
     finally:
         gc.enable()
 
 
-def test_the_module_hears_of_its_own_settings_only_and_before_what_arrives_after_them(stage):
-    stage.made.request_table.batches.run_scheduled()
-    stage.service("two")
-    stage.change()
-    assert stage.made.request_table.batches.waiting == 0  # routes are no matter of the module's
-    stage.path.write_text(stage.path.read_text().replace("rate 40/s", "rate 41/s"))
-    stage.made.reload()
-    while stage.settings()["version"] == 2:
-        stage.reactor.turn()
-    assert [type(each).__name__ for each in stage.made.request_table.batches._queues._requests] == ["Settings"]
-    assert stage.made.request_table.controller.settings.plans[1].rate_per_s == 40
-    stage.reactor.turn()
-    assert stage.made.request_table.controller.settings.plans[1].rate_per_s == 41
+def test_the_controller_receives_only_its_own_settings_and_before_later_arrivals(simulated):
+    simulated.made.request_table.batches.run_scheduled()
+    simulated.service("two")
+    simulated.change()
+    assert simulated.made.request_table.batches.waiting == 0  # the controller does not depend on routes
+    simulated.path.write_text(simulated.path.read_text().replace("rate 40/s", "rate 41/s"))
+    simulated.made.reload()
+    while simulated.settings()["version"] == 2:
+        simulated.reactor.run_iteration()
+    assert [type(each).__name__ for each in simulated.made.request_table.batches._queues._requests] == ["Settings"]
+    assert simulated.made.request_table.controller.settings.plans[1].rate_per_s == 40
+    simulated.reactor.run_iteration()
+    assert simulated.made.request_table.controller.settings.plans[1].rate_per_s == 41
 
 
-def test_what_became_of_a_request_is_told_by_the_class_that_it_came_with(tmp_path):
+def test_an_outcome_is_reported_by_the_class_that_the_request_arrived_with(tmp_path):
     text = GOOD.replace("repeat keyed\n    scope cell\n    window 5s", "repeat unsafe")
-    made = Staged(tmp_path, text=text + "members\nkeepers lease 1s\n")
+    made = SimulatedInstance(tmp_path, text=text + "members\nkeepers lease 1s\n")
     service, request_table = made.made.replication_service, made.made.request_table
-    entry = PendingRequest(
+    request = PendingRequest(
         Arrival(1, "customer", "order", "stall", 2e6), None, 0.0, attempts=1, replica=ReplicaRecord("own", "try-1", {})
     )
-    request_table.requests[1] = entry
-    assert service.try_protect(entry)
+    request_table.requests[1] = request
+    assert service.try_protect(request)
     service.primary._requests.on_locked(1)
-    assert service.may_release_attempt(1, 0, "worker")  # so it may have run
+    assert service.may_release_attempt(1, 0, "worker")  # so it may have been executed
     made.path.write_text(made.path.read_text().replace("repeat unsafe", "repeat safe"))
     assert made.change()["version"] == 2
-    name = next(iter(service.duplicates._request_numbers))
-    service.duplicates._waiting_instances[name] = {1}
+    identity = next(iter(service.duplicates._request_numbers))
+    service.duplicates._waiting_instances[identity] = {1}
     service.request_completed(1)
-    assert service.duplicates._outcomes[name] is replication_messages.Outcome.MAY_HAVE_EXECUTED
+    assert service.duplicates._outcomes[identity] is replication_messages.Outcome.MAY_HAVE_EXECUTED
