--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -15,6 +15,61 @@
 TESTS = pathlib.Path(__file__).parent
 BEFORE = (TESTS / "data" / "collected_before.txt").read_text(encoding="utf-8").splitlines()
 RENAMED: dict[str, str] = {
+    "test_a_table_made_by_changes_is_as_one_made_at_once": "test_an_edited_table_equals_one_built_at_once",
+    "test_nodes_off_the_changed_path_are_shared_and_empty_ones_go": (
+        "test_nodes_off_the_edited_path_are_shared_and_empty_ones_removed"
+    ),
+    "test_as_many_parts_stay_as_can": "test_as_many_groups_as_possible_remain",
+    "test_a_key_more_copies_one_shard": "test_adding_a_key_copies_one_shard",
+    "test_ties_follow_the_order_of_parts_whatever_stood_before": (
+        "test_ties_follow_the_order_of_groups_whatever_their_order_was_before"
+    ),
+    "test_orders_made_wrong_are_found": "test_wrong_orders_are_detected",
+    "test_check_names_a_worker_and_the_log_ends_the_attempt": (
+        "test_a_check_returns_an_endpoint_and_the_log_ends_the_attempt"
+    ),
+    "test_further_check_gets_the_next_attempt_elsewhere": "test_a_further_check_gets_an_attempt_at_another_endpoint",
+    "test_what_cannot_be_mapped_is_denied": "test_requests_without_a_route_or_key_are_denied",
+    "test_same_request_id_by_two_proxies_goes_out_once": "test_a_request_id_from_two_proxies_is_executed_once",
+    "test_log_that_is_doubled_or_unknown_changes_nothing": "test_duplicate_and_unknown_logs_change_nothing",
+    "test_attempt_of_an_earlier_life_is_failed_without_a_promise": (
+        "test_an_attempt_of_an_earlier_incarnation_fails_and_may_have_executed"
+    ),
+    "test_compressed_large_and_unknown_calls_are_refused_by_status": (
+        "test_compressed_large_and_unknown_calls_are_rejected_by_status"
+    ),
+    "test_jsonrpc_call_is_carried_out": "test_jsonrpc_call_is_executed",
+    "test_jsonrpc_batches_notifications_and_faults": "test_jsonrpc_batches_notifications_and_errors",
+    "test_standstill_of_our_own_loses_no_answer": "test_a_stall_of_the_process_loses_no_response",
+    "test_a_line_too_long_gets_its_error_and_a_clean_end_though_more_is_on_its_way": (
+        "test_a_line_that_is_too_long_gets_an_error_and_a_clean_close_while_more_data_arrive"
+    ),
+    "test_drain_finishes_what_was_begun_and_refuses_what_is_new": (
+        "test_a_drain_finishes_open_requests_and_rejects_new_ones"
+    ),
+    "test_connection_is_used_again": "test_a_connection_is_reused",
+    "test_dead_idle_connection_is_no_failed_request": "test_a_dead_idle_connection_fails_no_request",
+    "test_idle_connections_are_closed_and_capped": "test_idle_connections_are_closed_and_limited",
+    "test_time_out_and_what_it_proves": "test_a_timeout_before_and_after_the_request_was_written",
+    "test_a_worker_that_has_a_name_is_reached_at_whatever_address_it_has": (
+        "test_an_endpoint_with_a_host_name_is_reached_at_its_resolved_address"
+    ),
+    "test_refused_connection_never_ran": "test_a_refused_connection_proves_that_nothing_was_executed",
+    "test_connection_lost_before_headers_in_them_and_in_the_body": (
+        "test_connection_lost_before_and_within_headers_and_body"
+    ),
+    "test_garbage_is_an_error_and_closes": "test_a_malformed_response_is_an_error_and_closes_the_connection",
+    "test_interim_answers_are_passed_over_and_unasked_bytes_close": (
+        "test_interim_responses_are_skipped_and_unsolicited_bytes_close_the_connection"
+    ),
+    "test_one_that_never_speaks_is_closed_and_a_slow_writer_is_served": (
+        "test_a_silent_client_is_closed_and_a_slow_writer_is_served"
+    ),
+    "test_one_that_never_reads_is_cut_off_alone": "test_a_client_that_never_reads_affects_no_other",
+    "test_check_by_an_independent_http2": "test_a_check_by_an_independent_http2_client",
+    "test_grpc_time_out_ends_a_held_check_and_takes_the_request_back": (
+        "test_a_grpc_timeout_ends_a_queued_check_and_its_request"
+    ),
     "test_worker_fails_after_the_check_said_yes": "test_endpoint_fails_after_the_check_was_allowed",
     "test_check_ahead_of_its_log_waits_for_it": "test_a_check_before_the_log_of_its_attempt_waits_for_the_log",
     "test_proxy_out_of_time_while_our_ok_is_on_the_wire": "test_proxy_timeout_while_the_check_response_is_in_transit",
--- a/tests/test_duplicate_requests.py
+++ b/tests/test_duplicate_requests.py
@@ -1,4 +1,4 @@
-"""Requests of one identity at several gateways: what those get that wait for the first of them."""
+"""Requests of one identity at several gateways: outcomes for those that wait for the first one."""
 
 from collections import Counter
 
@@ -25,10 +25,10 @@
 
 
 class Backup:
-    """Duplicates at a backup at which a client waits, and another gateway too."""
+    """Duplicates at a backup, with a waiting client and another waiting gateway."""
 
     def __init__(self):
-        self.clock, self.sent, self.answers, self.anew = Clock(), [], [], []
+        self.clock, self.sent, self.answers, self.started_anew = Clock(), [], [], []
         self.deduplicator = Deduplicator(lambda: self.clock.seconds() * 1000, self.clock)
         self.duplicates = DuplicateRequests(
             lambda receiver, data: self.sent.append((receiver, decode(data))), self.clock, self.deduplicator, Counter()
@@ -36,7 +36,7 @@
 
     def wait(self):
         self.duplicates.add_waiting_request(
-            NAME, JOB, 8000.0, self.answers.append, lambda: self.anew.append(NAME), PRIMARY
+            NAME, JOB, 8000.0, self.answers.append, lambda: self.started_anew.append(NAME), PRIMARY
         )
         self.duplicates.wait_for(NAME, {OTHER})
 
@@ -46,8 +46,8 @@
     return Backup()
 
 
-def test_the_response_of_a_completed_request_is_asked_for_before_its_waiters_fail(backup):
-    # Guards against "failed" for a request that was served: its end was known here before its response.
+def test_the_response_of_a_completed_request_is_queried_before_waiting_requests_fail(backup):
+    # Guards against "failed" for a served request: its completion arrived here before its response.
     backup.wait()
     backup.duplicates.end_uncertain(NAME, PRIMARY, none_in_flight)
     assert backup.sent == [(PRIMARY, OutcomeQuery(NAME))] and backup.answers == []
@@ -59,15 +59,15 @@
     assert len(backup.answers) == 1 and len(backup.sent) == 2
 
 
-def test_without_a_reply_the_waiters_of_a_completed_request_fail(backup):
+def test_without_a_reply_the_requests_that_wait_for_a_completed_one_fail(backup):
     backup.wait()
     backup.duplicates.end_uncertain(NAME, PRIMARY, none_in_flight)
     backup.clock.advance(OUTCOME_TIMEOUT_S)
-    assert backup.answers == [FAILED] and backup.anew == []
+    assert backup.answers == [FAILED] and backup.started_anew == []
     assert backup.sent[-1] == (OTHER, OutcomeReply(NAME, Outcome.MAY_HAVE_EXECUTED))
 
 
-def test_who_asks_while_the_response_is_asked_for_is_told_of_the_end_too(backup):
+def test_an_instance_that_queries_while_the_response_is_queried_is_notified_too(backup):
     backup.wait()
     backup.duplicates.end_uncertain(NAME, PRIMARY, none_in_flight)
     backup.duplicates.on_query(OTHER, NAME, is_replicated_here=False)
@@ -75,87 +75,95 @@
     assert backup.sent[-1] == (OTHER, OutcomeReply(NAME, Outcome.MAY_HAVE_EXECUTED))
 
 
-def test_waiters_of_a_request_that_is_in_flight_again_go_on_waiting(backup):
+def test_requests_that_wait_for_one_that_is_in_flight_again_continue_to_wait(backup):
     backup.wait()
     backup.duplicates.end_uncertain(NAME, PRIMARY, lambda identity: True)
     backup.clock.advance(OUTCOME_TIMEOUT_S)
-    assert backup.answers == [] and backup.anew == []
+    assert backup.answers == [] and backup.started_anew == []
 
 
-def test_nobody_is_asked_where_nobody_waits(backup):
+def test_no_query_is_sent_if_no_request_waits(backup):
     backup.duplicates.end_uncertain(NAME, PRIMARY, none_in_flight)
     assert backup.sent == []
 
 
-def test_a_client_that_waits_at_a_backup_asks_the_primary(backup):
-    # Guards against a wait until the deadline where the request has moved to another backup since.
+def test_a_request_that_waits_at_a_backup_queries_the_primary(backup):
+    # Guards against a wait until the deadline after the request was moved to another backup.
     backup.wait()
     backup.clock.advance(1.0)
     assert backup.sent[0] == (PRIMARY, OutcomeQuery(NAME))
 
 
-def test_a_request_whose_holder_knows_nothing_asks_for_its_lock_again(backup):
-    # Guards against a wait until the deadline: a holder that had ended was asked for its outcome and did not know.
-    backup.deduplicator.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, lambda: backup.anew.append(NAME))
+def test_a_request_whose_lock_holder_knows_no_outcome_requests_its_lock_again(backup):
+    # Guards against a wait until the deadline: the queried holder had ended and did not know the outcome.
+    backup.deduplicator.wait_for_outcome(
+        NAME, b"", 8000.0, backup.answers.append, lambda: backup.started_anew.append(NAME)
+    )
     backup.duplicates.follow(NAME, (PRIMARY, OTHER))
     backup.clock.pump([0.05] * 100)
-    assert backup.anew == [NAME] and backup.answers == []
-    asked = [receiver for receiver, _ in backup.sent]
-    assert asked[:2] == [PRIMARY, PRIMARY] and OTHER in asked and len(asked) <= 10
+    assert backup.started_anew == [NAME] and backup.answers == []
+    queried = [receiver for receiver, _ in backup.sent]
+    assert queried[:2] == [PRIMARY, PRIMARY] and OTHER in queried and len(queried) <= 10
 
 
-def test_a_request_whose_holder_is_gone_asks_for_its_lock_again_at_once(backup):
+def test_a_request_whose_lock_holder_is_unavailable_requests_its_lock_again_at_once(backup):
     backup.duplicates.is_unavailable = lambda number: True
-    backup.deduplicator.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, lambda: backup.anew.append(NAME))
+    backup.deduplicator.wait_for_outcome(
+        NAME, b"", 8000.0, backup.answers.append, lambda: backup.started_anew.append(NAME)
+    )
     backup.duplicates.follow(NAME, (PRIMARY, OTHER))
-    assert backup.anew == [NAME] and backup.sent == []
+    assert backup.started_anew == [NAME] and backup.sent == []
 
 
-def test_a_lock_of_a_lost_holder_is_asked_for_a_few_times_a_second(backup):
-    # Guards against a loop of requests and refusals: the lock of a lost holder stands until its deadline.
-    def ask():
-        backup.anew.append(backup.clock.seconds())
-        backup.deduplicator.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, ask)
+def test_the_lock_of_a_failed_holder_is_requested_a_few_times_a_second(backup):
+    # Guards against a loop of lock requests and refusals: the lock of a failed holder stays until its deadline.
+    def request_lock():
+        backup.started_anew.append(backup.clock.seconds())
+        backup.deduplicator.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, request_lock)
         backup.duplicates.follow(NAME, (PRIMARY,))
 
     backup.duplicates.is_unavailable = lambda number: True
-    ask()
+    request_lock()
     backup.clock.pump([0.05] * 100)
-    assert 5 <= len(backup.anew) <= 25
+    assert 5 <= len(backup.started_anew) <= 25
 
 
 def test_a_holder_that_was_taken_for_dead_for_a_while_is_asked_again(backup):
-    # Guards against seconds of waiting: only the backup was asked from then on, which knew nothing.
-    dead = {PRIMARY}
-    backup.duplicates.is_unavailable = dead.__contains__
-    backup.deduplicator.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, lambda: backup.anew.append(NAME))
+    # Guards against a wait of seconds: only the backup was queried from then on, which did not know the outcome.
+    unavailable = {PRIMARY}
+    backup.duplicates.is_unavailable = unavailable.__contains__
+    backup.deduplicator.wait_for_outcome(
+        NAME, b"", 8000.0, backup.answers.append, lambda: backup.started_anew.append(NAME)
+    )
     backup.duplicates.follow(NAME, (PRIMARY, OTHER))
     assert [receiver for receiver, _ in backup.sent] == [OTHER]
-    dead.clear()
+    unavailable.clear()
     backup.clock.advance(0.5)
     assert backup.sent[-1] == (PRIMARY, OutcomeQuery(NAME))
 
 
 @pytest.mark.parametrize("uses_locks", [True, False])
-def test_who_asks_for_locks_is_told_where_nothing_is_known(backup, uses_locks):
-    # Guards against seconds of waiting: silence is right only where the other would run without asking the voters.
+def test_an_instance_that_uses_locks_gets_a_reply_if_nothing_is_known(backup, uses_locks):
+    # Guards against a wait of seconds: no reply is right only if the other would run without a lock.
     backup.duplicates.on_query(OTHER, NAME, is_replicated_here=False, uses_locks=uses_locks)
     assert backup.sent == [(OTHER, OutcomeReply(NAME, Outcome.NEVER_EXECUTED))] * uses_locks
 
 
-def test_a_client_that_waits_at_a_former_backup_asks_for_the_lock_when_the_primary_is_lost(backup):
-    # Guards against a wait until the deadline: the primary had moved its request to another backup, and was killed.
+def test_a_request_that_waits_at_a_former_backup_requests_the_lock_when_the_primary_has_failed(backup):
+    # Guards against a wait until the deadline: the primary had moved its request to another backup and was killed.
     backup.duplicates.is_unavailable = lambda number: number == PRIMARY
     backup.wait()
     backup.clock.advance(1.0)
-    assert backup.anew == [NAME]
+    assert backup.started_anew == [NAME]
 
 
-def test_requests_that_ask_for_a_lock_again_do_so_together_after_an_interval(backup):
-    # Guards against hundreds of requests a second: each refusal led to a query, whose reply led to the next request.
+def test_repeated_lock_requests_are_combined_after_an_interval(backup):
+    # Guards against hundreds of lock requests a second: each refusal led to a query, its reply to the next request.
     for _ in range(50):
-        backup.deduplicator.wait_for_outcome(NAME, b"", 8000.0, backup.answers.append, lambda: backup.anew.append(NAME))
+        backup.deduplicator.wait_for_outcome(
+            NAME, b"", 8000.0, backup.answers.append, lambda: backup.started_anew.append(NAME)
+        )
         backup.duplicates.on_reply(OutcomeReply(NAME, Outcome.NEVER_EXECUTED))
-    assert len(backup.anew) == 1
+    assert len(backup.started_anew) == 1
     backup.clock.advance(1.0)
-    assert len(backup.anew) == 50
+    assert len(backup.started_anew) == 50
--- a/tests/test_instance_wiring.py
+++ b/tests/test_instance_wiring.py
@@ -1,4 +1,4 @@
-"""The blocks that both gateway instances are put together from: drain, listeners, peer port, report documents."""
+"""Components that both kinds of gateway instances share: drain, listeners, peer port, report documents."""
 
 from collections import Counter
 from types import SimpleNamespace
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -1,4 +1,4 @@
-"""Every listener of a running gatekeeper against garbage, floods and idlers: one plain refusal, no other disturbed."""
+"""The listeners of a running gateway with garbage, floods and idle clients: one rejection, no effect on others."""
 
 import pathlib
 import select
@@ -46,8 +46,8 @@
     return data
 
 
-def works(gatekeeper):
-    """Both fronts answer as ever."""
+def serves_requests(gatekeeper):
+    """Return true after both frontends have served a request."""
     token = told(gatekeeper.check(x_request_id=str(time.monotonic())))["x-anisefront-attempt"]
     gatekeeper.log(token)
     assert gatekeeper.rpc(call(1))[0]["result"]["status"] == 200
@@ -70,7 +70,7 @@
         connection.sendall(data)
         connection.shutdown(socket.SHUT_WR)
         assert read_all(connection)
-    assert works(gatekeeper)
+    assert serves_requests(gatekeeper)
 
 
 def test_garbage_datagrams(gatekeeper):
@@ -82,7 +82,7 @@
     gatekeeper.wait_for(
         lambda state: state["peers"].get("unreadable", 0) + state["peers"].get("forged", 0) >= before + 6
     )
-    assert works(gatekeeper)
+    assert serves_requests(gatekeeper)
 
 
 def test_line_without_end(gatekeeper):
@@ -93,49 +93,49 @@
         except (ConnectionResetError, BrokenPipeError):
             pass
         assert b"over 1048576 bytes" in read_all(connection)
-    assert works(gatekeeper)
+    assert serves_requests(gatekeeper)
 
 
-def refusals(links, at_least, seconds=20.0):
-    """The links that were told of the cap: waits for so many, then for any more that come at once."""
-    heard, over, end = dict.fromkeys(links, b""), set(), time.monotonic() + seconds
-    told = set()
+def rejected_connections(links, at_least, seconds=20.0):
+    """Return the connections rejected by the limit: waits for so many, then for any that follow immediately."""
+    received, closed, end = dict.fromkeys(links, b""), set(), time.monotonic() + seconds
+    rejected = set()
     while ready := select.select(
-        [each for each in links if each not in over],
+        [each for each in links if each not in closed],
         [],
         [],
-        0.3 if len(told) >= at_least else max(0.0, end - time.monotonic()),
+        0.3 if len(rejected) >= at_least else max(0.0, end - time.monotonic()),
     )[0]:
         for each in ready:
             try:
                 data = each.recv(65536)
             except ConnectionResetError:
                 data = b""
-            heard[each] += data
-            over |= set() if data else {each}
-            told |= {each} if b"too many connections" in heard[each] else set()
-    return told
+            received[each] += data
+            closed |= set() if data else {each}
+            rejected |= {each} if b"too many connections" in received[each] else set()
+    return rejected
 
 
 @pytest.mark.parametrize("front", ["grpc", "jsonrpc"])
 def test_more_connections_than_allowed(gatekeeper, front):
     gatekeeper.wait_for(lambda state: state["connections"][front] <= 1)
     many = [link(gatekeeper.where[front]) for _ in range(60)]
-    refused = refusals(many, 20)
+    refused = rejected_connections(many, 20)
     assert 20 <= len(refused) <= 22, (front, len(refused))
     for connection in refused:
         connection.close()
-    # The refused hold no place: as soon as one that was let in leaves, the next is let in.
+    # Rejected connections do not count: as soon as an accepted one is closed, the next is accepted.
     for connection in [each for each in many if each not in refused][:5]:
         connection.close()
     gatekeeper.wait_for(lambda state: state["connections"][front] <= 36)
     for connection in many:
         connection.close()
     gatekeeper.wait_for(lambda state: state["connections"][front] <= 3)
-    assert works(gatekeeper)
+    assert serves_requests(gatekeeper)
 
 
-def test_one_that_never_speaks_is_closed_and_a_slow_writer_is_served(gatekeeper):
+def test_a_silent_client_is_closed_and_a_slow_writer_is_served(gatekeeper):
     silent = link(gatekeeper.where["grpc"])
     silent.settimeout(8)
     answers = []
@@ -149,7 +149,7 @@
 
     thread = threading.Thread(target=slowly)
     thread.start()
-    assert works(gatekeeper)
+    assert serves_requests(gatekeeper)
     thread.join()
     assert b'"id":7' in answers[0]
     began = time.monotonic()
@@ -158,7 +158,7 @@
     silent.close()
 
 
-def test_one_that_never_reads_is_cut_off_alone(gatekeeper):
+def test_a_client_that_never_reads_affects_no_other(gatekeeper):
     with link(gatekeeper.where["jsonrpc"]) as connection:
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         connection.settimeout(0.5)
@@ -166,11 +166,11 @@
             for _ in range(3000):
                 connection.sendall(b'{"jsonrpc":"2.0","id":7,"method":"state"}\n' * 20)
         except TimeoutError:
-            pass  # we are not read from while we do not read
-        assert works(gatekeeper)
+            pass  # the gateway stops reading from a client that does not read
+        assert serves_requests(gatekeeper)
 
 
-def test_check_by_an_independent_http2(gatekeeper):
+def test_a_check_by_an_independent_http2_client(gatekeeper):
     request = external_auth_pb2.CheckRequest()
     http = request.attributes.request.http
     http.method, http.path = "GET", "/stock-view"
@@ -204,7 +204,7 @@
     assert told(answer)["x-envoy-original-dst-host"].startswith("127.0.0.1:")
 
 
-def test_grpc_time_out_ends_a_held_check_and_takes_the_request_back(tmp_path):
+def test_a_grpc_timeout_ends_a_queued_check_and_its_request(tmp_path):
     import grpc
 
     path = tmp_path / "held.conf"
@@ -219,7 +219,7 @@
         running.wait_for(lambda state: state["counts"].get("left") == 1 and state["open"] == 1)
         call_ = running.check_call.future(external_auth_pb2.CheckRequest.FromString(held_request()))
         running.wait_for(lambda state: state["open"] == 2)
-        call_.cancel()  # the client leaves while it is held
+        call_.cancel()  # the client disconnects while its request is queued
         running.wait_for(lambda state: state["counts"].get("left") == 2 and state["open"] == 1)
         running.log(first["x-anisefront-attempt"])
         running.wait_for(lambda state: state["open"] == 0)
--- a/tests/test_message_relay.py
+++ b/tests/test_message_relay.py
@@ -1,4 +1,4 @@
-"""Replication messages between two gateways that can't reach each other, passed on by a third."""
+"""Replication messages between two gateways that can't reach each other, relayed by a third."""
 
 from types import SimpleNamespace
 
@@ -22,25 +22,25 @@
     return MessageRelay(lambda *message: sent.append(message), SimpleNamespace(rows=rows))
 
 
-def test_a_message_goes_on_to_its_receiver_with_the_name_of_its_origin(relay, sent):
+def test_a_message_is_forwarded_to_its_receiver_with_its_origin(relay, sent):
     relay.pass_on(0, 10, RelayRequest(2, encode(ACK)))
     [(receiver, data)] = sent
     assert (receiver, decode(data)) == (2, RelayedMessage(0, 10, encode(ACK)))
 
 
-def test_a_message_for_no_known_gateway_goes_nowhere(relay, sent):
+def test_a_message_for_an_unknown_gateway_is_dropped(relay, sent):
     relay.pass_on(0, 10, RelayRequest(7, encode(ACK)))
     assert sent == []
 
 
-def test_a_relayed_message_is_of_its_origin(relay):
+def test_a_relayed_message_is_attributed_to_its_origin(relay):
     assert relay.unpack(RelayedMessage(0, 10, encode(ACK))) == (0, 10, ACK)
 
 
 @pytest.mark.parametrize(
     "relayed",
     [
-        RelayedMessage(0, 9, encode(ACK)),  # of a process that has been replaced
+        RelayedMessage(0, 9, encode(ACK)),  # from an earlier process incarnation
         RelayedMessage(7, 10, encode(ACK)),
         RelayedMessage(0, 10, b""),
         RelayedMessage(0, 10, encode(ACK)[:-1]),
@@ -48,11 +48,11 @@
         RelayedMessage(0, 10, encode(RelayedMessage(1, 11, encode(ACK)))),
     ],
 )
-def test_what_is_no_message_of_a_living_origin_is_dropped(relay, relayed):
+def test_malformed_messages_and_those_of_unknown_or_earlier_origins_are_dropped(relay, relayed):
     assert relay.unpack(relayed) is None
 
 
-def test_a_reply_goes_back_as_the_message_came_and_others_go_directly(relay, sent):
+def test_a_reply_is_sent_through_the_relay_and_other_messages_directly(relay, sent):
     relay.begin_reply(0, 1)
     relay.send(0, ACK)
     relay.send(2, ACK)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""One gatekeeper over real sockets: the published services by a client that nobody here wrote (grpcio)."""
+"""One gateway process over real sockets: its public services, called by an independent client (grpcio)."""
 
 import json
 import os
@@ -21,7 +21,7 @@
 
 
 class Running:
-    """A gatekeeper process and how to reach it."""
+    """A gateway process with clients of its services."""
 
     def __init__(self, path, *more, checkout=ROOT):
         self.process = subprocess.Popen(
@@ -78,7 +78,7 @@
         return self.rpc({"jsonrpc": "2.0", "id": 1, "method": "state"})[0]
 
     def wait_for(self, what, seconds=20.0):
-        """Poll until the state is so. At the cap of connections the poll itself is turned away, and asks again."""
+        """Poll until the state meets a condition. A poll that the connection limit rejects is repeated."""
         end = time.monotonic() + seconds
         while "result" not in (answer := self.state_or_refusal()) or not what(answer["result"]):
             assert time.monotonic() < end, answer
@@ -103,7 +103,7 @@
     return {option.header.key: option.header.value for option in answer.ok_response.headers}
 
 
-def test_check_names_a_worker_and_the_log_ends_the_attempt(gatekeeper):
+def test_a_check_returns_an_endpoint_and_the_log_ends_the_attempt(gatekeeper):
     before = gatekeeper.state()["counts"].get("served", 0)
     headers = told(gatekeeper.check(x_request_id="a1"))
     assert 0 < int(headers["x-envoy-upstream-rq-timeout-ms"]) <= 5000
@@ -115,7 +115,7 @@
     assert gatekeeper.state()["open"] == 0
 
 
-def test_further_check_gets_the_next_attempt_elsewhere(gatekeeper):
+def test_a_further_check_gets_an_attempt_at_another_endpoint(gatekeeper):
     first = told(gatekeeper.check(x_request_id="b1"))
     gatekeeper.log(first["x-anisefront-attempt"], 503, "upstream_remote_reset")
     second = told(gatekeeper.check(x_request_id="b1", x_anisefront_attempt=first["x-anisefront-attempt"]))
@@ -128,12 +128,12 @@
 @pytest.mark.parametrize(
     ("path", "headers", "status"), [("/nowhere", {}, 404), ("/stock-view", {"x_api_key": ""}, 401)]
 )
-def test_what_cannot_be_mapped_is_denied(gatekeeper, path, headers, status):
+def test_requests_without_a_route_or_key_are_denied(gatekeeper, path, headers, status):
     answer = gatekeeper.check(path=path, **headers)
     assert answer.denied_response.status.code == status and answer.status.code != 0
 
 
-def test_same_request_id_by_two_proxies_goes_out_once(gatekeeper):
+def test_a_request_id_from_two_proxies_is_executed_once(gatekeeper):
     first = told(gatekeeper.check(x_request_id="c1"))
     answer = gatekeeper.check(x_request_id="c1")
     assert answer.denied_response.status.code == 409
@@ -141,7 +141,7 @@
     gatekeeper.wait_for(lambda state: state["open"] == 0)
 
 
-def test_log_that_is_doubled_or_unknown_changes_nothing(gatekeeper):
+def test_duplicate_and_unknown_logs_change_nothing(gatekeeper):
     token = told(gatekeeper.check(x_request_id="d1"))["x-anisefront-attempt"]
     before = gatekeeper.state()
     gatekeeper.log(token)
@@ -156,7 +156,7 @@
     assert after.get("attempts_error", 0) == before["counts"].get("attempts_error", 0)
 
 
-def test_attempt_of_an_earlier_life_is_failed_without_a_promise(gatekeeper):
+def test_an_attempt_of_an_earlier_incarnation_fails_and_may_have_executed(gatekeeper):
     answer = gatekeeper.check(x_request_id="e1", x_anisefront_attempt="0123456789ab.1.0")
     headers = {option.header.key: option.header.value for option in answer.denied_response.headers}
     assert answer.denied_response.status.code == 502 and headers["x-anisefront-final"] == "failed"
@@ -173,7 +173,7 @@
     assert fault.value.code() is grpc.StatusCode.NOT_FOUND
 
 
-def test_compressed_large_and_unknown_calls_are_refused_by_status(gatekeeper):
+def test_compressed_large_and_unknown_calls_are_rejected_by_status(gatekeeper):
     request = external_auth_pb2.CheckRequest()
     request.attributes.request.http.path = "x" * 1000
     with pytest.raises(grpc.RpcError) as fault:
@@ -198,12 +198,12 @@
     }
 
 
-def test_jsonrpc_call_is_carried_out(gatekeeper):
+def test_jsonrpc_call_is_executed(gatekeeper):
     (answer,) = gatekeeper.rpc(call("x1"))
     assert answer["result"]["status"] == 200 and answer["id"] == "x1" and answer["result"]["attempts"] == 1
 
 
-def test_jsonrpc_batches_notifications_and_faults(gatekeeper):
+def test_jsonrpc_batches_notifications_and_errors(gatekeeper):
     note = {key: value for key, value in call(0).items() if key != "id"}
     answers = gatekeeper.rpc([call(1), note, {"jsonrpc": "2.0", "id": 3, "method": "none"}, 7], note)
     assert len(answers) == 1
@@ -214,7 +214,7 @@
     assert [fault["error"]["code"] for fault in faults] == [-32700, -32600, -32602, -32003, -32602]
 
 
-def test_standstill_of_our_own_loses_no_answer(gatekeeper):
+def test_a_stall_of_the_process_loses_no_response(gatekeeper):
     answers = []
     thread = threading.Thread(target=lambda: answers.extend(gatekeeper.rpc(*(call(n) for n in range(30)))))
     os.kill(gatekeeper.process.pid, signal.SIGSTOP)
@@ -225,7 +225,7 @@
     assert sorted(answer["id"] for answer in answers if "result" in answer) == list(range(30))
 
 
-def test_a_line_too_long_gets_its_error_and_a_clean_end_though_more_is_on_its_way(gatekeeper):
+def test_a_line_that_is_too_long_gets_an_error_and_a_clean_close_while_more_data_arrive(gatekeeper):
     host, port = gatekeeper.where["jsonrpc"].split(":")
     with socket.create_connection((host, int(port)), 5) as link:
         link.sendall(b"x" * (1 << 20) + b"y" * (1 << 19))
@@ -235,7 +235,7 @@
         assert link.recv(65536).count(b'"error"') == 1 and link.recv(65536) == b""
 
 
-def test_drain_finishes_what_was_begun_and_refuses_what_is_new(tmp_path):
+def test_a_drain_finishes_open_requests_and_rejects_new_ones(tmp_path):
     running = Running(ROOT / "examples/loopback.conf")
     token = told(running.check(x_request_id="f1"))["x-anisefront-attempt"]
     running.process.send_signal(signal.SIGTERM)
--- a/tests/test_request_takeover.py
+++ b/tests/test_request_takeover.py
@@ -1,4 +1,4 @@
-"""A failed primary's lock is continued by one request of the taker, or released, whatever the taker finds."""
+"""Takeover: the lock of a failed primary's request is continued by exactly one local request or released."""
 
 import types
 from collections import Counter
@@ -26,11 +26,11 @@
 SERVED = FinalResponse(http1.Message("", "", 200, {}, b"paid", True), "w:1", 1)
 
 
-class Taker:
-    """A taker whose locks, table and connection pool only record what they are asked for."""
+class TakeoverHarness:
+    """A takeover whose locks, request table and direct requests only record calls."""
 
     def __init__(self):
-        self.clock, self.released, self.continued, self.resumed, self.given_up = Clock(), [], [], [], []
+        self.clock, self.released, self.continued, self.resumed, self.transferred = Clock(), [], [], [], []
         self.has_lock = self.is_lost = False
         self.is_undecided = self.accepts = True
         self.deduplicator = Deduplicator(lambda: self.clock.seconds() * 1000, self.clock)
@@ -49,7 +49,7 @@
             lambda: self.clock.seconds() * 1000, log, primary, locks, self.deduplicator, self.duplicates, Counter()
         )
         self.set_class(Idempotency.NON_IDEMPOTENT)
-        table = types.SimpleNamespace(transfer_to_backup=self.given_up.append)
+        table = types.SimpleNamespace(transfer_to_backup=self.transferred.append)
         self.takeover.attach(table, types.SimpleNamespace(resume=self.resume), None)
 
     def set_class(self, *repeats):
@@ -63,10 +63,10 @@
     def resume(self, *request):
         self.resumed.append(request)
         if self.accepts:
-            self.ask_for_lock()
+            self.request_lock_again()
 
-    def ask_for_lock(self):
-        """A request of the identity is accepted here, and asks for its lock."""
+    def request_lock_again(self):
+        """Accept a local request of the identity, which requests its lock."""
         self.continued.append(self.takeover.inherited_locks.take(IDENTITY).owner)
 
     def take_over(self, attempts=(), record=RECORD):
@@ -74,103 +74,109 @@
         replica.attempts.update(dict.fromkeys(attempts, ("w:1", 0.0)))
         self.takeover.take_over(OWNER.number, OWNER.incarnation, replica)
 
-    def wait(self, ask):
-        """A request taken over before has yielded and waits; `ask` is called when it asks for its lock again."""
+    def wait(self, request_lock):
+        """Let a request taken over before wait after it yielded; `request_lock` is called when it is to start again."""
         self.deduplicator.add(IDENTITY, content_digest(JOB), DEADLINE_MS)
-        self.answers = []
-        self.deduplicator.wait_for_outcome(IDENTITY, content_digest(JOB), DEADLINE_MS, self.answers.append, ask)
+        self.responses = []
+        self.deduplicator.wait_for_outcome(
+            IDENTITY, content_digest(JOB), DEADLINE_MS, self.responses.append, request_lock
+        )
 
 
 @pytest.fixture
-def taker():
-    return Taker()
+def harness():
+    return TakeoverHarness()
 
 
-def test_a_request_that_is_taken_over_continues_its_lock(taker):
-    taker.take_over()
-    assert (taker.continued, taker.released, len(taker.resumed)) == ([OWNER], [], 1)
+def test_a_request_that_is_taken_over_continues_its_lock(harness):
+    harness.take_over()
+    assert (harness.continued, harness.released, len(harness.resumed)) == ([OWNER], [], 1)
 
 
 @pytest.mark.parametrize("attempts", [(), (0,)])
-def test_the_lock_of_a_request_that_is_not_accepted_is_released_unless_it_may_have_run(taker, attempts):
-    # Guards against a lock of a dead owner that nobody continues or releases.
-    taker.accepts = False
-    taker.take_over(attempts)
-    assert taker.released == ([] if attempts else [OWNER]) and IDENTITY not in taker.takeover.inherited_locks
+def test_the_lock_of_a_request_that_is_not_accepted_is_released_unless_it_may_have_executed(harness, attempts):
+    # Guards against a lock of a failed owner that no instance continues or releases.
+    harness.accepts = False
+    harness.take_over(attempts)
+    assert harness.released == ([] if attempts else [OWNER]) and IDENTITY not in harness.takeover.inherited_locks
 
 
 @pytest.mark.parametrize("attempts", [(), (0,)])
 @pytest.mark.parametrize("record", [b"", RECORD.replace(b'"body"', b'"other"')])
-def test_the_lock_of_a_request_that_can_not_be_read_is_released_unless_it_may_have_run(taker, attempts, record):
-    taker.take_over(attempts, record)
-    assert taker.released == ([] if attempts else [OWNER]) and taker.resumed == []
+def test_the_lock_of_a_request_with_an_unreadable_record_is_released_unless_it_may_have_executed(
+    harness, attempts, record
+):
+    harness.take_over(attempts, record)
+    assert harness.released == ([] if attempts else [OWNER]) and harness.resumed == []
 
 
-def test_the_lock_of_a_request_that_was_answered_here_before_is_released(taker):
-    taker.deduplicator.add(IDENTITY, content_digest(JOB), DEADLINE_MS)
-    taker.deduplicator.record_response(IDENTITY, SERVED)
-    taker.take_over()
-    assert (taker.released, taker.resumed) == ([OWNER], [])
+def test_the_lock_of_a_request_that_was_answered_here_before_is_released(harness):
+    harness.deduplicator.add(IDENTITY, content_digest(JOB), DEADLINE_MS)
+    harness.deduplicator.record_response(IDENTITY, SERVED)
+    harness.take_over()
+    assert (harness.released, harness.resumed) == ([OWNER], [])
 
 
-def test_a_request_that_waits_for_the_failed_one_continues_its_lock(taker):
-    # Guards against a wait until the deadline: it had been taken over before and had yielded to the failed one.
-    taker.wait(taker.ask_for_lock)
-    taker.take_over()
-    assert (taker.continued, taker.released, taker.resumed) == ([OWNER], [], [])
+def test_a_request_that_waits_for_the_failed_one_continues_its_lock(harness):
+    # Guards against a wait until the deadline: the request had been taken over before and had yielded to this one.
+    harness.wait(harness.request_lock_again)
+    harness.take_over()
+    assert (harness.continued, harness.released, harness.resumed) == ([OWNER], [], [])
 
 
-def test_a_request_that_waits_for_a_failed_one_that_may_have_run_fails(taker):
-    taker.wait(taker.ask_for_lock)
-    taker.take_over(attempts=(0,))
-    assert [answer.reason for answer in taker.answers] == ["ended-elsewhere"]
-    assert (taker.continued, taker.released) == ([], [])
+def test_a_request_that_waits_for_a_failed_one_that_may_have_executed_fails(harness):
+    harness.wait(harness.request_lock_again)
+    harness.take_over(attempts=(0,))
+    assert [answer.reason for answer in harness.responses] == ["ended-elsewhere"]
+    assert (harness.continued, harness.released) == ([], [])
 
 
 @pytest.mark.parametrize("scope", DeduplicationScope)
-def test_a_request_that_waits_for_a_keyed_one_that_may_have_run_goes_on_where_all_endpoints_drop_repeats(taker, scope):
-    # Guards against a second effect: the one that waits does not know in which zone or cell the first was executed.
-    taker.set_class(Idempotency.KEYED, 0.0, scope, 20_000.0)
-    taker.wait(taker.ask_for_lock)
-    taker.take_over(attempts=(0,))
-    goes_on = scope is DeduplicationScope.ALL
-    assert taker.continued == ([OWNER] if goes_on else [])
-    assert [answer.reason for answer in taker.answers] == ([] if goes_on else ["ended-elsewhere"])
-
-
-def test_a_local_request_that_asks_for_its_lock_continues_that_of_the_failed_one(taker):
-    taker.duplicates.add(1, IDENTITY, True)
-    taker.take_over()
-    assert (taker.continued, taker.released, taker.resumed) == ([OWNER], [], [])
-
-
-def test_a_local_request_that_was_refused_its_lock_continues_that_of_the_failed_one(taker):
-    # Guards against a lock that nobody continues: the refusal was decided, and not yet carried out.
-    taker.duplicates.add(1, IDENTITY, True)
-    taker.is_undecided = False
-    taker.take_over()
-    assert IDENTITY in taker.takeover.inherited_locks
-    taker.ask_for_lock()
-    assert taker.continued == [OWNER]
-
-
-def test_the_lock_of_a_failed_request_is_released_where_the_local_one_has_the_majority(taker):
-    taker.duplicates.add(1, IDENTITY, True)
-    taker.has_lock = True
-    taker.take_over()
-    assert (taker.released, taker.continued) == ([OWNER], [])
-
-
-def test_a_local_request_yields_to_a_failed_one_that_may_have_run_and_who_asks_is_told(taker):
-    # Guards against a wait until the deadline: nobody told the outcome of a request that was not continued.
-    taker.duplicates.add(1, IDENTITY, True)
-    taker.take_over(attempts=(0,))
-    assert taker.given_up == [1] and taker.duplicates._outcomes[IDENTITY] is Outcome.MAY_HAVE_EXECUTED
-
-
-def test_a_local_request_that_another_instance_owns_does_not_keep_the_failed_one_from_going_on(taker):
-    # Guards against a wait until the deadline: the local one had lost its epoch, and an attempt of it was in flight.
-    taker.duplicates.add(1, IDENTITY, True)
-    taker.is_lost = True
-    taker.take_over()
-    assert len(taker.resumed) == 1 and taker.continued == [OWNER]
+def test_a_request_that_waits_for_a_keyed_one_that_may_have_executed_continues_if_all_endpoints_deduplicate(
+    harness, scope
+):
+    # Guards against a second execution: it is unknown in which zone or cell the first one took place.
+    harness.set_class(Idempotency.KEYED, 0.0, scope, 20_000.0)
+    harness.wait(harness.request_lock_again)
+    harness.take_over(attempts=(0,))
+    continues = scope is DeduplicationScope.ALL
+    assert harness.continued == ([OWNER] if continues else [])
+    assert [answer.reason for answer in harness.responses] == ([] if continues else ["ended-elsewhere"])
+
+
+def test_a_local_request_that_is_requesting_its_lock_continues_that_of_the_failed_one(harness):
+    harness.duplicates.add(1, IDENTITY, True)
+    harness.take_over()
+    assert (harness.continued, harness.released, harness.resumed) == ([OWNER], [], [])
+
+
+def test_a_local_request_that_was_refused_its_lock_continues_that_of_the_failed_one(harness):
+    # Guards against a lock that no request continues: the refusal was decided but not carried out yet.
+    harness.duplicates.add(1, IDENTITY, True)
+    harness.is_undecided = False
+    harness.take_over()
+    assert IDENTITY in harness.takeover.inherited_locks
+    harness.request_lock_again()
+    assert harness.continued == [OWNER]
+
+
+def test_the_lock_of_a_failed_request_is_released_where_the_local_one_has_the_majority(harness):
+    harness.duplicates.add(1, IDENTITY, True)
+    harness.has_lock = True
+    harness.take_over()
+    assert (harness.released, harness.continued) == ([OWNER], [])
+
+
+def test_a_local_request_yields_to_a_failed_one_that_may_have_executed_and_its_outcome_is_remembered(harness):
+    # Guards against a wait until the deadline: the outcome of a request that was not continued was never sent.
+    harness.duplicates.add(1, IDENTITY, True)
+    harness.take_over(attempts=(0,))
+    assert harness.transferred == [1] and harness.duplicates._outcomes[IDENTITY] is Outcome.MAY_HAVE_EXECUTED
+
+
+def test_a_local_request_that_another_instance_owns_does_not_prevent_a_takeover(harness):
+    # Guards against a wait until the deadline: the local request had lost its epoch, with an attempt in flight.
+    harness.duplicates.add(1, IDENTITY, True)
+    harness.is_lost = True
+    harness.take_over()
+    assert len(harness.resumed) == 1 and harness.continued == [OWNER]
