--- a/tests/connection_model.py
+++ b/tests/connection_model.py
@@ -1,5 +1,8 @@
-"""One client's connection, its request's attempt and the drain as a model without sockets: any order of events, and
-what must hold whatever the order. `test_connection_search.py` plays short orders all and long ones by seeds."""
+"""Model of one client connection, its request's attempt and the drain, without sockets.
+
+It runs any order of events and checks invariants. `test_connection_search.py` runs all short orders, and long ones by
+seeds.
+"""
 
 from unittest import mock
 
@@ -16,62 +19,62 @@
 from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
 
 EVENTS = {
-    "c": "a whole command",
-    "h": "the first half of one",
-    "r": "its rest",
-    "u": "a command that can't be used",
-    "e": "the client ends its half",
-    "x": "it resets",
-    "t": "a time is over",
-    "s": "the signal to end",
-    "f": "the drain's end",
-    "l": "the worker drains, says the list",
-    "g": "the module sends what waits",
-    "k": "the connection to the worker comes up",
-    "a": "the worker answers",
-    "w": "the loop writes",
-    "m": "many commands in one read, over the cap on open ones",
-    "v": "values over the cap on those that are held",
-    "o": "more behind a command that can't be used than may wait there",
-    "z": "a command, and bytes that can't be read",
-    "n": "one that can't be used, and the first half of the next",
+    "c": "a complete command",
+    "h": "the first half of a command",
+    "r": "the rest of that command",
+    "u": "an unsupported command",
+    "e": "the client closes its write side",
+    "x": "the client resets the connection",
+    "t": "timeouts elapse",
+    "s": "the process is told to drain",
+    "f": "the drain ends",
+    "l": "an endpoint list has the worker as draining",
+    "g": "the controller starts the attempt of a waiting request",
+    "k": "the connection to the worker is established",
+    "a": "the worker responds",
+    "w": "the event loop writes",
+    "m": "more commands in one read than may be open",
+    "v": "more bytes of values than may be buffered",
+    "o": "more bytes after an unsupported command than may be buffered",
+    "z": "a command, followed by malformed bytes",
+    "n": "an unsupported command, and the first half of the next",
 }
-CAPS = {"MAX_OPEN_COMMANDS": 5, "MAX_BATCH": 8, "MAX_PENDING_REPLIES": 15}  # small ones,
-PAUSE = {"MAX_BUFFERED": 400, "PAUSE_S": 1.1}  # and a pause that is longer than half a command may wait
+CAPS = {"MAX_OPEN_COMMANDS": 5, "MAX_BATCH": 8, "MAX_PENDING_REPLIES": 15}  # small limits
+PAUSE = {"MAX_BUFFERED": 400, "PAUSE_S": 1.1}  # a pause longer than an incomplete command may take
 VALUES = 700  # bytes
 BUSY = b"-BUSY"
 ASKED = (b"$5\r\nva\r\nl", BUSY, b"-ERR failed")
 
 
-class Broken(AssertionError):
-    """Something that must hold does not."""
+class InvariantViolation(AssertionError):
+    """An invariant is violated."""
 
 
-class Wire:
-    """Twisted's transport of the client's connection: what is written leaves in a later turn."""
+class ModelTransport:
+    """Twisted's transport of the client connection: data that is written is sent in a later iteration."""
 
     def __init__(self):
         self.protocol, self.pending, self.out = None, b"", b""
-        self.want_shut = self.want_close = self.shut = self.gone = self.cut = False
+        self.shutdown_requested = self.close_requested = self.is_write_closed = self.is_lost = self.was_aborted = False
         self.paused, self.waiting = False, []
 
     def write(self, data):
-        if not (self.shut or self.gone):
+        if not (self.is_write_closed or self.is_lost):
             self.pending += data
 
     def loseWriteConnection(self):
-        self.want_shut = True
+        self.shutdown_requested = True
 
     def loseConnection(self):
-        self.want_close = True
+        self.close_requested = True
 
     def abortConnection(self):
         if (
             self.protocol.frontend.reactor.seconds()
             < self.protocol.state_since_s + connection_limits.CLOSE_TIMEOUT_S - 1e-6
         ):
-            raise Broken("a connection was cut off before its time")
-        self.want_close = self.cut = True
+            raise InvariantViolation("a connection was aborted before its timeout")
+        self.close_requested = self.was_aborted = True
         self.pending = b""
 
     def registerProducer(self, producer, streaming):
@@ -93,74 +96,74 @@
         return self
 
     def recv(self, size, flags):
-        raise BlockingIOError  # here an end is heard as it comes
+        raise BlockingIOError  # in this model a close is reported immediately
 
-    def turn(self):
-        if self.gone:
+    def run_iteration(self):
+        if self.is_lost:
             return
         self.out, self.pending = self.out + self.pending, b""
-        if self.want_shut and not self.shut:
-            self.shut = True
+        if self.shutdown_requested and not self.is_write_closed:
+            self.is_write_closed = True
             self.protocol.writeConnectionLost()
-        if self.want_close:
+        if self.close_requested:
             self.lost(error.ConnectionDone())
 
     def lost(self, reason):
-        if not self.gone:
-            self.gone = True
+        if not self.is_lost:
+            self.is_lost = True
             self.protocol.connectionLost(Failure(reason))
 
 
-class Model:
-    """Plays events; raises `Broken` at the first thing that does not hold."""
+class ConnectionModel:
+    """Runs events; raises `InvariantViolation` at the first violated invariant."""
 
     def __init__(self, turned_away=False):
         room = {"max_connections": 0} if turned_away else {}
-        self.house, self.wire = GatewayHarness(max_buffered_bytes=VALUES, **room), Wire()
+        self.house, self.wire = GatewayHarness(max_buffered_bytes=VALUES, **room), ModelTransport()
         self.wire.protocol = self.house.frontend.buildProtocol(None)
         self.wire.protocol.makeConnection(self.wire)
-        self.read = []  # whole commands that were read before our half was shut: what they may be answered with
+        self.read = []  # allowed replies to the complete commands read before our write side closed
         self.number, self.half = 0, b""
-        self.behind = 0  # bytes that were read in this moment while it was paused
-        self.left = self.draining = self.overdue = False
+        self.behind = 0  # bytes that were read at this moment although reading was paused
+        self.client_closed = self.draining = self.overdue = False
         self.sent, self.workers = set(), []
 
-    def play(self, events):
+    def run_events(self, events):
         for event in events:
             getattr(self, "_" + event)()
             self.house.reactor.advance(0)
             self._arrive()
             self._check()
 
-    def _deliver(self, *commands, more=b"", whole=True, spoilt=False):
-        """These come in one read; `more` is bytes that are the rest of one (`whole`), a part of one, or `spoilt`."""
-        if self.left or self.wire.gone:
+    def _deliver(self, *commands, more=b"", whole=True, malformed=False):
+        """Deliver commands in one read; `more` is the rest of a command (`whole`), a part, or malformed."""
+        if self.client_closed or self.wire.is_lost:
             return
         allowed = [self._allowed(parts) for parts in commands] + [ASKED] * (bool(more) and whole)
-        self.wire.waiting.append((b"".join(map(resp_codec.encode_command, commands)) + more, allowed, spoilt))
+        self.wire.waiting.append((b"".join(map(resp_codec.encode_command, commands)) + more, allowed, malformed))
         self._arrive()
 
     def _arrive(self):
-        """What lies in the socket is read, if it is read."""
+        """Read the data in the socket, unless reading is paused."""
         wire = self.wire
-        while wire.waiting and not (wire.paused or wire.gone or self.left):
-            data, allowed, spoilt = wire.waiting.pop(0)
+        while wire.waiting and not (wire.paused or wire.is_lost or self.client_closed):
+            data, allowed, malformed = wire.waiting.pop(0)
             if wire.protocol.input.active:
                 if self.behind > PAUSE["MAX_BUFFERED"]:
-                    raise Broken("a flood is read as fast as it comes")
+                    raise InvariantViolation("reading is not paused during a flood")
                 self.behind += len(data)
             arrivals = len(self.house.controller.arrivals)
-            if not (wire.shut or self.overdue):
+            if not (wire.is_write_closed or self.overdue):
                 self.read += allowed
             wire.protocol.dataReceived(data)
             self.house.reactor.advance(0)
-            if wire.shut and len(self.house.controller.arrivals) > arrivals:
-                raise Broken("a request that came after our half was shut was taken")
-            self.overdue = self.overdue or spoilt or self.house.frontend.counts["unreadable"] > 0
+            if wire.is_write_closed and len(self.house.controller.arrivals) > arrivals:
+                raise InvariantViolation("a request was accepted after our write side had closed")
+            self.overdue = self.overdue or malformed or self.house.frontend.counts["unreadable"] > 0
 
     @staticmethod
     def _allowed(parts):
-        """How the answers to this command may begin."""
+        """Return how the replies to this command may begin."""
         if parts[0] == b"PING":
             return (resp_codec.encode_bulk(parts[1]), BUSY)
         return ASKED if parts[0].startswith(b"Q") else (b"-ERR unknown", BUSY)
@@ -209,15 +212,15 @@
 
     def _z(self):
         if not self.half:
-            self._deliver(self._command(), [b"PING", b"z"], more=b"*1\r\n$x\r\n", whole=False, spoilt=True)
+            self._deliver(self._command(), [b"PING", b"z"], more=b"*1\r\n$x\r\n", whole=False, malformed=True)
 
     def _e(self):
-        if not (self.left or self.wire.gone or self.wire.waiting):
-            self.left = True
+        if not (self.client_closed or self.wire.is_lost or self.wire.waiting):
+            self.client_closed = True
             self.wire.protocol.readConnectionLost()
 
     def _x(self):
-        self.left = True
+        self.client_closed = True
         self.wire.lost(error.ConnectionLost())
 
     def _t(self):
@@ -252,8 +255,10 @@
             factory = self.house.reactor.tcpClients[len(self.workers)][2]
             transport = type(self.house).connect_transport(factory)
             self.workers.append(transport)
-            if (self.left or self.wire.shut or self.draining) and transport.value():
-                raise Broken("an attempt began for a client that had gone or was answered, or at a draining worker")
+            if (self.client_closed or self.wire.is_write_closed or self.draining) and transport.value():
+                raise InvariantViolation(
+                    "an attempt started for a client that has disconnected or has its reply, or at a draining worker"
+                )
 
     def _a(self):
         for worker in self.workers:
@@ -262,10 +267,10 @@
                 worker.protocol.dataReceived(SERVED_REPLY)
 
     def _w(self):
-        self.wire.turn()
+        self.wire.run_iteration()
 
     def answers(self):
-        """The answers and error lines that the client has, in their order."""
+        """Return the replies and error lines that the client has received, in order."""
         at, found, out = 0, [], self.wire.out
         while at < len(out):
             end = out.index(b"\r\n", at) + 2
@@ -278,41 +283,41 @@
     def _check(self):
         found = self.answers()
         if len(found) > len(self.read) + self.overdue:
-            raise Broken("more answers than commands")
+            raise InvariantViolation("more replies than commands")
         if not all(map(bytes.startswith, found, self.read)):
-            raise Broken("an answer that is another command's")
+            raise InvariantViolation("a reply to another command")
         if (
             len(self.house.resp_requests.open_requests) > CAPS["MAX_OPEN_COMMANDS"]
             or self.house.frontend.buffered.used > VALUES
             or (len(self.wire.protocol.replies.pending) > CAPS["MAX_PENDING_REPLIES"] + 1)
         ):
-            raise Broken("more is held than may be")
+            raise InvariantViolation("more is buffered than the limits allow")
 
     def finish(self):
-        """The drain's end, the last writes, and time for all that was begun."""
-        self.play("fww")
-        if not (self.left or self.wire.cut) and len(self.answers()) < len(self.read):
-            raise Broken("a command that was read has no answer")
-        self.play("gk")
+        """End the drain, write the last data, and let all timeouts elapse."""
+        self.run_events("fww")
+        if not (self.client_closed or self.wire.was_aborted) and len(self.answers()) < len(self.read):
+            raise InvariantViolation("a command that was read has no reply")
+        self.run_events("gk")
         for _ in range(40):
             self.house.reactor.advance(0.1)
-            self.wire.turn()
-        if not (self.left or self.wire.gone):
-            raise Broken("a connection whose end was begun long ago is still there")
+            self.wire.run_iteration()
+        if not (self.client_closed or self.wire.is_lost):
+            raise InvariantViolation("a connection that began to close long ago is still open")
         self.wire.waiting.clear()
         self._e()
-        self.wire.turn()
+        self.wire.run_iteration()
         self.house.reactor.advance(0)
         front, carrier = self.house.frontend, self.house.resp_requests
         if carrier.open_requests or carrier._ids or self.house.request_table.requests:
-            raise Broken("something is kept of a request that has ended")
+            raise InvariantViolation("state of an ended request was not released")
         if front.buffered.used or any(front.by_state.values()):
-            raise Broken("something is kept of a connection that has ended")
+            raise InvariantViolation("state of a closed connection was not released")
 
 
-def play(events, turned_away=False):
-    """Play these events to the end."""
+def run_events(events, turned_away=False):
+    """Run these events and finish."""
     with mock.patch.multiple(client_connection, **CAPS), mock.patch.multiple(input_pause, **PAUSE):
-        model = Model(turned_away)
-        model.play(events)
+        model = ConnectionModel(turned_away)
+        model.run_events(events)
         model.finish()
--- a/tests/search.py
+++ b/tests/search.py
@@ -6,7 +6,7 @@
 
 import connection_model
 import replication_net
-from test_connection_search import BEGINNINGS
+from test_connection_search import PREFIXES
 from test_identity_locks import SINGLE_FAULTS
 from test_membership import schedule
 
@@ -39,7 +39,7 @@
 def connection_orders(first):
     """Play every order of four events on a connection, by the first event; returns their number, and the failure."""
     count = 0
-    for start in BEGINNINGS:
+    for start in PREFIXES:
         for rest in itertools.product(connection_model.EVENTS, repeat=3):
             order, count = start + first + "".join(rest), count + 1
             try:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,6 +1,8 @@
-"""Closing by halves: no answer goes with a reset, and nothing is taken that comes after our half is shut.
+"""Half-close of client connections: no reply is lost by a reset, and later input is not accepted.
 
-Over real sockets, a turn of the loop at a time: each test says what lies unread in which socket at which moment."""
+The tests use real sockets and single iterations of the event loop, so that each controls which data are unread in
+which socket.
+"""
 
 import socket
 
@@ -22,12 +24,12 @@
     made.close()
 
 
-def test_an_answer_is_not_lost_with_what_its_client_sends_in_that_moment(stage):
+def test_a_reply_is_not_lost_if_its_client_sends_data_at_that_moment(stage):
     client = stage.client(ASK)
     stage.front.close_idle()
     stage.module.next = [Reject(1, 0.0)]
     stage.request_table.batches.schedule_iteration()
-    stage.reactor.iterate(0)  # the answer is written, the end begun
+    stage.reactor.iterate(0)  # the reply is written and the close begins
     stage.turns()
     client.sendall(resp_codec.encode_command(command_with_id(2)))  # it crosses our end
     stage.turns()
@@ -37,7 +39,7 @@
     assert not any(stage.front.by_state.values())
 
 
-def test_a_request_that_is_read_before_our_half_is_shut_is_refused_and_not_sent_on(stage):
+def test_a_request_that_is_read_before_our_write_side_closes_is_rejected(stage):
     client = stage.client([b"PING"])
     assert client.recv(100) == b"+PONG\r\n"
     client.sendall(resp_codec.encode_command(command_with_id(2)))  # it lies in our socket
@@ -47,7 +49,7 @@
 
 
 @pytest.mark.parametrize("more", [b"", b"x" * 100_000])
-def test_what_cannot_be_read_gets_its_error_line_and_a_clean_end(stage, more):
+def test_malformed_input_gets_an_error_line_and_a_clean_close(stage, more):
     client = stage.client()
     client.sendall(b"GET / HTTP/1.1\r\n\r\n" + more)
     stage.turns(40)
@@ -59,7 +61,7 @@
     assert not any(stage.front.by_state.values())
 
 
-def test_a_client_that_never_ends_its_half_is_gone_after_the_stated_time(stage):
+def test_a_client_that_never_closes_its_write_side_is_aborted_after_the_timeout(stage):
     client = stage.client(ASK)
     stage.front.fail_all()
     stage.wait(connection_limits.CLOSE_TIMEOUT_S + 0.2)
@@ -76,7 +78,7 @@
     return found
 
 
-def test_one_that_goes_on_sending_while_it_is_closed_is_cut_off(stage):
+def test_a_client_that_keeps_sending_while_it_is_closed_is_aborted(stage):
     client = stage.client()
     client.sendall(b"no RESP at all\r\n")
     stage.turns()
@@ -91,7 +93,7 @@
     assert sent < 2 * client_connection.MAX_DISCARDED and not any(stage.front.by_state.values())
 
 
-def test_at_the_cap_room_is_made_by_a_clean_end_and_closing_connections_have_a_cap_of_their_own(stage):
+def test_at_the_limit_an_idle_connection_is_closed_cleanly_and_closing_ones_have_their_own_limit(stage):
     first = [stage.client([b"PING"]) for _ in range(3)]
     more = [stage.client([b"PING"]) for _ in range(2)]
     assert [rest(link) for link in first[:2]] == [b"+PONG\r\n"] * 2
@@ -101,12 +103,12 @@
     assert all(link.recv(100) == b"+PONG\r\n" for link in more)
 
 
-def test_what_a_slow_reader_has_not_read_yet_is_still_written_when_its_connection_ends(stage):
+def test_pending_replies_of_a_slow_reader_are_written_before_its_connection_closes(stage):
     client = stage._keep(socket.socket())
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client.connect(("127.0.0.1", stage.port.getHost().port))
     value = b"v" * 60_000
-    for _ in range(40):  # more than both sides' buffers hold
+    for _ in range(40):  # more than the buffers of both sides can hold
         client.sendall(resp_codec.encode_command([b"PING", value]))
         stage.turns(16)
     stage.front.fail_all()
@@ -119,7 +121,7 @@
     assert got.count(b"$60000\r\n") * len(resp_codec.encode_bulk(value)) == len(got) and len(got) > 60_000
 
 
-def test_at_the_drains_end_each_connection_gets_its_answer_however_many_there_are(stage):
+def test_at_the_end_of_the_drain_each_connection_gets_its_reply(stage):
     clients = [stage.client(command_with_id(number)) for number in range(3)]
     stage.front.limits.max_closing = 1
     stage.front.fail_all()
@@ -127,7 +129,7 @@
     assert [rest(client) for client in clients] == [b"-ERR failed\r\n"] * 3
 
 
-def test_a_client_for_which_there_is_no_room_is_told_so_and_its_connection_ends_cleanly(stage):
+def test_a_client_beyond_the_connection_limit_is_rejected_and_closed_cleanly(stage):
     clients = [stage.client(command_with_id(number)) for number in range(4)]
     assert rest(clients[3]) == b"-BUSY 250\r\n" and len(stage.module.arrivals) == 3
     clients[3].close()
@@ -135,15 +137,15 @@
     assert not stage.front.by_state["closing"] and stage.front.connections == 3
 
 
-def test_a_client_that_sends_without_end_and_reads_nothing_is_held_to_little_and_cut_off(stage):
+def test_a_client_that_floods_and_never_reads_uses_little_memory_and_is_aborted(stage):
     client = stage.client(ASK)
     client.setblocking(False)
     flood, kept, ends = resp_codec.encode_command([b"Q.ASK", b"x"]) * 1000, 0, stage.module.ends
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    for _ in range(600):  # the system's own buffers fill first: until then the client may be one that reads slowly
+    for _ in range(600):  # the kernel's buffers fill first: until then it may be a slow reader
         try:
             client.send(flood)
-        except OSError:  # its buffers are full, or it has been cut off
+        except OSError:  # its buffers are full, or it was aborted
             pass
         stage.wait(0.1)
         for protocol in (each for place in stage.front.by_state.values() for each in place):
@@ -157,16 +159,16 @@
             )
         if not stage.front.connections:
             break
-    assert 0 < kept < 500_000 and len(ends) == 1  # what was open is called off long before it is cut off
+    assert 0 < kept < 500_000 and len(ends) == 1  # its request is cancelled long before it is aborted
     assert not stage.carrier.open_requests and not stage.front.connections and stage.front.buffered.used == 0
 
 
-def test_a_client_that_reads_is_not_cut_off_where_its_full_buffer_was_written_to_twice(stage):
-    """The transport says that its buffer is full at each write into it, and once only that it is free."""
+def test_a_reading_client_is_not_aborted_after_two_writes_to_its_full_buffer(stage):
+    """The transport pauses its producer at each write into the full buffer, but resumes it only once."""
     pong = [b"PING", b"x" * 20_000]
     client = stage.client(ASK, pong, command_with_id(2), pong, command_with_id(3))
     stage.decide(Reject(1, 0.0))
-    stage.decide(Reject(2, 0.0))  # the loop has written nothing since
+    stage.decide(Reject(2, 0.0))  # the event loop has written nothing since
     found = 0
     while found < 40_000:
         stage.turns()
--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -15,6 +15,47 @@
 TESTS = pathlib.Path(__file__).parent
 BEFORE = (TESTS / "data" / "collected_before.txt").read_text(encoding="utf-8").splitlines()
 RENAMED: dict[str, str] = {
+    "test_no_order_breaks_anything": "test_no_order_of_events_violates_an_invariant",
+    "test_an_answer_is_not_lost_with_what_its_client_sends_in_that_moment": (
+        "test_a_reply_is_not_lost_if_its_client_sends_data_at_that_moment"
+    ),
+    "test_a_request_that_is_read_before_our_half_is_shut_is_refused_and_not_sent_on": (
+        "test_a_request_that_is_read_before_our_write_side_closes_is_rejected"
+    ),
+    "test_what_cannot_be_read_gets_its_error_line_and_a_clean_end": (
+        "test_malformed_input_gets_an_error_line_and_a_clean_close"
+    ),
+    "test_a_client_that_never_ends_its_half_is_gone_after_the_stated_time": (
+        "test_a_client_that_never_closes_its_write_side_is_aborted_after_the_timeout"
+    ),
+    "test_one_that_goes_on_sending_while_it_is_closed_is_cut_off": (
+        "test_a_client_that_keeps_sending_while_it_is_closed_is_aborted"
+    ),
+    "test_at_the_cap_room_is_made_by_a_clean_end_and_closing_connections_have_a_cap_of_their_own": (
+        "test_at_the_limit_an_idle_connection_is_closed_cleanly_and_closing_ones_have_their_own_limit"
+    ),
+    "test_what_a_slow_reader_has_not_read_yet_is_still_written_when_its_connection_ends": (
+        "test_pending_replies_of_a_slow_reader_are_written_before_its_connection_closes"
+    ),
+    "test_at_the_drains_end_each_connection_gets_its_answer_however_many_there_are": (
+        "test_at_the_end_of_the_drain_each_connection_gets_its_reply"
+    ),
+    "test_a_client_for_which_there_is_no_room_is_told_so_and_its_connection_ends_cleanly": (
+        "test_a_client_beyond_the_connection_limit_is_rejected_and_closed_cleanly"
+    ),
+    "test_a_client_that_sends_without_end_and_reads_nothing_is_held_to_little_and_cut_off": (
+        "test_a_client_that_floods_and_never_reads_uses_little_memory_and_is_aborted"
+    ),
+    "test_a_client_that_reads_is_not_cut_off_where_its_full_buffer_was_written_to_twice": (
+        "test_a_reading_client_is_not_aborted_after_two_writes_to_its_full_buffer"
+    ),
+    "test_one_that_ended_or_spoke_while_it_was_idle_carries_nothing_more": (
+        "test_a_connection_that_closed_or_received_bytes_while_idle_is_not_reused"
+    ),
+    "test_one_that_was_idle_for_too_long_is_not_used_even_where_no_timer_has_run_yet": (
+        "test_a_connection_past_its_idle_timeout_is_not_reused_even_before_the_sweep"
+    ),
+    "test_a_second_copy_while_it_rests_ends_it": "test_an_unsolicited_response_closes_an_idle_connection",
     "test_a_table_made_by_changes_is_as_one_made_at_once": "test_an_edited_table_equals_one_built_at_once",
     "test_nodes_off_the_changed_path_are_shared_and_empty_ones_go": (
         "test_nodes_off_the_edited_path_are_shared_and_empty_ones_removed"
--- a/tests/test_connection_search.py
+++ b/tests/test_connection_search.py
@@ -1,11 +1,11 @@
-"""Every short order of what can befall one connection, long ones by seeds, and each guard taken out."""
+"""All short orders of events on one connection, long ones by seeds, and a search with each guard removed."""
 
 import itertools
 import random
 from unittest import mock
 
 import pytest
-from connection_model import EVENTS, Broken, play
+from connection_model import EVENTS, InvariantViolation, run_events
 
 from anisefront.gateway.request_table import RequestTable
 from anisefront.resp_gateway import client_connection
@@ -15,34 +15,34 @@
 from anisefront.resp_gateway.input_pause import InputPause
 from anisefront.resp_gateway.reply_queue import ReplyQueue
 
-BEGINNINGS = ("", "c", "cg", "cgk", "uc")
+PREFIXES = ("", "c", "cg", "cgk", "uc")
 DEPTH, SEEDS, LENGTH = 3, 3000, 12
 
 
-def first_broken(depth=DEPTH, seeds=SEEDS):
-    """The first order that breaks something, and what; None where none does."""
-    orders = (start + "".join(rest) for start in BEGINNINGS for rest in itertools.product(EVENTS, repeat=depth))
+def first_violation(depth=DEPTH, seeds=SEEDS):
+    """Return the first order that violates an invariant, with the violation; None if there is none."""
+    orders = (start + "".join(rest) for start in PREFIXES for rest in itertools.product(EVENTS, repeat=depth))
     rng = random.Random(41)
     longer = ("".join(rng.choices(list(EVENTS), k=LENGTH)) for _ in range(seeds))
     for order in itertools.chain(orders, longer):
         try:
-            play(order)
-        except Broken as problem:
+            run_events(order)
+        except InvariantViolation as problem:
             return order, str(problem)
-    for order in itertools.product(EVENTS, repeat=depth - 1):  # and of one for which there is no room
+    for order in itertools.product(EVENTS, repeat=depth - 1):  # and of a connection beyond the limit
         try:
-            play(order, turned_away=True)
-        except Broken as problem:
+            run_events(order, turned_away=True)
+        except InvariantViolation as problem:
             return "turned away", order, str(problem)
     return None
 
 
-def test_no_order_breaks_anything():
-    assert first_broken() is None
+def test_no_order_of_events_violates_an_invariant():
+    assert first_violation() is None
 
 
-def unwrapped(function):
-    """`_handle_request` as it would be without the look at whether the connection is ending."""
+def without_closing_check(function):
+    """Return `_handle_request` without the check whether the connection is closing."""
 
     def handle(self, slot, parts):
         closing, self._closing = self._closing, False
@@ -54,8 +54,8 @@
     return handle
 
 
-def dropped(self, data, reject=False):
-    """`_process` as it was: what would pass the cap on open commands is dropped, and the connection ends."""
+def drop_excess_commands(self, data, reject=False):
+    """Process input as an earlier version did: drop commands beyond the limit and close the connection."""
     commands = self.reader.feed(data)
     if len(self.replies.pending) + len(commands) > client_connection.MAX_OPEN_COMMANDS:
         self._protocol_error(b"ERR")
@@ -65,40 +65,40 @@
     self._flush()
 
 
-def dropped_unread(self, data):
-    """`_buffer_input` as it was: at its cap all that waits is dropped, and the connection ends."""
+def drop_excess_input(self, data):
+    """Buffer input as an earlier version did: at the limit drop all of it and close the connection."""
     self.input.buffer(data)
     if self.input.overflowed:
         self.input.take_buffered()
         self._protocol_error(b"ERR")
 
 
-def kept_unread(self, data):
+def buffer_without_limit(self, data):
     self.input.buffer(data)
 
 
-def uncapped(self, parts, reject):
+def allow_unlimited_commands(self, parts, reject):
     with mock.patch.object(client_connection, "MAX_OPEN_COMMANDS", 10**6):
         COMMAND(self, parts, reject)
 
 
-def unlimited(self, data, reject=False):
+def allow_unlimited_replies(self, data, reject=False):
     with mock.patch.object(client_connection, "MAX_PENDING_REPLIES", 10**6):
         PROCESS(self, data, reject)
 
 
-def forgotten(self, line):
-    """`_protocol_error` as it was: what was read while the connection is ending is not written."""
+def drop_pending_replies(self, line):
+    """Handle an error as an earlier version did: drop replies to commands read while the connection closes."""
     if not self._closing:
         PROTOCOL_ERROR(self, line)
     self.replies.pending.clear()
 
 
-def impatient(self):
+def fail_overdue_command(self):
     self._protocol_error(b"ERR")
 
 
-def unmeasured(self, slot, parts):
+def ignore_reservation(self, slot, parts):
     slot.reply = resp_codec.encode_bulk(parts[-1])
     self.replies.reserve(slot, len(parts[-1]))
 
@@ -106,20 +106,20 @@
 COMMAND, PROCESS = ClientConnection._handle_command, ClientConnection._process
 PROTOCOL_ERROR = ClientConnection._protocol_error
 GUARDS = [
-    (ClientConnection, "_process", dropped),
-    (ClientConnection, "_buffer_input", dropped_unread),
-    (ClientConnection, "_buffer_input", kept_unread),
-    (ClientConnection, "_handle_command", uncapped),
-    (ClientConnection, "_protocol_error", forgotten),
-    (ClientConnection, "command_overdue", impatient),
+    (ClientConnection, "_process", drop_excess_commands),
+    (ClientConnection, "_buffer_input", drop_excess_input),
+    (ClientConnection, "_buffer_input", buffer_without_limit),
+    (ClientConnection, "_handle_command", allow_unlimited_commands),
+    (ClientConnection, "_protocol_error", drop_pending_replies),
+    (ClientConnection, "command_overdue", fail_overdue_command),
     (InputPause, "pause_reading", lambda self, stop_reading: None),
     (ClientConnection, "_fail_open", lambda self: None),
-    (ClientConnection, "_handle_ping", unmeasured),
+    (ClientConnection, "_handle_ping", ignore_reservation),
     (ReplyQueue, "release", lambda self, slot: None),
-    (ClientConnection, "_process", unlimited),
+    (ClientConnection, "_process", allow_unlimited_replies),
     (ClientConnection, "_write_ready", lambda self: None),
     (ClientConnection, "_cancel_all", lambda self: None),
-    (ClientConnection, "_handle_request", unwrapped(ClientConnection._handle_request)),
+    (ClientConnection, "_handle_request", without_closing_check(ClientConnection._handle_request)),
     (InputPause, "take_buffered", lambda self: bytes(self.buffered)),
     (ClientConnection, "_resume_input", lambda self: None),
     (ClientConnection, "fail_all", ClientConnection.shutdown_write),
@@ -133,7 +133,7 @@
 def test_each_guard_taken_out_is_found_out(monkeypatch, owner, name, without):
     monkeypatch.setattr(owner, name, without)
     try:
-        found = first_broken()
-    except Exception as problem:  # it may also show as an error of its own
+        found = first_violation()
+    except Exception as problem:  # the violation may also raise another error
         found = problem
     assert found is not None
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections to workers between two exchanges: dead, spoken on, forgotten, too many, or of a worker that went."""
+"""Idle connections to workers: closed, with unsolicited bytes, or past their idle timeout."""
 
 import pytest
 from stage import Stage, reset
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "break_connection",
     [
         lambda link: link.close(),
         reset,
@@ -28,11 +28,11 @@
     ],
 )
 @pytest.mark.parametrize("seen", [False, True])
-def test_one_that_ended_or_spoke_while_it_was_idle_carries_nothing_more(stage, spoil, seen):
-    """Whether the loop has seen it already or it lies in the socket when the next attempt looks for a connection."""
+def test_a_connection_that_closed_or_received_bytes_while_idle_is_not_reused(stage, break_connection, seen):
+    """Holds whether or not the event loop has read the event before the next attempt takes a connection."""
     client, worker = stage.served()
     stage.time += 0.02
-    spoil(worker)
+    break_connection(worker)
     if seen:
         stage.turns()
     client.sendall(resp_codec.encode_command(command_with_id(2)))
@@ -49,8 +49,8 @@
     ]
 
 
-def test_one_that_was_idle_for_too_long_is_not_used_even_where_no_timer_has_run_yet():
-    """After a standstill the loop may ask for a connection before the sweep; on its way it may have been forgotten."""
+def test_a_connection_past_its_idle_timeout_is_not_reused_even_before_the_sweep():
+    """After a process stall a connection may be taken before the sweep; the network may have dropped it silently."""
     house = GatewayHarness()
     _, worker = start_attempt(house)
     worker.protocol.dataReceived(SERVED_REPLY)
@@ -61,7 +61,7 @@
     assert house.pool.take_idle("s1") is None and worker.aborted
 
 
-def test_a_second_copy_while_it_rests_ends_it(stage):
+def test_an_unsolicited_response_closes_an_idle_connection(stage):
     _, worker = stage.served()
     worker.sendall(SERVED_REPLY)
     stage.turns()
