--- a/anisefront/config/explain.py
+++ b/anisefront/config/explain.py
@@ -85,7 +85,7 @@
         config.repeat_header,
     )
     try:
-        mapped = router.map(request.method, request.host, request.path, dict(request.headers))
+        mapped = router.route(request.method, request.host, request.path, dict(request.headers))
     except UnroutableRequestError as error:
         return [f"customer: denied with {error.status}, {error} (header {config.customer_header})"]
     listed = entries.by_name("key").get(dict(request.headers)[config.customer_header])
--- a/anisefront/daemon/gateway_instance.py
+++ b/anisefront/daemon/gateway_instance.py
@@ -223,7 +223,7 @@
         """Read the settings, and apply or reject them as a whole."""
         self.updates.request_reload()
 
-    def _apply_settings(self, before: Config) -> None:
+    def _apply_settings(self, previous: Config) -> None:
         """Apply a new version. A request that arrived before the change ends under the previous settings.
 
         Class and plan: the controller stores those of each request, and receives earlier arrivals before the change.
@@ -236,7 +236,7 @@
         self.request_table.max_open_requests = config.most_open
         self.delegated_requests.timeouts = _delegation_timeouts(config)
         # The controller visits each customer whose quota it owns, so it is not given changes of routes and keys.
-        if config.settings != before.settings:
+        if config.settings != previous.settings:
             self.request_table.change_settings(config.settings)
         if self.replication_service is not None:
             self.replication_service.update_config(config)
--- a/anisefront/daemon/replication.py
+++ b/anisefront/daemon/replication.py
@@ -317,8 +317,10 @@
                 self._on_member_change(now_ms, change)
         rows = self._membership.rows
         others = [number for number in self._membership.alive() if number != self._settings.number]
-        gone = frozenset(number for number, row in rows.items() if row.status in (MemberStatus.DEAD, MemberStatus.LEFT))
-        self.voter.update_members(now_ms, {number: rows[number].process_incarnation for number in others}, gone)
+        unavailable = frozenset(
+            number for number, row in rows.items() if row.status in (MemberStatus.DEAD, MemberStatus.LEFT)
+        )
+        self.voter.update_members(now_ms, {number: rows[number].process_incarnation for number in others}, unavailable)
         self.voter.handle_timers(now_ms)
         self.primary.update_members(
             now_ms,
--- a/anisefront/daemon/request_records.py
+++ b/anisefront/daemon/request_records.py
@@ -134,9 +134,18 @@
 def encode_response(response: FinalResponse) -> bytes:
     """Encode a response for another instance."""
     message = response.message
-    served = None if message is None else [message.status, message.headers, base64.b64encode(message.body).decode()]
+    encoded_message = (
+        None if message is None else [message.status, message.headers, base64.b64encode(message.body).decode()]
+    )
     return json.dumps(
-        [served, response.endpoint, response.attempts, response.is_rejected, response.retry_after_ms, response.reason],
+        [
+            encoded_message,
+            response.endpoint,
+            response.attempts,
+            response.is_rejected,
+            response.retry_after_ms,
+            response.reason,
+        ],
         separators=(",", ":"),
     ).encode()
 
@@ -146,23 +155,23 @@
     document = _load(data)
     if not isinstance(document, list) or len(document) != _RESPONSE_FIELDS:
         return None
-    served, endpoint, attempts, is_rejected, retry_after_ms, reason = document
+    encoded_message, endpoint, attempts, is_rejected, retry_after_ms, reason = document
     if not isinstance(endpoint, str) or not isinstance(reason, str) or not isinstance(is_rejected, bool):
         return None
     if not _is_integer(attempts) or not _is_finite(retry_after_ms):
         return None
     message = None
-    if served is not None:
-        message = _decode_message(served)
+    if encoded_message is not None:
+        message = _decode_message(encoded_message)
         if message is None:
             return None
     return FinalResponse(message, endpoint, attempts, is_rejected, retry_after_ms, reason)
 
 
-def _decode_message(served: Any) -> http1.Message | None:
-    if not isinstance(served, list) or len(served) != _MESSAGE_FIELDS:
+def _decode_message(encoded_message: Any) -> http1.Message | None:
+    if not isinstance(encoded_message, list) or len(encoded_message) != _MESSAGE_FIELDS:
         return None
-    status, headers, encoded_body = served
+    status, headers, encoded_body = encoded_message
     if not _is_integer(status) or not _is_header_table(headers) or not isinstance(encoded_body, str):
         return None
     body = _decode_body(encoded_body)
--- a/anisefront/daemon/settings_updates.py
+++ b/anisefront/daemon/settings_updates.py
@@ -126,9 +126,9 @@
         )
 
     def _apply(self, version: Version, warnings: int) -> None:
-        before = self.version.config
+        previous = self.version.config
         self.version = version
-        self._on_change(before)
+        self._on_change(previous)
         self._applied_ms = self._clock()
         self._record("taken", "")
         self._log.info(
--- a/anisefront/frontends/authorization.py
+++ b/anisefront/frontends/authorization.py
@@ -114,7 +114,7 @@
         try:
             if not http.method:
                 raise UnroutableRequestError(400, "no-http-request")
-            mapped = service.router().map(http.method, http.host, http.path, headers)
+            mapped = service.router().route(http.method, http.host, http.path, headers)
         except UnroutableRequestError as error:
             self._call.finish(encode_denied(error.status, str(error), {}))
             return
--- a/anisefront/frontends/jsonrpc_dispatcher.py
+++ b/anisefront/frontends/jsonrpc_dispatcher.py
@@ -56,7 +56,7 @@
             UnroutableRequestError: No route or key covers the request.
         """
         request, host = parse_params(params)
-        mapped = self.router().map(request.method, host, request.target, request.headers)
+        mapped = self.router().route(request.method, host, request.target, request.headers)
         request = replace(request, target=mapped.target)
         if self.draining:
             on_response(FinalResponse(is_rejected=True, retry_after_ms=DRAINING_RETRY_AFTER_MS, reason="draining"))
--- a/anisefront/gateway/event_loop_lag.py
+++ b/anisefront/gateway/event_loop_lag.py
@@ -75,10 +75,10 @@
             The main cause; "" if the lateness is below the threshold or its cause is unknown.
         """
         late_ms = max(0.0, late_ms)
-        row = 0
-        while row < len(BOUNDS_MS) and late_ms > BOUNDS_MS[row]:
-            row += 1
-        self.counts[row] += 1
+        index = 0
+        while index < len(BOUNDS_MS) and late_ms > BOUNDS_MS[index]:
+            index += 1
+        self.counts[index] += 1
         self.worst_ms = max(self.worst_ms, late_ms)
         if late_ms < self.notable_ms or thread_time is None:
             return ""
--- a/anisefront/gateway/key_table.py
+++ b/anisefront/gateway/key_table.py
@@ -61,11 +61,11 @@
 
     def put(self, text: str, key: Key | None) -> None:
         """Replace the key of a text; None removes it."""
-        number = hash(text) % SHARDS
-        if number not in self._copied:
-            self._copied.add(number)
-            self._shards[number] = self._shards[number].copy()
-        shard = self._shards[number]
+        index = hash(text) % SHARDS
+        if index not in self._copied:
+            self._copied.add(index)
+            self._shards[index] = self._shards[index].copy()
+        shard = self._shards[index]
         if text in shard:
             self._count -= 1
         if key is None:
--- a/anisefront/gateway/patterns.py
+++ b/anisefront/gateway/patterns.py
@@ -58,15 +58,15 @@
 
 def shape(path: str) -> tuple[tuple[int, int, str], ...]:
     """Return a path pattern without the names of its parameters, as a sort key of its precedence."""
-    out = []
+    key = []
     for segment in segments(path):
         if segment.startswith(":"):
-            out.append((1, 0, ""))
+            key.append((1, 0, ""))
         elif segment.endswith("*"):
-            out.append((2, -len(segment), segment))
+            key.append((2, -len(segment), segment))
         else:
-            out.append((0, 0, segment))
-    return tuple(out)
+            key.append((0, 0, segment))
+    return tuple(key)
 
 
 def host_rank(host: str) -> tuple[int, int]:
@@ -95,18 +95,18 @@
 
 def path_matches(pattern: str, path: str) -> bool:
     """Return whether a pattern covers a path without query. The reference against which the table is tested."""
-    wanted, given = segments(pattern), segments(path)
-    for number, segment in enumerate(wanted):
-        if segment.endswith("*") and number == len(wanted) - 1 and not segment.startswith(":"):
-            return number < len(given) and "/".join(given[number:]).startswith(segment[:-1])
-        if number >= len(given):
+    pattern_segments, path_segments = segments(pattern), segments(path)
+    for index, segment in enumerate(pattern_segments):
+        if segment.endswith("*") and index == len(pattern_segments) - 1 and not segment.startswith(":"):
+            return index < len(path_segments) and "/".join(path_segments[index:]).startswith(segment[:-1])
+        if index >= len(path_segments):
             return False
         if segment.startswith(":"):
-            if not given[number]:
+            if not path_segments[index]:
                 return False
-        elif segment != given[number]:
+        elif segment != path_segments[index]:
             return False
-    return len(wanted) == len(given)
+    return len(pattern_segments) == len(path_segments)
 
 
 def when_matches(when: tuple[tuple[str, str], ...], headers: dict[str, str]) -> bool:
@@ -126,24 +126,24 @@
 
 def common_path(first: str, second: str) -> str | None:
     """Return the most general path that both patterns cover; None if there is none."""
-    a = segments(first)
-    b = segments(second)
-    out: list[str] = []
-    at = 0
+    first_segments = segments(first)
+    second_segments = segments(second)
+    common_segments: list[str] = []
+    index = 0
     while True:
-        left = a[at] if at < len(a) else None
-        right = b[at] if at < len(b) else None
+        left = first_segments[index] if index < len(first_segments) else None
+        right = second_segments[index] if index < len(second_segments) else None
         if left is None or right is None:
-            return "/" + "/".join(out) if left is right else None
+            return "/" + "/".join(common_segments) if left is right else None
         left_tail = _is_tail(left)
         right_tail = _is_tail(right)
         if left_tail or right_tail:
-            return _with_tail(out, a[at:], b[at:], left_tail, right_tail)
+            return _with_tail(common_segments, first_segments[index:], second_segments[index:], left_tail, right_tail)
         segment = _common_segment(left, right)
         if segment is None:
             return None
-        out.append(segment)
-        at += 1
+        common_segments.append(segment)
+        index += 1
 
 
 def _is_tail(segment: str) -> bool:
@@ -160,21 +160,27 @@
     return left if left == right else None
 
 
-def _with_tail(out: list[str], a: list[str], b: list[str], left_tail: bool, right_tail: bool) -> str | None:
+def _with_tail(
+    common_segments: list[str], first_rest: list[str], second_rest: list[str], left_tail: bool, right_tail: bool
+) -> str | None:
     if left_tail and right_tail:
-        long, short = (a[0], b[0]) if len(a[0]) >= len(b[0]) else (b[0], a[0])
-        return "/" + "/".join([*out, long[:-1] + OTHER]) if long[:-1].startswith(short[:-1]) else None
-    tail, rest = (a[0], b) if left_tail else (b[0], a)
+        long, short = (
+            (first_rest[0], second_rest[0])
+            if len(first_rest[0]) >= len(second_rest[0])
+            else (second_rest[0], first_rest[0])
+        )
+        return "/" + "/".join([*common_segments, long[:-1] + OTHER]) if long[:-1].startswith(short[:-1]) else None
+    tail, rest = (first_rest[0], second_rest) if left_tail else (second_rest[0], first_rest)
     first = rest[0]
     if first.startswith(":"):
         first = tail[:-1] + OTHER
     elif not first.startswith(tail[:-1]):
         return None
-    more = [
+    further = [
         OTHER if segment.startswith(":") else segment[:-1] + OTHER if _is_tail(segment) else segment
         for segment in rest[1:]
     ]
-    return "/" + "/".join([*out, first, *more])
+    return "/" + "/".join([*common_segments, first, *further])
 
 
 def common_host(first: str, second: str) -> str | None:
--- a/anisefront/gateway/process_stall.py
+++ b/anisefront/gateway/process_stall.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 MIN_STALL_MS = 250.0  # lateness of a timer above which the whole process is taken to have stalled
-MAX_IDLE_DEFERRALS = 3  # deferrals without a new event after which the sockets are taken as read
+MAX_IDLE_DEFERRALS = 3  # deferrals without a new event after which the sockets count as fully read
 MAX_DEFERRALS = 20
 
 
--- a/anisefront/gateway/route_groups.py
+++ b/anisefront/gateway/route_groups.py
@@ -15,13 +15,13 @@
 
     A group that moved is in both lists; as many groups as possible remain. Groups are compared by object identity.
     """
-    known = {id(group): number for number, group in enumerate(before)}
-    common = [known[id(group)] for group in after if id(group) in known]
-    staying = set(common)
-    if any(first > second for first, second in zip(common, common[1:], strict=False)):
-        staying = _longest_increasing(common)
-    removed = [group for number, group in enumerate(before) if number not in staying]
-    added = [group for group in after if known.get(id(group), -1) not in staying]
+    positions = {id(group): position for position, group in enumerate(before)}
+    common_positions = [positions[id(group)] for group in after if id(group) in positions]
+    remaining = set(common_positions)
+    if any(first > second for first, second in zip(common_positions, common_positions[1:], strict=False)):
+        remaining = _longest_increasing(common_positions)
+    removed = [group for position, group in enumerate(before) if position not in remaining]
+    added = [group for group in after if positions.get(id(group), -1) not in remaining]
     return removed, added
 
 
@@ -30,12 +30,12 @@
     ends: list[int] = []  # the smallest last number of a subsequence, by its length
     previous: dict[int, int | None] = {}
     for number in numbers:
-        at = bisect(ends, number)
-        previous[number] = ends[at - 1] if at else None
-        ends[at : at + 1] = [number]
-    found: set[int] = set()
+        length = bisect(ends, number)
+        previous[number] = ends[length - 1] if length else None
+        ends[length : length + 1] = [number]
+    subsequence: set[int] = set()
     last = ends[-1] if ends else None
     while last is not None:
-        found.add(last)
+        subsequence.add(last)
         last = previous[last]
-    return found
+    return subsequence
--- a/anisefront/gateway/route_table.py
+++ b/anisefront/gateway/route_table.py
@@ -129,8 +129,8 @@
 def _insertions(groups: Iterable[RouteGroup], ranks: Mapping[int, int]) -> Iterator[tuple[Route, Edit | None]]:
     """Yield the routes of groups with the edit that inserts each."""
     for group in groups:
-        for at, route in enumerate(group):
-            yield route, insertion(PlacedRoute(route, group, at), ranks)
+        for index, route in enumerate(group):
+            yield route, insertion(PlacedRoute(route, group, index), ranks)
 
 
 def _without_port(host: str) -> str:
--- a/anisefront/gateway/route_trie.py
+++ b/anisefront/gateway/route_trie.py
@@ -11,13 +11,13 @@
 class PlacedRoute:
     """A route with its group and its index in the group."""
 
-    __slots__ = ("at", "group", "route", "when")
+    __slots__ = ("group", "index", "route", "when")
 
-    def __init__(self, route: Route, group: RouteGroup, at: int) -> None:
+    def __init__(self, route: Route, group: RouteGroup, index: int) -> None:
         """Place a route."""
         self.route = route
         self.group = group
-        self.at = at
+        self.index = index
         self.when = route.pattern.when
 
 
@@ -76,33 +76,33 @@
 
 
 def find_route(
-    node: RouteNode, segments: list[str], at: int, method: str, headers: Mapping[str, str]
+    node: RouteNode, segments: list[str], index: int, method: str, headers: Mapping[str, str]
 ) -> PlacedRoute | None:
     """Find the first route, depth first in order of precedence.
 
     Clients control the path, so the search must be bounded: by the depth of the routes, and it backtracks only where a
     literal and a parameter are siblings.
     """
-    if at == len(segments):
+    if index == len(segments):
         return _first_match(node.routes, method, headers) if node.routes else None
-    segment = segments[at]
+    segment = segments[index]
     if node.literals is not None:
         child = node.literals.get(segment)
         if child is not None:
-            found = find_route(child, segments, at + 1, method, headers)
+            found = find_route(child, segments, index + 1, method, headers)
             if found is not None:
                 return found
     if node.parameter is not None and segment:
-        found = find_route(node.parameter, segments, at + 1, method, headers)
+        found = find_route(node.parameter, segments, index + 1, method, headers)
         if found is not None:
             return found
-    return _find_tail(node, segments, at, method, headers) if node.tails else None
+    return _find_tail(node, segments, index, method, headers) if node.tails else None
 
 
 def _find_tail(
-    node: RouteNode, segments: list[str], at: int, method: str, headers: Mapping[str, str]
+    node: RouteNode, segments: list[str], index: int, method: str, headers: Mapping[str, str]
 ) -> PlacedRoute | None:
-    rest = "/".join(segments[at:])
+    rest = "/".join(segments[index:])
     for prefix, routes in node.tails:
         if rest.startswith(prefix):
             found = _first_match(routes, method, headers)
@@ -162,15 +162,15 @@
 
     def precedence(each: PlacedRoute) -> tuple[int, int, int]:
         """Return the sort key: more conditions first, then the order of the groups, then the order in the group."""
-        return -len(each.when), ranks[id(each.group)], each.at
+        return -len(each.when), ranks[id(each.group)], each.index
 
     def edit(routes: RoutesByMethod, methods: tuple[str, ...]) -> RoutesByMethod:
         """Insert the route."""
         by_method = dict(routes)
         for method in methods:
             entries = by_method.get(method, ())
-            at = bisect(entries, precedence(placed), key=precedence)
-            by_method[method] = (*entries[:at], placed, *entries[at:])
+            index = bisect(entries, precedence(placed), key=precedence)
+            by_method[method] = (*entries[:index], placed, *entries[index:])
         return tuple(by_method.items())
 
     return edit
--- a/anisefront/gateway/routing.py
+++ b/anisefront/gateway/routing.py
@@ -54,7 +54,7 @@
     def find(self, method: str, host: str, path: str, headers: Mapping[str, str]) -> int:
         """Return the number of a request's route, -1 if there is none."""
         found = self._table.find(method, host, path, headers)
-        return -1 if found is None else found.at
+        return -1 if found is None else found.index
 
     def in_order(self) -> list[tuple[int, str]]:
         """Return all routes in order of precedence, each once for each of its methods."""
@@ -93,7 +93,7 @@
         if self.table is None:
             self.table = build_route_table(self.routes)
 
-    def map(self, method: str, host: str, path: str, headers: Mapping[str, str]) -> RoutedRequest:
+    def route(self, method: str, host: str, path: str, headers: Mapping[str, str]) -> RoutedRequest:
         """Route a request. Names of headers are in lower case.
 
         Raises:
--- a/anisefront/gateway/versions.py
+++ b/anisefront/gateway/versions.py
@@ -87,7 +87,7 @@
     yield
     changes = ChangeSet()
     if before is not None:
-        changes = yield from _changes(before.config, loaded.config, removed, added)
+        changes = yield from _change_set(before.config, loaded.config, removed, added)
     number = 1 if before is None else before.number + 1
     return Version(number, loaded.digest, loaded.config, router, changes, loaded.parts)
 
@@ -105,52 +105,55 @@
     )
 
 
-def _changes(
+def _change_set(
     before: Any, after: Any, removed: Iterable[RouteGroup], added: Iterable[RouteGroup]
 ) -> Generator[None, None, ChangeSet]:
-    routes = yield from _routes(removed, added)
-    keys = yield from _keys(before.keys, after.keys)
+    routes = yield from _route_changes(removed, added)
+    keys = yield from _key_changes(before.keys, after.keys)
     old = before.settings
     new = after.settings
-    others = (*_fields(old, new, ("classes", "plans")), *_fields(before, after, ("settings", "routes", "keys")))
+    others = (
+        *_changed_fields(old, new, ("classes", "plans")),
+        *_changed_fields(before, after, ("settings", "routes", "keys")),
+    )
     return ChangeSet(
         routes,
         keys,
-        _changed(_by_name(old.plans), _by_name(new.plans)),
-        _changed(_by_name(old.classes), _by_name(new.classes)),
+        _name_changes(_by_name(old.plans), _by_name(new.plans)),
+        _name_changes(_by_name(old.classes), _by_name(new.classes)),
         others,
     )
 
 
-def _routes(removed: Iterable[RouteGroup], added: Iterable[RouteGroup]) -> Generator[None, None, NameChanges]:
-    old = yield from _by_place(removed)
-    new = yield from _by_place(added)
-    appeared: list[str] = []
-    changed: list[str] = []
+def _route_changes(removed: Iterable[RouteGroup], added: Iterable[RouteGroup]) -> Generator[None, None, NameChanges]:
+    old = yield from _by_name_in_steps(removed)
+    new = yield from _by_name_in_steps(added)
+    added_names: list[str] = []
+    changed_names: list[str] = []
     for number, (name, route) in enumerate(new.items()):
         if number % ENTRIES_PER_STEP == ENTRIES_PER_STEP - 1:
             yield
         before = old.pop(name, None)
         if before is None:
-            appeared.append(name)
+            added_names.append(name)
         elif before != route:
-            changed.append(name)
-    return NameChanges(tuple(appeared), tuple(changed), tuple(old))
+            changed_names.append(name)
+    return NameChanges(tuple(added_names), tuple(changed_names), tuple(old))
 
 
-def _by_place(groups: Iterable[RouteGroup]) -> Generator[None, None, dict[str, Route]]:
-    out: dict[str, Route] = {}
+def _by_name_in_steps(groups: Iterable[RouteGroup]) -> Generator[None, None, dict[str, Route]]:
+    by_name: dict[str, Route] = {}
     for group in groups:
         for number, route in enumerate(group):
             if number % ENTRIES_PER_STEP == ENTRIES_PER_STEP - 1:
                 yield
             pattern = route.pattern
             when = "".join(f" {name}={value}" for name, value in pattern.when)
-            out[f"{' '.join(pattern.methods)} {pattern.host}{pattern.path}{when}"] = route
-    return out
+            by_name[f"{' '.join(pattern.methods)} {pattern.host}{pattern.path}{when}"] = route
+    return by_name
 
 
-def _keys(before: Mapping[str, Key], after: Mapping[str, Key]) -> Generator[None, None, NameChanges]:
+def _key_changes(before: Mapping[str, Key], after: Mapping[str, Key]) -> Generator[None, None, NameChanges]:
     if isinstance(before, KeyTable) and isinstance(after, KeyTable):
         texts: Iterable[str] = before.differing(after)
     else:
@@ -176,7 +179,7 @@
     return {each.name: each for each in values}
 
 
-def _changed(before: Mapping[str, Any], after: Mapping[str, Any]) -> NameChanges:
+def _name_changes(before: Mapping[str, Any], after: Mapping[str, Any]) -> NameChanges:
     return NameChanges(
         tuple(name for name in after if name not in before),
         tuple(name for name in after if name in before and before[name] != after[name]),
@@ -184,7 +187,7 @@
     )
 
 
-def _fields(before: Any, after: Any, excluded: tuple[str, ...]) -> tuple[str, ...]:
+def _changed_fields(before: Any, after: Any, excluded: tuple[str, ...]) -> tuple[str, ...]:
     return tuple(
         each.name
         for each in dataclasses.fields(before)
--- a/benchmarks/settings.py
+++ b/benchmarks/settings.py
@@ -59,7 +59,7 @@
         one_line(layout, number)
         router, cost = whole()
         costs.append(cost)
-    assert router.map("GET", "h", f"/changing/{changes - 1}", {"x-api-key": "any"}).class_name == "look"
+    assert router.route("GET", "h", f"/changing/{changes - 1}", {"x-api-key": "any"}).class_name == "look"
     return {**out, "change_cpu_ms": costs, "held_after_mb": held_mb(), "peak_mb": peak_mb()}
 
 
@@ -106,7 +106,7 @@
         counts.append(len(steps_ms))
         held.append(held_mb())
     assert version.number == changes + 1
-    assert version.router.map("GET", "h", f"/changing/{changes - 1}", {"x-api-key": "any"}).class_name == "look"
+    assert version.router.route("GET", "h", f"/changing/{changes - 1}", {"x-api-key": "any"}).class_name == "look"
     began = time.perf_counter()
     gc.collect()
     return {
--- a/tests/search.py
+++ b/tests/search.py
@@ -43,8 +43,8 @@
         for rest in itertools.product(connection_model.EVENTS, repeat=3):
             order, count = start + first + "".join(rest), count + 1
             try:
-                connection_model.play(order)
-            except connection_model.Broken as problem:
+                connection_model.run_events(order)
+            except connection_model.InvariantViolation as problem:
                 return count, f"{order}: {problem}"
     return count, ""
 
--- a/tests/test_reloader.py
+++ b/tests/test_reloader.py
@@ -226,7 +226,7 @@
 
     def class_of(self, path):
         try:
-            return self.made.authorization.router().map("GET", "h", path, {"x-api-key": "k-1"}).class_name
+            return self.made.authorization.router().route("GET", "h", path, {"x-api-key": "k-1"}).class_name
         except UnroutableRequestError:
             return None
 
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -41,9 +41,9 @@
 
 
 def test_api_key_equal_to_a_customer_name_is_another_customer():
-    owner = router(default_plan="wide").map("GET", "h", "/public/x", {"x-api-key": "k-secret"})
+    owner = router(default_plan="wide").route("GET", "h", "/public/x", {"x-api-key": "k-secret"})
     for key in ("stall-7", owner.customer, "customer:stall-7", "key:stall-7"):
-        other = router(default_plan="wide").map("GET", "h", "/public/x", {"x-api-key": key})
+        other = router(default_plan="wide").route("GET", "h", "/public/x", {"x-api-key": key})
         assert other.customer != owner.customer and other.plan == "wide"
 
 
@@ -247,7 +247,7 @@
     with pytest.raises(AmbiguousPathError):
         normalize_target(raw)
     with pytest.raises(UnroutableRequestError, match="unclear-path") as caught:
-        router(default_plan="wide").map("GET", "h", raw, {"x-api-key": "k"})
+        router(default_plan="wide").route("GET", "h", raw, {"x-api-key": "k"})
     assert caught.value.status == 400
 
 
@@ -260,7 +260,7 @@
     for length in range(1, 6):
         for raw in map("".join, itertools.product(parts, repeat=length)):
             try:
-                mapped = table.map("GET", "h", raw, {"x-api-key": "k"})
+                mapped = table.route("GET", "h", raw, {"x-api-key": "k"})
             except UnroutableRequestError:
                 continue
             seen += 1
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -706,7 +706,7 @@
 def _unmapped(method: str, path: str, headers: dict[str, str]) -> bytes:
     """Return the status and the reason for a request that the settings do not route."""
     try:
-        _gateway_instance().router().map(method, "shop", path, headers)
+        _gateway_instance().router().route(method, "shop", path, headers)
     except UnroutableRequestError as error:
         return f"{error.status} {error}".encode()
     raise AssertionError("it is mapped")
