--- a/tests/test_attempt_accounting.py
+++ b/tests/test_attempt_accounting.py
@@ -8,7 +8,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
-from test_core import CLASSES, SERVERS, Desk
+from test_core import CLASSES, SERVERS, ProxyHarness
 from twisted.internet.task import Clock
 
 from anisefront.gateway.request_table import RequestTable
@@ -46,20 +46,21 @@
 
 def test_attempts_of_clients_that_disconnected_in_the_same_iteration_take_no_capacity():
     # Guards against a permanent loss of capacity: the controller got the ends of attempts before the disconnections.
-    desk = Desk()
+    desk = ProxyHarness()
     numbers = [
-        desk.proxied.first_check(f"r{n}", desk.told.append, terms(desk.request_table, 2000.0)) for n in range(200)
+        desk.delegated_requests.first_check(f"r{n}", desk.responses.append, terms(desk.request_table, 2000.0))
+        for n in range(200)
     ]
     desk.run(0.005)
-    started = [reply.attempt_name for reply in desk.told]
+    started = [reply.attempt_name for reply in desk.responses]
     assert 20 < len(started) < 200
     for name in started[:20]:
-        desk.proxied.attempt_logged(name, AttemptResult.OK, 10.0, (), True)
+        desk.delegated_requests.attempt_logged(name, AttemptResult.OK, 10.0, (), True)
     for number in numbers[len(started) :]:
-        desk.proxied.check_cancelled(number)
+        desk.delegated_requests.check_cancelled(number)
     desk.run(0.005)
     for name in started[20:]:
-        desk.proxied.attempt_logged(name, AttemptResult.OK, 10.0, (), True)
+        desk.delegated_requests.attempt_logged(name, AttemptResult.OK, 10.0, (), True)
     desk.run(1)
     assert attempts_in_flight(desk.request_table.controller) == {}
     counts = desk.request_table.counts
@@ -76,7 +77,7 @@
     uncertain, response
 ):
     # Guards against a second execution: a request that a failed instance had started was rejected as safe to retry.
-    desk = Desk()
+    desk = ProxyHarness()
     answers = []
     handler = SimpleNamespace(
         reject=lambda number, retry_after_ms, reason: answers.append("reject"),
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -36,7 +36,7 @@
 SERVERS = tuple(Endpoint(f"10.0.0.{n}:80", "a", n % 3, EndpointStatus.READY) for n in range(6))
 
 
-class Desk:
+class ProxyHarness:
     """A request table with the handler of delegated requests, and the responses to all checks."""
 
     def __init__(self, plan=None, classes=CLASSES, **more):
@@ -58,51 +58,51 @@
         self.request_table = RequestTable(
             Controller(settings, 7), lambda: 1e6 + self.clock.seconds() * 1000, self.clock
         )
-        self.proxied = DelegatedRequests(self.request_table, self.clock, "life")
+        self.delegated_requests = DelegatedRequests(self.request_table, self.clock, "life")
         self.request_table.update_endpoints(EndpointList(SERVERS))
-        self.told = []
+        self.responses = []
         self.run(0.01)
 
     def run(self, seconds):
         for _ in range(round(seconds * 1000)):
             self.clock.advance(0.001)
 
-    def ask(self, name="r", kind="safe", due_ms=2000.0, peer="p"):
-        number = self.proxied.first_check(
-            name,
-            self.told.append,
-            RequestTerms("c", kind, "wide", self.request_table.now_ms() + due_ms, 1.0, 0, 1, False),
+    def check(self, request_id="r", class_name="safe", due_ms=2000.0, peer="p"):
+        number = self.delegated_requests.first_check(
+            request_id,
+            self.responses.append,
+            RequestTerms("c", class_name, "wide", self.request_table.now_ms() + due_ms, 1.0, 0, 1, False),
             peer,
         )
         self.run(0.005)
         return number
 
-    def again(self, token):
-        number = self.proxied.next_check(token, self.told.append)
+    def next_check(self, attempt_name):
+        number = self.delegated_requests.next_check(attempt_name, self.responses.append)
         self.run(0.005)
         return number
 
-    def log(self, token, result, over=False):
-        taken = self.proxied.attempt_logged(token, result, 10.0, (), over)
+    def log(self, attempt_name, result, is_final=False):
+        is_known = self.delegated_requests.attempt_logged(attempt_name, result, 10.0, (), is_final)
         self.run(0.005)
-        return taken
+        return is_known
 
-    def empty(self):
+    def is_empty(self):
         return (
             not self.request_table.requests
             and not self.request_table.open_requests
-            and not self.proxied.index.by_number
+            and not self.delegated_requests.index.by_number
             and not self.request_table.controller.requests
             and not self.request_table.controller.concurrency_limit.in_flight
         )
 
 
 def test_served():
-    desk = Desk()
-    desk.ask()
-    assert desk.told[0].verdict is Verdict.START_ATTEMPT and desk.told[0].timeout_ms < 2000
-    assert desk.log(desk.told[0].attempt_name, AttemptResult.OK)
-    assert desk.empty() and desk.request_table.counts["served"] == 1
+    harness = ProxyHarness()
+    harness.check()
+    assert harness.responses[0].verdict is Verdict.START_ATTEMPT and harness.responses[0].timeout_ms < 2000
+    assert harness.log(harness.responses[0].attempt_name, AttemptResult.OK)
+    assert harness.is_empty() and harness.request_table.counts["served"] == 1
 
 
 @pytest.mark.parametrize(
@@ -120,85 +120,85 @@
     ],
 )
 def test_endpoint_fails_after_the_check_was_allowed(kind, result, verdict):
-    desk = Desk()
-    desk.ask(kind=kind)
-    first = desk.told[0]
-    desk.log(first.attempt_name, result)
-    desk.again(first.attempt_name)
-    second = desk.told[1]
+    harness = ProxyHarness()
+    harness.check(class_name=kind)
+    first = harness.responses[0]
+    harness.log(first.attempt_name, result)
+    harness.next_check(first.attempt_name)
+    second = harness.responses[1]
     assert second.verdict is verdict
     if kind == "keyed":  # only an endpoint of the same cell drops repeated executions
         cells = {server.id: server.cell for server in SERVERS}
         assert cells[second.endpoint] == cells[first.endpoint]
     if verdict is Verdict.START_ATTEMPT:
-        desk.log(second.attempt_name, AttemptResult.OK)
-    assert desk.empty()
+        harness.log(second.attempt_name, AttemptResult.OK)
+    assert harness.is_empty()
 
 
 def test_a_check_before_the_log_of_its_attempt_waits_for_the_log():
-    desk = Desk()
-    desk.ask(kind="unsafe")
-    desk.again(desk.told[0].attempt_name)
-    assert len(desk.told) == 1
-    desk.log(desk.told[0].attempt_name, AttemptResult.CONNECT_FAILED)
-    assert desk.told[1].verdict is Verdict.START_ATTEMPT and desk.told[1].attempt_name == "life.1.1"
+    harness = ProxyHarness()
+    harness.check(class_name="unsafe")
+    harness.next_check(harness.responses[0].attempt_name)
+    assert len(harness.responses) == 1
+    harness.log(harness.responses[0].attempt_name, AttemptResult.CONNECT_FAILED)
+    assert harness.responses[1].verdict is Verdict.START_ATTEMPT and harness.responses[1].attempt_name == "life.1.1"
 
 
 def test_proxy_timeout_while_the_check_response_is_in_transit():
-    desk = Desk()
-    desk.ask("r9")
-    assert desk.told[0].verdict is Verdict.START_ATTEMPT  # the attempt counts as started
-    assert not desk.proxied.denial_logged("r9", "another proxy")
-    assert desk.proxied.denial_logged("r9", "p")
-    desk.run(0.01)
-    assert desk.empty() and desk.request_table.counts["attempts_moot"] == 1
-    assert not desk.log(desk.told[0].attempt_name, AttemptResult.OK)
+    harness = ProxyHarness()
+    harness.check("r9")
+    assert harness.responses[0].verdict is Verdict.START_ATTEMPT  # the attempt counts as started
+    assert not harness.delegated_requests.denial_logged("r9", "another proxy")
+    assert harness.delegated_requests.denial_logged("r9", "p")
+    harness.run(0.01)
+    assert harness.is_empty() and harness.request_table.counts["attempts_moot"] == 1
+    assert not harness.log(harness.responses[0].attempt_name, AttemptResult.OK)
 
 
 def test_a_denial_proves_nothing_if_two_checks_had_one_request_id():
-    desk = Desk()
-    desk.ask("r")
-    desk.ask("r")
-    assert desk.told[1].verdict is Verdict.REJECTED and desk.told[1].reason == "in-progress"
-    assert not desk.proxied.denial_logged("r", "p")
-    desk.log(desk.told[0].attempt_name, AttemptResult.OK)
-    assert desk.empty() and desk.request_table.counts["attempts"] == 1
+    harness = ProxyHarness()
+    harness.check("r")
+    harness.check("r")
+    assert harness.responses[1].verdict is Verdict.REJECTED and harness.responses[1].reason == "in-progress"
+    assert not harness.delegated_requests.denial_logged("r", "p")
+    harness.log(harness.responses[0].attempt_name, AttemptResult.OK)
+    assert harness.is_empty() and harness.request_table.counts["attempts"] == 1
 
 
 def test_an_attempt_without_a_log_may_have_been_executed():
-    desk = Desk()
-    desk.ask(kind="unsafe", due_ms=500)
-    desk.run(2.5)
-    assert desk.empty() and desk.request_table.counts["attempts_timeout"] == 1
-    assert not desk.log(desk.told[0].attempt_name, AttemptResult.OK)
+    harness = ProxyHarness()
+    harness.check(class_name="unsafe", due_ms=500)
+    harness.run(2.5)
+    assert harness.is_empty() and harness.request_table.counts["attempts_timeout"] == 1
+    assert not harness.log(harness.responses[0].attempt_name, AttemptResult.OK)
 
 
 def test_a_late_log_of_an_answered_request_ends_its_attempt():
-    desk = Desk()
-    desk.ask(kind="safe", due_ms=300)
-    desk.run(0.4)  # the controller has rejected it before its deadline; the proxy has not asked for the response
-    assert desk.request_table.counts["refused"] == 1 and not desk.empty()
-    desk.log(desk.told[0].attempt_name, AttemptResult.OK)
-    assert desk.empty() and desk.request_table.counts["served"] == 0
+    harness = ProxyHarness()
+    harness.check(class_name="safe", due_ms=300)
+    harness.run(0.4)  # the controller has rejected it before its deadline; the proxy has not asked for the response
+    assert harness.request_table.counts["refused"] == 1 and not harness.is_empty()
+    harness.log(harness.responses[0].attempt_name, AttemptResult.OK)
+    assert harness.is_empty() and harness.request_table.counts["served"] == 0
 
 
 def test_a_proxy_without_a_further_check_gets_no_further_attempt():
-    desk = Desk()
-    desk.ask()
-    desk.log(desk.told[0].attempt_name, AttemptResult.RESET)
-    assert not desk.empty()  # the next attempt waits for a check
-    desk.run(0.6)
-    assert desk.empty() and len(desk.told) == 1
-    desk.again(desk.told[0].attempt_name)
-    assert desk.told[1].verdict is Verdict.FAILED
+    harness = ProxyHarness()
+    harness.check()
+    harness.log(harness.responses[0].attempt_name, AttemptResult.RESET)
+    assert not harness.is_empty()  # the next attempt waits for a check
+    harness.run(0.6)
+    assert harness.is_empty() and len(harness.responses) == 1
+    harness.next_check(harness.responses[0].attempt_name)
+    assert harness.responses[1].verdict is Verdict.FAILED
 
 
 def test_a_withheld_attempt_is_decided_again_if_its_endpoint_drains():
-    desk = Desk()
-    desk.ask()
-    desk.log(desk.told[0].attempt_name, AttemptResult.RESET)
-    withheld_endpoint = next(iter(desk.proxied.index.by_number.values())).withheld.endpoint
-    desk.request_table.update_endpoints(
+    harness = ProxyHarness()
+    harness.check()
+    harness.log(harness.responses[0].attempt_name, AttemptResult.RESET)
+    withheld_endpoint = next(iter(harness.delegated_requests.index.by_number.values())).withheld.endpoint
+    harness.request_table.update_endpoints(
         EndpointList(
             tuple(
                 Endpoint(s.id, s.zone, s.cell, EndpointStatus.DRAINING if s.id == withheld_endpoint else s.status)
@@ -206,48 +206,48 @@
             )
         )
     )
-    desk.again(desk.told[0].attempt_name)
-    assert desk.told[1].verdict is Verdict.START_ATTEMPT and desk.told[1].endpoint != withheld_endpoint
-    desk.log(desk.told[1].attempt_name, AttemptResult.OK)
-    assert desk.empty()
+    harness.next_check(harness.responses[0].attempt_name)
+    assert harness.responses[1].verdict is Verdict.START_ATTEMPT and harness.responses[1].endpoint != withheld_endpoint
+    harness.log(harness.responses[1].attempt_name, AttemptResult.OK)
+    assert harness.is_empty()
 
 
 def test_client_disconnects_while_queued():
-    desk = Desk(Plan("wide", 1, 1))
-    numbers = [desk.ask(f"r{n}") for n in range(3)]
-    assert [answer.verdict for answer in desk.told] == [Verdict.START_ATTEMPT]
-    desk.proxied.check_cancelled(numbers[1])
-    desk.run(1.0)
-    desk.log(desk.told[0].attempt_name, AttemptResult.OK)
-    desk.run(3.0)
-    assert desk.empty() and desk.request_table.counts["left"] == 1
+    harness = ProxyHarness(Plan("wide", 1, 1))
+    numbers = [harness.check(f"r{n}") for n in range(3)]
+    assert [answer.verdict for answer in harness.responses] == [Verdict.START_ATTEMPT]
+    harness.delegated_requests.check_cancelled(numbers[1])
+    harness.run(1.0)
+    harness.log(harness.responses[0].attempt_name, AttemptResult.OK)
+    harness.run(3.0)
+    assert harness.is_empty() and harness.request_table.counts["left"] == 1
 
 
 def test_client_disconnect_during_an_attempt_ends_the_request():
-    desk = Desk()
-    desk.ask(kind="safe")
-    desk.log(desk.told[0].attempt_name, AttemptResult.CANCELLED, over=True)
-    assert desk.empty() and len(desk.told) == 1
+    harness = ProxyHarness()
+    harness.check(class_name="safe")
+    harness.log(harness.responses[0].attempt_name, AttemptResult.CANCELLED, is_final=True)
+    assert harness.is_empty() and len(harness.responses) == 1
 
 
 def test_a_full_request_table_rejects_at_once():
-    desk = Desk(Plan("wide", 0.1, 1))
-    desk.request_table.max_open_requests = 2
+    harness = ProxyHarness(Plan("wide", 0.1, 1))
+    harness.request_table.max_open_requests = 2
     for number in range(4):
-        desk.ask(f"r{number}")
-    assert [answer.reason for answer in desk.told[-2:]] == ["held-requests"] * 2
-    assert desk.request_table.counts["turned_away"] == 2
+        harness.check(f"r{number}")
+    assert [answer.reason for answer in harness.responses[-2:]] == ["held-requests"] * 2
+    assert harness.request_table.counts["turned_away"] == 2
 
 
 def test_every_request_is_answered_before_its_deadline_without_any_logs():
-    desk = Desk(Plan("wide", 20, 20))
+    harness = ProxyHarness(Plan("wide", 20, 20))
     due = {}
     for number in range(200):
-        desk.ask(f"r{number}", ("safe", "keyed", "unsafe")[number % 3], 300.0 + number % 7 * 100)
-        due[number] = desk.request_table.now_ms()
-    desk.run(5.0)  # no log arrives
-    assert desk.empty() and len(desk.told) == 200
-    assert desk.request_table.counts["accepted"] == 200
+        harness.check(f"r{number}", ("safe", "keyed", "unsafe")[number % 3], 300.0 + number % 7 * 100)
+        due[number] = harness.request_table.now_ms()
+    harness.run(5.0)  # no log arrives
+    assert harness.is_empty() and len(harness.responses) == 200
+    assert harness.request_table.counts["accepted"] == 200
 
 
 class StallingClock(Clock):
@@ -262,16 +262,19 @@
 
 
 def test_after_a_stall_responses_in_the_socket_buffers_precede_timers():
-    desk = Desk()
+    harness = ProxyHarness()
     stalling_clock = StallingClock()
-    stalling_clock.rightNow = desk.clock.seconds()
-    desk.ask(kind="unsafe", due_ms=1000)
-    desk.clock.__class__ = StallingClock
-    desk.clock.stall(
-        1.5, lambda: desk.proxied.attempt_logged(desk.told[0].attempt_name, AttemptResult.OK, 20.0, (), False)
+    stalling_clock.rightNow = harness.clock.seconds()
+    harness.check(class_name="unsafe", due_ms=1000)
+    harness.clock.__class__ = StallingClock
+    harness.clock.stall(
+        1.5,
+        lambda: harness.delegated_requests.attempt_logged(
+            harness.responses[0].attempt_name, AttemptResult.OK, 20.0, (), False
+        ),
     )
-    assert desk.request_table.counts["served"] == 1 and desk.request_table.counts["failed"] == 0
-    assert desk.request_table.counts["standstills"] == 1
+    assert harness.request_table.counts["served"] == 1 and harness.request_table.counts["failed"] == 0
+    assert harness.request_table.counts["standstills"] == 1
 
 
 @pytest.mark.parametrize("row", RESPONSE_FLAGS)
@@ -298,16 +301,16 @@
 
 
 def test_a_controller_error_fails_all_open_requests():
-    desk, faults = Desk(Plan("wide", 0.1, 1)), []
-    desk.request_table._on_controller_error = faults.append
-    desk.ask("r0")
-    desk.ask("r1")
-    desk.request_table.controller.handle = lambda now, events: 1 / 0
-    desk.ask("r2")
-    assert [answer.verdict for answer in desk.told] == [Verdict.START_ATTEMPT, Verdict.FAILED, Verdict.FAILED]
-    assert len(faults) == 1 and desk.request_table.open_requests == 0
-    desk.ask("r3")
-    assert desk.told[-1].reason == "held-requests"
+    harness, faults = ProxyHarness(Plan("wide", 0.1, 1)), []
+    harness.request_table._on_controller_error = faults.append
+    harness.check("r0")
+    harness.check("r1")
+    harness.request_table.controller.handle = lambda now, events: 1 / 0
+    harness.check("r2")
+    assert [answer.verdict for answer in harness.responses] == [Verdict.START_ATTEMPT, Verdict.FAILED, Verdict.FAILED]
+    assert len(faults) == 1 and harness.request_table.open_requests == 0
+    harness.check("r3")
+    assert harness.responses[-1].reason == "held-requests"
 
 
 def test_outcome_table_of_the_operators_page_matches_the_code():
@@ -345,36 +348,38 @@
     from anisefront.protocols.http1 import Message
 
     slow_classes = tuple(replace(kind, latency_objective_ms=1900) for kind in CLASSES)
-    desk = Desk(classes=slow_classes, hedging_enabled=True)
+    harness = ProxyHarness(classes=slow_classes, hedging_enabled=True)
     pool, responses = FakePool(), []
-    direct_requests = DirectRequests(desk.request_table, pool, "life", ())
+    direct_requests = DirectRequests(harness.request_table, pool, "life", ())
     direct_requests.accept(
         DirectRequest("GET", "/a", {}, b""),
         responses.append,
-        RequestTerms("c", "safe", "wide", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
+        RequestTerms("c", "safe", "wide", harness.request_table.now_ms() + 2000, 1.0, 0, 1, False),
     )
-    desk.run(0.01)
+    harness.run(0.01)
     assert len(pool.requests) == 1
-    desk.run(0.9)  # without a response the controller hedges to another endpoint
+    harness.run(0.9)  # without a response the controller hedges to another endpoint
     assert len(pool.requests) == 2 and pool.requests[0].endpoint != pool.requests[1].endpoint and not responses
     pool.requests[1].on_end(None, Message("", "", 200, {}, b"ok", True))
-    desk.run(0.01)
+    harness.run(0.01)
     assert [answer.message.body for answer in responses] == [b"ok"] and pool.requests[0].cancelled
-    assert desk.empty() and not direct_requests.open_requests and not direct_requests._exchanges
+    assert harness.is_empty() and not direct_requests.open_requests and not direct_requests._exchanges
     direct_requests.accept(
         DirectRequest("GET", "/a", {}, b""),
         responses.append,
-        RequestTerms("c", "unsafe", "wide", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
+        RequestTerms("c", "unsafe", "wide", harness.request_table.now_ms() + 2000, 1.0, 0, 1, False),
     )
-    desk.run(1.0)
+    harness.run(1.0)
     assert len(pool.requests) == 3  # a request that must not be executed twice is never hedged
 
 
 def test_delegated_requests_are_never_hedged():
-    desk = Desk(classes=tuple(replace(kind, latency_objective_ms=1900) for kind in CLASSES), hedging_enabled=True)
-    desk.ask(kind="safe")
-    desk.run(1.0)
-    assert len(desk.told) == 1 and desk.request_table.counts["attempts"] == 1
+    harness = ProxyHarness(
+        classes=tuple(replace(kind, latency_objective_ms=1900) for kind in CLASSES), hedging_enabled=True
+    )
+    harness.check(class_name="safe")
+    harness.run(1.0)
+    assert len(harness.responses) == 1 and harness.request_table.counts["attempts"] == 1
 
 
 # ---- event loop iterations -----------------------------------------------------------------------------------------
@@ -383,30 +388,32 @@
 class SlowController:
     """A controller that spends simulated time on each event and records the batches that it receives."""
 
-    def __init__(self, desk, each_ms):
-        self.desk, self.each_ms, self.batches_seen = desk, each_ms, []
+    def __init__(self, harness, each_ms):
+        self.harness, self.each_ms, self.batches_seen = harness, each_ms, []
 
     def handle(self, now, events):
         self.batches_seen.append((now, [type(event).__name__ for event in events]))
-        self.desk.clock.rightNow += self.each_ms * len(events) / 1000
+        self.harness.clock.rightNow += self.each_ms * len(events) / 1000
         return []
 
 
 def test_an_iteration_is_bounded_and_serves_all_queues_in_turn():
     from anisefront.gateway.event_batches import MAX_ITERATION_MS, SLICE_EVENTS
 
-    desk = Desk()
-    request_table = desk.request_table
-    slow_controller = request_table.controller = SlowController(desk, 0.05)
+    harness = ProxyHarness()
+    request_table = harness.request_table
+    slow_controller = request_table.controller = SlowController(harness, 0.05)
     for number in range(400):
         request_table.batches.post(AttemptEnded(number, 0, "w", 1.0, AttemptResult.OK, True))
     for _ in range(200):
-        request_table.accept(desk.proxied, RequestTerms("c", "safe", "wide", request_table.now_ms() + 2000))
+        request_table.accept(
+            harness.delegated_requests, RequestTerms("c", "safe", "wide", request_table.now_ms() + 2000)
+        )
         request_table.receive_peer_message(1, b"x")
     request_table.update_endpoints(EndpointList(SERVERS))
     ends = []
     request_table.batches.after_iteration.append(lambda: ends.append(len(slow_controller.batches_seen)))
-    desk.clock.advance(0)
+    harness.clock.advance(0)
     first = [name for _, names in slow_controller.batches_seen[: ends[0]] for name in names]
     assert (
         first[0] == "EndpointList" and len(first) < 200
@@ -424,42 +431,45 @@
 def test_peer_messages_above_the_queue_limit_are_dropped():
     from anisefront.gateway.event_batches import MAX_PEER_MESSAGES
 
-    desk = Desk()
+    harness = ProxyHarness()
     for _ in range(MAX_PEER_MESSAGES + 50):
-        desk.request_table.receive_peer_message(1, b"x")
-    assert desk.request_table.batches.waiting == MAX_PEER_MESSAGES and desk.request_table.counts["heard_dropped"] == 50
-    desk.ask()
-    assert desk.told
+        harness.request_table.receive_peer_message(1, b"x")
+    assert (
+        harness.request_table.batches.waiting == MAX_PEER_MESSAGES
+        and harness.request_table.counts["heard_dropped"] == 50
+    )
+    harness.check()
+    assert harness.responses
 
 
 def test_a_response_that_is_due_while_iterations_are_cut_short_is_sent_in_time():
-    desk = Desk(Plan("narrow", 0.001, 1))
-    desk.proxied.first_check(
+    harness = ProxyHarness(Plan("narrow", 0.001, 1))
+    harness.delegated_requests.first_check(
         "first",
-        desk.told.append,
-        RequestTerms("c", "safe", "narrow", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
+        harness.responses.append,
+        RequestTerms("c", "safe", "narrow", harness.request_table.now_ms() + 2000, 1.0, 0, 1, False),
     )
-    desk.run(0.01)
+    harness.run(0.01)
     answered_ms = []
-    due_ms = desk.request_table.now_ms() + 300
-    desk.proxied.first_check(
+    due_ms = harness.request_table.now_ms() + 300
+    harness.delegated_requests.first_check(
         "held",
-        lambda answer: answered_ms.append(desk.request_table.now_ms()),
+        lambda answer: answered_ms.append(harness.request_table.now_ms()),
         RequestTerms("c", "safe", "narrow", due_ms, 1.0, 0, 1, False),
     )
-    desk.run(0.1)
-    handle = desk.request_table.controller.handle
+    harness.run(0.1)
+    handle = harness.request_table.controller.handle
 
     def slow(now, events):
-        desk.clock.rightNow += 0.0002 * len(events)
+        harness.clock.rightNow += 0.0002 * len(events)
         return handle(now, events)
 
-    desk.request_table.controller.handle = slow
+    harness.request_table.controller.handle = slow
     for _ in range(40):  # more events than an iteration can process
         for number in range(60):
-            desk.request_table.attempt_ended(10**6 + number, 0, AttemptResult.OK)
-            desk.request_table.receive_peer_message(0, b"flood")
-        desk.run(0.005)
+            harness.request_table.attempt_ended(10**6 + number, 0, AttemptResult.OK)
+            harness.request_table.receive_peer_message(0, b"flood")
+        harness.run(0.005)
     assert answered_ms and answered_ms[0] <= due_ms
 
 
@@ -509,10 +519,10 @@
 def test_a_final_response_without_an_attempt_result_is_sent_before_the_deadline(tick_ms, margin_ms, offset_ms):
     # Guards against final responses that are late by the granularity of the timers. The RESP frontend, whose tick may
     # be 1 ms, sets deadlines before its clients' timeouts, here one of 100 ms.
-    desk = Desk()
-    table = desk.request_table
+    harness = ProxyHarness()
+    table = harness.request_table
     table.change_settings(replace(table.controller.settings, tick_ms=tick_ms))
-    desk.run(0.01 + offset_ms / 1000)
+    harness.run(0.01 + offset_ms / 1000)
     client_deadline_ms = table.now_ms() + 100.0
     answered_ms = []
     table.accept(
@@ -524,5 +534,5 @@
         ),
         RequestTerms("c", "unsafe", "wide", client_deadline_ms - margin_ms, 1.0, 0, 1, False),
     )
-    desk.run(0.2)
+    harness.run(0.2)
     assert len(answered_ms) == 1 and answered_ms[0] < client_deadline_ms
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from test_core import SERVERS, Desk
+from test_core import SERVERS, ProxyHarness
 from test_module import ENDPOINT_LIST, actions_of, new_arrival, new_controller
 from twisted.internet.task import Clock
 
@@ -46,7 +46,7 @@
 
 
 def guarded_desk():
-    desk, guard = Desk(), WithholdingGuard()
+    desk, guard = ProxyHarness(), WithholdingGuard()
     desk.request_table.guard = guard
     return desk, guard
 
@@ -93,19 +93,19 @@
 
 def test_an_attempt_starts_when_the_guard_releases_it_with_the_remaining_time():
     desk, guard = guarded_desk()
-    number = desk.ask(kind="unsafe")
+    number = desk.check(class_name="unsafe")
     desk.run(0.1)
-    assert desk.told == [] and guard.attempts[0][:2] == (number, 0)
+    assert desk.responses == [] and guard.attempts[0][:2] == (number, 0)
     desk.request_table.release_attempt(number, 0)
-    assert desk.told[0].verdict is Verdict.START_ATTEMPT and desk.told[0].timeout_ms < 1900
+    assert desk.responses[0].verdict is Verdict.START_ATTEMPT and desk.responses[0].timeout_ms < 1900
     desk.request_table.release_attempt(number, 0)  # duplicate call
-    desk.log(desk.told[0].attempt_name, AttemptResult.OK)
-    assert desk.empty() and guard.completed == [number] and len(desk.told) == 1
+    desk.log(desk.responses[0].attempt_name, AttemptResult.OK)
+    assert desk.is_empty() and guard.completed == [number] and len(desk.responses) == 1
 
 
 def test_an_attempt_whose_endpoint_drains_meanwhile_is_decided_again():
     desk, guard = guarded_desk()
-    number = desk.ask(kind="unsafe")
+    number = desk.check(class_name="unsafe")
     draining = guard.attempts[0][2]
     desk.request_table.update_endpoints(
         EndpointList(
@@ -124,53 +124,53 @@
 
 def test_a_lost_request_fails_and_none_of_its_attempts_starts():
     desk, guard = guarded_desk()
-    number = desk.ask(kind="unsafe")
+    number = desk.check(class_name="unsafe")
     desk.request_table.transfer_to_backup(number)
     desk.request_table.release_attempt(number, 0)
     desk.run(0.01)
-    assert [response.verdict for response in desk.told] == [Verdict.FAILED] and desk.empty()
+    assert [response.verdict for response in desk.responses] == [Verdict.FAILED] and desk.is_empty()
     assert desk.request_table.counts["lost"] == 1
 
 
 def test_a_lost_request_delivers_the_response_of_its_own_attempt_and_starts_no_other():
     desk, guard = guarded_desk()
-    number = desk.ask(kind="unsafe")
+    number = desk.check(class_name="unsafe")
     desk.request_table.release_attempt(number, 0)
     desk.request_table.transfer_to_backup(number)
     desk.run(0.01)
     assert (
-        desk.log(desk.told[0].attempt_name, AttemptResult.OK)
+        desk.log(desk.responses[0].attempt_name, AttemptResult.OK)
         and desk.request_table.counts["served"] == 1
-        and desk.empty()
+        and desk.is_empty()
     )
-    other = desk.ask("r2", kind="unsafe")
+    other = desk.check("r2", class_name="unsafe")
     desk.request_table.release_attempt(other, 0)
     desk.request_table.transfer_to_backup(other)
-    desk.log(desk.told[1].attempt_name, AttemptResult.CONNECT_FAILED)
-    desk.again(desk.told[1].attempt_name)
-    assert desk.told[-1].verdict is Verdict.FAILED and len(guard.attempts) == 2
+    desk.log(desk.responses[1].attempt_name, AttemptResult.CONNECT_FAILED)
+    desk.next_check(desk.responses[1].attempt_name)
+    assert desk.responses[-1].verdict is Verdict.FAILED and len(guard.attempts) == 2
 
 
 def test_a_rejection_awaits_the_guard_and_fails_at_the_deadline():
     desk, guard = guarded_desk()
     desk.request_table.update_endpoints(EndpointList(()))
-    number, other = desk.ask("r1", "unsafe", 600.0), desk.ask("r2", "unsafe", 600.0)
+    number, other = desk.check("r1", "unsafe", 600.0), desk.check("r2", "unsafe", 600.0)
     desk.run(0.55)
-    assert guard.rejections and desk.told == []
+    assert guard.rejections and desk.responses == []
     desk.request_table.release_rejection(number)
-    assert [response.verdict for response in desk.told] == [Verdict.REJECTED]
+    assert [response.verdict for response in desk.responses] == [Verdict.REJECTED]
     desk.run(0.1)
-    assert [response.verdict for response in desk.told] == [
+    assert [response.verdict for response in desk.responses] == [
         Verdict.REJECTED,
         Verdict.FAILED,
     ]  # no rejection without the guard's consent
-    assert desk.empty() and other in guard.completed
+    assert desk.is_empty() and other in guard.completed
 
 
 def test_a_request_that_the_guard_cannot_protect_is_rejected():
     desk, guard = guarded_desk()
     guard.try_protect = lambda entry: False
-    assert desk.ask(kind="unsafe") is None and desk.told[0].verdict is Verdict.REJECTED and desk.empty()
+    assert desk.check(class_name="unsafe") is None and desk.responses[0].verdict is Verdict.REJECTED and desk.is_empty()
 
 
 def test_a_record_of_another_version_or_unknown_class_is_not_decoded():
--- a/tests/test_policy_concurrency_limit.py
+++ b/tests/test_policy_concurrency_limit.py
@@ -1,7 +1,7 @@
 """Concurrency limit: completion rate, backoff and recovery."""
 
 import pytest
-from test_core import SERVERS, Desk
+from test_core import SERVERS, ProxyHarness
 
 from anisefront.policy.concurrency_limit import MIN_BACKOFF, ConcurrencyLimit
 from anisefront.policy.events import AttemptResult, EndpointList
@@ -72,20 +72,20 @@
 @pytest.mark.parametrize("overloaded", [0, 60])
 def test_after_an_idle_period_the_limit_is_that_of_a_new_instance(overloaded):
     # Guards against requests rejected for lack of capacity long after the endpoints were idle again.
-    desk = Desk()
+    desk = ProxyHarness()
     desk.request_table.update_endpoints(EndpointList(SERVERS[:1]))
     for number in range(overloaded):
-        known = len(desk.told)
-        desk.ask(f"first-{number}")
-        for reply in desk.told[known:]:
+        known = len(desk.responses)
+        desk.check(f"first-{number}")
+        for reply in desk.responses[known:]:
             if reply.verdict is Verdict.START_ATTEMPT:
                 desk.log(reply.attempt_name, AttemptResult.OVERLOADED, True)
     desk.run(10)
-    desk.told.clear()
+    desk.responses.clear()
     for number in range(10):
-        desk.ask(f"second-{number}")
+        desk.check(f"second-{number}")
     desk.run(2.5)
-    assert [reply.verdict for reply in desk.told] == [Verdict.START_ATTEMPT] * 10
+    assert [reply.verdict for reply in desk.responses] == [Verdict.START_ATTEMPT] * 10
 
 
 def test_the_peers_mean_complements_few_own_responses():
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -6,7 +6,7 @@
 
 import pytest
 from test_config_corpus import GOOD, check_text
-from test_core import Desk
+from test_core import ProxyHarness
 from test_path import Running, told
 
 from anisefront.daemon import immutable_settings
@@ -89,26 +89,26 @@
 
 
 def test_a_change_keeps_spent_quota_and_the_class_of_earlier_requests():
-    desk = Desk(Plan("wide", 10, 5))
+    harness = ProxyHarness(Plan("wide", 10, 5))
     for number in range(5):
-        desk.ask(f"r{number}", kind="unsafe")
-    assert len(desk.told) == 5
-    old = desk.request_table.controller.settings
+        harness.check(f"r{number}", class_name="unsafe")
+    assert len(harness.responses) == 5
+    old = harness.request_table.controller.settings
     classes = tuple(RequestClass(kind.name, 500, 2000, 1.0, Idempotency.IDEMPOTENT) for kind in old.classes)
-    desk.request_table.change_settings(
+    harness.request_table.change_settings(
         type(old)(
             **{name: getattr(old, name) for name in old.__slots__}
             | {"classes": classes, "plans": (Plan("wide", 10, 50),)}
         )
     )
-    desk.run(0.02)
-    desk.ask("r5", kind="unsafe")
-    assert len(desk.told) == 5  # a larger burst does not take effect immediately
-    desk.log(desk.told[0].attempt_name, AttemptResult.RESET)
-    desk.again(desk.told[0].attempt_name)
-    assert desk.told[5].verdict.value == "failed"  # it arrived as unsafe
-    desk.run(0.2)
-    assert len(desk.told) == 7 and desk.told[6].verdict.value == "go"
-    desk.log(desk.told[6].attempt_name, AttemptResult.RESET)
-    desk.again(desk.told[6].attempt_name)
-    assert desk.told[7].verdict.value == "go"  # it arrived as safe
+    harness.run(0.02)
+    harness.check("r5", class_name="unsafe")
+    assert len(harness.responses) == 5  # a larger burst does not take effect immediately
+    harness.log(harness.responses[0].attempt_name, AttemptResult.RESET)
+    harness.next_check(harness.responses[0].attempt_name)
+    assert harness.responses[5].verdict.value == "failed"  # it arrived as unsafe
+    harness.run(0.2)
+    assert len(harness.responses) == 7 and harness.responses[6].verdict.value == "go"
+    harness.log(harness.responses[6].attempt_name, AttemptResult.RESET)
+    harness.next_check(harness.responses[6].attempt_name)
+    assert harness.responses[7].verdict.value == "go"  # it arrived as safe
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -4,7 +4,7 @@
 import pathlib
 
 import pytest
-from test_core import Desk
+from test_core import ProxyHarness
 from test_module import ENDPOINT_LIST, new_arrival, new_controller, actions_of
 from test_path import Running, told
 
@@ -139,39 +139,39 @@
 
 
 def test_request_ids_of_different_customers_are_independent():
-    desk = Desk()
+    desk = ProxyHarness()
     for customer in ("c", "d"):
         desk.proxied.first_check(
             "same",
-            desk.told.append,
+            desk.responses.append,
             RequestTerms(customer, "safe", "wide", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
             "p",
         )
     desk.run(0.01)
-    assert [answer.verdict for answer in desk.told] == [Verdict.START_ATTEMPT, Verdict.START_ATTEMPT]
-    desk.ask("same")  # of the same customer: it may be the same attempt over two proxies
-    assert desk.told[2].reason == "in-progress"
+    assert [answer.verdict for answer in desk.responses] == [Verdict.START_ATTEMPT, Verdict.START_ATTEMPT]
+    desk.check("same")  # of the same customer: it may be the same attempt over two proxies
+    assert desk.responses[2].reason == "in-progress"
     # If two customers use one id, a denial that names only the id can't be attributed to either.
     assert not desk.proxied.denial_logged("same", "p")
-    for answer in desk.told[:2]:
+    for answer in desk.responses[:2]:
         assert desk.log(answer.attempt_name, AttemptResult.OK)
-    assert desk.empty() and not desk.proxied.index.by_request_id
+    assert desk.is_empty() and not desk.proxied.index.by_request_id
 
 
 def test_request_id_is_released_for_each_customer_separately():
-    desk = Desk()
-    desk.ask("same")
+    desk = ProxyHarness()
+    desk.check("same")
     desk.proxied.first_check(
         "same",
-        desk.told.append,
+        desk.responses.append,
         RequestTerms("d", "safe", "wide", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
         "p",
     )
     desk.run(0.01)
-    assert desk.log(desk.told[0].attempt_name, AttemptResult.OK)
+    assert desk.log(desk.responses[0].attempt_name, AttemptResult.OK)
     assert desk.proxied.denial_logged("same", "p")  # only the other customer's request is left under the id
     desk.run(0.01)
-    assert desk.empty() and not desk.proxied.index.by_request_id
+    assert desk.is_empty() and not desk.proxied.index.by_request_id
 
 
 # ---- paths ----------------------------------------------------------------------------------------------------
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -700,7 +700,7 @@
 
 
 def _router() -> Any:
-    return SimpleNamespace(map=_map)
+    return SimpleNamespace(route=_map)
 
 
 def _unmapped(method: str, path: str, headers: dict[str, str]) -> bytes:
