--- a/anisefront/daemon/gateway_instance.py
+++ b/anisefront/daemon/gateway_instance.py
@@ -139,7 +139,7 @@
             )
 
     def _create_upstreams(self, config: Config) -> None:
-        """Create both attempt handlers: delegated to the proxy, and over our own connections."""
+        """Create both attempt handlers: for delegated requests and for direct requests."""
         if self.membership_service is not None:
             self.membership_service.on_unavailable = self.request_table.set_unreachable_peers
         self.delegated_requests = DelegatedRequests(
--- a/anisefront/daemon/replication.py
+++ b/anisefront/daemon/replication.py
@@ -1,6 +1,6 @@
 """Replication of requests in flight, on the event loop; `cluster/primary.py` and `cluster/backup.py` have the protocol.
 
-The service connects the request table (as its replication guard), the peers' datagrams and the upstreams.
+The service connects the request table (as its replication guard), the peers' datagrams and the attempt handlers.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 from anisefront.daemon.message_bundles import bundles, unbundle
 from anisefront.daemon.message_relay import MessageRelay
 from anisefront.daemon.request_records import RequestRecord, content_digest, decode_record, decode_response
-from anisefront.daemon.request_takeover import OWN_POOL, RequestTakeover
+from anisefront.daemon.request_takeover import DIRECT_REQUEST_KIND, RequestTakeover
 from anisefront.gateway.pending_request import PendingRequest
 from anisefront.gateway.request_table import RequestTable
 from anisefront.policy.settings import Idempotency
@@ -124,7 +124,7 @@
     def attach(
         self, request_table: RequestTable, direct_requests: DirectRequests, delegated_requests: DelegatedRequests
     ) -> None:
-        """Connect to the request table and the upstreams."""
+        """Connect to the request table and the attempt handlers."""
         self._request_table = request_table
         self.takeover.attach(request_table, direct_requests, delegated_requests)
         request_table.guard = self
@@ -522,7 +522,7 @@
         request_number = request.arrival.id
         informed = self._owned_elsewhere.get(request_number)
         local = self.duplicates.get(request_number)
-        if not informed or local is None or request.replica.kind != OWN_POOL:
+        if not informed or local is None or request.replica.handler_kind != DIRECT_REQUEST_KIND:
             return False
         if local.must_not_repeat and self._may_have_executed(request_number):
             return False
--- a/anisefront/daemon/request_records.py
+++ b/anisefront/daemon/request_records.py
@@ -41,7 +41,7 @@
         """Return the record of a request that has a `ReplicaRecord`."""
         arrival = request.arrival
         return cls(
-            request.replica.kind,
+            request.replica.handler_kind,
             request.replica.idempotency_key,
             arrival.customer,
             arrival.class_name,
@@ -58,7 +58,7 @@
         return json.dumps([RECORD_VERSION, *fields], separators=(",", ":")).encode()
 
     def direct_request(self) -> DirectRequest | None:
-        """Return the HTTP request that our own connection pool executes; None if the data are malformed."""
+        """Return the HTTP request of a direct request; None if the data are malformed."""
         data = self.data
         if not all(isinstance(data.get(name), str) for name in ("method", "target", "body")):
             return None
--- a/anisefront/daemon/request_takeover.py
+++ b/anisefront/daemon/request_takeover.py
@@ -26,7 +26,7 @@
 from anisefront.upstream.direct_requests import DirectRequests, FinalResponse
 from anisefront.upstream.inherited_requests import InheritedRequest
 
-OWN_POOL = "own"  # records of requests that our own connection pool executes
+DIRECT_REQUEST_KIND = "own"  # handler kind in the records of direct requests
 
 
 class RequestTakeover:
@@ -62,7 +62,7 @@
     def attach(
         self, request_table: RequestTable, direct_requests: DirectRequests, delegated_requests: DelegatedRequests
     ) -> None:
-        """Connect to the request table and the upstreams."""
+        """Connect to the request table and the attempt handlers."""
         self._request_table = request_table
         self._direct_requests = direct_requests
         self._delegated_requests = delegated_requests
@@ -121,8 +121,8 @@
             request=replica.request,
             attempts=prior_attempts.attempts,
         )
-        if record.handler_kind == OWN_POOL:
-            self._continue_own(record, replica, owner, prior_attempts)
+        if record.handler_kind == DIRECT_REQUEST_KIND:
+            self._continue_direct(record, replica, owner, prior_attempts)
         else:
             self._inherit_lock(replica, owner)
             self._continue_delegated(record, replica, prior_attempts)
@@ -157,7 +157,7 @@
         elif not self._locks.continue_predecessor(self._clock(), local_request_number, owner):
             self._inherit_lock(replica, owner)  # it was refused its lock, and requests it again at once
 
-    def _continue_own(
+    def _continue_direct(
         self, record: RequestRecord, replica: ReplicatedRequest, owner: LockOwner, prior_attempts: PriorAttempts
     ) -> None:
         request = record.direct_request()
--- a/anisefront/gateway/pending_request.py
+++ b/anisefront/gateway/pending_request.py
@@ -34,12 +34,12 @@
     """What another gateway instance needs to continue a request.
 
     Attributes:
-        kind: The kind of attempt handler.
+        handler_kind: The kind of attempt handler, `REPLICA_KIND` of its module.
         idempotency_key: The client's or proxy's key of the request, unique within its customer; "" for none.
         data: What the attempt handler needs, as plain JSON values.
     """
 
-    kind: str
+    handler_kind: str
     idempotency_key: str
     data: dict[str, object]
 
--- a/anisefront/upstream/delegated_requests.py
+++ b/anisefront/upstream/delegated_requests.py
@@ -36,7 +36,7 @@
 from anisefront.upstream.delegated_timers import StateTimers
 from anisefront.upstream.inherited_requests import InheritedRequest, InheritedRequests
 
-REPLICA_KIND = "proxied"  # of requests of this module; read by other versions
+REPLICA_KIND = "proxied"  # in the records of delegated requests; other versions read it
 
 
 class DelegatedRequests:
--- a/anisefront/upstream/direct_requests.py
+++ b/anisefront/upstream/direct_requests.py
@@ -18,7 +18,7 @@
 from anisefront.upstream.connection_pool import ConnectionPool
 from anisefront.upstream.pooled_requests import OpenRequest, PooledRequests
 
-REPLICA_KIND = "own"  # of requests of this module; read by other versions
+REPLICA_KIND = "own"  # in the records of direct requests; other versions read it
 AT_CAPACITY_RETRY_AFTER_MS = 1000.0
 
 
--- a/tests/test_request_takeover.py
+++ b/tests/test_request_takeover.py
@@ -11,7 +11,7 @@
 from anisefront.cluster.replication_messages import Outcome
 from anisefront.daemon.duplicate_requests import DuplicateRequests
 from anisefront.daemon.request_records import RequestRecord, content_digest
-from anisefront.daemon.request_takeover import OWN_POOL, RequestTakeover
+from anisefront.daemon.request_takeover import DIRECT_REQUEST_KIND, RequestTakeover
 from anisefront.policy.settings import DeduplicationScope, Idempotency, RequestClass
 from anisefront.protocols import http1
 from anisefront.upstream.deduplication import Deduplicator
@@ -21,7 +21,7 @@
 DEADLINE_MS = 8000.0
 JOB = DirectRequest("POST", "/pay", {}, b"")
 DATA = {"method": JOB.method, "target": JOB.target, "headers": {}, "body": ""}
-RECORD = RequestRecord(OWN_POOL, "k", "stall", "pay", "wide", 1.0, 0, 1, DATA).encode()
+RECORD = RequestRecord(DIRECT_REQUEST_KIND, "k", "stall", "pay", "wide", 1.0, 0, 1, DATA).encode()
 OWNER = LockOwner(0, 1, 7)
 SERVED = FinalResponse(http1.Message("", "", 200, {}, b"paid", True), "w:1", 1)
 
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -394,7 +394,7 @@
     return [
         [a.customer, a.class_name, a.plan_name, a.deadline_at_ms, a.units, a.first_gateway, a.spread],
         [past.attempts, past.uncertain, past.endpoint, past.started_ms, past.quota_debited],
-        [entry.replica.kind, entry.replica.idempotency_key, entry.replica.data],
+        [entry.replica.handler_kind, entry.replica.idempotency_key, entry.replica.data],
         b"the name" in made.replication_service.deduplicator,
     ]
 
