--- a/tests/change_loop.py
+++ b/tests/change_loop.py
@@ -17,7 +17,7 @@
 
 import grpc
 from processes import Relay
-from test_path import Running, told
+from test_path import Running, check_headers
 
 from anisefront.config.incremental_loader import IncrementalLoader
 from anisefront.gateway.steps import run_to_end
@@ -164,7 +164,7 @@
             self.judge(asked, answer, began, ended)
             try:
                 if answer.ok_response.headers:
-                    up.log(told(answer)["x-anisefront-attempt"])
+                    up.log(check_headers(answer)["x-anisefront-attempt"])
             except (grpc.RpcError, ValueError):  # stopped, or killed meanwhile
                 self.counts["logs broken off"] += 1
 
@@ -179,7 +179,7 @@
         if status in (429, 502, 503):  # no matter of settings; counted
             return
         if not found:
-            left = told(answer).get("x-envoy-upstream-rq-timeout-ms", "")
+            left = check_headers(answer).get("x-envoy-upstream-rq-timeout-ms", "")
             self.faults.append(
                 f"{self.member.number}: asked {asked} from {began:.3f} to {ended:.3f}, told {status} "
                 f"{left}, right for none of {self.member.candidates(began, ended)}"
@@ -193,7 +193,7 @@
         return status == 404
     if status:
         return False
-    left = int(told(answer)["x-envoy-upstream-rq-timeout-ms"])
+    left = int(check_headers(answer)["x-envoy-upstream-rq-timeout-ms"])
     return left <= deadline_ms(version) - PATH_MS and left + took_ms + 2 >= deadline_ms(version) - PATH_MS
 
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -12,7 +12,7 @@
 from hands import roster_of
 from processes import SETTINGS
 from test_module import ENDPOINT_LIST, new_arrival, new_controller
-from test_path import ROOT, Running, told
+from test_path import ROOT, Running, check_headers
 from twisted.internet.task import Clock
 
 from anisefront.gateway.event_loop_lag import SchedulerSample
@@ -134,7 +134,7 @@
         call = running.log_call.future(iter([message] * 10))
         answered = []
         while not call.done():
-            token = told(running.check(x_request_id=f"b{len(answered)}"))["x-anisefront-attempt"]
+            token = check_headers(running.check(x_request_id=f"b{len(answered)}"))["x-anisefront-attempt"]
             answered.append(token)
             running.log(token)
         assert call.code().name == "OK"
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -11,7 +11,7 @@
 import h2.events
 import pytest
 from envoy.service.auth.v3 import external_auth_pb2
-from test_path import Running, call, told
+from test_path import Running, call, check_headers
 
 from anisefront.protocols import grpc as wire_grpc
 
@@ -31,7 +31,7 @@
     running.stop()
 
 
-def link(where):
+def connect(where):
     host, port = where.split(":")
     return socket.create_connection((host, int(port)), 5)
 
@@ -48,7 +48,7 @@
 
 def serves_requests(gatekeeper):
     """Return true after both frontends have served a request."""
-    token = told(gatekeeper.check(x_request_id=str(time.monotonic())))["x-anisefront-attempt"]
+    token = check_headers(gatekeeper.check(x_request_id=str(time.monotonic())))["x-anisefront-attempt"]
     gatekeeper.log(token)
     assert gatekeeper.rpc(call(1))[0]["result"]["status"] == 200
     return True
@@ -64,9 +64,9 @@
 
 
 @pytest.mark.parametrize("data", GARBAGE)
-@pytest.mark.parametrize("front", ["grpc", "jsonrpc"])
-def test_garbage(gatekeeper, front, data):
-    with link(gatekeeper.where[front]) as connection:
+@pytest.mark.parametrize("frontend", ["grpc", "jsonrpc"])
+def test_garbage(gatekeeper, frontend, data):
+    with connect(gatekeeper.where[frontend]) as connection:
         connection.sendall(data)
         connection.shutdown(socket.SHUT_WR)
         assert read_all(connection)
@@ -86,7 +86,7 @@
 
 
 def test_line_without_end(gatekeeper):
-    with link(gatekeeper.where["jsonrpc"]) as connection:
+    with connect(gatekeeper.where["jsonrpc"]) as connection:
         try:
             for _ in range(40):
                 connection.sendall(b"x" * 65536)
@@ -96,12 +96,12 @@
     assert serves_requests(gatekeeper)
 
 
-def rejected_connections(links, at_least, seconds=20.0):
+def rejected_connections(connections, at_least, seconds=20.0):
     """Return the connections rejected by the limit: waits for so many, then for any that follow immediately."""
-    received, closed, end = dict.fromkeys(links, b""), set(), time.monotonic() + seconds
+    received, closed, end = dict.fromkeys(connections, b""), set(), time.monotonic() + seconds
     rejected = set()
     while ready := select.select(
-        [each for each in links if each not in closed],
+        [each for each in connections if each not in closed],
         [],
         [],
         0.3 if len(rejected) >= at_least else max(0.0, end - time.monotonic()),
@@ -117,31 +117,31 @@
     return rejected
 
 
-@pytest.mark.parametrize("front", ["grpc", "jsonrpc"])
-def test_more_connections_than_allowed(gatekeeper, front):
-    gatekeeper.wait_for(lambda state: state["connections"][front] <= 1)
-    many = [link(gatekeeper.where[front]) for _ in range(60)]
+@pytest.mark.parametrize("frontend", ["grpc", "jsonrpc"])
+def test_more_connections_than_allowed(gatekeeper, frontend):
+    gatekeeper.wait_for(lambda state: state["connections"][frontend] <= 1)
+    many = [connect(gatekeeper.where[frontend]) for _ in range(60)]
     refused = rejected_connections(many, 20)
-    assert 20 <= len(refused) <= 22, (front, len(refused))
+    assert 20 <= len(refused) <= 22, (frontend, len(refused))
     for connection in refused:
         connection.close()
     # Rejected connections do not count: as soon as an accepted one is closed, the next is accepted.
     for connection in [each for each in many if each not in refused][:5]:
         connection.close()
-    gatekeeper.wait_for(lambda state: state["connections"][front] <= 36)
+    gatekeeper.wait_for(lambda state: state["connections"][frontend] <= 36)
     for connection in many:
         connection.close()
-    gatekeeper.wait_for(lambda state: state["connections"][front] <= 3)
+    gatekeeper.wait_for(lambda state: state["connections"][frontend] <= 3)
     assert serves_requests(gatekeeper)
 
 
 def test_a_silent_client_is_closed_and_a_slow_writer_is_served(gatekeeper):
-    silent = link(gatekeeper.where["grpc"])
+    silent = connect(gatekeeper.where["grpc"])
     silent.settimeout(8)
     answers = []
 
     def slowly():
-        with link(gatekeeper.where["jsonrpc"]) as connection:
+        with connect(gatekeeper.where["jsonrpc"]) as connection:
             for byte in b'{"jsonrpc":"2.0","id":7,"method":"state"}\n':
                 connection.sendall(bytes((byte,)))
                 time.sleep(0.02)
@@ -159,7 +159,7 @@
 
 
 def test_a_client_that_never_reads_affects_no_other(gatekeeper):
-    with link(gatekeeper.where["jsonrpc"]) as connection:
+    with connect(gatekeeper.where["jsonrpc"]) as connection:
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         connection.settimeout(0.5)
         try:
@@ -190,7 +190,7 @@
     )
     client.send_data(1, wire_grpc.encode_message(request.SerializeToString()), end_stream=True)
     body, trailers = b"", None
-    with link(gatekeeper.where["grpc"]) as connection:
+    with connect(gatekeeper.where["grpc"]) as connection:
         connection.sendall(client.data_to_send())
         while trailers is None:
             for event in client.receive_data(connection.recv(65536)):
@@ -201,7 +201,7 @@
             connection.sendall(client.data_to_send())
     assert trailers[b"grpc-status"] == b"0"
     answer = external_auth_pb2.CheckResponse.FromString(wire_grpc.MessageDecoder(9999).feed(body)[0])
-    assert told(answer)["x-envoy-original-dst-host"].startswith("127.0.0.1:")
+    assert check_headers(answer)["x-envoy-original-dst-host"].startswith("127.0.0.1:")
 
 
 def test_a_grpc_timeout_ends_a_queued_check_and_its_request(tmp_path):
@@ -212,7 +212,7 @@
     path.write_text(text.replace("rate 1000000/s burst 1000000", "rate 1/h burst 1").replace("aim 2s", "aim 4s"))
     running = Running(path)
     try:
-        first = told(running.check("POST", "/pre-order", x_request_id="g0"))
+        first = check_headers(running.check("POST", "/pre-order", x_request_id="g0"))
         with pytest.raises(grpc.RpcError) as fault:
             running.check("POST", "/pre-order", x_request_id="g1", timeout=0.3)
         assert fault.value.code() is grpc.StatusCode.DEADLINE_EXCEEDED
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -4,7 +4,7 @@
 import pytest
 from click.testing import CliRunner
 from test_config_corpus import GOOD
-from test_path import Running, told
+from test_path import Running, check_headers
 
 from anisefront.cli.main import main
 from anisefront.config.types import Recording
@@ -205,7 +205,9 @@
     live.write_text(text + f'record "{record}" key k\n')
     running = Running(live)
     for number in range(150):
-        token = told(running.check(x_request_id=f"q{number}", x_api_key=f"stall-{number % 9}"))["x-anisefront-attempt"]
+        token = check_headers(running.check(x_request_id=f"q{number}", x_api_key=f"stall-{number % 9}"))[
+            "x-anisefront-attempt"
+        ]
         running.log(token)
     running.stop()
     assert b"stall-7" not in record.read_bytes()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -99,13 +99,13 @@
     running.stop()
 
 
-def told(answer):
+def check_headers(answer):
     return {option.header.key: option.header.value for option in answer.ok_response.headers}
 
 
 def test_a_check_returns_an_endpoint_and_the_log_ends_the_attempt(gatekeeper):
     before = gatekeeper.state()["counts"].get("served", 0)
-    headers = told(gatekeeper.check(x_request_id="a1"))
+    headers = check_headers(gatekeeper.check(x_request_id="a1"))
     assert 0 < int(headers["x-envoy-upstream-rq-timeout-ms"]) <= 5000
     worker = f"http://{headers['x-envoy-original-dst-host']}/stock-view"
     with urllib.request.urlopen(worker, timeout=5) as answer:
@@ -116,9 +116,9 @@
 
 
 def test_a_further_check_gets_an_attempt_at_another_endpoint(gatekeeper):
-    first = told(gatekeeper.check(x_request_id="b1"))
+    first = check_headers(gatekeeper.check(x_request_id="b1"))
     gatekeeper.log(first["x-anisefront-attempt"], 503, "upstream_remote_reset")
-    second = told(gatekeeper.check(x_request_id="b1", x_anisefront_attempt=first["x-anisefront-attempt"]))
+    second = check_headers(gatekeeper.check(x_request_id="b1", x_anisefront_attempt=first["x-anisefront-attempt"]))
     assert second["x-envoy-original-dst-host"] != first["x-envoy-original-dst-host"]
     assert second["x-anisefront-attempt"].endswith(".1")
     gatekeeper.log(second["x-anisefront-attempt"])
@@ -134,7 +134,7 @@
 
 
 def test_a_request_id_from_two_proxies_is_executed_once(gatekeeper):
-    first = told(gatekeeper.check(x_request_id="c1"))
+    first = check_headers(gatekeeper.check(x_request_id="c1"))
     answer = gatekeeper.check(x_request_id="c1")
     assert answer.denied_response.status.code == 409
     gatekeeper.log(first["x-anisefront-attempt"])
@@ -142,7 +142,7 @@
 
 
 def test_duplicate_and_unknown_logs_change_nothing(gatekeeper):
-    token = told(gatekeeper.check(x_request_id="d1"))["x-anisefront-attempt"]
+    token = check_headers(gatekeeper.check(x_request_id="d1"))["x-anisefront-attempt"]
     before = gatekeeper.state()
     gatekeeper.log(token)
     gatekeeper.log(token, 500)
@@ -237,7 +237,7 @@
 
 def test_a_drain_finishes_open_requests_and_rejects_new_ones(tmp_path):
     running = Running(ROOT / "examples/loopback.conf")
-    token = told(running.check(x_request_id="f1"))["x-anisefront-attempt"]
+    token = check_headers(running.check(x_request_id="f1"))["x-anisefront-attempt"]
     running.process.send_signal(signal.SIGTERM)
     running.wait_for(lambda state: state["state"] == "draining")
     assert running.check(x_request_id="f2").denied_response.status.code == 503
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -7,7 +7,7 @@
 import pytest
 from test_config_corpus import GOOD, check_text
 from test_core import ProxyHarness
-from test_path import Running, told
+from test_path import Running, check_headers
 
 from anisefront.daemon import immutable_settings
 from anisefront.policy.events import AttemptResult
@@ -67,13 +67,13 @@
     live = RunningWithSettings(tmp_path)
     running = live.running
     try:
-        began = told(running.check(x_request_id="r1"))
+        began = check_headers(running.check(x_request_id="r1"))
         assert live.write(live.text.replace("GET /stock-view", "GET /other"))["version"] == 2
         assert running.check(path="/stock-view").denied_response.status.code == 404
-        assert told(running.check(path="/other", x_request_id="r2"))
+        assert check_headers(running.check(path="/other", x_request_id="r2"))
         # a request that arrived before the change still gets its next attempt
         running.log(began["x-anisefront-attempt"], 503, "upstream_remote_reset")
-        again = told(
+        again = check_headers(
             running.check(path="/stock-view", x_request_id="r1", x_anisefront_attempt=began["x-anisefront-attempt"])
         )
         assert again["x-anisefront-attempt"].endswith(".1")
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -6,7 +6,7 @@
 import pytest
 from test_core import ProxyHarness
 from test_module import ENDPOINT_LIST, new_arrival, new_controller, actions_of
-from test_path import Running, told
+from test_path import Running, check_headers
 
 from anisefront.upstream.delegated_checks import Verdict
 from anisefront.gateway.request_terms import RequestTerms
@@ -65,11 +65,11 @@
     """Guards against a client that sent another customer's name as its key: it got 3 of 5 units, the customer none."""
     for number in range(20):
         answer = narrow.check(x_api_key="stall-7", x_request_id=f"s{number}")
-        narrow.log(told(answer)["x-anisefront-attempt"])
+        narrow.log(check_headers(answer)["x-anisefront-attempt"])
     for number in range(5):
         answer = narrow.check("POST", "/pre-order", x_api_key="k-secret", x_request_id=f"o{number}")
         assert answer.HasField("ok_response"), (number, answer)
-        narrow.log(told(answer)["x-anisefront-attempt"])
+        narrow.log(check_headers(answer)["x-anisefront-attempt"])
 
 
 # ---- customer tags ----------------------------------------------------------------------------------------------
@@ -276,18 +276,18 @@
 
 def test_path_is_forwarded_in_the_form_in_which_it_was_routed(narrow):
     answer = narrow.check(path="/public/%2e%2e/stock-view?q=%2e", x_request_id="n1")
-    assert told(answer)[":path"] == "/stock-view?q=%2e"
-    narrow.log(told(answer)["x-anisefront-attempt"], 503, "upstream_remote_reset")
+    assert check_headers(answer)[":path"] == "/stock-view?q=%2e"
+    narrow.log(check_headers(answer)["x-anisefront-attempt"], 503, "upstream_remote_reset")
     again = narrow.check(
         path="/public/%2e%2e/stock-view?q=%2e",
         x_request_id="n1",
-        x_anisefront_attempt=told(answer)["x-anisefront-attempt"],
+        x_anisefront_attempt=check_headers(answer)["x-anisefront-attempt"],
     )
-    assert told(again)[":path"] == "/stock-view?q=%2e"
-    narrow.log(told(again)["x-anisefront-attempt"])
+    assert check_headers(again)[":path"] == "/stock-view?q=%2e"
+    narrow.log(check_headers(again)["x-anisefront-attempt"])
     plain = narrow.check(path="/public/a/b", x_request_id="n2")
-    assert ":path" not in told(plain)
-    narrow.log(told(plain)["x-anisefront-attempt"])
+    assert ":path" not in check_headers(plain)
+    narrow.log(check_headers(plain)["x-anisefront-attempt"])
     refused = narrow.check(path="/public/..%2fpre-order", x_request_id="n3")
     assert refused.denied_response.status.code == 400 and "unclear-path" in refused.denied_response.body
     (sent,) = narrow.rpc(
--- a/tests/test_take_over.py
+++ b/tests/test_take_over.py
@@ -7,7 +7,7 @@
 import grpc
 import pytest
 from hands import MORE, Hands, until
-from test_path import told
+from test_path import check_headers
 
 
 @pytest.fixture
@@ -318,7 +318,7 @@
     """A check in a thread; the headers that its answer sets, or the status it denies with."""
     headers = {"x_request_id": request_id} | ({"x_anisefront_attempt": token} if token else {})
     asked = hands.fleet.up[number].check("POST", path, timeout, **headers)
-    return told(asked) if asked.status.code == 0 else asked.denied_response.status.code
+    return check_headers(asked) if asked.status.code == 0 else asked.denied_response.status.code
 
 
 def in_thread(call, *more, **options):
