--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -85,7 +85,15 @@
     lifecycle = Lifecycle()
     assert [
         lifecycle.advance(step)
-        for step in (Step.RELOAD_REQUESTED, Step.READY, Step.TERMINATE, Step.READY, Step.RELOAD_REQUESTED, Step.DRAINED, Step.TERMINATE)
+        for step in (
+            Step.RELOAD_REQUESTED,
+            Step.READY,
+            Step.TERMINATE,
+            Step.READY,
+            Step.RELOAD_REQUESTED,
+            Step.DRAINED,
+            Step.TERMINATE,
+        )
     ] == [None, Command.LISTEN_AND_RELOAD, Command.DRAIN, None, Command.RELOAD, Command.STOP, None]
 
 
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -141,7 +141,7 @@
 def test_request_ids_of_different_customers_are_independent():
     desk = ProxyHarness()
     for customer in ("c", "d"):
-        desk.proxied.first_check(
+        desk.delegated_requests.first_check(
             "same",
             desk.responses.append,
             RequestTerms(customer, "safe", "wide", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
@@ -152,16 +152,16 @@
     desk.check("same")  # of the same customer: it may be the same attempt over two proxies
     assert desk.responses[2].reason == "in-progress"
     # If two customers use one id, a denial that names only the id can't be attributed to either.
-    assert not desk.proxied.denial_logged("same", "p")
+    assert not desk.delegated_requests.denial_logged("same", "p")
     for answer in desk.responses[:2]:
         assert desk.log(answer.attempt_name, AttemptResult.OK)
-    assert desk.is_empty() and not desk.proxied.index.by_request_id
+    assert desk.is_empty() and not desk.delegated_requests.index.by_request_id
 
 
 def test_request_id_is_released_for_each_customer_separately():
     desk = ProxyHarness()
     desk.check("same")
-    desk.proxied.first_check(
+    desk.delegated_requests.first_check(
         "same",
         desk.responses.append,
         RequestTerms("d", "safe", "wide", desk.request_table.now_ms() + 2000, 1.0, 0, 1, False),
@@ -169,9 +169,9 @@
     )
     desk.run(0.01)
     assert desk.log(desk.responses[0].attempt_name, AttemptResult.OK)
-    assert desk.proxied.denial_logged("same", "p")  # only the other customer's request is left under the id
+    assert desk.delegated_requests.denial_logged("same", "p")  # only the other customer's request is left under the id
     desk.run(0.01)
-    assert desk.is_empty() and not desk.proxied.index.by_request_id
+    assert desk.is_empty() and not desk.delegated_requests.index.by_request_id
 
 
 # ---- paths ----------------------------------------------------------------------------------------------------
