--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -865,6 +865,61 @@
     "test_commands_in_pieces_are_taken_once_each_whole_and_in_order": (
         "test_split_commands_are_handled_once_and_in_order"
     ),
+    "test_a_trace_is_read_up_to_where_it_was_cut": "test_a_truncated_or_damaged_trace_is_read_up_to_the_fault",
+    "test_rotation_is_bounded_and_a_full_disk_stops_the_recording_alone": (
+        "test_rotation_is_bounded_and_a_write_failure_stops_only_the_recording"
+    ),
+    "test_clocks_that_differ_are_set_and_one_that_steps_back_is_told": (
+        "test_clock_skew_is_corrected_and_backward_steps_are_reported"
+    ),
+    "test_scaling_keeps_rate_a_customer_and_burstiness": "test_scaling_preserves_the_rate_per_customer_and_burstiness",
+    "test_the_same_seed_plays_the_same_day": "test_the_same_seed_gives_the_same_run",
+    "test_troubles_cost_service_and_every_request_ends": "test_faults_lower_service_and_every_request_ends",
+    "test_interval_covers_the_mean_as_often_as_it_says": "test_the_confidence_interval_has_its_nominal_coverage",
+    "test_a_against_a_is_no_difference_and_fewer_workers_are_worse": (
+        "test_equal_options_do_not_differ_and_fewer_workers_are_worse"
+    ),
+    "test_randomisation_by_hand": "test_the_randomisation_test_gives_exact_p_values",
+    "test_a_verdict_that_is_too_small_says_how_many_runs": "test_an_undecided_verdict_gives_the_number_of_runs_needed",
+    "test_from_a_running_gatekeeper_to_a_verdict": "test_a_recording_of_a_running_gatekeeper_can_be_compared",
+    "test_draws_hang_on_seed_cause_and_index_alone": "test_draws_depend_on_seed_stream_and_index_alone",
+    "test_quantiles_of_a_shape": "test_quantiles_of_the_log_normal_distribution",
+    "test_options_that_differ_late_are_the_same_until_then": (
+        "test_options_that_differ_late_give_equal_series_until_then"
+    ),
+    "test_repeats_of_clients_hang_on_the_option_and_their_draws_on_the_wish": (
+        "test_client_retries_depend_on_the_option_and_count_once_in_the_requested_value"
+    ),
+    "test_surges_come_from_a_trace_too": "test_a_surge_multiplies_the_arrivals_of_a_trace",
+    "test_a_partition_parts_rooms_and_heals": "test_a_network_partition_separates_zones_and_heals",
+    "test_cold_workers_that_are_sent_too_much_fall": "test_overloaded_cold_workers_crash",
+    "test_a_study_stopped_and_resumed_gives_the_same_bytes": (
+        "test_an_interrupted_and_resumed_study_stores_the_same_bytes"
+    ),
+    "test_a_studys_name_hangs_on_all_that_its_figures_hang_on": (
+        "test_the_identifier_of_a_study_depends_on_everything_that_determines_its_figures"
+    ),
+    "test_another_version_of_the_module_plays_in_the_same_world": (
+        "test_another_version_of_the_decision_module_can_be_simulated"
+    ),
+    "test_a_fit_finds_the_workers_that_made_the_trace": (
+        "test_a_fit_recovers_the_worker_parameters_of_a_simulated_trace"
+    ),
+    "test_units_tell_the_way_from_the_work": (
+        "test_requests_of_different_size_separate_the_round_trip_from_the_service_time"
+    ),
+    "test_times_of_messages_are_found_by_playing_the_trace_again": (
+        "test_message_delays_are_fitted_by_simulating_the_trace"
+    ),
+    "test_the_weakest_day_is_worse_than_the_plain_one_and_the_same_again": (
+        "test_the_worst_fault_found_lowers_service_and_is_a_valid_script_line"
+    ),
+    "test_the_smallest_fleet_keeps_what_one_less_does_not": (
+        "test_the_smallest_fleet_meets_the_measure_and_a_smaller_one_does_not"
+    ),
+    "test_from_two_settings_to_a_page": "test_two_settings_are_compared_stored_and_reported",
+    "test_faults_are_one_clear_line": "test_invalid_arguments_are_reported_in_one_line",
+    "test_access_logs_of_proxies_become_a_trace": "test_proxy_access_logs_are_imported_as_a_trace",
 }
 # Files that came for the sake of the rename; they must not make up for tests that are lost.
 NEW = {
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""Recorded traffic and the model: traces that end badly, the same world for both options, verdicts that are honest."""
+"""Traces and the simulation: damaged traces, reproducible runs, injected faults and the error rates of verdicts."""
 
 import numpy as np
 import pytest
@@ -55,21 +55,21 @@
     return Recorder(wanted, 0, "life", 1e12)
 
 
-def seen(number):
+def arrival_event(number):
     return events.Arrival(number, f"c{number % 7}", "view", "small", 1e12 + number + 1000)
 
 
-def test_a_trace_is_read_up_to_where_it_was_cut(tmp_path):
+def test_a_truncated_or_damaged_trace_is_read_up_to_the_fault(tmp_path):
     recorded = recorder(tmp_path)
     for number in range(3000):
-        recorded.record_event(1e12 + number, seen(number))
+        recorded.record_event(1e12 + number, arrival_event(number))
     recorded.flush()
     data = (tmp_path / "t.trace").read_bytes()
-    whole, fault = trace.decode_file(data)
-    assert len(whole) == 3001 and not fault and "c1" not in str(whole[1:50])
+    complete, fault = trace.decode_file(data)
+    assert len(complete) == 3001 and not fault and "c1" not in str(complete[1:50])
     for at in range(0, len(data), 997):
         records, fault = trace.decode_file(data[:at])
-        assert records == whole[: len(records)] and (fault or at == len(data))
+        assert records == complete[: len(records)] and (fault or at == len(data))
     damaged = bytearray(data)
     damaged[len(data) - 40] ^= 1
     records, fault = trace.decode_file(bytes(damaged))
@@ -77,19 +77,19 @@
     assert trace.decode_file(b"something else")[1] == "no trace, or of another version"
 
 
-def test_rotation_is_bounded_and_a_full_disk_stops_the_recording_alone(tmp_path):
+def test_rotation_is_bounded_and_a_write_failure_stops_only_the_recording(tmp_path):
     recorded = recorder(tmp_path, rotate=20_000, keep=3)
     for number in range(60_000):
-        recorded.record_event(1e12 + number, seen(number))
+        recorded.record_event(1e12 + number, arrival_event(number))
     recorded.flush()
     assert len(list(tmp_path.iterdir())) == 3 and all(path.stat().st_size < 60_000 for path in tmp_path.iterdir())
-    nowhere = Recorder(Recording(str(tmp_path / "none" / "t"), 1000, 2, b"k"), 0, "life", 1e12)
-    assert "No such file" in nowhere.fault
+    failed_recorder = Recorder(Recording(str(tmp_path / "none" / "t"), 1000, 2, b"k"), 0, "life", 1e12)
+    assert "No such file" in failed_recorder.fault
     for number in range(5000):
-        nowhere.record_event(1e12, seen(number))
+        failed_recorder.record_event(1e12, arrival_event(number))
 
 
-def test_clocks_that_differ_are_set_and_one_that_steps_back_is_told():
+def test_clock_skew_is_corrected_and_backward_steps_are_reported():
     fleet = [["w", "a", 0, "ready", 0]]
     one = [["life", 1000, 0, "x"], ["fleet", 2000, fleet], ["arrive", 3000, 1, "c", "view", "small", 1, 900, 0]]
     two = [
@@ -104,24 +104,25 @@
     assert len(merged.problems) == 3
 
 
-def test_scaling_keeps_rate_a_customer_and_burstiness():
+def test_scaling_preserves_the_rate_per_customer_and_burstiness():
     rng = np.random.default_rng(5)
     arrivals = []
-    for customer in range(30):  # each in bursts of ten
+    for customer in range(30):  # each sends bursts of ten requests
         for start in rng.uniform(0, 60_000, 6):
             arrivals += [
                 Arrival(float(min(59_999, start + n * 20)), f"c{customer}", "view", "small", 1.0, 900.0, 0)
                 for n in range(10)
             ]
     arrivals.sort(key=lambda each: each.at)
-    whole = Trace(arrivals, begin=0.0, end=60_000.0)
-    before, after = traces.describe(whole), traces.describe(traces.scale(whole, 5, 1))
+    complete = Trace(arrivals, begin=0.0, end=60_000.0)
+    before, after = traces.describe(complete), traces.describe(traces.scale(complete, 5, 1))
     assert after["customers"] == 150 and after["a_second"] == pytest.approx(5 * before["a_second"], rel=0.01)
-    assert after["dispersion"] == pytest.approx(before["dispersion"], rel=0.4)  # independent customers add up
-    assert traces.cut(whole, 10_000, 20_000).arrivals[0].at < 5000
+    # The variances of independent customers add up, so the dispersion stays about the same.
+    assert after["dispersion"] == pytest.approx(before["dispersion"], rel=0.4)
+    assert traces.cut(complete, 10_000, 20_000).arrivals[0].at < 5000
 
 
-def test_the_same_seed_plays_the_same_day():
+def test_the_same_seed_gives_the_same_run():
     option = Option(SETTINGS)
     first, second = (Simulation(option, traffic(10), (), 3).run() for _ in range(2))
     assert first.measures() == second.measures() and first.answers == second.answers
@@ -130,7 +131,7 @@
 
 
 @pytest.mark.parametrize(
-    "trouble",
+    "fault",
     [
         Trouble(5000, "slow", {"workers": 4, "times": 6.0, "for": 8000.0}),
         Trouble(4000, "deploy", {"over": 1000.0}),
@@ -144,60 +145,59 @@
     ],
     ids=lambda each: each.name,
 )
-def test_troubles_cost_service_and_every_request_ends(trouble):
+def test_faults_lower_service_and_every_request_ends(fault):
     option = Option(SETTINGS, workers=WorkerModel(count=4, service_ms=35.0))
-    quiet = Simulation(option, traffic(20), (), 1).run()
-    rough = Simulation(option, traffic(20), (trouble,), 1).run()
-    assert sum(rough.answers.values()) == sum(quiet.answers.values()) == 1200
-    assert rough.measures()["worst_10_s"] < quiet.measures()["worst_10_s"]
+    baseline = Simulation(option, traffic(20), (), 1).run()
+    degraded = Simulation(option, traffic(20), (fault,), 1).run()
+    assert sum(degraded.answers.values()) == sum(baseline.answers.values()) == 1200
+    assert degraded.measures()["worst_10_s"] < baseline.measures()["worst_10_s"]
 
 
-def test_interval_covers_the_mean_as_often_as_it_says():
+def test_the_confidence_interval_has_its_nominal_coverage():
     rng = np.random.default_rng(11)
     covered = 0
-    for case in range(300):  # skewed differences, few of them
+    for case in range(300):  # small samples of a skewed distribution
         low, high = compare.interval(rng.exponential(1.0, 12) - 1.0, 0.9, case)
         covered += low <= 0 <= high
     assert 0.86 <= covered / 300 <= 0.97
 
 
-def test_a_against_a_is_no_difference_and_fewer_workers_are_worse():
-    arrivals, fine = traffic(15), Option(SETTINGS, workers=WorkerModel(count=5, service_ms=40.0))
-    poor = Option(SETTINGS, workers=WorkerModel(count=1, service_ms=40.0))
-    both = [fine, poor]
-    played = [[Simulation(option, arrivals, (), seed).run().measures() for seed in range(1, 9)] for option in both]
-    found = compare.compare_measures(*played)
-    assert {each.measure: each.verdict for each in found}["service"] == "worse"
+def test_equal_options_do_not_differ_and_fewer_workers_are_worse():
+    arrivals, sufficient = traffic(15), Option(SETTINGS, workers=WorkerModel(count=5, service_ms=40.0))
+    undersized = Option(SETTINGS, workers=WorkerModel(count=1, service_ms=40.0))
+    both = [sufficient, undersized]
+    runs = [[Simulation(option, arrivals, (), seed).run().measures() for seed in range(1, 9)] for option in both]
+    comparisons = compare.compare_measures(*runs)
+    assert {each.measure: each.verdict for each in comparisons}["service"] == "worse"
     assert (
-        compare.runs_for_precision(played[0], played[0]) == 8
-        and compare.runs_for_precision(*played, half_width=1e-6) is None
+        compare.runs_for_precision(runs[0], runs[0]) == 8 and compare.runs_for_precision(*runs, half_width=1e-6) is None
     )
-    rng, alarms = np.random.default_rng(2), 0
-    pool = [Simulation(fine, arrivals, (), seed).run().measures() for seed in range(24)]
+    rng, false_positives = np.random.default_rng(2), 0
+    pool = [Simulation(sufficient, arrivals, (), seed).run().measures() for seed in range(24)]
     for _ in range(60):
-        drawn = rng.permutation(24)
-        found = compare.compare_measures([pool[n] for n in drawn[:12]], [pool[n] for n in drawn[12:]])
-        alarms += any(each.verdict != "too small to tell" and each.low != each.high for each in found)
-    assert alarms <= 6  # a tenth is stated
+        order = rng.permutation(24)
+        comparisons = compare.compare_measures([pool[n] for n in order[:12]], [pool[n] for n in order[12:]])
+        false_positives += any(each.verdict != "too small to tell" and each.low != each.high for each in comparisons)
+    assert false_positives <= 6  # the nominal rate is 10%
 
 
 @pytest.mark.parametrize(
-    ("differences", "chance"),
+    ("differences", "p_value"),
     [([1.0] * 4, 2 / 16), ([1.0, 1, 1, -1], 10 / 16), ([0.0] * 5, 1.0), ([3.0, 1, 1, 1, 1, 1, 1, 1], 2 / 256)],
 )
-def test_randomisation_by_hand(differences, chance):
-    assert compare.sign_flip(np.array(differences)) == pytest.approx(chance)
-    assert compare.sign_flip(np.tile(np.array(differences), 8)) <= chance  # drawn, not counted
+def test_the_randomisation_test_gives_exact_p_values(differences, p_value):
+    assert compare.sign_flip(np.array(differences)) == pytest.approx(p_value)
+    assert compare.sign_flip(np.tile(np.array(differences), 8)) <= p_value  # signs are drawn, not enumerated
 
 
-def test_a_verdict_that_is_too_small_says_how_many_runs():
+def test_an_undecided_verdict_gives_the_number_of_runs_needed():
     rng = np.random.default_rng(3)
     rows = [[{name: value for name in compare.MEASURES} for value in rng.normal(mean, 1.0, 10)] for mean in (0, 0.05)]
     line = compare.format_comparison(compare.compare_measures(*rows)[0], 10)
     assert "too small to tell with 10 runs; about" in line
 
 
-def test_from_a_running_gatekeeper_to_a_verdict(tmp_path):
+def test_a_recording_of_a_running_gatekeeper_can_be_compared(tmp_path):
     import pathlib
 
     text = (pathlib.Path(__file__).parent.parent / "examples/loopback.conf").read_text()
--- a/tests/test_study.py
+++ b/tests/test_study.py
@@ -1,4 +1,4 @@
-"""Studies: the same world for all options, resumed to the same bytes, fitted, searched, reported; traces of traces."""
+"""Studies: common random numbers, resumption, fit, search and report, and the commands for traces."""
 
 import json
 import pathlib
@@ -40,58 +40,61 @@
 
 
 def study(*options, day=DAY, **more):
-    made = [OptionSpec(f"o{n}", CONF, 2, 4, service_ms=30.0, **values) for n, values in enumerate(options or ({},))]
-    return Study(tuple(made), Traffic(day=day), **more)
+    built = [OptionSpec(f"o{n}", CONF, 2, 4, service_ms=30.0, **values) for n, values in enumerate(options or ({},))]
+    return Study(tuple(built), Traffic(day=day), **more)
 
 
-# ---- chance and worlds ----------------------------------------------------------------------------------------
+# ---- random draws and simulation ------------------------------------------------------------------------------
 
 
-def test_draws_hang_on_seed_cause_and_index_alone():
-    one, other = Draws(3), Draws(3)
-    wanted = [0, 5000, 3, 10**9, 5000, 1023, 1024]
-    rows = [one.row(Stream.REQUESTS, index) for index in wanted]
-    assert rows == [other.row(Stream.REQUESTS, index) for index in reversed(wanted)][::-1]
-    few = [one.uniform(Stream.MESSAGES, n << 32 | m, c) for n in range(20) for m in range(40) for c in range(3)]
+def test_draws_depend_on_seed_stream_and_index_alone():
+    first, second = Draws(3), Draws(3)
+    indices = [0, 5000, 3, 10**9, 5000, 1023, 1024]
+    rows = [first.row(Stream.REQUESTS, index) for index in indices]
+    assert rows == [second.row(Stream.REQUESTS, index) for index in reversed(indices)][::-1]
+    values = [first.uniform(Stream.MESSAGES, n << 32 | m, c) for n in range(20) for m in range(40) for c in range(3)]
     assert (
-        len(set(few)) == 2400
-        and np.mean(few) == pytest.approx(0.5, abs=0.02)
-        and np.std(few) == pytest.approx(12**-0.5, abs=0.01)
-        and few[7] == other.uniform(Stream.MESSAGES, 2, 1)
+        len(set(values)) == 2400
+        and np.mean(values) == pytest.approx(0.5, abs=0.02)
+        and np.std(values) == pytest.approx(12**-0.5, abs=0.01)
+        and values[7] == second.uniform(Stream.MESSAGES, 2, 1)
     )
-    assert one.row(Stream.MESSAGES, 3) != one.row(Stream.REQUESTS, 3) != Draws(4).row(Stream.REQUESTS, 3)
-    for index in range(0, 1024 * 200, 1024):  # blocks are let go, and made again the same
-        one.row(Stream.REQUESTS, index)
-    assert len(one._blocks) <= 64 and one.row(Stream.REQUESTS, 5000) == rows[1]
+    assert first.row(Stream.MESSAGES, 3) != first.row(Stream.REQUESTS, 3) != Draws(4).row(Stream.REQUESTS, 3)
+    for index in range(0, 1024 * 200, 1024):  # blocks are evicted, and computed again with the same values
+        first.row(Stream.REQUESTS, index)
+    assert len(first._blocks) <= 64 and first.row(Stream.REQUESTS, 5000) == rows[1]
 
 
-def test_quantiles_of_a_shape():
+def test_quantiles_of_the_log_normal_distribution():
     shape = lognormal(0.5)
     assert np.mean(shape) == pytest.approx(1) and quantile(shape, 0) == shape[0] and quantile(shape, 1) == shape[-1]
     drawn = [quantile(shape, u) for u in np.random.default_rng(1).random(4000)]
     assert np.mean(drawn) == pytest.approx(1, abs=0.03) and np.std(np.log(drawn)) == pytest.approx(0.48, abs=0.03)
 
 
-def test_options_that_differ_late_are_the_same_until_then():
-    """Nothing of an option may reach back: a trouble at the end of an hour leaves the hour before as it was."""
+def test_options_that_differ_late_give_equal_series_until_then():
+    """A fault late in a run must not change anything before it."""
     late = "at 6s slow workers 4 times 20 for 2s"
-    made = study({}, {"troubles": (late,)})
-    first, second = (simulate_run(made, option, 5)["series"] for option in (0, 1))
+    built = study({}, {"troubles": (late,)})
+    first, second = (simulate_run(built, option, 5)["series"] for option in (0, 1))
     assert [first["service"][str(n)] for n in range(5)] == [second["service"][str(n)] for n in range(5)]
     assert first["waits"]["3"] == second["waits"]["3"] and first["service"] != second["service"]
 
 
-def test_repeats_of_clients_hang_on_the_option_and_their_draws_on_the_wish():
+def test_client_retries_depend_on_the_option_and_count_once_in_the_requested_value():
     arrivals, option = traffic(15, rate=150), Option(SETTINGS, workers=WorkerModel(count=4, service_ms=40.0))
     from dataclasses import replace
 
-    once = Simulation(option, arrivals, (), 2).run()
-    again = Simulation(replace(option, clients=Clients(retries=2)), arrivals, (), 2).run()
-    assert sum(once.answers.values()) == len(arrivals) < sum(again.answers.values()) <= 3 * len(arrivals)
-    assert again.requested_value == once.requested_value  # a wish counts once, however often it is tried
+    without_retries = Simulation(option, arrivals, (), 2).run()
+    with_retries = Simulation(replace(option, clients=Clients(retries=2)), arrivals, (), 2).run()
+    assert (
+        sum(without_retries.answers.values()) == len(arrivals) < sum(with_retries.answers.values()) <= 3 * len(arrivals)
+    )
+    # A request counts once, however often it is retried.
+    assert with_retries.requested_value == without_retries.requested_value
 
 
-def test_surges_come_from_a_trace_too():
+def test_a_surge_multiplies_the_arrivals_of_a_trace():
     arrivals = traffic(10)
     surge = Trouble(2000, "surge", {"plan": "small", "times": 2.5, "for": 4000.0})
     plain, more = (Simulation(Option(SETTINGS), arrivals, troubles, 1).run() for troubles in ((), (surge,)))
@@ -99,22 +102,23 @@
     assert sum(more.answers.values()) - sum(plain.answers.values()) == pytest.approx(1.5 * extra, rel=0.1)
 
 
-def test_a_partition_parts_rooms_and_heals():
+def test_a_network_partition_separates_zones_and_heals():
     option = Option(SETTINGS, gateways=4, spread=4, zones=("a", "b"), network=Network(lose=0.0))
-    world = Simulation(option, traffic(5), (Trouble(1000, "partition", {"for": 2000.0}),), 1)
-    seen = []
-    kept = world.faults.partitioned
-    world.faults.partitioned = (
-        lambda sender, receiver: seen.append((world.now, sender, receiver, kept(sender, receiver))) or seen[-1][3]
+    simulation = Simulation(option, traffic(5), (Trouble(1000, "partition", {"for": 2000.0}),), 1)
+    calls = []
+    original = simulation.faults.partitioned
+    simulation.faults.partitioned = (
+        lambda sender, receiver: calls.append((simulation.now, sender, receiver, original(sender, receiver)))
+        or calls[-1][3]
     )
-    world.run()
-    lost = [row for row in seen if row[3]]
+    simulation.run()
+    lost = [row for row in calls if row[3]]
     assert lost and all(1000 <= at < 3000 and a % 2 != b % 2 for at, a, b, _ in lost)
-    assert any(a % 2 == b % 2 for at, a, b, _ in seen if 1000 <= at < 3000)
-    assert any(a % 2 != b % 2 for at, a, b, gone in seen if at > 3000 and not gone)
+    assert any(a % 2 == b % 2 for at, a, b, _ in calls if 1000 <= at < 3000)
+    assert any(a % 2 != b % 2 for at, a, b, dropped in calls if at > 3000 and not dropped)
 
 
-def test_cold_workers_that_are_sent_too_much_fall():
+def test_overloaded_cold_workers_crash():
     workers = WorkerModel(count=2, service_ms=60.0, overload_multiple=0.3, overload_window_ms=1000.0, warm_up_ms=8000.0)
     played = Simulation(
         Option(SETTINGS, workers=workers), traffic(15), (Trouble(1000, "deploy", {"over": 500.0}),), 1
@@ -125,8 +129,8 @@
 # ---- studies --------------------------------------------------------------------------------------------------
 
 
-def test_a_study_stopped_and_resumed_gives_the_same_bytes(tmp_path):
-    made, seeds = study({}, {"retries": 0}), list(range(1, 5))
+def test_an_interrupted_and_resumed_study_stores_the_same_bytes(tmp_path):
+    built, seeds = study({}, {"retries": 0}), list(range(1, 5))
 
     def rows(path):
         import sqlite3
@@ -134,28 +138,28 @@
         with sqlite3.connect(path) as base:
             return base.execute("select study, option, seed, figures from runs order by 1, 2, 3").fetchall()
 
-    def go(path, processes, die_after):
+    def run_study(path, processes, interrupt_after):
         with Store(str(path)) as store, Runner(processes) as runner:
-            name, kept = store.add_study(made, "compare"), []
+            name, stored = store.add_study(built, "compare"), []
 
             def keep(option, seed, figures):
                 store.save_run(name, option, seed, figures)
-                kept.append(seed)
-                if len(kept) == die_after:
+                stored.append(seed)
+                if len(stored) == interrupt_after:
                     raise KeyboardInterrupt
 
-            return collect(runner, made, seeds, store.load_runs(name), keep), len(kept)
+            return collect(runner, built, seeds, store.load_runs(name), keep), len(stored)
 
     with pytest.raises(KeyboardInterrupt):
-        go(tmp_path / "a", 1, 3)
+        run_study(tmp_path / "a", 1, 3)
     assert len(rows(tmp_path / "a")) == 3
-    resumed, played = go(tmp_path / "a", 2, 99)
-    assert played == 5
-    whole, _ = go(tmp_path / "b", 2, 99)
-    assert resumed == whole and rows(tmp_path / "a") == rows(tmp_path / "b")
+    resumed, simulated = run_study(tmp_path / "a", 2, 99)
+    assert simulated == 5
+    uninterrupted, _ = run_study(tmp_path / "b", 2, 99)
+    assert resumed == uninterrupted and rows(tmp_path / "a") == rows(tmp_path / "b")
 
 
-def test_a_studys_name_hangs_on_all_that_its_figures_hang_on(tmp_path):
+def test_the_identifier_of_a_study_depends_on_everything_that_determines_its_figures(tmp_path):
     plain = study()
     assert plain.identity() == study({}).identity()
     others = [
@@ -172,15 +176,15 @@
             store.find_study("zz")
 
 
-def test_another_version_of_the_module_plays_in_the_same_world(tmp_path):
+def test_another_version_of_the_decision_module_can_be_simulated(tmp_path):
     shutil.copytree(ROOT / "anisefront/policy", tmp_path / "policy")
     path = tmp_path / "policy/customer_account.py"
     constant = r"^LOCAL_BURST_FRACTION = .*$"
     path.write_text(re.sub(constant, "LOCAL_BURST_FRACTION = 0.0", path.read_text(), flags=re.M))
-    made = study({}, {"module": str(tmp_path / "policy")})
+    built = study({}, {"module": str(tmp_path / "policy")})
     with Runner(1) as runner:
-        here, there = collect(runner, made, [1], {}, lambda *_: None)
-    assert here[0] == simulate_run(made, 0, 1) and here[0]["measures"] != there[0]["measures"]
+        current, other = collect(runner, built, [1], {}, lambda *_: None)
+    assert current[0] == simulate_run(built, 0, 1) and current[0]["measures"] != other[0]["measures"]
     path = tmp_path / "policy/controller.py"
     path.write_text(
         path.read_text().replace(
@@ -193,7 +197,7 @@
         Runner(1) as runner,
         pytest.raises(InvalidStudyError, match="option o1, seed 1, 0.000 s into the day: ArithmeticError"),
     ):
-        collect(runner, made, [1], {}, lambda *_: None)
+        collect(runner, built, [1], {}, lambda *_: None)
     with Runner(1) as runner, pytest.raises(InvalidStudyError, match="no controller.py there"):
         collect(runner, study({}, {"module": str(tmp_path)}), [1], {}, lambda *_: None)
 
@@ -202,18 +206,18 @@
 
 
 @pytest.mark.parametrize(("service", "cold"), [(40.0, 0.2), (20.0, 0.5)])
-def test_a_fit_finds_the_workers_that_made_the_trace(service, cold):
+def test_a_fit_recovers_the_worker_parameters_of_a_simulated_trace(service, cold):
     workers = WorkerModel(count=5, service_ms=service, cold_from=cold, warm_up_ms=8000, shape=lognormal(0.4))
-    # Enough to do that workers queue now and then, or nothing tells how many cores they have.
-    world = Simulation(
+    # The load has to make workers queue at times; otherwise the trace does not determine the cores.
+    simulation = Simulation(
         Option(SETTINGS, workers=workers),
         traffic(40, rate=130.0),
         (Trouble(6000, "deploy", {"over": 8000.0, "drain": 2000.0}),),
         3,
     )
-    world.attempt_log = []
-    world.run()
-    found = fitting.fit(Trace(attempts=world.attempt_log), 8000.0, draws=20)
+    simulation.attempt_log = []
+    simulation.run()
+    found = fitting.fit(Trace(attempts=simulation.attempt_log), 8000.0, draws=20)
     assert found.best.service_ms == pytest.approx(service, rel=0.06)
     assert found.best.cold_from == pytest.approx(cold, abs=0.08) and found.best.cores == 2
     low, high = found.interval("service_ms")
@@ -221,12 +225,12 @@
     back = fitting.Fit.from_json(json.loads(json.dumps(found.to_json())))
     assert back == found
     with pytest.raises(fitting.TraceTooShortError, match="200 are due"):
-        fitting.fit(Trace(attempts=world.attempt_log[:150]), 8000.0)
+        fitting.fit(Trace(attempts=simulation.attempt_log[:150]), 8000.0)
     with pytest.raises(ValueError, match="is missing"):
         fitting.Fit.from_json({"best": {}})
 
 
-def test_units_tell_the_way_from_the_work():
+def test_requests_of_different_size_separate_the_round_trip_from_the_service_time():
     rng = np.random.default_rng(1)
     attempts = [
         Attempt(n * 50.0, f"w{n % 9}", "view", units, "ok", 7.0 + 10.0 * units * rng.uniform(0.8, 1.2), 0.0)
@@ -239,47 +243,47 @@
     assert found.best.service_ms == pytest.approx(10, rel=0.05) and found.best.way_ms == pytest.approx(7, abs=0.7)
 
 
-def test_times_of_messages_are_found_by_playing_the_trace_again():
+def test_message_delays_are_fitted_by_simulating_the_trace():
     arrivals, workers = traffic(25, rate=90.0), WorkerModel(count=4, service_ms=35.0)
     option = Option(SETTINGS, workers=workers)
-    world = Simulation(Option(SETTINGS, workers=workers, network=Network(peers_ms=(2.0, 8.0))), arrivals, (), 9)
-    world.attempt_log = []
-    waits = [(0.0, wait) for wait in world.run().waits]
-    trace = Trace(arrivals, world.attempt_log, waits)
-    rough = fitting.fit(trace, 5000.0, draws=3)
+    simulation = Simulation(Option(SETTINGS, workers=workers, network=Network(peers_ms=(2.0, 8.0))), arrivals, (), 9)
+    simulation.attempt_log = []
+    waits = [(0.0, wait) for wait in simulation.run().waits]
+    trace = Trace(arrivals, simulation.attempt_log, waits)
+    initial = fitting.fit(trace, 5000.0, draws=3)
     from dataclasses import replace
 
-    off = replace(rough, best=replace(rough.best, peers_ms=(2.6, 10.4)), draws=rough.draws)
+    off = replace(initial, best=replace(initial.best, peers_ms=(2.6, 10.4)), draws=initial.draws)
     found = fitting.fit_message_delays(off, option, trace)
     assert sum(found.best.peers_ms) == pytest.approx(10.0, rel=0.07)
-    assert found.draws[0].peers_ms[1] / rough.draws[0].peers_ms[1] == pytest.approx(sum(found.best.peers_ms) / 13.0)
-    assert fitting.fit_message_delays(off, option, Trace(arrivals, world.attempt_log, waits[:20])) == off
+    assert found.draws[0].peers_ms[1] / initial.draws[0].peers_ms[1] == pytest.approx(sum(found.best.peers_ms) / 13.0)
+    assert fitting.fit_message_delays(off, option, Trace(arrivals, simulation.attempt_log, waits[:20])) == off
 
 
 # ---- search ---------------------------------------------------------------------------------------------------
 
 
-def direct(made, seeds):
-    return [simulate_run(made, 0, seed)["measures"] for seed in seeds]
+def simulate_seeds(built, seeds):
+    return [simulate_run(built, 0, seed)["measures"] for seed in seeds]
 
 
-def test_the_weakest_day_is_worse_than_the_plain_one_and_the_same_again():
-    made = study(series=False)
-    found = search.weakest_day(made, direct, "service", ("slow", "freeze-gatekeeper", "partition"), 48)
+def test_the_worst_fault_found_lowers_service_and_is_a_valid_script_line():
+    built = study(series=False)
+    found = search.weakest_day(built, simulate_seeds, "service", ("slow", "freeze-gatekeeper", "partition"), 48)
     assert found["difference"][1] < -0.05 and found["with"] < found["without"] and "at " in found["trouble"]
     assert scripts.read(found["trouble"])[1] == []
     with pytest.raises(InvalidStudyError, match="--kind storm: known are deploy"):
-        search.weakest_day(made, direct, "service", ("storm",), 48)
+        search.weakest_day(built, simulate_seeds, "service", ("storm",), 48)
 
 
-def test_the_smallest_fleet_keeps_what_one_less_does_not():
-    def played(made, seeds):
+def test_the_smallest_fleet_meets_the_measure_and_a_smaller_one_does_not():
+    def run_seeds(built, seeds):
         rng = np.random.default_rng(seeds[0])
-        return [{"service": min(1.0, made.options[0].workers / 20) - 0.01 * rng.random()} for _ in seeds]
+        return [{"service": min(1.0, built.options[0].workers / 20) - 0.01 * rng.random()} for _ in seeds]
 
-    found = search.smallest_fleet(study(), played, "service", 0.72, "workers", 40, 80)
+    found = search.smallest_fleet(study(), run_seeds, "service", 0.72, "workers", 40, 80)
     assert found["smallest"] == 15 and found["tried"][14]["verdict"] == "falls short"
-    assert search.smallest_fleet(study(), played, "service", 0.99, "workers", 12, 80)["smallest"] is None
+    assert search.smallest_fleet(study(), run_seeds, "service", 0.99, "workers", 12, 80)["smallest"] is None
 
 
 # ---- commands -------------------------------------------------------------------------------------------------
@@ -290,15 +294,15 @@
     return done.exit_code, done.output
 
 
-def test_from_two_settings_to_a_page(tmp_path):
-    now, then, day, store = (tmp_path / name for name in ("now.conf", "then.conf", "d.script", "s.sqlite"))
-    now.write_text(CONF)
-    then.write_text(CONF.replace("quota stall rate 6/s burst 12", "quota stall rate 1/s burst 2"))
+def test_two_settings_are_compared_stored_and_reported(tmp_path):
+    before, after, day, store = (tmp_path / name for name in ("now.conf", "then.conf", "d.script", "s.sqlite"))
+    before.write_text(CONF)
+    after.write_text(CONF.replace("quota stall rate 6/s burst 12", "quota stall rate 1/s burst 2"))
     day.write_text(DAY)
-    asked = ("model", "compare", now, then, "--day", day, "--store", store, "--runs", 8, "--processes", 2)
-    code, said = invoke(*asked)
-    assert code == 1 and re.search(r"^service .*: worse", said, re.M), said
-    assert invoke(*asked) == (code, said)  # from the store
+    arguments = ("model", "compare", before, after, "--day", day, "--store", store, "--runs", 8, "--processes", 2)
+    code, output = invoke(*arguments)
+    assert code == 1 and re.search(r"^service .*: worse", output, re.M), output
+    assert invoke(*arguments) == (code, output)  # from the store
     code, listed = invoke("model", "list", "--store", store)
     assert listed.count("\n") == 1 and "16 runs" in listed
     code, _ = invoke(
@@ -310,7 +314,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "said"),
+    ("arguments", "message"),
     [
         (("run", "now.conf"), "what comes is due"),
         (("run", "none.conf", "--day", "d.script"), "none.conf: "),
@@ -322,13 +326,13 @@
         (("report", "zz", "--store", "s"), "names no study"),
     ],
 )
-def test_faults_are_one_clear_line(tmp_path, monkeypatch, arguments, said):
+def test_invalid_arguments_are_reported_in_one_line(tmp_path, monkeypatch, arguments, message):
     monkeypatch.chdir(tmp_path)
     (tmp_path / "now.conf").write_text(CONF)
     (tmp_path / "d.script").write_text(DAY)
     Store(str(tmp_path / "s"))
     code, output = invoke("model", *arguments)
-    assert code in (1, 2) and said in output and "Traceback" not in output, output
+    assert code in (1, 2) and message in output and "Traceback" not in output, output
 
 
 def test_traces_are_cut_merged_scaled_and_anonymised(tmp_path):
@@ -349,20 +353,20 @@
     attempts = [
         Attempt(each.at + 2, "10.0.0.1:80", "view", 1.0, "ok", 30.5, 500.0 * (n % 2)) for n, each in enumerate(arrivals)
     ]
-    whole = Trace(arrivals, attempts, [], begin=1.7e12, end=1.7e12 + 20_000)
-    whole.answers["served"] = 1200
+    recording = Trace(arrivals, attempts, [], begin=1.7e12, end=1.7e12 + 20_000)
+    recording.answers["served"] = 1200
     path = tmp_path / "t.trace"
-    path.write_bytes(traces.encode_trace(whole))
-    back = traces.load([str(path)])
-    assert len(back.arrivals) == 1200 and back.answers == whole.answers and not back.problems
-    for kept, given in zip(back.arrivals, arrivals, strict=True):
-        assert kept.at == pytest.approx(given.at, abs=0.01) and kept.gateway == given.gateway
-        assert (kept.customer, kept.is_retry, kept.hedging_allowed) == (
-            given.customer,
-            given.is_retry,
-            given.hedging_allowed,
+    path.write_bytes(traces.encode_trace(recording))
+    loaded = traces.load([str(path)])
+    assert len(loaded.arrivals) == 1200 and loaded.answers == recording.answers and not loaded.problems
+    for restored, original in zip(loaded.arrivals, arrivals, strict=True):
+        assert restored.at == pytest.approx(original.at, abs=0.01) and restored.gateway == original.gateway
+        assert (restored.customer, restored.is_retry, restored.hedging_allowed) == (
+            original.customer,
+            original.is_retry,
+            original.hedging_allowed,
         )
-    assert [each.started for each in back.attempts[:2]] == pytest.approx([0.0, 500.0], abs=0.01)
+    assert [each.started for each in loaded.attempts[:2]] == pytest.approx([0.0, 500.0], abs=0.01)
     for command, more in (
         ("cut", ("--from", 5, "--to", 9)),
         ("scale", ("--times", 4)),
@@ -370,8 +374,8 @@
         ("anonymise", ("--key", "another")),
     ):
         out = tmp_path / command
-        code, said = invoke("trace", command, path, *more, "-o", out)
-        assert code == 0, said
+        code, output = invoke("trace", command, path, *more, "-o", out)
+        assert code == 0, output
         described = json.loads(invoke("trace", "info", out)[1])
         wanted = {"cut": 240, "scale": 4800, "merge": 1200, "anonymise": 1200}[command]
         assert described["arrivals"] == pytest.approx(wanted, rel=0.15)
@@ -386,7 +390,7 @@
     return [record for record in trace.decode_file(path.read_bytes())[0] if record[0] == "arrive"]
 
 
-def test_access_logs_of_proxies_become_a_trace(tmp_path):
+def test_proxy_access_logs_are_imported_as_a_trace(tmp_path):
     def entry(number, **more):
         return {
             "common_properties": {
@@ -410,13 +414,15 @@
         json.dumps(entry(3) | {"request": {"path": "/stock-view"}}),
         json.dumps(entry(1, response_flags={"upstream_request_timeout": True})),
     ]
-    whole = imported.read(lines, {"/stock": "view", "/pre-order": "order"}, "x-api-key", "small", 2000.0, b"k")
-    assert len(whole.arrivals) == 121 and whole.answers == {"served": 120, "failed": 1}
-    assert {each.class_name for each in whole.arrivals} == {"view", "order"} and whole.attempts[0].duration_ms == 40.0
-    assert len({each.customer for each in whole.arrivals}) == 5 and "k1" not in str(whole.arrivals[:9])
-    assert [problem.split(":")[0] for problem in whole.problems] == ["line 121", "line 122", "2 lines left out"]
+    recording = imported.read(lines, {"/stock": "view", "/pre-order": "order"}, "x-api-key", "small", 2000.0, b"k")
+    assert len(recording.arrivals) == 121 and recording.answers == {"served": 120, "failed": 1}
+    assert {each.class_name for each in recording.arrivals} == {"view", "order"} and recording.attempts[
+        0
+    ].duration_ms == 40.0
+    assert len({each.customer for each in recording.arrivals}) == 5 and "k1" not in str(recording.arrivals[:9])
+    assert [problem.split(":")[0] for problem in recording.problems] == ["line 121", "line 122", "2 lines left out"]
     (tmp_path / "log").write_text("\n".join(lines))
-    code, said = invoke(
+    code, output = invoke(
         "trace",
         "import",
         tmp_path / "log",
@@ -431,4 +437,4 @@
         "-o",
         tmp_path / "out",
     )
-    assert code == 0 and "121 arrivals, 121 attempts" in said
+    assert code == 0 and "121 arrivals, 121 attempts" in output
