--- a/anisefront/testbed/model/faults.py
+++ b/anisefront/testbed/model/faults.py
@@ -32,7 +32,7 @@
         self._active_partitions = 0
         self._surge_factors: dict[str, float] = {}
 
-    def plan(self) -> None:
+    def schedule_all(self) -> None:
         """Schedule all faults."""
         for number, fault in enumerate(self._planned_faults):
             if fault.name in WORKER_FIGURES:
--- a/anisefront/testbed/model/fit.py
+++ b/anisefront/testbed/model/fit.py
@@ -137,7 +137,7 @@
     return Fit(best, tuple(bootstrap_draws), len(rows), len(rows) - len(warm))
 
 
-def fit_message_delays(found: Fit, option: Option, trace: Trace, faults: Sequence[Trouble] = ()) -> Fit:
+def fit_message_delays(initial_fit: Fit, option: Option, trace: Trace, faults: Sequence[Trouble] = ()) -> Fit:
     """Return the fit with the message delays for which a simulation of the trace reproduces its waits best.
 
     Waits also have causes other than messages, so they do not determine the delays directly; a simulation has the same
@@ -145,9 +145,11 @@
     """
     observed = _wait_quantiles([wait for _, wait in trace.waits])
     if observed is None:
-        return found
-    base = replace(option, workers=found.best.workers(option.workers), network=found.best.network(option.network))
-    low, high = found.best.peers_ms
+        return initial_fit
+    base = replace(
+        option, workers=initial_fit.best.workers(option.workers), network=initial_fit.best.network(option.network)
+    )
+    low, high = initial_fit.best.peers_ms
     deviations = {}
     for scale in PEER_DELAY_SCALES:
         candidate = replace(base, network=replace(base.network, peers_ms=(low * scale, high * scale)))
@@ -158,7 +160,7 @@
     def scaled(each: Fitted) -> Fitted:
         return replace(each, peers_ms=(each.peers_ms[0] * best, each.peers_ms[1] * best))
 
-    return replace(found, best=scaled(found.best), draws=tuple(scaled(each) for each in found.draws))
+    return replace(initial_fit, best=scaled(initial_fit.best), draws=tuple(scaled(each) for each in initial_fit.draws))
 
 
 def _wait_quantiles(waits: Sequence[float]) -> np.ndarray | None:
--- a/anisefront/testbed/model/scripted.py
+++ b/anisefront/testbed/model/scripted.py
@@ -53,11 +53,11 @@
 
 def _surge_factor(script: Script, plan: str, at: float) -> float:
     factor = 1.0
-    for trouble in script.troubles:
+    for fault in script.troubles:
         if (
-            trouble.name == "surge"
-            and trouble.values["plan"] == plan
-            and trouble.at_ms <= at < trouble.at_ms + trouble.values.get("for", 5000.0)
+            fault.name == "surge"
+            and fault.values["plan"] == plan
+            and fault.at_ms <= at < fault.at_ms + fault.values.get("for", 5000.0)
         ):
-            factor = trouble.values.get("times", 3.0)
+            factor = fault.values.get("times", 3.0)
     return factor
--- a/anisefront/testbed/model/simulation.py
+++ b/anisefront/testbed/model/simulation.py
@@ -157,7 +157,7 @@
             self.pool.add(index)
         for instance in range(len(self.instances)):
             self.schedule(0.0, self.deliver, instance, self.endpoint_list())
-        self.faults.plan()
+        self.faults.schedule_all()
         self.schedule(1000.0, self._sample_in_flight)
         arrivals, position, event_queue = self.arrivals, 0, self._event_queue
         last = (arrivals[-1].at if arrivals else 0.0) + MAX_TAIL_MS
