--- a/anisefront/testbed/model/draws.py
+++ b/anisefront/testbed/model/draws.py
@@ -32,6 +32,7 @@
     """Rows of `COLUMNS` uniform numbers, by stream and index."""
 
     def __init__(self, seed: int) -> None:
+        """Create the draws of a seed."""
         self._seed = seed
         self._blocks: dict[tuple[int, int], list[list[float]]] = {}
 
@@ -50,7 +51,8 @@
         """Return a single uniform number, hashed from seed, stream, index and column.
 
         For sparse indices, such as those of messages, rows would be computed and evicted over and over. The hash is
-        SplitMix64 (Steele, Lea and Flood, 2014)."""
+        SplitMix64 (Steele, Lea and Flood, 2014).
+        """
         mixed = _mix(_mix(self._seed ^ stream << 56) ^ index) + column
         return (_mix(mixed) >> 11) * 2.0**-53
 
--- a/anisefront/testbed/model/faults.py
+++ b/anisefront/testbed/model/faults.py
@@ -27,6 +27,7 @@
     """Injects the faults of one run: it changes the simulation, which queries it about messages and surges."""
 
     def __init__(self, simulation: Simulation, faults: Sequence[Trouble]) -> None:
+        """Create an injector of `faults`; `schedule_all` schedules them."""
         self._simulation, self._planned_faults = simulation, faults
         self.loss_rate = self.duplicate_rate = 0.0
         self._active_partitions = 0
--- a/anisefront/testbed/model/measures.py
+++ b/anisefront/testbed/model/measures.py
@@ -49,9 +49,9 @@
         self.waits.append(wait_ms)
         self.waits_at.setdefault(second, []).append(wait_ms)
 
-    def record_answer(self, second: int, how: str, reason: str = "") -> None:
+    def record_answer(self, second: int, outcome: str, reason: str = "") -> None:
         """Count the final answer to one submission of a request."""
-        self.answers[how] = self.answers.get(how, 0) + 1
+        self.answers[outcome] = self.answers.get(outcome, 0) + 1
         if reason:
             self.reasons[reason] = self.reasons.get(reason, 0) + 1
             rows = self.refusals_at.setdefault(reason, {})
--- a/anisefront/testbed/model/pool.py
+++ b/anisefront/testbed/model/pool.py
@@ -63,6 +63,11 @@
         deduplication_key: int,
         uniform: float,
     ) -> None:
+        """Create the job of an attempt.
+
+        `instance` and `incarnation` identify the process that sent it; a negative `deduplication_key` means none.
+        `uniform` is the draw, from 0 to 1, that determines its service time and errors.
+        """
         self.instance, self.incarnation, self.request_id, self.attempt, self.worker_id = (
             instance,
             incarnation,
@@ -102,6 +107,7 @@
     )
 
     def __init__(self, number: int, started: float, zone: str, cell: int) -> None:
+        """Create a ready worker; `started` 0 means that it has warmed up."""
         self.id, self.started, self.zone = f"10.0.{number >> 8}.{number & 255}:80", started, zone
         self.busy_cores, self.queue, self.state, self.cell = 0, deque[Job](), EndpointStatus.READY, cell
         self.slow, self.error_share, self.silent, self.frozen, self.crashed = 1.0, 0.0, False, False, False
@@ -120,6 +126,7 @@
         schedule: Callable[..., None],
         on_end: Callable[[Job, AttemptResult, tuple[float, ...]], None],
     ) -> None:
+        """Create an empty pool; workers are assigned to `zones` in turn."""
         self.model, self._zones, self._schedule, self._on_end = model, zones, schedule, on_end
         self.now = 0.0  # set by the simulation before each call
         self.workers: dict[str, Worker] = {}
--- a/anisefront/testbed/model/simulation.py
+++ b/anisefront/testbed/model/simulation.py
@@ -92,6 +92,7 @@
         deadline: float,
         instance: int,
     ) -> None:
+        """Create a submission; `request_index` selects the draws, which all retries of a request share."""
         self.arrival, self.request_index, self.retry_count, self.sent_at, self.deadline, self.instance = (
             arrival,
             request_index,
@@ -109,6 +110,7 @@
     __slots__ = ("controller", "dead", "frozen", "incarnation", "timers", "unread_messages")
 
     def __init__(self, controller: Controller) -> None:
+        """Create a running gatekeeper."""
         self.controller, self.incarnation, self.dead = controller, 0, False
         self.frozen: list[Event] | None = None  # events received while its process is paused; None: it runs
         self.timers: set[float] = set()
@@ -121,6 +123,7 @@
     def __init__(
         self, option: Option, arrivals: Sequence[RecordedArrival], faults: Sequence[Trouble] = (), seed: int = 1
     ) -> None:
+        """Set up a run; `arrivals` are in order of time."""
         self.option, self.arrivals, self.draws, self.metrics = option, arrivals, Draws(seed), RunMetrics()
         self.now, self._sequence, self._event_queue = 0.0, 0, list[tuple[float, int, Callable[..., None], tuple]]()
         settings = option.settings
@@ -294,7 +297,9 @@
             self._first_gateways[customer] = first
         return first
 
-    def _send_request(self, request_index: int, arrival: RecordedArrival, retry_count: int, left: float) -> None:
+    def _send_request(
+        self, request_index: int, arrival: RecordedArrival, retry_count: int, remaining_ms: float
+    ) -> None:
         row, instances = self.draws.row(Stream.REQUESTS, abs(request_index)), len(self.instances)
         first, spread = self._first_gateway(arrival.customer), min(self.option.spread, instances)
         if retry_count == 0 and 0 <= arrival.gateway < instances:
@@ -303,7 +308,9 @@
             number = (first + int(row[_GATEWAY_COLUMN + retry_count] * spread)) % instances
         self._last_request_id += 1
         request_id, sent_at = self._last_request_id, self.now
-        self._requests[request_id] = ClientRequest(arrival, request_index, retry_count, sent_at, sent_at + left, number)
+        self._requests[request_id] = ClientRequest(
+            arrival, request_index, retry_count, sent_at, sent_at + remaining_ms, number
+        )
         if self.instances[number].dead:
             self.schedule(sent_at + self.option.network.front_ms, self._finish_request, request_id, "lost")
             return
@@ -316,7 +323,7 @@
                 arrival.customer,
                 arrival.class_name,
                 arrival.plan,
-                sent_at + self.option.network.front_ms + left,
+                sent_at + self.option.network.front_ms + remaining_ms,
                 arrival.units,
                 first,
                 spread,
@@ -332,18 +339,21 @@
             * arrival.units
         )
 
-    def _finish_request(self, request_id: int, how: str, reason: str = "") -> None:
+    def _finish_request(self, request_id: int, outcome: str, reason: str = "") -> None:
         request = self._requests.get(request_id)
         if request is None or request.ended:
             return
         request.ended = True
         arrival, answered_at = request.arrival, self.now + self.option.network.front_ms
-        self.metrics.record_answer(int(arrival.at // 1000), how, reason)
-        if how == "served" and answered_at - request.sent_at <= self._classes[arrival.class_name].latency_objective_ms:
+        self.metrics.record_answer(int(arrival.at // 1000), outcome, reason)
+        if (
+            outcome == "served"
+            and answered_at - request.sent_at <= self._classes[arrival.class_name].latency_objective_ms
+        ):
             self.metrics.record_served(
                 int(arrival.at // 1000), arrival.class_name, arrival.plan, self._request_value(arrival)
             )
-        elif how == "refused" and request.retry_count < min(self.option.clients.retries, MAX_CLIENT_ATTEMPTS - 1):
+        elif outcome == "refused" and request.retry_count < min(self.option.clients.retries, MAX_CLIENT_ATTEMPTS - 1):
             row, (low, high) = self.draws.row(Stream.REQUESTS, abs(request.request_index)), self.option.clients.pause_ms
             self.schedule(
                 answered_at + low + (high - low) * row[_PAUSE_COLUMN + request.retry_count],
--- a/anisefront/testbed/model/store.py
+++ b/anisefront/testbed/model/store.py
@@ -22,13 +22,16 @@
     """Database of studies and their runs; a context manager. A missing file is created; `:memory:` stores nothing."""
 
     def __init__(self, path: str) -> None:
+        """Open the database, with its tables created if necessary."""
         self._database = sqlite3.connect(path, timeout=30.0)
         self._database.executescript(_SCHEMA)
 
     def __enter__(self) -> Store:
+        """Return the store."""
         return self
 
     def __exit__(self, *_: object) -> None:
+        """Close the database."""
         self._database.close()
 
     def add_study(self, study: Study, kind: str) -> str:
--- a/anisefront/testbed/model/study.py
+++ b/anisefront/testbed/model/study.py
@@ -264,13 +264,16 @@
     """Runs tasks on several processes, with a pool for each version of the decision module; a context manager."""
 
     def __init__(self, processes: int) -> None:
+        """Create a runner; its processes start with the first tasks."""
         self._processes = max(1, processes)
         self._pools: dict[str, Any] = {}
 
     def __enter__(self) -> Runner:
+        """Return the runner."""
         return self
 
     def __exit__(self, *_: object) -> None:
+        """Terminate the processes."""
         for pool in self._pools.values():
             pool.terminate()
 
