--- a/anisefront/cli/model.py
+++ b/anisefront/cli/model.py
@@ -54,7 +54,7 @@
 
 
 def parse_option(text: str, spec_values: dict[str, Any]) -> OptionSpec:
-    """Parse an option, `FILE[,key=value...]`; raises `Unfit`."""
+    """Parse an option, `FILE[,key=value...]`; raises `InvalidStudyError`."""
     path, *pairs = text.split(",")
     try:
         settings = Path(path).read_text()
--- a/anisefront/testbed/model/imported.py
+++ b/anisefront/testbed/model/imported.py
@@ -24,7 +24,7 @@
     `classes` maps path prefixes to classes; the longest matching prefix applies. Lines that cannot be converted are
     left out and reported by number.
     """
-    out, left_out = Trace(), 0
+    out, skipped = Trace(), 0
     prefixes = sorted(classes, key=len, reverse=True)
     rows: list[tuple[float, Arrival, Attempt | None]] = []
     for number, line in enumerate(lines, 1):
@@ -34,18 +34,18 @@
         try:
             json_format.Parse(line, entry, ignore_unknown_fields=True)
         except json_format.ParseError as error:
-            left_out += 1
+            skipped += 1
             if len(out.problems) < MAX_PROBLEMS:
                 out.problems.append(f"line {number}: not an access log entry: {str(error)[:120]}")
             continue
         request, common = entry.request, entry.common_properties
-        name = next((classes[prefix] for prefix in prefixes if request.path.startswith(prefix)), "")
+        class_name = next((classes[prefix] for prefix in prefixes if request.path.startswith(prefix)), "")
         customer = request.request_headers.get(customer_header, "")
-        if not name or not customer or not common.HasField("start_time"):
-            left_out += 1
+        if not class_name or not customer or not common.HasField("start_time"):
+            skipped += 1
             missing = (
                 "no class matches its path"
-                if not name
+                if not class_name
                 else f"no header {customer_header}"
                 if not customer
                 else "no start time"
@@ -57,12 +57,12 @@
         rows.append(
             (
                 at,
-                Arrival(at, trace.pseudonym(key, customer), name, plan, 1.0, deadline_ms, -1),
-                _attempt(entry, at, name),
+                Arrival(at, trace.pseudonym(key, customer), class_name, plan, 1.0, deadline_ms, -1),
+                _attempt(entry, at, class_name),
             )
         )
-    if left_out:
-        out.problems.append(f"{left_out} lines left out")
+    if skipped:
+        out.problems.append(f"{skipped} lines left out")
     rows.sort(key=lambda row: row[0])
     if rows:
         out.begin, out.end = rows[0][0], rows[-1][0]
@@ -74,7 +74,7 @@
     return out
 
 
-def _attempt(entry: accesslog_pb2.HTTPAccessLogEntry, at: float, name: str) -> Attempt | None:
+def _attempt(entry: accesslog_pb2.HTTPAccessLogEntry, at: float, class_name: str) -> Attempt | None:
     common = entry.common_properties
     if not common.HasField("upstream_remote_address"):
         return None
@@ -85,7 +85,13 @@
     result = end_from_flags(flags, entry.response.response_code.value, entry.response.response_headers).result
     return (
         Attempt(
-            at + sent_at, f"{remote.address}:{remote.port_value}", name, 1.0, result.value, max(0.0, duration_ms), 0.0
+            at + sent_at,
+            f"{remote.address}:{remote.port_value}",
+            class_name,
+            1.0,
+            result.value,
+            max(0.0, duration_ms),
+            0.0,
         )
         if result is not AttemptResult.DISCARDED
         else None
--- a/anisefront/testbed/model/measures.py
+++ b/anisefront/testbed/model/measures.py
@@ -14,8 +14,8 @@
     """Metrics of one run.
 
     `service` is the value served within the latency objective over the value requested, where the value of a request
-    is its priority weight. A request that is retried after a refusal counts once. Series by second hold
-    [value served in time, value requested].
+    is the priority weight of its class times the priority multiplier of its plan and its units. A request that is
+    retried after a refusal counts once. Series by second hold [value served in time, value requested].
     """
 
     requested_value: float = 0.0
