--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -19,7 +19,7 @@
 from benchmarks.scale import child, counting
 from benchmarks.scale.files import Files, Sizes, customers_of, hollow_bytes
 from benchmarks.scale.results import ROOT
-from benchmarks.scale.tap import bound
+from benchmarks.scale.datagram_relay import bound
 
 READY_S, KNOWN_S, LOAD_S = 40.0, 60.0, 25.0
 MOST_PROCESSES, MOST_MEMORY = 100, 0.45  # under half of the memory, with what the others hold
@@ -156,7 +156,7 @@
         self.hollow = [
             self._child(
                 f"hollow-{part}",
-                "hollow",
+                "simulated_gateways",
                 {
                     "sizes": asdict(sizes),
                     "numbers": numbers,
@@ -169,7 +169,7 @@
         ]
         spare = {number: bound() for number in reals}
         self._ports = {number: link.getsockname()[1] for number, link in spare.items()}
-        self.tap = self._child("tap", "tap", {"targets": self._ports})
+        self.tap = self._child("relay", "datagram_relay", {"targets": self._ports})
         self.senders = [self._child(f"sender-{part}", "load", {}) for part in range(self._senders_many)]
         self.bare_sender = self._child("sender-bare", "load", {})
         self.bare = self._program("bare", ROOT, "-m", "benchmarks.bare_server")
--- a/benchmarks/scale/micro.py
+++ b/benchmarks/scale/micro.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.scale import apart, subsets, warming
+from benchmarks.scale import partition, subsets, warming
 from benchmarks.scale.plan import PLAN, TODAY, Size
 
 
@@ -36,6 +36,6 @@
     return {
         "subsets": subsets.measure(),
         "warming": warming.measure(),
-        "apart": apart.measure(),
+        "apart": partition.measure(),
         "files": {"today": file_sizes(TODAY), "base": file_sizes(base), "plan": file_sizes(PLAN)},
     }
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from anisefront.cluster.endpoint_file import MAX_FILE_BYTES
-from benchmarks.scale import apart, carrying, estimates, fit, results, roles, subsets
+from benchmarks.scale import estimates, fit, partition, results, roles, settings_distribution, subsets
 from benchmarks.scale.estimates import Crossing
 from benchmarks.scale.plan import (
     ADDED,
@@ -757,7 +757,7 @@
     """What would carry a change of settings."""
     files = found.micro.get("files", {}).get("plan", {})
     rows = []
-    for each in carrying.ways(files.get("settings"), files.get("one_file")):
+    for each in settings_distribution.ways(files.get("settings"), files.get("one_file")):
         rows.append(
             (
                 each.name,
@@ -776,7 +776,7 @@
             "bytes/s at a gatekeeper",
             "of its budget",
             "to all, s",
-            f"with {carrying.LOSS:.0%} lost, s",
+            f"with {settings_distribution.LOSS:.0%} lost, s",
             "with one of the machines away, s",
         ),
         rows,
@@ -791,7 +791,7 @@
     rate = PLAN.requests_per_s / PLAN.tenants
     rows = []
     for spread in (SET, PLAN.gatekeepers):
-        calm, worst = apart.steady(spread, rate, 2 * rate), apart.beyond(spread, rate, 2 * rate)
+        calm, worst = partition.steady(spread, rate, 2 * rate), partition.beyond(spread, rate, 2 * rate)
         rows.append(
             (
                 str(spread),
@@ -985,8 +985,8 @@
             OFF_BY * 100,
             SET,
             IN_FORCE.most,
-            carrying.GREET_S,
-            carrying.CHANGE_BYTES,
+            settings_distribution.GREET_S,
+            settings_distribution.CHANGE_BYTES,
             subsets.BUSY,
             subsets.RATE_SPREAD,
             longest_stop_ms(),
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/simulated_gateways.py
@@ -41,7 +41,7 @@
 from anisefront.policy.controller import Controller
 from benchmarks.scale import child, counting
 from benchmarks.scale.files import SPREAD, Sizes, customers_of, zone
-from benchmarks.scale.tap import crosses
+from benchmarks.scale.datagram_relay import crosses
 from anisefront.policy.actions import RejectionReason
 from anisefront.policy.events import AttemptResult, EndpointList
 
--- a/tests/test_capacity_figures.py
+++ b/tests/test_capacity_figures.py
@@ -15,7 +15,7 @@
 from anisefront.policy.quota_borrower import QuotaBorrower
 from anisefront.policy.quota_parameters import RESERVE_FRACTION
 from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
-from benchmarks.scale import apart, axes, carrying, estimates, fit, subsets, warming
+from benchmarks.scale import axes, estimates, fit, partition, settings_distribution, subsets, warming
 from benchmarks.scale.plan import PLAN, ZONES
 from benchmarks.scale.results import Axis, Fit, Results
 
@@ -173,7 +173,7 @@
 
 def test_module_passes_what_is_stated_of_regions_apart():
     """Beyond the quota while regions are apart, near the stated bound and under it; none before and after."""
-    found = apart.played(customers=12, whole_s=12.0, cut_s=40.0)
+    found = partition.played(customers=12, whole_s=12.0, cut_s=40.0)
     assert found["before"] == pytest.approx(1, abs=0.03)
     assert 0.6 * found["bound"] < found["beyond"] <= found["bound"]
     assert found["after"] < 1.25  # the burst that filled up meanwhile, no more
@@ -181,7 +181,7 @@
 
 def test_quota_holds_where_homes_are_far():
     """Regions that hear each other, 40 ms one way, with an aim of 300 ms: what passes is the quota."""
-    found = apart.played(away_ms=40.0, customers=9, whole_s=8.0, cut_s=1.0)
+    found = partition.played(away_ms=40.0, customers=9, whole_s=8.0, cut_s=1.0)
     assert found["before"] < 1.05
 
 
@@ -195,26 +195,26 @@
         return real(self, now, request)
 
     monkeypatch.setattr(QuotaBorrower, "reply_overdue", freely)
-    found = apart.played(customers=12, whole_s=6.0, cut_s=20.0)
+    found = partition.played(customers=12, whole_s=6.0, cut_s=20.0)
     assert found["beyond"] > found["bound"]
 
 
 @given(st.integers(1, 900), st.floats(0.1, 100), st.floats(0, 1000))
 def test_worst_is_worse_and_wide_sets_are(spread, rate, burst):
-    calm, worst = apart.steady(spread, rate, burst), apart.beyond(spread, rate, burst)
+    calm, worst = partition.steady(spread, rate, burst), partition.beyond(spread, rate, burst)
     assert calm.in_all(60) <= worst.in_all(60) + 1e-9
-    assert apart.steady(spread + 3, rate, burst).at_once >= calm.at_once
+    assert partition.steady(spread + 3, rate, burst).at_once >= calm.at_once
     dear = RESERVE_FRACTION * burst  # requests that a unit counts for at most: of small bursts each side lends more
     assert calm.each_s < rate if dear >= 3 else calm.each_s <= 2 * rate / max(1.0, dear)
-    assert apart.steady(1, rate, burst).in_all(60) == 0
+    assert partition.steady(1, rate, burst).in_all(60) == 0
 
 
 def test_home_that_is_away_serves_none_of_its_tenants_until_it_is_known():
-    found = apart.without_home(customers=45, seconds=8.0)
+    found = partition.without_home(customers=45, seconds=8.0)
     assert found["customers"] >= 3
     assert found["lost_unknown"] == 0 and found["others_unknown"] > 0.9
     assert found["lost_known"] > 0.95 and found["others_known"] > 0.95
-    wide = apart.without_home(burst=400.0, customers=45, seconds=8.0)
+    wide = partition.without_home(burst=400.0, customers=45, seconds=8.0)
     assert wide["lost_unknown"] > 0.5  # own buckets hold requests
 
 
@@ -266,31 +266,31 @@
 @given(st.integers(0, 200_000))
 def test_bytes_on_the_wire_are_those_of_whole_datagrams(data):
     parts = max(1, math.ceil(data / 1200))
-    assert carrying.on_wire(data) == data + parts * (45 + 28)
+    assert settings_distribution.on_wire(data) == data + parts * (45 + 28)
 
 
 def test_resending_ends_when_hardly_any_lacks_it():
-    sends = carrying.tries(850)
-    heard = (1 - carrying.LOSS) ** 2
+    sends = settings_distribution.tries(850)
+    heard = (1 - settings_distribution.LOSS) ** 2
     assert 850 * (1 - heard) ** sends <= 0.001 < 850 * (1 - heard) ** (sends - 1)
 
 
 def test_rounds_until_all_know_grow_as_a_logarithm():
-    counts = [carrying.rounds(members, 0.0) for members in (50, 850, 5000)]
+    counts = [settings_distribution.rounds(members, 0.0) for members in (50, 850, 5000)]
     assert counts == sorted(counts) and counts[2] < 2.5 * counts[0]
-    assert carrying.rounds(850, 0.5) > counts[1]
-    assert carrying.rounds(850, 1.0, most=5) == 5
+    assert settings_distribution.rounds(850, 0.5) > counts[1]
+    assert settings_distribution.rounds(850, 1.0, most=5) == 5
 
 
 def test_ways_that_carry_files_need_their_sizes():
-    names = [each.name for each in carrying.ways(None, None)]
+    names = [each.name for each in settings_distribution.ways(None, None)]
     assert len(names) == 3
-    all_ways = {each.name: each for each in carrying.ways(1e6, 1000.0)}
+    all_ways = {each.name: each for each in settings_distribution.ways(1e6, 1000.0)}
     assert len(all_ways) == 5
     whole = all_ways["whole settings to each, at each change"]
     straight = all_ways["a change set to each, straight from the five"]
     assert whole.each_bytes_s > 13_000 > straight.each_bytes_s
-    assert straight.sent_bytes == 170 * carrying.on_wire(carrying.CHANGE_BYTES)
+    assert straight.sent_bytes == 170 * settings_distribution.on_wire(settings_distribution.CHANGE_BYTES)
     assert straight.calm_s < straight.lossy_s < straight.dead_s < 16
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -24,7 +24,7 @@
 from benchmarks.scale.__main__ import PARTS
 from benchmarks.scale.files import SECRET, Files, Sizes, customers_of
 from benchmarks.scale.fleet import Fleet, highest_ms, rpc
-from benchmarks.scale.tap import crosses
+from benchmarks.scale.datagram_relay import crosses
 
 SMALL = Sizes(gatekeepers=22, reals=2, workers=48, routes=39, tenants=66, requests=10.0, period_ms=200.0)
 
--- a/tests/test_stand_in.py
+++ b/tests/test_stand_in.py
@@ -18,7 +18,7 @@
 from anisefront.policy.quota_borrower import Lender, QuotaBorrower
 from anisefront.policy.quota_parameters import RESERVE_FRACTION
 from anisefront.policy.settings import Plan
-from benchmarks.scale import apart
+from benchmarks.scale import partition
 
 HOME = owner_of("f")
 NEXT, LAST = (HOME + 1) % 3, (HOME + 2) % 3
@@ -140,13 +140,13 @@
 
 
 def test_parts_of_a_cut_fleet_lend_the_quota_once_more():
-    found = apart.played(**CUT)
+    found = partition.played(**CUT)
     assert 1.3 < found["during"] and found["beyond"] <= found["bound"]
 
 
 def test_a_unit_that_counts_once_everywhere_is_found(monkeypatch):
     without(monkeypatch, "dearer")
-    found = apart.played(**CUT)
+    found = partition.played(**CUT)
     assert found["beyond"] > found["bound"]
 
 
