--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""The scale run: hollow gatekeepers beside real ones, one axis at a time, with fits and predictions (`make scale`)."""
+"""Scale benchmark: real and simulated gateways, one axis at a time, with fits and predictions (`make scale`)."""
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -84,7 +84,7 @@
         measure_axis(part)
     found = results.load()
     if part == "micro":
-        found.micro = axes.alone({"micro": True}) | micro.measure()
+        found.micro = axes.measure_controllers({"micro": True}) | micro.measure()
     elif part == "change":
         found.change = change.run(earlier)
         print(
--- a/benchmarks/scale/change.py
+++ b/benchmarks/scale/change.py
@@ -59,7 +59,7 @@
         ]
         worked = fleet.state(0)["settings"].get("work_ms")  # an earlier revision may not count it
         before, after, seen = fleet.window(CHANGING_S, sizes.requests, events)
-        found = fleet.seen(before, after, seen, row["control_cpu_ms_s"])
+        found = fleet.client_measures(before, after, seen, row["control_cpu_ms_s"])
         beyond = found["cpu_ms_s"] - row["control_cpu_ms_s"] - found["requests_s"] * row["request_cpu_us"] / 1000
         values |= {
             "change_cpu_ms": beyond * (after.at - before.at) / len(times),
@@ -75,7 +75,7 @@
         most_s = FEW_S if values["change_cpu_ms"] > SLOW_MS else MANY_S
         end, count, spent = time.monotonic() + most_s, 0, cpu_ms(fleet.reals[0].pid)
         while count < MANY and time.monotonic() < end:
-            fleet.change_settings(all_of_them=False)
+            fleet.change_settings(include_simulated=False)
             count += 1
         values |= {
             "many": float(count),
--- a/benchmarks/scale/child.py
+++ b/benchmarks/scale/child.py
@@ -1,6 +1,8 @@
-"""Processes of a scale run, both ends: a line of JSON each way, waits are bounded, none outlives who began it.
+"""Child processes of a scale run, both ends of the pipe: one line of JSON per message, and every wait has a timeout.
 
-python -m benchmarks.scale.child PARENT FOLDER COMMAND...     becomes that command there, and ends with its parent
+A child never outlives its parent.
+
+python -m benchmarks.scale.child PARENT FOLDER COMMAND...     executes the command in FOLDER; is killed with its parent
 """
 
 from __future__ import annotations
@@ -21,90 +23,93 @@
 _PR_SET_PDEATHSIG = 1
 
 
-class Lost(Exception):
-    """A process of the run that ended, or did not answer in time; the text says which and what it wrote last."""
+class ChildError(Exception):
+    """Raised when a child process exits or does not answer in time; the message has its name and last output."""
+
 
+def end_with_parent(parent: int) -> None:
+    """Ask the kernel to kill this process when its parent exits.
 
-def end_with(parent: int) -> None:
-    """Be killed when the parent ends. Danger: one that is killed itself can't end us, and we would load the machine."""
+    A parent that is killed cannot terminate its children, which would go on loading the machine.
+    """
     ctypes.CDLL(None, use_errno=True).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
-    if os.getppid() != parent:  # it ended before we had said so
+    if os.getppid() != parent:  # the parent exited before prctl took effect
         sys.exit(1)
 
 
 def task() -> dict[str, Any]:
-    """What a child of `Child` was started with."""
-    given = json.loads(sys.argv[1])
-    end_with(given.pop("parent"))
-    return given
+    """Return the parameters that `Child.start_module` passed to this process."""
+    parameters = json.loads(sys.argv[1])
+    end_with_parent(parameters.pop("parent"))
+    return parameters
 
 
-def say(message: Any) -> None:
-    """A line to the parent."""
+def send_to_parent(message: Any) -> None:
+    """Write one message to the parent."""
     sys.stdout.write(json.dumps(message) + "\n")
     sys.stdout.flush()
 
 
 class Child:
-    """One process; `errors` is the file that its standard error goes to."""
+    """One child process; `errors` is the file that receives its standard error."""
 
     def __init__(self, name: str, command: Sequence[str], errors: TextIO) -> None:
-        self.name, self._errors, self._rest = name, errors, b""
-        self.began = time.monotonic()
+        self.name, self._errors, self._buffer = name, errors, b""
+        self.started_s = time.monotonic()
         self.process = subprocess.Popen(
             [sys.executable, *command], cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=errors
         )
         self.pid = self.process.pid
 
     @classmethod
-    def of(cls, name: str, module: str, given: dict[str, Any], errors: TextIO) -> Child:
-        """A module of this package as a process; it reads its task with `task`."""
-        return cls(name, ["-m", f"benchmarks.scale.{module}", json.dumps(given | {"parent": os.getpid()})], errors)
+    def start_module(cls, name: str, module: str, parameters: dict[str, Any], errors: TextIO) -> Child:
+        """Start a module of this package as a process; it reads its parameters with `task`."""
+        return cls(name, ["-m", f"benchmarks.scale.{module}", json.dumps(parameters | {"parent": os.getpid()})], errors)
 
-    def tell(self, message: Any) -> None:
-        """A line to it."""
+    def send(self, message: Any) -> None:
+        """Send one message to the process."""
         try:
             self.process.stdin.write(json.dumps(message).encode() + b"\n")
             self.process.stdin.flush()
         except OSError as problem:
-            raise self._lost("is gone") from problem
+            raise self._error("has closed its standard input") from problem
 
-    def hear(self, seconds: float) -> Any:
-        """Its next line; raises `Lost` where there is none in time."""
+    def receive(self, seconds: float) -> Any:
+        """Return its next message; raises `ChildError` if none arrives in time."""
         end = time.monotonic() + seconds
-        while b"\n" not in self._rest:
+        while b"\n" not in self._buffer:
             left = end - time.monotonic()
             if left <= 0 or not select.select([self.process.stdout], (), (), left)[0]:
-                raise self._lost(f"has not answered in {seconds:g} s")
+                raise self._error(f"did not answer within {seconds:g} s")
             data = os.read(self.process.stdout.fileno(), 1 << 20)
             if not data:
-                raise self._lost("has ended")
-            self._rest += data
-        line, _, self._rest = self._rest.partition(b"\n")
+                raise self._error("has exited")
+            self._buffer += data
+        line, _, self._buffer = self._buffer.partition(b"\n")
         return json.loads(line)
 
-    def ask(self, message: Any, seconds: float = 20.0) -> Any:
-        """A line to it, and its answer."""
-        self.tell(message)
-        return self.hear(seconds)
+    def request(self, message: Any, seconds: float = 20.0) -> Any:
+        """Send one message and return the answer."""
+        self.send(message)
+        return self.receive(seconds)
 
-    def _lost(self, what: str) -> Lost:
+    def _error(self, what: str) -> ChildError:
         self._errors.flush()
         with open(self._errors.name) as file:
-            said = file.read()[-1500:]
-        return Lost(f"{self.name} (process {self.pid}) {what}; it wrote: {said or 'nothing'}")
+            output = file.read()[-1500:]
+        return ChildError(f"{self.name} (process {self.pid}) {what}; its standard error: {output or 'empty'}")
 
 
-def ask_all(children: Iterable[Child], message: Any, seconds: float = 20.0) -> list[Any]:
-    """The same to several at once."""
+def request_all(children: Iterable[Child], message: Any, seconds: float = 20.0) -> list[Any]:
+    """Send one message to several processes, then collect their answers in order."""
     children = list(children)
     for each in children:
-        each.tell(message)
-    return [each.hear(seconds) for each in children]
+        each.send(message)
+    return [each.receive(seconds) for each in children]
 
 
-def end_all(children: Iterable[Child], seconds: float = 3.0) -> None:
-    """End them by their ids: asked first, killed where they have not gone in time. Raises nothing."""
+def terminate_all(children: Iterable[Child], seconds: float = 3.0) -> None:
+    """Terminate the processes; those still running after `seconds` are killed. Raises nothing."""
     children = list(children)
     for each in children:
         try:
@@ -123,6 +128,6 @@
 
 
 if __name__ == "__main__":
-    end_with(int(sys.argv[1]))
+    end_with_parent(int(sys.argv[1]))
     os.chdir(sys.argv[2])
     os.execv(sys.executable, [sys.executable, *sys.argv[3:]])
--- a/benchmarks/scale/micro.py
+++ b/benchmarks/scale/micro.py
@@ -22,7 +22,7 @@
         made.write_peers(dict.fromkeys(range(size.gatekeepers), 8001))
         made.write_main(0, 8001)
         return {
-            "roster": made.roster.stat().st_size,
+            "roster": made.endpoint_list.stat().st_size,
             "settings": made.settings_bytes(),
             "one_file": (made.folder / "routes/s0000.conf").stat().st_size,
         }
--- a/benchmarks/scale/services.py
+++ b/benchmarks/scale/services.py
@@ -139,7 +139,7 @@
 def reading(count: int) -> dict[str, float]:
     """The list as a file: its bytes, and what reading it takes."""
     with tempfile.TemporaryDirectory() as folder:
-        file = Files(Path(folder), Sizes(workers=count, routes=1, tenants=1), 8000).roster
+        file = Files(Path(folder), Sizes(workers=count, routes=1, tenants=1), 8000).endpoint_list
         text, took = file.read_bytes(), []
         for _ in range(3):
             began = time.perf_counter()
@@ -161,7 +161,7 @@
 
 def main() -> None:
     given = child.task()
-    child.say(micro() if "micro" in given else many(given["services"]))
+    child.send_to_parent(micro() if "micro" in given else many(given["services"]))
 
 
 def many(count: int) -> dict[str, float]:
--- a/benchmarks/scale/simulated_gateways.py
+++ b/benchmarks/scale/simulated_gateways.py
@@ -1,9 +1,9 @@
-"""Many hollow gatekeepers in one process: what a gatekeeper holds and says without clients, by the program's own code.
+"""Many simulated gateways in one process: their state and peer traffic come from the gateway's own code.
 
-Each has a socket of its own, the seal, the membership and the ledger with the decision module, as
-`daemon/gateway_instance.py` puts them together: so it has the fleet list and the settings in force, answers probes, is
-home of quotas and asks homes. No fronts, no routes, no keys: these serve clients only. Those that share sets of
-customers with real gatekeepers take requests in as the fronts would, and their attempts end well after a while.
+Each has a socket, datagram authentication, membership, and the request table with its controller, put together as in
+`daemon/gateway_instance.py`: it has the endpoint list and the settings in force, answers probes, and owns and borrows
+quotas. Frontends, routes and keys serve clients only and are left out. Gateways that share customer sets with real ones
+accept requests as a frontend would, and each attempt succeeds after a fixed time.
 """
 
 from __future__ import annotations
@@ -45,313 +45,332 @@
 from anisefront.policy.actions import RejectionReason
 from anisefront.policy.events import AttemptResult, EndpointList
 
-WORK_S = 0.02  # of an attempt
-BUFFER = 1 << 20
-_ROWS = membership_messages._HEADER.pack(membership_messages.MAGIC_BYTE, membership_messages.MessageKind.ROWS, 0, 0)
+ATTEMPT_S = 0.02
+RECEIVE_BUFFER_BYTES = 1 << 20
+_ROWS_HEADER = membership_messages._HEADER.pack(membership_messages.MAGIC_BYTE, membership_messages.MessageKind.ROWS, 0, 0)
 
 
-class Silent:
-    """A log that nobody reads."""
+class NullLog:
+    """A log that discards its events."""
 
     def info(self, *_: object, **__: object) -> None:
-        """Nothing."""
+        """Discard the event."""
 
 
-class Port(PeerPort):
-    """The peer port, with what arrives from real gatekeepers counted before the seal is looked at."""
+class CountingPort(PeerPort):
+    """A peer port that counts datagrams from real gateways before they are authenticated."""
 
-    def __init__(self, house: House, number: int, *rest: Any) -> None:
+    def __init__(self, group: GatewayGroup, number: int, *rest: Any) -> None:
         super().__init__(*rest)
-        self._house, self._number = house, number
+        self._group, self._number = group, number
 
     def datagramReceived(self, datagram: bytes, address: object) -> None:
+        """Count and pass on a datagram, unless a partition drops it."""
         sender, _ = counting.ends(datagram)
-        if crosses(self._house.cut, sender, self._number):
+        if crosses(self._group.isolated_zone, sender, self._number):
             return
-        if sender < self._house.reals:
-            self._house.tally.take(sender, "out", datagram)
+        if sender < self._group.reals:
+            self._group.tally.take(sender, "out", datagram)
         super().datagramReceived(datagram, address)
 
 
-class Attempts:
-    """Carries attempts out by letting them end well after a while."""
+class SimulatedAttempts:
+    """An attempt handler whose attempts all succeed after `ATTEMPT_S`."""
 
     def __init__(self, request_table: RequestTable) -> None:
         self._request_table = request_table
 
     def start_attempt(self, request: int, number: int, worker: str, timeout_ms: float) -> None:
-        reactor.callLater(WORK_S, self._request_table.attempt_ended, request, number, AttemptResult.OK)
+        """Schedule the end of an attempt."""
+        reactor.callLater(ATTEMPT_S, self._request_table.attempt_ended, request, number, AttemptResult.OK)
 
     def cancel_attempt(self, request: int, attempt: int) -> None:
-        """It ends by itself."""
+        """Do nothing: the attempt ends by itself."""
 
     def reject(self, request: int, retry_after_ms: float, reason: RejectionReason) -> None:
-        """Nobody waits for the answer."""
+        """Do nothing: no client waits for the response."""
 
     def fail(self, request: int) -> None:
-        """Nobody waits for the answer."""
+        """Do nothing: no client waits for the response."""
 
 
-class Hollow:
-    """One life of one hollow gatekeeper."""
+class SimulatedGateway:
+    """One process incarnation of one simulated gateway."""
 
-    def __init__(self, house: House, number: int, address: tuple[str, int]) -> None:
-        config, clock = house.config, house.clock
-        self.house, self.number, self.address, self.life = house, number, address, int(clock())
+    def __init__(self, group: GatewayGroup, number: int, address: tuple[str, int]) -> None:
+        config, clock = group.config, group.clock
+        self.group, self.number, self.address, self.process_incarnation = group, number, address, int(clock())
         settings = replace(config.settings, number=number, zone=zone(number))
-        self.seal = DatagramAuthenticator(config.secret, number, self.life)
-        self.port = Port(house, number, AuthenticatedDatagrams(self.seal, house.peers), self._hear)
+        self.authenticator = DatagramAuthenticator(config.secret, number, self.process_incarnation)
+        self.port = CountingPort(
+            group, number, AuthenticatedDatagrams(self.authenticator, group.peers), self._on_peer_message
+        )
         self.members = MembershipService(
             reactor,
             clock,
             self.port.send,
-            Silent(),
+            NullLog(),
             number,
-            self.life,
-            house.peers,
-            house.seed ^ number,
+            self.process_incarnation,
+            group.peers,
+            group.seed ^ number,
             config.members_ms,
         )
-        self.request_table = RequestTable(Controller(settings, house.seed ^ number), clock, reactor, self.port.send)
+        self.request_table = RequestTable(Controller(settings, group.seed ^ number), clock, reactor, self.port.send)
         self.members.on_unavailable = self.request_table.set_unreachable_peers
-        self.carrier, self._call = Attempts(self.request_table), None
+        self.attempts, self._client_call = SimulatedAttempts(self.request_table), None
 
     def start(self) -> None:
+        """Open the port and start the membership."""
         self.listen()
-        self.begin()
+        self.start_membership()
 
     def listen(self) -> None:
-        """Open its port and take the list in."""
+        """Open the peer port and take in the endpoint list."""
         host, port = self.address
         self.listener = reactor.listenUDP(port, self.port, interface=host, maxPacketSize=2048)
-        self.listener.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
-        self.request_table.update_endpoints(self.house.fleet)
+        self.listener.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+        self.request_table.update_endpoints(self.group.endpoint_list)
         self.request_table.batches.run_scheduled()
 
-    def begin(self) -> None:
-        """Say that it is there."""
+    def start_membership(self) -> None:
+        """Start the membership and the simulated clients."""
         self.members.start()
-        self.clients()
+        self.restart_clients()
 
-    def _hear(self, sender: int, data: bytes) -> None:
-        """As `GatewayInstance._on_peer_message`."""
+    def _on_peer_message(self, sender: int, data: bytes) -> None:
+        """Dispatch a message as `GatewayInstance._on_peer_message` does."""
         if data[:1] == MEMBERSHIP_MARK:
-            self.members.receive(sender, self.seal.peers[sender].process_incarnation, data)
+            self.members.receive(sender, self.authenticator.peers[sender].process_incarnation, data)
         elif data[:1] != REPLICATION_MARK:
             self.request_table.receive_peer_message(sender, data)
 
-    def know(self, lives: dict[int, int]) -> None:
-        """Hear of all others at once, as one that has been there for long; what all know is no news any more."""
+    def learn_members(self, incarnations: dict[int, int]) -> None:
+        """Learn all members at once, as in a settled fleet, with no updates left to disseminate."""
         rows = [
-            MemberRow(number, life, 0, MemberStatus.ALIVE) for number, life in lives.items() if number != self.number
+            MemberRow(number, incarnation, 0, MemberStatus.ALIVE)
+            for number, incarnation in incarnations.items()
+            if number != self.number
         ]
-        known = self.members.membership
+        membership = self.members.membership
         for at in range(0, len(rows), MAX_ROWS):
-            known.handle(
-                self.house.clock(),
-                [(rows[0].number, rows[0].process_incarnation, _ROWS + encode_rows(rows[at : at + MAX_ROWS]))],
+            membership.handle(
+                self.group.clock(),
+                [(rows[0].number, rows[0].process_incarnation, _ROWS_HEADER + encode_rows(rows[at : at + MAX_ROWS]))],
             )
-        known._dissemination.clear()
-        known.changes.clear()
-
-    def clients(self) -> None:
-        """Its clients begin, at the rate that is told, or end."""
-        if self._call is not None and self._call.active():
-            self._call.cancel()
-        if self.number in self.house.customers and self.house.rate > 0:
-            self._call = reactor.callLater(self.house.chance.expovariate(self.house.rate), self._next)
-
-    def _next(self) -> None:
-        """The next request of a client, open loop."""
-        house = self.house
-        self._call = reactor.callLater(house.chance.expovariate(house.rate), self._next)
-        customer = LISTED_PREFIX + house.chance.choice(house.customers[self.number])
-        settings = house.config.settings
-        kind = settings.classes[0]
+        membership._dissemination.clear()
+        membership.changes.clear()
+
+    def restart_clients(self) -> None:
+        """Start or stop the simulated clients, by the rate of the process."""
+        if self._client_call is not None and self._client_call.active():
+            self._client_call.cancel()
+        if self.number in self.group.customers and self.group.rate > 0:
+            self._client_call = reactor.callLater(self.group.rng.expovariate(self.group.rate), self._accept_next)
+
+    def _accept_next(self) -> None:
+        """Accept a request and schedule the next one, open loop."""
+        group = self.group
+        self._client_call = reactor.callLater(group.rng.expovariate(group.rate), self._accept_next)
+        customer = LISTED_PREFIX + group.rng.choice(group.customers[self.number])
+        settings = group.config.settings
+        request_class = settings.classes[0]
         self.request_table.accept(
-            self.carrier,
+            self.attempts,
             RequestTerms(
                 customer,
-                kind.name,
+                request_class.name,
                 settings.plans[0].name,
-                house.clock() + kind.deadline_ms,
+                group.clock() + request_class.deadline_ms,
                 1.0,
                 first_gateway(customer, settings.tag_key, settings.gateways),
                 min(SPREAD, settings.gateways),
             ),
         )
 
-    def end(self, leaves: bool) -> Any:
-        """Its end, said to others or not; fires when its port is free."""
+    def stop(self, leaves: bool) -> Any:
+        """Stop, with a leave message to the others or without; the result fires when the port is closed."""
         if leaves:
             self.members.leave()
         elif self.members._call is not None and self.members._call.active():
             self.members._call.cancel()
-        if self._call is not None and self._call.active():
-            self._call.cancel()
+        if self._client_call is not None and self._client_call.active():
+            self._client_call.cancel()
         self.request_table.batches.stopped = True
         return self.listener.stopListening()
 
 
-class House:
-    """All hollow gatekeepers of this process."""
+class GatewayGroup:
+    """All simulated gateways of this process, and the commands of the parent."""
 
-    def __init__(self, given: dict[str, Any]) -> None:
-        self.sizes = Sizes(**given["sizes"])
-        self.numbers, self.roster, self.settings = given["numbers"], given["roster"], given["settings"]
-        self.reals, self.seed, self.clock = self.sizes.reals, given["seed"], Clock()
-        self.chance = random.Random(self.seed ^ self.numbers[0])
+    def __init__(self, parameters: dict[str, Any]) -> None:
+        self.sizes = Sizes(**parameters["sizes"])
+        self.numbers, self.endpoint_file, self.settings = (
+            parameters["numbers"],
+            parameters["roster"],
+            parameters["settings"],
+        )
+        self.reals, self.seed, self.clock = self.sizes.reals, parameters["seed"], Clock()
+        self.rng = random.Random(self.seed ^ self.numbers[0])
         self.config: Config = checked(self.settings).config
         self.version, self.digest = 1, self._digest()
-        self.fleet: EndpointList | None = None
+        self.endpoint_list: EndpointList | None = None
         self.peers: dict[int, Address] = {}
-        self.hollow: dict[int, Hollow] = {}
-        self.tally, self.cut, self.rate = counting.Tally(), None, 0.0
-        near = set(self.sizes.busy) & set(self.numbers)
-        self.customers = customers_of(self.config.settings, self.sizes.tenants, near) if near else {}
-        self._mark: tuple[int, ...] = ()
-        self.pulse = EventLoopMonitor(reactor, self.clock, lambda late_ms, cause: None)
-        self._spare = {number: self._bound() for number in self.numbers}
-        self._ports = {number: link.getsockname()[1] for number, link in self._spare.items()}
+        self.gateways: dict[int, SimulatedGateway] = {}
+        self.tally, self.isolated_zone, self.rate = counting.Tally(), None, 0.0
+        with_clients = set(self.sizes.neighbours) & set(self.numbers)
+        self.customers = customers_of(self.config.settings, self.sizes.tenants, with_clients) if with_clients else {}
+        self._file_signature: tuple[int, ...] = ()
+        self.loop_monitor = EventLoopMonitor(reactor, self.clock, lambda late_ms, cause: None)
+        self._reserved_sockets = {number: self._bind_socket() for number in self.numbers}
+        self.ports = {number: link.getsockname()[1] for number, link in self._reserved_sockets.items()}
 
     @staticmethod
-    def _bound() -> socket.socket:
+    def _bind_socket() -> socket.socket:
         link = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         link.bind(("127.0.0.1", 0))
         return link
 
     def _digest(self) -> str:
-        """Of the settings in force: what the module has, and the routes."""
+        """Return the digest of the settings in force: those of the controller, and the routes."""
         config = self.config
         return hashlib.sha256(repr((config.settings, config.routes)).encode()).hexdigest()[:16]
 
-    # ---- commands, each with one answer --------------------------------------------------------
+    # ---- commands: `Commands` finds them by name, each returns one answer ------------------------
 
-    def lives(self, told: dict[str, Any]) -> dict[str, Any]:
-        """Make all, with the list in hand; their lives. None says anything yet."""
-        self.peers = {int(number): Address("127.0.0.1", port) for number, port in told["ports"].items()}
-        self._look()
-        self.hollow = {number: Hollow(self, number, ("127.0.0.1", self._ports[number])) for number in self.numbers}
-        for number, each in self.hollow.items():
-            self._spare.pop(number).close()
+    def lives(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Create all gateways and load the endpoint list; return their incarnations. None sends anything yet."""
+        self.peers = {int(number): Address("127.0.0.1", port) for number, port in command["ports"].items()}
+        self._reload_endpoint_list()
+        self.gateways = {
+            number: SimulatedGateway(self, number, ("127.0.0.1", self.ports[number])) for number in self.numbers
+        }
+        for number, each in self.gateways.items():
+            self._reserved_sockets.pop(number).close()
             each.listen()
-        return {"lives": {number: each.life for number, each in self.hollow.items()}}
-
-    def know(self, told: dict[str, Any]) -> dict[str, Any]:
-        """`lives`: all that have been there for long; empty: they find each other. All that takes long is over then."""
-        lives = {int(number): life for number, life in told["lives"].items()}
-        for each in self.hollow.values() if lives else ():
-            each.know(lives)
-        # Danger: a full collection over all that hundreds hold takes seconds, in which none of them answers. What they
-        # let go of goes by its counts of references.
+        return {"lives": {number: each.process_incarnation for number, each in self.gateways.items()}}
+
+    def know(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Give all gateways the membership in `lives`; if it is empty, they discover each other after the start."""
+        incarnations = {int(number): incarnation for number, incarnation in command["lives"].items()}
+        for each in self.gateways.values() if incarnations else ():
+            each.learn_members(incarnations)
+        # A full garbage collection over the objects of hundreds of gateways takes seconds, during which none of them
+        # answers a probe. Reference counting frees what they release.
         gc.collect()
         gc.freeze()
         gc.disable()
-        return {"ready": len(self.hollow)}
-
-    def start(self, told: dict[str, Any]) -> dict[str, Any]:
-        """All begin to say that they are there."""
-        for each in self.hollow.values():
-            each.begin()
-        task.LoopingCall(self._look).start(CHECK_INTERVAL_S)
-        self.pulse.start()
-        return {"up": len(self.hollow)}
-
-    def counts(self, told: dict[str, Any]) -> dict[str, Any]:
+        return {"ready": len(self.gateways)}
+
+    def start(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Start the membership of all gateways and the watch of the endpoint list."""
+        for each in self.gateways.values():
+            each.start_membership()
+        task.LoopingCall(self._reload_endpoint_list).start(CHECK_INTERVAL_S)
+        self.loop_monitor.start()
+        return {"up": len(self.gateways)}
+
+    def counts(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Return the datagram counts."""
         return {"counts": self.tally.plain()}
 
-    def set(self, told: dict[str, Any]) -> dict[str, Any]:
-        """The rate of those that have clients; a zone that is cut off."""
-        self.rate, self.cut = told.get("rate", self.rate), told.get("cut", self.cut)
-        for each in self.hollow.values() if "rate" in told else ():
-            each.clients()
+    def set(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Set the rate of the simulated clients, or the zone that is partitioned."""
+        self.rate, self.isolated_zone = command.get("rate", self.rate), command.get("cut", self.isolated_zone)
+        for each in self.gateways.values() if "rate" in command else ():
+            each.restart_clients()
         return {"counts": self.tally.plain()}
 
-    def heal(self, told: dict[str, Any]) -> dict[str, Any]:
-        self.cut = None
+    def heal(self, command: dict[str, Any]) -> dict[str, Any]:
+        """End the partition."""
+        self.isolated_zone = None
         return {"counts": self.tally.plain()}
 
-    def reload(self, told: dict[str, Any]) -> dict[str, Any]:
-        """Read the settings again; all take them or none."""
+    def reload(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Read the settings again; either all gateways apply them or none."""
         config = checked(self.settings).config
         if config is None:
-            return {"fault": "not taken"}
+            return {"fault": "settings rejected"}
         self.config, self.version = config, self.version + 1
         self.digest = self._digest()
-        for number, each in self.hollow.items():
+        for number, each in self.gateways.items():
             each.request_table.change_settings(replace(config.settings, number=number, zone=zone(number)))
         return {"version": self.version}
 
-    def restart(self, told: dict[str, Any]) -> dict[str, Any]:
-        """Some end and come again in new lives."""
-        here = [number for number in told["numbers"] if number in self.hollow]
-        for number in here:
-            self.hollow[number].end(told["leaves"]).addCallback(self._again, number)
-        return {"restarted": here}
-
-    def _again(self, _: object, number: int) -> None:
-        self.hollow[number] = Hollow(self, number, self.hollow[number].address)
-        self.hollow[number].start()
-
-    def known(self, told: dict[str, Any]) -> dict[str, Any]:
-        """Who knows of whom, and what is in force, over all here."""
-        alive = Counter(len(each.members.membership.alive()) for each in self.hollow.values())
-        held = Counter(
+    def restart(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Stop some gateways and start them again as new incarnations."""
+        restarted = [number for number in command["numbers"] if number in self.gateways]
+        for number in restarted:
+            self.gateways[number].stop(command["leaves"]).addCallback(self._start_incarnation, number)
+        return {"restarted": restarted}
+
+    def _start_incarnation(self, _: object, number: int) -> None:
+        self.gateways[number] = SimulatedGateway(self, number, self.gateways[number].address)
+        self.gateways[number].start()
+
+    def known(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Report the membership, endpoints and settings of all gateways of this process."""
+        alive = Counter(len(each.members.membership.alive()) for each in self.gateways.values())
+        ready_workers = Counter(
             sum(state.value == "ready" for state in each.request_table.endpoint_statuses.values())
-            for each in self.hollow.values()
+            for each in self.gateways.values()
         )
         with open(f"/proc/{os.getpid()}/statm") as file:
             resident = int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
         return {
             "alive": alive,
-            "workers": held,
+            "workers": ready_workers,
             "version": self.version,
             "digest": self.digest,
             "rss_mb": resident / 1e6,
-            "late": self.pulse.lag.report(),
-            "accepted": sum(each.request_table.counts["accepted"] for each in self.hollow.values()),
-            "served": sum(each.request_table.counts["served"] for each in self.hollow.values()),
-            "out": sum(each.members.membership.counts["out"] for each in self.hollow.values()),
+            "late": self.loop_monitor.lag.report(),
+            "accepted": sum(each.request_table.counts["accepted"] for each in self.gateways.values()),
+            "served": sum(each.request_table.counts["served"] for each in self.gateways.values()),
+            "out": sum(each.members.membership.counts["out"] for each in self.gateways.values()),
         }
 
-    # ---- the list ------------------------------------------------------------------------------
+    # ---- endpoint list ---------------------------------------------------------------------------
 
-    def _look(self) -> None:
-        """Read the list where it has changed: once for all here."""
-        found = os.stat(self.roster)
-        mark = (found.st_mtime_ns, found.st_size, found.st_ino)
-        if mark == self._mark:
+    def _reload_endpoint_list(self) -> None:
+        """Read the endpoint list if its file has changed, once for all gateways of this process."""
+        status = os.stat(self.endpoint_file)
+        signature = (status.st_mtime_ns, status.st_size, status.st_ino)
+        if signature == self._file_signature:
             return
-        self._mark = mark
-        with open(self.roster, "rb") as file:
-            self.fleet = endpoint_file.parse(file.read())
-        # Danger: a whole list at all of them in one turn of the loop is seconds, in which none answers a probe.
-        for each in self.hollow.values():
-            reactor.callLater(0, each.request_table.update_endpoints, self.fleet)
+        self._file_signature = signature
+        with open(self.endpoint_file, "rb") as file:
+            self.endpoint_list = endpoint_file.parse(file.read())
+        # Updating all gateways in one turn of the event loop would take seconds, in which none answers a probe.
+        for each in self.gateways.values():
+            reactor.callLater(0, each.request_table.update_endpoints, self.endpoint_list)
 
 
 class Commands(LineOnlyReceiver):
-    """Lines of the supervisor; when it is gone, so are we."""
+    """Commands of the parent process; the end of the pipe stops this process."""
 
-    delimiter, MAX_LENGTH = b"\n", 1 << 22
+    delimiter = b"\n"
+    MAX_LENGTH = 1 << 22
 
-    def __init__(self, house: House) -> None:
-        self._house = house
+    def __init__(self, group: GatewayGroup) -> None:
+        self._group = group
 
     def lineReceived(self, line: bytes) -> None:
-        told = json.loads(line)
-        do: Callable[[dict[str, Any]], dict[str, Any]] = getattr(self._house, told["do"])
-        self.transport.write(json.dumps(do(told)).encode() + b"\n")
+        """Execute one command and answer it."""
+        command = json.loads(line)
+        method: Callable[[dict[str, Any]], dict[str, Any]] = getattr(self._group, command["do"])
+        self.transport.write(json.dumps(method(command)).encode() + b"\n")
 
     def connectionLost(self, reason: Any = None) -> None:
+        """Stop the reactor."""
         if reactor.running:
             reactor.stop()
 
 
 def main() -> None:
-    house = House(child.task())
-    child.say({"ports": house._ports})
-    stdio.StandardIO(Commands(house), reactor=reactor)
+    """Bind the sockets, report their ports, and execute commands until the parent closes the pipe."""
+    group = GatewayGroup(child.task())
+    child.send_to_parent({"ports": group.ports})
+    stdio.StandardIO(Commands(group), reactor=reactor)
     reactor.run()
 
 
--- a/benchmarks/scale/whole.py
+++ b/benchmarks/scale/whole.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict
 from typing import Any
 
-from benchmarks.scale.child import Lost
+from benchmarks.scale.child import ChildError
 from benchmarks.scale.files import ZONES, Sizes
 from benchmarks.scale.fleet import Fleet, cpu_ms, knows_all
 from benchmarks.scale.results import strained
@@ -27,9 +27,9 @@
         }
         try:
             values["settle_s"] = fleet.settle()
-        except Lost as problem:  # a machine too busy for all of them: said, and the rest is measured all the same
+        except ChildError as problem:  # a machine too busy for all of them: said, and the rest is measured all the same
             values |= {"settle_s": None, "not_settled": str(problem)[:300]}
-            fleet.clients(sizes.requests)
+            fleet.set_client_rate(sizes.requests)
         time.sleep(2.0)
         before, after, _ = fleet.window(QUIET_S)
         took = after.at - before.at
@@ -41,33 +41,33 @@
             (CHANGE_S * (place + 0.5), lambda: changed.append(fleet.change_settings()[0]))
             for place in range(int(seconds / CHANGE_S))
         ]
-        calm = [number for number in range(sizes.reals, sizes.gatekeepers) if number not in sizes.busy]
+        calm = [number for number in range(sizes.reals, sizes.gatekeepers) if number not in sizes.neighbours]
         restarted = calm[:: max(1, len(calm) // max(1, round(RESTARTED * (sizes.gatekeepers - sizes.reals))))]
         gap = (RESTARTS[1] - RESTARTS[0]) * seconds / len(restarted)
         events += [
-            (RESTARTS[0] * seconds + gap * place, lambda number=number: fleet.restart_hollow([number]))
+            (RESTARTS[0] * seconds + gap * place, lambda number=number: fleet.restart_simulated([number]))
             for place, number in enumerate(restarted)
         ]
 
         def cut() -> None:
             notes["not_alive_before_cut"] = _not_alive(fleet)
-            fleet.cut(ZONE)
+            fleet.isolate_zone(ZONE)
 
         def heal() -> None:
             notes["not_alive_at_the_end_of_cut"] = _not_alive(fleet)
-            fleet.cut(None)
+            fleet.isolate_zone(None)
             notes["healed"] = time.monotonic()
 
         events += [(CUT[0] * seconds, cut), (CUT[1] * seconds, heal)]
         spent = {each.name: cpu_ms(each.pid) for each in fleet.children}
         before, after, seen = fleet.window(seconds, sizes.requests, events)
-        values |= fleet.rates(before, after) | fleet.seen(before, after, seen, quiet)
+        values |= fleet.rates(before, after) | fleet.client_measures(before, after, seen, quiet)
         values |= {
             "control_cpu_ms_s": quiet,
             "in_force_s": max(changed, default=0.0),
             "changes": len(changed),
             "settings_bytes_s": len(changed) * fleet.files.settings_bytes() / (after.at - before.at),
-            "list_bytes": fleet.files.roster.stat().st_size,
+            "list_bytes": fleet.files.endpoint_list.stat().st_size,
             "restarted": len(restarted),
             "cut_members": sum(number % ZONES == ZONE for number in range(sizes.gatekeepers)),
             "cut_s": (CUT[1] - CUT[0]) * seconds,
@@ -75,9 +75,9 @@
         }
         end = time.monotonic()
         try:
-            back = fleet.until(lambda state: knows_all(state, sizes.gatekeepers), BACK_S, 0.2)
+            back = fleet.wait_until(lambda state: knows_all(state, sizes.gatekeepers), BACK_S, 0.2)
             notes["all_alive_again_s"] = max(back, end) - notes.pop("healed")
-        except Lost as problem:  # a figure that did not come is said, and the rest is kept
+        except ChildError as problem:  # a figure that did not come is said, and the rest is kept
             notes["all_alive_again_s"] = None
             notes["not_so"] = str(problem)[:300]
         notes.pop("healed", None)
--- a/benchmarks/scale/workers.py
+++ b/benchmarks/scale/workers.py
@@ -1,4 +1,4 @@
-"""Hollow workers: a listening socket for each, one process for all; a request gets a short answer at once."""
+"""Simulated workers: one listening socket each, all in one process; a request gets a short answer at once."""
 
 from __future__ import annotations
 
@@ -10,27 +10,28 @@
 from benchmarks.scale import child
 from benchmarks.scale.files import worker
 
-ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: close\r\n\r\n{}"
-MOST = 12_000
+RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: close\r\n\r\n{}"
+MAX_WORKERS = 12_000
 
 
 def main() -> None:
+    """Serve requests on every listener until the parent closes the pipe."""
     count = child.task()["workers"]
-    if count > MOST:
-        raise SystemExit(f"{count} workers, at most {MOST}")
+    if count > MAX_WORKERS:
+        raise SystemExit(f"{count} workers requested, the limit is {MAX_WORKERS}")
     selector, listeners, port = selectors.DefaultSelector(), [], 0
     for number in range(count):
         address = worker(number, port).rpartition(":")[0]
         link = socket.socket()
         link.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        link.bind((address, port))  # the first takes a free port, all others the same on their own addresses
+        link.bind((address, port))  # the first takes a free port; the others use the same port on their own addresses
         port = link.getsockname()[1]
         link.listen(64)
         link.setblocking(False)
         listeners.append(link)
         selector.register(link, selectors.EVENT_READ, "listener")
     selector.register(sys.stdin, selectors.EVENT_READ, "commands")
-    child.say({"port": port})
+    child.send_to_parent({"port": port})
     served = 0
     while True:
         for key, _ in selector.select(1.0):
@@ -38,18 +39,18 @@
             if key.data == "commands":
                 if not sys.stdin.readline():
                     return
-                child.say(json.loads(f'{{"served": {served}}}'))
+                child.send_to_parent(json.loads(f'{{"served": {served}}}'))
             elif key.data == "listener":
                 try:
-                    made, _ = link.accept()
+                    connection, _ = link.accept()
                 except OSError:
                     continue
-                made.setblocking(False)
-                selector.register(made, selectors.EVENT_READ, "connection")
+                connection.setblocking(False)
+                selector.register(connection, selectors.EVENT_READ, "connection")
             else:
                 try:
                     if b"\r\n\r\n" in link.recv(4096):
-                        link.send(ANSWER)
+                        link.send(RESPONSE)
                         served += 1
                 except OSError:
                     pass
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -102,7 +102,7 @@
         assert len(steps) >= 3 and all(1.99 < step < 2.02 for step in steps), name
         assert axis.sizes[-1] == ends.get(name, axis.sizes[-1])
     assert set(PARTS) == {*axes.AXES, "micro", "change", "whole"}
-    assert all(len(axes.at_a_minute(size)) == size * axes.WINDOW_S / 60 for size in axes.AXES["settings"].sizes)
+    assert all(len(axes.times_at_rate(size)) == size * axes.WINDOW_S / 60 for size in axes.AXES["settings"].sizes)
 
 
 def test_datagrams_are_told_by_purpose_as_the_program_writes_them():
@@ -167,7 +167,7 @@
 def test_a_small_fleet_knows_itself_says_no_more_than_it_should_and_leaves_nothing_behind():
     with Fleet(SMALL, processes=1, senders=1, settled=False) as fleet:
         pids, folder = [each.pid for each in fleet.children], fleet.folder
-        ports = [int(each["jsonrpc"].rpartition(":")[2]) for each in fleet.where.values()]
+        ports = [int(each["jsonrpc"].rpartition(":")[2]) for each in fleet.addresses.values()]
         fleet.settle()
         until(lambda: all(list(each["alive"]) == ["22"] for each in fleet.known()))
         assert sum(sum(each["alive"].values()) for each in fleet.known()) == 20
@@ -199,12 +199,14 @@
             assert 0 < more("out", "quotas") <= 3 * own + 8 * came
         # A change of settings: the same in force at all.
         call = {"method": "GET", "path": "/s0000/changed-1", "headers": {"x-api-key": "k-00001"}}
-        assert {rpc(each["jsonrpc"], "call", call)["error"]["code"] for each in fleet.where.values()} == {UNROUTABLE}
+        assert {rpc(each["jsonrpc"], "call", call)["error"]["code"] for each in fleet.addresses.values()} == {
+            UNROUTABLE
+        }
         _, path = fleet.change_settings()
         assert path == "/s0000/changed-1"
         digest = {each["digest"] for each in fleet.known()}
         assert len(digest) == 1 and all(each["version"] == 2 for each in fleet.known())
-        for number, where in fleet.where.items():
+        for number, where in fleet.addresses.items():
             answer = rpc(where["jsonrpc"], "call", call)
             assert answer["result"]["status"] == 200, answer
             assert fleet.state(number)["settings"]["fault"] == ""
@@ -214,11 +216,11 @@
         # A change of the list, members that restart, a zone that is cut off and healed.
         fleet.change_list(1)
         until(lambda: all(list(each["workers"]) == ["47"] for each in fleet.known()))
-        fleet.restart_hollow([5, 9], leaves=True)
+        fleet.restart_simulated([5, 9], leaves=True)
         until(lambda: all(list(each["alive"]) == ["22"] for each in fleet.known()))
-        fleet.cut(4)
+        fleet.isolate_zone(4)
         until(lambda: all(state["members"].get("out", 0) == 3 for state in fleet.states().values()), 40.0)
-        fleet.cut(None)
+        fleet.isolate_zone(None)
         until(lambda: all(state["members"].get("alive", 0) == 22 for state in fleet.states().values()), 40.0)
     assert all(map(gone, pids)) and not folder.exists()
     for port in ports:
@@ -237,7 +239,7 @@
         return file
 
     monkeypatch.setattr(Files, "write_main", wrong)
-    with pytest.raises(child.Lost, match="nonsense"), Fleet(SMALL, processes=1, senders=1):
+    with pytest.raises(child.ChildError, match="nonsense"), Fleet(SMALL, processes=1, senders=1):
         pytest.fail("it has started")
     assert len(began) >= 4 and all(map(gone, began))
 
@@ -245,7 +247,7 @@
 def test_what_does_not_fit_the_machine_is_not_begun():
     with pytest.raises(ValueError, match="processes"):
         Fleet(SMALL, processes=95)
-    with pytest.raises(ValueError, match="GB for hollow"):
+    with pytest.raises(ValueError, match="GB for simulated"):
         Fleet(Sizes(gatekeepers=65_000, workers=12_000), processes=1)
 
 
@@ -257,9 +259,9 @@
 log = open({str(tmp_path / "log")!r}, "w")
 stay = "import time; print(1, flush=True); time.sleep(90)"
 deaf = ["-m", "benchmarks.scale.child", str(os.getpid()), ".", "-c", stay]
-made = [Child.of("workers", "workers", {{"workers": 3}}, log), Child("deaf", deaf, log)]
+made = [Child.start_module("workers", "workers", {{"workers": 3}}, log), Child("deaf", deaf, log)]
 for each in made:
-    each.hear(20)
+    each.receive(20)
 print(*[each.pid for each in made], flush=True)
 time.sleep(60)
 """
