--- a/benchmarks/scale/datagram_relay.py
+++ b/benchmarks/scale/datagram_relay.py
@@ -51,9 +51,9 @@
             sender, _ = counting.ends(datagram)
             if crosses(isolated_zone, sender, receiver):
                 continue
-            tally.take(receiver, "in", datagram)
+            tally.count(receiver, "in", datagram)
             if sender in targets:
-                tally.take(sender, "out", datagram)
+                tally.count(sender, "out", datagram)
             try:
                 outgoing.sendto(datagram, ("127.0.0.1", targets[receiver]))
             except OSError:
--- a/benchmarks/scale/files.py
+++ b/benchmarks/scale/files.py
@@ -1,6 +1,6 @@
 """Numbers, zones and customers of a fleet of a given size, and the files that its gateways read.
 
-The real gateways have the numbers 0, 1, ..; so only the few with neighbouring numbers share customer sets with them, and
+The real gateways have the numbers 0, 1, ..; only the few with neighbouring numbers share customer sets with them, and
 only these need simulated clients for the cost of quotas to be realistic.
 """
 
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -757,7 +757,7 @@
     """What would carry a change of settings."""
     files = found.micro.get("files", {}).get("plan", {})
     rows = []
-    for each in settings_distribution.ways(files.get("settings"), files.get("one_file")):
+    for each in settings_distribution.methods(files.get("settings"), files.get("one_file")):
         rows.append(
             (
                 each.name,
@@ -791,16 +791,16 @@
     rate = PLAN.requests_per_s / PLAN.tenants
     rows = []
     for spread in (SET, PLAN.gatekeepers):
-        calm, worst = partition.steady(spread, rate, 2 * rate), partition.beyond(spread, rate, 2 * rate)
+        calm, worst = partition.steady(spread, rate, 2 * rate), partition.worst_case(spread, rate, 2 * rate)
         rows.append(
             (
                 str(spread),
                 short(calm.at_once),
                 short(calm.each_s),
-                short(calm.in_all(APART_S)),
-                f"{calm.in_all(APART_S) / rate / APART_S:.2f}",
-                short(worst.in_all(APART_S)),
-                f"{worst.in_all(APART_S) / rate / APART_S:.2f}",
+                short(calm.total(APART_S)),
+                f"{calm.total(APART_S) / rate / APART_S:.2f}",
+                short(worst.total(APART_S)),
+                f"{worst.total(APART_S) / rate / APART_S:.2f}",
             )
         )
     return table(
@@ -985,7 +985,7 @@
             OFF_BY * 100,
             SET,
             IN_FORCE.most,
-            settings_distribution.GREET_S,
+            settings_distribution.HEARTBEAT_S,
             settings_distribution.CHANGE_BYTES,
             subsets.BUSY,
             subsets.RATE_SPREAD,
--- a/benchmarks/scale/settings_distribution.py
+++ b/benchmarks/scale/settings_distribution.py
@@ -1,5 +1,8 @@
-"""What would carry a change of settings from the machines of control to all gatekeepers, with its cost: arithmetic from
-the plan and from what is there (sealed datagrams, membership's rounds). Nothing of it is built. Free of I/O."""
+"""Methods to distribute a settings change from the control machines to all gateways, with their costs.
+
+The costs are calculated from the plan and from existing mechanisms (authenticated datagrams, membership periods). None
+of the methods is implemented. Free of I/O.
+"""
 
 from __future__ import annotations
 
@@ -11,62 +14,68 @@
 from benchmarks.scale.plan import CONTROL_MACHINES, DAY_S, PLAN
 
 SEED = 37
-SEAL_BYTES = datagrams._HEADER.size + datagrams._MAC_BYTES
-UDP_BYTES = 28  # IPv4 and UDP
-CHANGE_BYTES = 8 + 8 + 32 + 32 + 128  # taken: two versions, two digests, one line of settings with its place
-GREETING_BYTES = 8 + 32  # a version and its digest
-GREET_S, RESEND_S, GREETINGS_MISSED = 2.0, 0.5, 2  # taken: how often a gatekeeper says its version; and so on
-ROUND_TRIP_S, LOSS = 0.1, 0.01  # taken: between regions; of datagrams, each way
-TREE = 13  # who tells so many, which tell so many: two steps reach 170
+AUTHENTICATION_BYTES = datagrams._HEADER.size + datagrams._MAC_BYTES
+UDP_BYTES = 28  # IPv4 and UDP headers
+CHANGE_BYTES = 8 + 8 + 32 + 32 + 128  # assumed: two versions, two digests, one line of settings with its position
+HEARTBEAT_BYTES = 8 + 32  # a version and its digest
+HEARTBEAT_S = 2.0  # assumed, as are the next four: interval in which a gateway reports its version
+RESEND_S = 0.5
+MISSED_HEARTBEATS = 2
+ROUND_TRIP_S = 0.1  # between regions
+LOSS = 0.01  # of datagrams, each way
+FAN_OUT = 13  # of each node of a tree: two levels reach 170
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """Bytes with seal and UDP; seconds from the moment in which a machine of control has the checked change."""
+class Method:
+    """Cost of one method; bytes include authentication and UDP.
+
+    Seconds count from the moment in which a control machine has the checked change.
+    """
 
     name: str
-    sent_bytes: float  # by a machine of control, a change
-    each_bytes_s: float  # at a gatekeeper, both ways, over a day
+    sent_bytes: float  # by a control machine, for each change
+    each_bytes_s: float  # at a gateway, both ways, as the mean of a day
     calm_s: float
     lossy_s: float  # with LOSS
-    dead_s: float  # one of the machines of control is away
+    dead_s: float  # with one control machine unreachable
 
 
 def on_wire(data: float) -> float:
-    """Bytes on the wire of so many, cut into datagrams that no network has to cut."""
+    """Return the bytes on the wire of a message, split into datagrams that are not fragmented."""
     parts = max(1, math.ceil(data / replication_codec.MAX_ENTRIES_BYTES))
-    return data + parts * (SEAL_BYTES + UDP_BYTES)
+    return data + parts * (AUTHENTICATION_BYTES + UDP_BYTES)
 
 
 def tries(receivers: float, left: float = 0.001) -> int:
-    """Sends until fewer than `left` of the receivers are expected to lack it, where either way may be lost."""
+    """Return the sends until at most `left` receivers are expected to lack a message; either way may be lost."""
     return math.ceil(math.log(left / receivers) / math.log(1 - (1 - LOSS) ** 2))
 
 
-def rounds(members: int, loss: float, seed: int = SEED, most: int = 200) -> int:
-    """Periods until all know what one of them knew, told on pings and answers that go anyway."""
-    rng, knows = random.Random(seed), {0}
-    for turn in range(1, most + 1):
-        now = set(knows)
+def rounds(members: int, loss: float, seed: int = SEED, max_rounds: int = 200) -> int:
+    """Return the periods until an update of one member has reached all on existing pings and acknowledgements."""
+    rng, informed = random.Random(seed), {0}
+    for turn in range(1, max_rounds + 1):
+        updated = set(informed)
         for member in range(members):
             other = rng.randrange(members)
             if rng.random() < loss:
                 continue
-            if member in knows:
-                now.add(other)
-            if other in knows and rng.random() >= loss:
-                now.add(member)
-        knows = now
-        if len(knows) == members:
+            if member in informed:
+                updated.add(other)
+            if other in informed and rng.random() >= loss:
+                updated.add(member)
+        informed = updated
+        if len(informed) == members:
             return turn
-    return most
+    return max_rounds
 
 
-def ways(settings_bytes: float | None, file_bytes: float | None) -> list[Way]:
-    """The ways weighed; those that carry files are left out where their sizes were not measured."""
+def methods(settings_bytes: float | None, file_bytes: float | None) -> list[Method]:
+    """Return the methods with their costs, without those that send files whose sizes were not measured."""
     each, day = PLAN.gatekeepers / CONTROL_MACHINES, PLAN.changes_a_day / DAY_S
-    greet = 2 * on_wire(GREETING_BYTES) / GREET_S
-    lost = GREETINGS_MISSED * GREET_S
+    heartbeat_bytes_s = 2 * on_wire(HEARTBEAT_BYTES) / HEARTBEAT_S
+    detection_s = MISSED_HEARTBEATS * HEARTBEAT_S
     calm = ROUND_TRIP_S / 2
     lossy = (tries(PLAN.gatekeepers) - 1) * RESEND_S + calm
     out = []
@@ -77,25 +86,32 @@
     ):
         if data is not None:
             parts = max(1, math.ceil(data / replication_codec.MAX_ENTRIES_BYTES))
-            late = (tries(PLAN.gatekeepers * parts) - 1) * RESEND_S + calm
+            lossy_parts_s = (tries(PLAN.gatekeepers * parts) - 1) * RESEND_S + calm
             out.append(
-                Way(name, each * on_wire(data), day * (on_wire(data) + on_wire(0)) + greet, calm, late, lost + calm)
+                Method(
+                    name,
+                    each * on_wire(data),
+                    day * (on_wire(data) + on_wire(0)) + heartbeat_bytes_s,
+                    calm,
+                    lossy_parts_s,
+                    detection_s + calm,
+                )
             )
-    told = on_wire(CHANGE_BYTES)
+    change_bytes = on_wire(CHANGE_BYTES)
     out.append(
-        Way(
-            f"a change set by a tree of {TREE} and {TREE}",
-            TREE * told,
-            day * (told + on_wire(0)) * 2 + greet,
+        Method(
+            f"a change set by a tree of {FAN_OUT} and {FAN_OUT}",
+            FAN_OUT * change_bytes,
+            day * (change_bytes + on_wire(0)) * 2 + heartbeat_bytes_s,
             2 * calm,
             2 * lossy,
-            lost + 2 * calm,
+            detection_s + 2 * calm,
         )
     )
     times = dissemination.RETRANSMIT_MULTIPLIER * math.ceil(math.log2(PLAN.gatekeepers + 1))
     calm_s, lossy_s = float(rounds(PLAN.gatekeepers, 0.0)), float(rounds(PLAN.gatekeepers, LOSS))
     out.append(
-        Way(
+        Method(
             "a change set on membership's pings, each told on by all",
             CHANGE_BYTES,
             day * 2 * times * CHANGE_BYTES,
--- a/benchmarks/scale/simulated_gateways.py
+++ b/benchmarks/scale/simulated_gateways.py
@@ -70,7 +70,7 @@
         if crosses(self._group.isolated_zone, sender, self._number):
             return
         if sender < self._group.reals:
-            self._group.tally.take(sender, "out", datagram)
+            self._group.tally.count(sender, "out", datagram)
         super().datagramReceived(datagram, address)
 
 
--- a/benchmarks/scale/warming.py
+++ b/benchmarks/scale/warming.py
@@ -1,6 +1,7 @@
-"""What a controller's list of workers costs it: at rest, while one warms up, when one changes; the module alone.
+"""Cost of a controller's endpoint list: at rest, while a worker warms up, and when one changes.
 
-CPU is this process's, over simulated time; bytes are what Python holds (`tracemalloc`), the interpreter left out."""
+CPU is that of this process per simulated second; bytes are those allocated in Python (`tracemalloc`).
+"""
 
 from __future__ import annotations
 
@@ -15,11 +16,11 @@
 from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
 
 START_MS = 1_000_000.0
-SIZES = (688, 1_375, 2_750, 5_500, 11_000)  # workers of one controller; the last is the plan's
+SIZES = (688, 1_375, 2_750, 5_500, 11_000)  # workers of one controller, up to the plan's
 
 
 def settings() -> Settings:
-    """Two classes and two plans, in a fleet of the planned size."""
+    """Return settings with two classes and two plans, for a fleet of the planned size."""
     return Settings(
         gateways=PLAN.gatekeepers,
         number=0,
@@ -39,33 +40,33 @@
     )
 
 
-def server(number: int, state: EndpointStatus = EndpointStatus.READY, started_ms: float = 0.0) -> Endpoint:
-    """One line of the list; lines go through the zones in turn."""
+def endpoint(number: int, state: EndpointStatus = EndpointStatus.READY, started_ms: float = 0.0) -> Endpoint:
+    """Return one endpoint; numbers go through the zones in turn."""
     return Endpoint(
         f"10.{number >> 8}.{number & 255}.1:80", f"z{number % ZONES}", number % ZONES, state, 1.0, started_ms
     )
 
 
-def made(workers: int) -> Controller:
-    """A controller that knows so many."""
-    out = Controller(settings(), 37)
-    out.handle(START_MS, [EndpointList(tuple(server(number) for number in range(workers)))])
-    return out
+def new_controller(workers: int) -> Controller:
+    """Return a controller with so many workers in its list."""
+    controller = Controller(settings(), 37)
+    controller.handle(START_MS, [EndpointList(tuple(endpoint(number) for number in range(workers)))])
+    return controller
 
 
-def held_bytes(workers: int) -> int:
-    """What it holds."""
+def allocated_bytes(workers: int) -> int:
+    """Return the bytes that a controller with so many workers allocates."""
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        kept = made(workers)
-        return tracemalloc.get_traced_memory()[0] - before + 0 * len(kept.requests)
+        controller = new_controller(workers)
+        return tracemalloc.get_traced_memory()[0] - before + 0 * len(controller.requests)
     finally:
         tracemalloc.stop()
 
 
 def idle_cpu(controller: Controller, start_ms: float, seconds: float) -> float:
-    """CPU a second of its own periods, without requests."""
+    """Return the CPU per second of the control periods, without requests."""
     began = time.process_time()
     for step in range(1, int(seconds * 1000 / PERIOD_MS) + 1):
         controller.handle(start_ms + step * PERIOD_MS, [TimerFired("agenda")])
@@ -73,30 +74,30 @@
 
 
 def one_change_ms(controller: Controller, now: float) -> float:
-    """One worker goes and is back, warm: the middle of its turns."""
-    took = []
+    """Return the median time of a list change: one worker is removed and returns warm."""
+    durations_ms = []
     for number in range(9):
         for state, started_ms in ((EndpointStatus.REMOVED, 0.0), (EndpointStatus.READY, now - 2000 * WARM_UP_S)):
             now += 1.0
-            line = EndpointList((server(number, state, started_ms),), complete=False)
+            line = EndpointList((endpoint(number, state, started_ms),), complete=False)
             began = time.perf_counter()
             controller.handle(now, [line])
-            took.append((time.perf_counter() - began) * 1000)
-    return statistics.median(took)
+            durations_ms.append((time.perf_counter() - began) * 1000)
+    return statistics.median(durations_ms)
 
 
 def measure(sizes: tuple[int, ...] = SIZES, seconds: float = 5.0) -> list[dict[str, float]]:
-    """A row for each size, in plain values. Shares of a core, milliseconds, bytes."""
+    """Return one row for each size, in plain values: fractions of a core, milliseconds, bytes."""
     rows = []
     for workers in sizes:
-        one = made(workers)
+        controller = new_controller(workers)
         row = {
             "workers": workers,
-            "bytes": held_bytes(workers),
-            "idle_cpu": idle_cpu(one, START_MS, seconds),
-            "change_ms": one_change_ms(one, START_MS + 10_000),
+            "bytes": allocated_bytes(workers),
+            "idle_cpu": idle_cpu(controller, START_MS, seconds),
+            "change_ms": one_change_ms(controller, START_MS + 10_000),
         }
         now = START_MS + 20_000
-        one.handle(now, [EndpointList((server(workers - 1, EndpointStatus.READY, now),), complete=False)])
-        rows.append(row | {"warming_cpu": idle_cpu(one, now, seconds)})
+        controller.handle(now, [EndpointList((endpoint(workers - 1, EndpointStatus.READY, now),), complete=False)])
+        rows.append(row | {"warming_cpu": idle_cpu(controller, now, seconds)})
     return rows
--- a/tests/test_capacity_figures.py
+++ b/tests/test_capacity_figures.py
@@ -173,7 +173,7 @@
 
 def test_module_passes_what_is_stated_of_regions_apart():
     """Beyond the quota while regions are apart, near the stated bound and under it; none before and after."""
-    found = partition.played(customers=12, whole_s=12.0, cut_s=40.0)
+    found = partition.simulate_partition(customers=12, connected_s=12.0, partitioned_s=40.0)
     assert found["before"] == pytest.approx(1, abs=0.03)
     assert 0.6 * found["bound"] < found["beyond"] <= found["bound"]
     assert found["after"] < 1.25  # the burst that filled up meanwhile, no more
@@ -181,7 +181,7 @@
 
 def test_quota_holds_where_homes_are_far():
     """Regions that hear each other, 40 ms one way, with an aim of 300 ms: what passes is the quota."""
-    found = partition.played(away_ms=40.0, customers=9, whole_s=8.0, cut_s=1.0)
+    found = partition.simulate_partition(region_delay_ms=40.0, customers=9, connected_s=8.0, partitioned_s=1.0)
     assert found["before"] < 1.05
 
 
@@ -195,26 +195,26 @@
         return real(self, now, request)
 
     monkeypatch.setattr(QuotaBorrower, "reply_overdue", freely)
-    found = partition.played(customers=12, whole_s=6.0, cut_s=20.0)
+    found = partition.simulate_partition(customers=12, connected_s=6.0, partitioned_s=20.0)
     assert found["beyond"] > found["bound"]
 
 
 @given(st.integers(1, 900), st.floats(0.1, 100), st.floats(0, 1000))
 def test_worst_is_worse_and_wide_sets_are(spread, rate, burst):
-    calm, worst = partition.steady(spread, rate, burst), partition.beyond(spread, rate, burst)
-    assert calm.in_all(60) <= worst.in_all(60) + 1e-9
+    calm, worst = partition.steady(spread, rate, burst), partition.worst_case(spread, rate, burst)
+    assert calm.total(60) <= worst.total(60) + 1e-9
     assert partition.steady(spread + 3, rate, burst).at_once >= calm.at_once
     dear = RESERVE_FRACTION * burst  # requests that a unit counts for at most: of small bursts each side lends more
     assert calm.each_s < rate if dear >= 3 else calm.each_s <= 2 * rate / max(1.0, dear)
-    assert partition.steady(1, rate, burst).in_all(60) == 0
+    assert partition.steady(1, rate, burst).total(60) == 0
 
 
 def test_home_that_is_away_serves_none_of_its_tenants_until_it_is_known():
-    found = partition.without_home(customers=45, seconds=8.0)
+    found = partition.simulate_failed_owner(customers=45, seconds=8.0)
     assert found["customers"] >= 3
     assert found["lost_unknown"] == 0 and found["others_unknown"] > 0.9
     assert found["lost_known"] > 0.95 and found["others_known"] > 0.95
-    wide = partition.without_home(burst=400.0, customers=45, seconds=8.0)
+    wide = partition.simulate_failed_owner(burst=400.0, customers=45, seconds=8.0)
     assert wide["lost_unknown"] > 0.5  # own buckets hold requests
 
 
@@ -279,13 +279,13 @@
     counts = [settings_distribution.rounds(members, 0.0) for members in (50, 850, 5000)]
     assert counts == sorted(counts) and counts[2] < 2.5 * counts[0]
     assert settings_distribution.rounds(850, 0.5) > counts[1]
-    assert settings_distribution.rounds(850, 1.0, most=5) == 5
+    assert settings_distribution.rounds(850, 1.0, max_rounds=5) == 5
 
 
 def test_ways_that_carry_files_need_their_sizes():
-    names = [each.name for each in settings_distribution.ways(None, None)]
+    names = [each.name for each in settings_distribution.methods(None, None)]
     assert len(names) == 3
-    all_ways = {each.name: each for each in settings_distribution.ways(1e6, 1000.0)}
+    all_ways = {each.name: each for each in settings_distribution.methods(1e6, 1000.0)}
     assert len(all_ways) == 5
     whole = all_ways["whole settings to each, at each change"]
     straight = all_ways["a change set to each, straight from the five"]
@@ -298,5 +298,5 @@
     rows = warming.measure((50, 100), 0.5)
     assert [row["workers"] for row in rows] == [50, 100]
     assert rows[0]["bytes"] < rows[1]["bytes"]
-    one = warming.made(50)
+    one = warming.new_controller(50)
     assert len(one.endpoints.ready) == 50 and not one.endpoints.warming_up
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -115,7 +115,7 @@
     assert counting.purpose(b"short") == "unreadable"
     tally = counting.Tally()
     for way in ("in", "out", "out"):
-        tally.take(0, way, seal.write(0, encode(1, 0.0, [], []), 0.0))
+        tally.count(0, way, seal.write(0, encode(1, 0.0, [], []), 0.0))
     rates = counting.rates({}, counting.total([tally.plain(), tally.plain()]), 2.0, 2)
     size = len(seal.write(0, encode(1, 0.0, [], []), 0.0))
     assert (rates["quotas_in_msgs_s"], rates["quotas_out_msgs_s"]) == (0.5, 1.0)
--- a/tests/test_stand_in.py
+++ b/tests/test_stand_in.py
@@ -136,17 +136,17 @@
             town(seed).run(12_000)
 
 
-CUT = dict(spread=9, rate_per_s=2.0, burst=20.0, customers=9, whole_s=4.0, cut_s=40.0, known_s=2.0)
+CUT = dict(spread=9, rate_per_s=2.0, burst=20.0, customers=9, connected_s=4.0, partitioned_s=40.0, known_s=2.0)
 
 
 def test_parts_of_a_cut_fleet_lend_the_quota_once_more():
-    found = partition.played(**CUT)
+    found = partition.simulate_partition(**CUT)
     assert 1.3 < found["during"] and found["beyond"] <= found["bound"]
 
 
 def test_a_unit_that_counts_once_everywhere_is_found(monkeypatch):
     without(monkeypatch, "dearer")
-    found = partition.played(**CUT)
+    found = partition.simulate_partition(**CUT)
     assert found["beyond"] > found["bound"]
 
 
