--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,8 +1,8 @@
-"""`make scale`, or some parts: python -m benchmarks.scale [gatekeepers routes .. micro change whole] [--before REV]
+"""Runs all parts (`make scale`) or some: python -m benchmarks.scale [gatekeepers routes .. micro change whole]
 
-    python -m benchmarks.scale page     the tables of docs/CAPACITY.md, anew from the committed results
+    python -m benchmarks.scale page     rewrites the tables of docs/CAPACITY.md from the committed results
 
-Results go to benchmarks/results/scale.json, each part in its place; exit 1 where a part failed.
+Results go to benchmarks/results/scale.json, each part in its place; the exit status is 1 if a part failed.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from benchmarks.scale import axes, change, micro, page, results, whole
 
-# In the order in which they run; where the time is up, the last are cut, and it is said.
+# In the order in which they run; if time runs short, the last are skipped and reported.
 PARTS = (
     "gatekeepers",
     "workers",
@@ -29,34 +29,37 @@
     "list",
     "members",
 )
-MOST_S = 900.0  # of all parts together
-EXPECTED_S = {"requests": 50.0, "settings": 60.0, "list": 60.0, "members": 60.0}  # those that may be cut
+TIME_LIMIT_S = 900.0  # for all parts together
+EXPECTED_S = {"requests": 50.0, "settings": 60.0, "list": 60.0, "members": 60.0}  # the parts that may be skipped
 
 
 def measure_axis(name: str) -> None:
-    """One axis, its prediction written before its largest size is run."""
-    wanted, beside = axes.AXES[name], [list(os.getloadavg())]
-    kept = results.Axis(wanted.unit, axes.base(name))
-    with wanted.measuring() as measure:
-        for size in wanted.sizes:
-            if size == wanted.sizes[-1]:
-                results.predict(kept, size, wanted.models)
-                _keep(name, kept)
+    """Measure one axis; the prediction for its largest size is stored before that size is run."""
+    definition, load_averages = axes.AXES[name], [list(os.getloadavg())]
+    axis = results.Axis(definition.unit, axes.base(name))
+    with definition.measuring() as measure:
+        for size in definition.sizes:
+            if size == definition.sizes[-1]:
+                results.predict(axis, size, definition.models)
+                _store(name, axis)
             began = time.monotonic()
-            kept.rows.append(results.Row(size, measure(size)))
-            print(f"{name} {size:g}: {time.monotonic() - began:.1f} s  {_short(kept.rows[-1].values)}", flush=True)
-    kept.strained = [row.size for row in kept.rows if results.strained(row.values)]
-    if kept.strained:
-        print(f"  {name}: STRAINED at {kept.strained}: the machine could not carry it, hold none of its times")
-    kept.load_beside = [*beside, list(os.getloadavg())]
-    out = results.compare(kept)
-    _keep(name, kept)
-    for each in out:
-        found = kept.fits[each]
-        print(f"  {name}: {each} out by more than a quarter: predicted {found.predicted:.4g}, was {found.measured:.4g}")
-
-
-def _keep(name: str, axis: results.Axis) -> None:
+            axis.rows.append(results.Row(size, measure(size)))
+            print(f"{name} {size:g}: {time.monotonic() - began:.1f} s  {_short(axis.rows[-1].values)}", flush=True)
+    axis.strained = [row.size for row in axis.rows if results.strained(row.values)]
+    if axis.strained:
+        print(f"  {name}: STRAINED at {axis.strained}: the machine could not sustain the load, ignore their times")
+    axis.load_beside = [*load_averages, list(os.getloadavg())]
+    deviating = results.compare(axis)
+    _store(name, axis)
+    for each in deviating:
+        fitted = axis.fits[each]
+        print(
+            f"  {name}: {each} off by more than a quarter: "
+            f"predicted {fitted.predicted:.4g}, measured {fitted.measured:.4g}"
+        )
+
+
+def _store(name: str, axis: results.Axis) -> None:
     found = results.load()
     found.axes[name] = axis
     results.save(found)
@@ -78,8 +81,8 @@
 
 
 def run(part: str, seconds: float, earlier: str = "") -> None:
-    """One part, kept with when it ran and what beside it."""
-    began, beside = time.monotonic(), list(os.getloadavg())
+    """Run one part and store its results, with its date and the load averages."""
+    began, load_before = time.monotonic(), list(os.getloadavg())
     if part in axes.AXES:
         measure_axis(part)
     found = results.load()
@@ -100,40 +103,43 @@
     found.parts[part] = {
         "date": time.strftime("%Y-%m-%dT%H:%M:%S%z"),
         "revision": results.revision(),
-        "load_beside": [beside, list(os.getloadavg())],
+        "load_beside": [load_before, list(os.getloadavg())],
         "took_s": time.monotonic() - began,
     }
     results.save(found)
 
 
 def main() -> None:
-    asked = argparse.ArgumentParser(prog="benchmarks.scale")
-    asked.add_argument("parts", nargs="*", metavar="PART", help=", ".join(PARTS))
-    asked.add_argument("--seconds", type=float, default=whole.SECONDS, help="of the whole run; shorter ones are trials")
-    asked.add_argument("--before", default="", help="a revision whose text the part `change` measures too")
-    given, began, failed = asked.parse_args(), time.monotonic(), []
-    if wrong := set(given.parts) - {*PARTS, "page"}:
-        asked.error(f"no part {', '.join(sorted(wrong))}: there are {', '.join(PARTS)} and page")
-    if "page" in given.parts:
-        print(f"{page.PAGE.relative_to(results.ROOT)}: {'written anew' if page.write() else 'as it was'}")
+    """Parse the command line, run the parts, and exit with 1 if one failed."""
+    parser = argparse.ArgumentParser(prog="benchmarks.scale")
+    parser.add_argument("parts", nargs="*", metavar="PART", help=", ".join(PARTS))
+    parser.add_argument(
+        "--seconds", type=float, default=whole.SECONDS, help="length of the whole run; shorter ones are trials"
+    )
+    parser.add_argument("--before", default="", help="a revision that the part `change` measures too")
+    arguments, began, failed = parser.parse_args(), time.monotonic(), []
+    if unknown := set(arguments.parts) - {*PARTS, "page"}:
+        parser.error(f"unknown part {', '.join(sorted(unknown))}: there are {', '.join(PARTS)} and page")
+    if "page" in arguments.parts:
+        print(f"{page.PAGE.relative_to(results.ROOT)}: {'updated' if page.write() else 'unchanged'}")
         return
-    for part in given.parts or PARTS:
-        gone = time.monotonic() - began
-        if not given.parts and part in EXPECTED_S and gone + EXPECTED_S[part] > MOST_S:
-            print(f"{part}: CUT, {gone:.0f} of {MOST_S:.0f} s are gone; run it by its name", flush=True)
+    for part in arguments.parts or PARTS:
+        elapsed_s = time.monotonic() - began
+        if not arguments.parts and part in EXPECTED_S and elapsed_s + EXPECTED_S[part] > TIME_LIMIT_S:
+            print(f"{part}: SKIPPED, {elapsed_s:.0f} of {TIME_LIMIT_S:.0f} s are used; run it by its name", flush=True)
             found = results.load()
             found.parts[part] = found.parts.get(part, {}) | {"cut": time.strftime("%Y-%m-%dT%H:%M:%S%z")}
             results.save(found)
             continue
         try:
-            run(part, given.seconds, given.before)
-        except Exception as problem:  # the other parts still tell something; what failed is said and kept
+            run(part, arguments.seconds, arguments.before)
+        except Exception as problem:  # the other parts are still useful; the failure is printed and stored
             failed.append(part)
             print(f"{part} FAILED: {problem}", file=sys.stderr, flush=True)
             found = results.load()
             found.parts[part] = {"date": time.strftime("%Y-%m-%dT%H:%M:%S%z"), "fault": str(problem)[:1000]}
             results.save(found)
-        print(f"{part}: done after {time.monotonic() - began:.0f} s in all", flush=True)
+        print(f"{part}: done, {time.monotonic() - began:.0f} s since the start", flush=True)
     sys.exit(1 if failed else 0)
 
 
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -1,6 +1,7 @@
-"""The tables of docs/CAPACITY.md, from the plan and the committed results: `python -m benchmarks.scale page`.
+"""Tables of docs/CAPACITY.md, from the plan and the committed results: `python -m benchmarks.scale page`.
 
-A table stands between `<!-- table NAME -->` and `<!-- end -->` and is written whole; what stands around is kept."""
+A table between `<!-- table NAME -->` and `<!-- end -->` is rewritten; the text around it is kept.
+"""
 
 from __future__ import annotations
 
@@ -16,17 +17,17 @@
 from benchmarks.scale.estimates import Crossing
 from benchmarks.scale.plan import (
     ADDED,
-    APART_S,
+    PARTITION_S,
     CONTROL_MACHINES,
     CPU,
     DAY_S,
     IN_FORCE,
-    IN_HAND_S,
+    IN_FLIGHT_S,
     MEMORY,
-    OFF_BY,
+    MAX_DEVIATION,
     PLAN,
     RACK_MACHINES,
-    SET,
+    SET_SIZE,
     START_S,
     TODAY,
     TRAFFIC,
@@ -37,34 +38,34 @@
 from benchmarks.scale.roles import short
 
 PAGE = results.ROOT / "docs/CAPACITY.md"
-NOTHING = "not measured"
-STRAINED = " (strained)"
-STRAINS = "strained: the machine could not carry it, its times say nothing of a gatekeeper"
-TIMES = ("added_", "wait_max_ms", "in_force_s", "start_s")
-WHOLE_S = 300.0  # the run of all axes; a shorter one is a trial
-NEAR = 2.0  # plans: budgets that are crossed later are told more shortly
+NO_VALUE = "not measured"
+STRAINED_SUFFIX = " (strained)"
+STRAINED_NOTE = "strained: the machine could not carry it, its times say nothing of a gatekeeper"
+TIME_MEASURES = ("added_", "wait_max_ms", "in_force_s", "start_s")
+FULL_RUN_S = 300.0  # a shorter run of all axes is a trial
+NEAR_PLANS = 2.0  # budgets that are crossed later go to the shorter table
 _TABLE = re.compile(r"<!-- table (\w+) -->\n(.*?)<!-- end -->\n", re.DOTALL)
-_MEMBERS = tuple(f"members_{way}_bytes_s" for way in ("in", "out"))
-_QUOTAS = tuple(f"quotas_{way}_bytes_s" for way in ("in", "out"))
+_MEMBERS = tuple(f"members_{direction}_bytes_s" for direction in ("in", "out"))
+_QUOTAS = tuple(f"quotas_{direction}_bytes_s" for direction in ("in", "out"))
 
 
-class PageFault(ValueError):
-    """A page that can't be filled; says which table, and what to do."""
+class PageError(ValueError):
+    """Raised when a page cannot be filled; the message names the table and the remedy."""
 
 
 # ---- cells ---------------------------------------------------------------------------------------
 
 
 def cell(value: float | None, unit: str = "") -> str:
-    """A figure, or that there is none."""
+    """Format a figure with its unit, or state that it was not measured."""
     if value is None or math.isnan(value):
-        return NOTHING
+        return NO_VALUE
     return short(value) + (f" {unit}" if unit else "")
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """Lines of a table; one that has no rows says so."""
-    body = [f"| {' | '.join(row)} |" for row in rows] or [f"| {' | '.join([NOTHING, *[''] * (len(head) - 1)])} |"]
+    """Return the lines of a table; one without rows states that nothing was measured."""
+    body = [f"| {' | '.join(row)} |" for row in rows] or [f"| {' | '.join([NO_VALUE, *[''] * (len(head) - 1)])} |"]
     return "\n".join([f"| {' | '.join(head)} |", f"| {' | '.join(['---'] * len(head))} |", *body]) + "\n"
 
 
@@ -72,14 +73,15 @@
 
 
 def plan_table(_: Results) -> str:
-    """The sizes, what follows from them, and what may be spent."""
+    """Return the table of sizes, derived figures and budgets."""
 
     def both(name: str, of: Callable[[Size], float]) -> tuple[str, str, str]:
+        """Return a row with one figure at both sizes."""
         return name, short(of(TODAY)), short(of(PLAN))
 
-    taken = (
-        f"a rack of {RACK_MACHINES} machines; regions apart for {short(APART_S)} s; a request in hand for "
-        f"{short(IN_HAND_S)} s; a worker warm after {short(WARM_UP_S)} s; a tenant through {SET} gatekeepers"
+    assumptions = (
+        f"a rack of {RACK_MACHINES} machines; regions apart for {short(PARTITION_S)} s; a request in hand for "
+        f"{short(IN_FLIGHT_S)} s; a worker warm after {short(WARM_UP_S)} s; a tenant through {SET_SIZE} gatekeepers"
     )
     return table(
         ("", "today", "plan"),
@@ -90,16 +92,16 @@
             both("routes", lambda size: size.routes),
             both("tenants", lambda size: size.tenants),
             both("requests/s at the peak", lambda size: size.requests_per_s),
-            both("of these at one gatekeeper", lambda size: size.each_requests_per_s),
+            both("of these at one gatekeeper", lambda size: size.gateway_requests_per_s),
             both("of these at one worker", lambda size: size.requests_per_s / size.workers),
             both("changes of settings a day", lambda size: size.changes_a_day),
             both("lines of the list that change in a day", lambda size: size.worker_changes_a_day),
             (
                 "CPU, memory, traffic of a gatekeeper for control",
                 "",
-                f"{CPU.most:.1%} of a core, {short(MEMORY.most / 1e6)} MB, {short(TRAFFIC.most / 1000)} kB/s",
+                f"{CPU.limit:.1%} of a core, {short(MEMORY.limit / 1e6)} MB, {short(TRAFFIC.limit / 1000)} kB/s",
             ),
-            ("added to 99 requests in 100", "", f"{short(ADDED.most)} ms"),
+            ("added to 99 requests in 100", "", f"{short(ADDED.limit)} ms"),
             (
                 "so one stop of the loop at each change of settings, or of the list",
                 "",
@@ -108,61 +110,65 @@
             (
                 "a change in force everywhere; a restarted one ready",
                 "",
-                f"{short(IN_FORCE.most)} s; {short(START_S.most)} s (the standing test's)",
+                f"{short(IN_FORCE.limit)} s; {short(START_S.limit)} s (the standing test's)",
             ),
             ("machines of control", "", str(CONTROL_MACHINES)),
-            ("taken, where the plan is silent", "", taken),
+            ("taken, where the plan is silent", "", assumptions),
         ],
     )
 
 
 def list_every_s() -> float:
-    """Seconds between two lines of the list that change."""
+    """Return the mean time between two changes of the endpoint list, in seconds."""
     return DAY_S / PLAN.worker_changes_a_day
 
 
 def longest_stop_ms(every_s: float = PLAN.change_every_s) -> float:
-    """The stop, coming so often, beyond which one request in a hundred waits longer than may be added."""
-    return ADDED.most + 0.01 * every_s * 1000
+    """Return the longest stall, at this interval, with which 99 of 100 requests keep the added latency budget."""
+    return ADDED.limit + 0.01 * every_s * 1000
 
 
 # ---- roles ---------------------------------------------------------------------------------------
 
 
 def roles_table(_: Results) -> str:
+    """Return the table of roles."""
     return table(
         ("role", "state", "messages", "carried by"),
-        [(each.name, each.state, each.messages, each.carried) for each in roles.ROLES],
+        [(each.name, each.state, each.messages, each.mechanism) for each in roles.ROLES],
     )
 
 
-def troubles_table(found: Results) -> str:
+def faults_table(found: Results) -> str:
+    """Return the table of fault effects by role."""
     start = estimates.estimate(found, ["start_s"], PLAN)
     settings = found.micro.get("files", {}).get("plan", {}).get("settings")
     lost = {
         each.name: f"{roles.count(each.gatekeepers)} gatekeepers, {roles.count(each.workers)} workers"
-        for each in roles.troubles()
+        for each in roles.faults()
     }
     head = [
-        f"{name} ({lost[name]})" if name != roles.TROUBLES[-1] else f"{name}, {short(APART_S)} s"
-        for name in roles.TROUBLES
+        f"{name} ({lost[name]})" if name != roles.FAULTS[-1] else f"{name}, {short(PARTITION_S)} s"
+        for name in roles.FAULTS
     ]
     return table(
-        ("role", *head), [(name, *cells) for name, cells in roles.in_trouble(start.value if start else None, settings)]
+        ("role", *head),
+        [(name, *cells) for name, cells in roles.fault_effects(start.value if start else None, settings)],
     )
 
 
 Figure = Callable[[Results, Size], float | None]
-_BY_SLOPES: set[Figure] = set()  # those that are sums over the axes
+_FROM_FITS: set[Figure] = set()  # figures that are sums over the axes
 
 
-def _fits(*measures: str, times: float = 1.0) -> tuple[Figure, tuple[str, ...], float]:
+def _fits(*measures: str, factor: float = 1.0) -> tuple[Figure, tuple[str, ...], float]:
     def at(found: Results, size: Size) -> float | None:
+        """Return the estimate at a size, None if it was not measured."""
         said = estimates.estimate(found, measures, size)
-        return None if said is None else max(0.0, said.value) * times
+        return None if said is None else max(0.0, said.value) * factor
 
-    _BY_SLOPES.add(at)
-    return at, measures, times
+    _FROM_FITS.add(at)
+    return at, measures, factor
 
 
 def _plain(figure: Figure) -> tuple[Figure, tuple[str, ...], float]:
@@ -178,39 +184,40 @@
 
 
 def list_bytes_s(found: Results, size: Size) -> float | None:
-    """The whole list at each change, to one gatekeeper."""
-    held = _file_bytes(found, size, "roster")
-    return None if held is None else held * size.worker_changes_a_day / DAY_S
+    """Return the traffic to one gateway that receives the whole list at each change."""
+    file_bytes = _file_bytes(found, size, "roster")
+    return None if file_bytes is None else file_bytes * size.worker_changes_a_day / DAY_S
 
 
 def settings_bytes_s(found: Results, size: Size) -> float | None:
-    """All settings at each change, to one gatekeeper."""
-    held = _file_bytes(found, size, "settings")
-    return None if held is None else held * size.changes_a_day / DAY_S
+    """Return the traffic to one gateway that receives all settings at each change."""
+    file_bytes = _file_bytes(found, size, "settings")
+    return None if file_bytes is None else file_bytes * size.changes_a_day / DAY_S
 
 
 def list_cpu_ms_s(found: Results, size: Size) -> float | None:
+    """Return the CPU per second for changes of the list."""
     cost = estimates.list_change_ms(found, size.workers)
     return None if cost is None else cost * size.worker_changes_a_day / DAY_S
 
 
 def warming_cpu_ms_s(found: Results, size: Size) -> float | None:
-    """CPU while some worker warms up, over the day: the part of it in which one does (chance, independent starts)."""
+    """Return the CPU for warm-up as the mean of a day, with independent random starts of workers."""
     cost = warming_cpu(found, size.workers)
     starts = size.worker_changes_a_day / 2 / DAY_S
     return None if cost is None else cost * 1000 * -math.expm1(-starts * WARM_UP_S)
 
 
 def bare_p99_ms(found: Results) -> float | None:
-    """What a check takes where nothing is decided: the client's and the machine's part."""
-    seen = [
+    """Return the p99 of a check of the bare server: the share of the client and the machine."""
+    values = [
         row.values["bare_p99_ms"] for axis in found.axes.values() for row in axis.rows if "bare_p99_ms" in row.values
     ]
-    return statistics.median(seen) if seen else None
+    return statistics.median(values) if values else None
 
 
 def warming_line(found: Results) -> results.Fit | None:
-    """Share of a core while one worker warms up, by the line through what was measured."""
+    """Fit the fraction of a core that is used while one worker warms up, by the number of workers."""
     rows = found.micro.get("warming", [])
     if len(rows) < 2:
         return None
@@ -218,35 +225,38 @@
 
 
 def warming_cpu(found: Results, workers: float) -> float | None:
+    """Return the fraction of a core that is used while one worker warms up."""
     line = warming_line(found)
     return None if line is None else max(0.0, fit.at(line, workers))
 
 
 def of_change(measure: str, changed: str) -> Figure:
-    """What a change of settings comes to, by the bytes of all settings at a size."""
+    """Return a figure for the cost of a settings change, by the bytes of all settings at a size."""
 
     def at(found: Results, size: Size) -> float | None:
-        line, held = estimates.by_settings(found, measure, changed), _file_bytes(found, size, "settings")
-        return None if line is None or held is None else line(held)
+        """Return the cost at a size, None if it was not measured."""
+        line, file_bytes = estimates.by_settings(found, measure, changed), _file_bytes(found, size, "settings")
+        return None if line is None or file_bytes is None else line(file_bytes)
 
     return at
 
 
 CHANGE_CPU = of_change("change_cpu_ms", "change_cpu_ms")
-CHANGE_WAIT = of_change("wait_max_ms", "changing_wait_max_ms")
+CHANGE_MAX_WAIT = of_change("wait_max_ms", "changing_wait_max_ms")
 CHANGE_IN_FORCE = of_change("in_force_s", "in_force_s")
 
 
 def settings_cpu_ms_s(found: Results, size: Size) -> float | None:
+    """Return the CPU per second for changes of settings."""
     cost = CHANGE_CPU(found, size)
     return None if cost is None else cost * size.changes_a_day / DAY_S
 
 
 def control_cpu_ms_s(found: Results, size: Size) -> float | None:
-    """At rest, and for changes of settings and of the list."""
-    rest = estimates.estimate(found, ["control_cpu_ms_s"], size)
+    """Return the CPU per second for control: at rest, and for changes of settings and of the list."""
+    at_rest = estimates.estimate(found, ["control_cpu_ms_s"], size)
     parts = [
-        None if rest is None else rest.value,
+        None if at_rest is None else at_rest.value,
         settings_cpu_ms_s(found, size),
         list_cpu_ms_s(found, size),
         warming_cpu_ms_s(found, size),
@@ -255,40 +265,42 @@
 
 
 def traffic_bytes_s(found: Results, size: Size) -> float | None:
-    told = estimates.estimate(found, [*_MEMBERS, *_QUOTAS], size)
-    parts = [None if told is None else told.value, list_bytes_s(found, size), settings_bytes_s(found, size)]
+    """Return the control traffic of a gateway: datagrams, and list and settings at each change."""
+    datagrams = estimates.estimate(found, [*_MEMBERS, *_QUOTAS], size)
+    parts = [None if datagrams is None else datagrams.value, list_bytes_s(found, size), settings_bytes_s(found, size)]
     return None if None in parts else sum(parts)
 
 
 def worker_open(_: Results, size: Size) -> float:
-    """Connections that a worker sees open where each gatekeeper knows all of its service, idle as the pool allows."""
+    """Return the open connections of a worker if every gateway knows all workers, with the pool's idle timeout."""
     each = size.requests_per_s / size.gatekeepers / size.workers
-    return size.gatekeepers * -math.expm1(-each * subsets.IDLE_S[0])
+    return size.gatekeepers * -math.expm1(-each * subsets.IDLE_TIMEOUTS_S[0])
 
 
 def worker_handshakes(_: Results, size: Size) -> float:
+    """Return the handshakes per second of a worker if every gateway knows all workers."""
     each = size.requests_per_s / size.gatekeepers / size.workers
-    return size.requests_per_s / size.workers * math.exp(-each * subsets.IDLE_S[0])
+    return size.requests_per_s / size.workers * math.exp(-each * subsets.IDLE_TIMEOUTS_S[0])
 
 
 def zone_restart_ms(found: Results, size: Size) -> float | None:
-    """CPU at one gatekeeper when a zone's members die and come again at once: measured in a fleet of today's size."""
+    """Return the CPU of one gateway when a zone's members crash and restart at once; measured at today's size only."""
     axis = found.axes.get("members")
     last = axis.rows[-1].values if axis is not None and axis.rows else {}
     return last.get("zone_change_cpu_ms") if size is TODAY else None
 
 
-# Role, what, unit, (figure, measures in the whole run, times), budget in that unit.
+# Role, cost, unit, (figure, measures in the full run, factor), budget in that unit.
 COSTS: tuple[tuple[str, str, str, tuple[Figure, tuple[str, ...], float], float | None], ...] = (
-    ("gatekeeper", "memory", "MB", _fits("rss_mb"), MEMORY.most / 1e6),
-    ("", "CPU for control at rest: members, and as home", "ms/s", _fits("control_cpu_ms_s"), CPU.most * 1000),
-    ("", "and for all changes", "ms/s", _plain(control_cpu_ms_s), CPU.most * 1000),
+    ("gatekeeper", "memory", "MB", _fits("rss_mb"), MEMORY.limit / 1e6),
+    ("", "CPU for control at rest: members, and as home", "ms/s", _fits("control_cpu_ms_s"), CPU.limit * 1000),
+    ("", "and for all changes", "ms/s", _plain(control_cpu_ms_s), CPU.limit * 1000),
     ("", "once, when a zone restarts at once", "ms", _plain(zone_restart_ms), None),
-    ("", "datagrams of members and quotas", "bytes/s", _fits(*_MEMBERS, *_QUOTAS), TRAFFIC.most),
-    ("", "and list and settings whole at each change", "bytes/s", _plain(traffic_bytes_s), TRAFFIC.most),
+    ("", "datagrams of members and quotas", "bytes/s", _fits(*_MEMBERS, *_QUOTAS), TRAFFIC.limit),
+    ("", "and list and settings whole at each change", "bytes/s", _plain(traffic_bytes_s), TRAFFIC.limit),
     ("", "CPU of a request", "us", _fits("request_cpu_us"), None),
     ("", "added to a request, p50", "ms", _fits("added_p50_ms"), None),
-    ("", "added, p99", "ms", _fits("added_p99_ms"), ADDED.most),
+    ("", "added, p99", "ms", _fits("added_p99_ms"), ADDED.limit),
     ("", "added, p99.9", "ms", _fits("added_p999_ms"), None),
     (
         "",
@@ -297,9 +309,9 @@
         _plain(lambda found, _: bare_p99_ms(found)),
         None,
     ),
-    ("", "start", "s", _fits("start_s"), START_S.most),
+    ("", "start", "s", _fits("start_s"), START_S.limit),
     ("home of quotas", "messages, in and out", "a second", _fits("quotas_in_msgs_s", "quotas_out_msgs_s"), None),
-    ("", "bytes, in and out", "bytes/s", _fits(*_QUOTAS), TRAFFIC.most),
+    ("", "bytes, in and out", "bytes/s", _fits(*_QUOTAS), TRAFFIC.limit),
     ("", "stores and accounts", "kB", _fits("held_stores_kb", "held_accounts_kb"), None),
     ("keeper", "messages, in and out (off in the scale run)", "a second", _plain(lambda found, size: None), None),
     (
@@ -309,7 +321,7 @@
         _plain(lambda found, size: _file_bytes(found, size, "roster")),
         float(MAX_FILE_BYTES),
     ),
-    ("", "whole at each change, to one", "bytes/s", _plain(list_bytes_s), TRAFFIC.most),
+    ("", "whole at each change, to one", "bytes/s", _plain(list_bytes_s), TRAFFIC.limit),
     (
         "",
         "one change at a gatekeeper: CPU, and a stop",
@@ -321,10 +333,10 @@
         "",
         "CPU while a worker warms up",
         "ms/s",
-        _plain(lambda found, size: _thousand(warming_cpu(found, size.workers))),
-        CPU.most * 1000,
+        _plain(lambda found, size: _times_thousand(warming_cpu(found, size.workers))),
+        CPU.limit * 1000,
     ),
-    ("", "the same over the day", "ms/s", _plain(warming_cpu_ms_s), CPU.most * 1000),
+    ("", "the same over the day", "ms/s", _plain(warming_cpu_ms_s), CPU.limit * 1000),
     (
         "who tells settings",
         "all settings, as files",
@@ -332,15 +344,15 @@
         _plain(lambda found, size: _file_bytes(found, size, "settings")),
         None,
     ),
-    ("", "whole at each change, to one", "bytes/s", _plain(settings_bytes_s), TRAFFIC.most),
+    ("", "whole at each change, to one", "bytes/s", _plain(settings_bytes_s), TRAFFIC.limit),
     ("", "CPU of one change at a gatekeeper", "ms", (CHANGE_CPU, ("change_cpu_ms",), 1.0), None),
-    ("", "the longest wait while settings change", "ms", (CHANGE_WAIT, ("wait_max_ms",), 1.0), longest_stop_ms()),
-    ("", "from a change to its being in force", "s", (CHANGE_IN_FORCE, ("in_force_s",), 1.0), IN_FORCE.most),
+    ("", "the longest wait while settings change", "ms", (CHANGE_MAX_WAIT, ("wait_max_ms",), 1.0), longest_stop_ms()),
+    ("", "from a change to its being in force", "s", (CHANGE_IN_FORCE, ("in_force_s",), 1.0), IN_FORCE.limit),
     (
         "the machines of control",
         "whole settings to their gatekeepers, each",
         "MB/s",
-        _plain(lambda found, size: _mega(settings_bytes_s(found, size), size)),
+        _plain(lambda found, size: _megabytes_per_control_machine(settings_bytes_s(found, size), size)),
         None,
     ),
     ("worker", "connections open, all of a service known", "", _plain(worker_open), None),
@@ -349,71 +361,76 @@
         "client side",
         "requests in hand at its gatekeeper",
         "",
-        _plain(lambda found, size: size.each_requests_per_s * IN_HAND_S),
+        _plain(lambda found, size: size.gateway_requests_per_s * IN_FLIGHT_S),
         None,
     ),
 )
 
 
-def _thousand(value: float | None) -> float | None:
+def _times_thousand(value: float | None) -> float | None:
     return None if value is None else value * 1000
 
 
-def _mega(value: float | None, size: Size) -> float | None:
+def _megabytes_per_control_machine(value: float | None, size: Size) -> float | None:
     return None if value is None else value * size.gatekeepers / CONTROL_MACHINES / 1e6
 
 
-def beside(predicted: float | None, measured: float | None) -> str:
-    """What the run of all axes gave, and whether the sum of the slopes was further out than it may be."""
+def full_run_cell(predicted: float | None, measured: float | None) -> str:
+    """Format the value of the run of all axes, and whether the estimate deviates from it by too much."""
     if measured is None:
-        return NOTHING
-    if predicted is None or not estimates.off(predicted, measured):
+        return NO_VALUE
+    if predicted is None or not estimates.deviates(predicted, measured):
         return short(measured)
     return f"{short(measured)}, **off by more than a quarter**"
 
 
-def whole(found: Results, measures: tuple[str, ...]) -> float | None:
-    """What the run of all axes says; a change's CPU is told there by difference."""
+def full_run_value(found: Results, measures: tuple[str, ...]) -> float | None:
+    """Return the value of the run of all axes; the CPU of a change is calculated there by difference."""
     if measures == ("change_cpu_ms",):
         return estimates.whole_settings_change_ms(found)
-    return estimates.whole(found, measures) if measures else None
+    return estimates.full_run_value(found, measures) if measures else None
 
 
 def strained_at(axis: results.Axis) -> list[float]:
-    """The sizes at which the machine could not carry the load."""
+    """Return the sizes at which the machine could not sustain the load."""
     return sorted({*axis.strained, *(row.size for row in axis.rows if results.strained(row.values))})
 
 
-def whole_strained(found: Results) -> bool:
+def full_run_strained(found: Results) -> bool:
+    """Return whether the machine could not sustain the load of the run of all axes."""
     return bool(found.whole.get("strained")) or results.strained(found.whole.get("values", {}))
 
 
 def strained(found: Results, measures: Sequence[str]) -> tuple[bool, bool]:
-    """Whether these are times that were taken where the machine could not carry the load: along the axes, and in the
-    run of all axes."""
-    times = any(measure.startswith(TIMES) for measure in measures)
+    """Return whether these are times from a machine that could not sustain the load.
+
+    The first value is for the axes, the second for the run of all axes.
+    """
+    times = any(measure.startswith(TIME_MEASURES) for measure in measures)
     axes = [axis for axis in found.axes.values() if all(measure in axis.fits for measure in measures)]
-    return times and any(map(strained_at, axes)), times and whole_strained(found)
+    return times and any(map(strained_at, axes)), times and full_run_strained(found)
 
 
 def costs_table(found: Results) -> str:
-    """Each role's costs at both sizes, and the whole run beside."""
+    """Return the table of each role's costs at both sizes, with those of the full run."""
     rows = []
-    for role, what, unit, (figure, measures, times), budget in COSTS:
+    for role, what, unit, (figure, measures, factor), budget in COSTS:
         today, plan = figure(found, TODAY), figure(found, PLAN)
-        said = estimates.estimate(found, measures, PLAN) if figure in _BY_SLOPES else None
-        seen = whole(found, measures)
-        doubt = f" ± {short(said.error * times)}" if said is not None and said.error else ""
+        said = estimates.estimate(found, measures, PLAN) if figure in _FROM_FITS else None
+        seen = full_run_value(found, measures)
+        error = f" ± {short(said.error * factor)}" if said is not None and said.error else ""
         axes, all_axes = strained(found, measures)
         rows.append(
             (
                 role,
                 what + (f", {unit}" if unit else ""),
                 cell(today),
-                cell(plan) + doubt + STRAINED * axes,
-                beside(plan, None if seen is None else seen * times) + STRAINED * all_axes if measures else "",
+                cell(plan) + error + STRAINED_SUFFIX * axes,
+                full_run_cell(plan, None if seen is None else seen * factor) + STRAINED_SUFFIX * all_axes
+                if measures
+                else "",
                 "" if budget is None else short(budget),
-                "" if budget is None else over(plan if seen is None else seen * times, budget),
+                "" if budget is None else budget_fraction(plan if seen is None else seen * factor, budget),
             )
         )
     head = (
@@ -428,10 +445,10 @@
     return table(head, rows)
 
 
-def over(value: float | None, budget: float) -> str:
-    """A part of a budget; one that is passed stands out."""
+def budget_fraction(value: float | None, budget: float) -> str:
+    """Format a fraction of a budget, in bold if the budget is exceeded."""
     if value is None:
-        return NOTHING
+        return NO_VALUE
     return f"**{value / budget:.2f}**" if value > budget else f"{value / budget:.2f}"
 
 
@@ -439,16 +456,16 @@
 
 
 def crossings(found: Results) -> list[tuple[str, str, Crossing]]:
-    """Budget, what grows, where it is crossed; the least part of the plan first."""
+    """Return budget, growing size and crossing, sorted by the fraction of the plan."""
     out: list[tuple[str, str, Crossing]] = []
     for name, measures, most in (
-        ("CPU for control, at rest", ["control_cpu_ms_s"], CPU.most * 1000),
-        ("memory", ["rss_mb"], MEMORY.most / 1e6),
-        ("datagrams of control", [*_MEMBERS, *_QUOTAS], TRAFFIC.most),
-        ("added p99", ["added_p99_ms"], ADDED.most),
-        ("ready after a start", ["start_s"], START_S.most),
+        ("CPU for control, at rest", ["control_cpu_ms_s"], CPU.limit * 1000),
+        ("memory", ["rss_mb"], MEMORY.limit / 1e6),
+        ("datagrams of control", [*_MEMBERS, *_QUOTAS], TRAFFIC.limit),
+        ("added p99", ["added_p99_ms"], ADDED.limit),
+        ("ready after a start", ["start_s"], START_S.limit),
     ):
-        name += STRAINED * strained(found, measures)[0]
+        name += STRAINED_SUFFIX * strained(found, measures)[0]
         base = estimates.value_at_base(found, measures)
         if base is not None and base > most:
             out.append((name, "nothing: the base is over it", Crossing("", 0.0, 0.0)))
@@ -456,20 +473,20 @@
         for axis in estimates.AXES:
             if (found_at := estimates.crossing(found, axis, measures, most)) is not None:
                 out.append((name, axis, found_at))
-        if (all_at := estimates.together(found, measures, most)) is not None:
+        if (all_at := estimates.crossing_in_step(found, measures, most)) is not None:
             out.append((name, "all in step", all_at))
-    held = _file_bytes(found, PLAN, "settings")
+    file_bytes = _file_bytes(found, PLAN, "settings")
     for name, measure, changed, most in (
         ("p99: a stop at each change of settings", "wait_max_ms", "changing_wait_max_ms", longest_stop_ms()),
-        ("a change in force everywhere", "in_force_s", "in_force_s", IN_FORCE.most),
+        ("a change in force everywhere", "in_force_s", "in_force_s", IN_FORCE.limit),
     ):
-        if (line := estimates.by_settings(found, measure, changed)) is not None and held is not None:
-            name += STRAINED * ("settings" in found.axes and bool(strained_at(found.axes["settings"])))
+        if (line := estimates.by_settings(found, measure, changed)) is not None and file_bytes is not None:
+            name += STRAINED_SUFFIX * ("settings" in found.axes and bool(strained_at(found.axes["settings"])))
             out.append(
                 (
                     name,
                     "all settings, in step",
-                    estimates.solve("all in step", partial(_of_bytes, line, held), most, 1.0),
+                    estimates.solve("all in step", partial(_of_bytes, line, file_bytes), most, 1.0),
                 )
             )
     if estimates.list_change_ms(found, PLAN.workers) is not None:
@@ -479,8 +496,8 @@
                 "workers",
                 estimates.solve(
                     "workers",
-                    lambda size: (estimates.list_change_ms(found, size) - ADDED.most) * size,
-                    (longest_stop_ms(list_every_s()) - ADDED.most) * PLAN.workers,
+                    lambda size: (estimates.list_change_ms(found, size) - ADDED.limit) * size,
+                    (longest_stop_ms(list_every_s()) - ADDED.limit) * PLAN.workers,
                     PLAN.workers,
                 ),
             )
@@ -491,7 +508,7 @@
             (
                 "CPU for control: modules at rest",
                 "services",
-                estimates.solve("services", lambda size: fit.at(line, size), CPU.most * 1000, PLAN.services),
+                estimates.solve("services", lambda size: fit.at(line, size), CPU.limit * 1000, PLAN.services),
             )
         )
     if (warming := warming_line(found)) is not None:
@@ -499,7 +516,7 @@
             (
                 "CPU for control while a worker warms up",
                 "workers",
-                estimates.solve("workers", partial(fit.at, warming), CPU.most, PLAN.workers),
+                estimates.solve("workers", partial(fit.at, warming), CPU.limit, PLAN.workers),
             )
         )
     roster, settings = (_file_bytes(found, PLAN, name) for name in ("roster", "settings"))
@@ -517,7 +534,7 @@
             (
                 "traffic: the list whole at each change",
                 "workers",
-                estimates.solve("workers", lambda size: each * size * lines * size, TRAFFIC.most, PLAN.workers),
+                estimates.solve("workers", lambda size: each * size * lines * size, TRAFFIC.limit, PLAN.workers),
             )
         )
     if settings is not None:
@@ -526,7 +543,7 @@
                 "traffic: settings whole at each change",
                 "changes a day",
                 estimates.solve(
-                    "changes a day", lambda size: settings * size / DAY_S, TRAFFIC.most, PLAN.changes_a_day
+                    "changes a day", lambda size: settings * size / DAY_S, TRAFFIC.limit, PLAN.changes_a_day
                 ),
             )
         )
@@ -536,33 +553,37 @@
             (
                 "CPU for control: changes of settings",
                 "changes a day",
-                estimates.solve("changes a day", lambda size: cost * size / DAY_S, CPU.most * 1000, PLAN.changes_a_day),
+                estimates.solve(
+                    "changes a day", lambda size: cost * size / DAY_S, CPU.limit * 1000, PLAN.changes_a_day
+                ),
             )
         )
-    return sorted(out, key=lambda each: each[2].part)
+    return sorted(out, key=lambda each: each[2].plan_fraction)
 
 
-def _of_bytes(line: Callable[[float], float], held: float, part: float) -> float:
-    return line(part * held)
+def _of_bytes(line: Callable[[float], float], file_bytes: float, fraction: float) -> float:
+    return line(fraction * file_bytes)
 
 
 def order_table(found: Results) -> str:
-    """Up to so many times the plan."""
-    near = [each for each in crossings(found) if each[2].part <= NEAR]
+    """Return the table of budgets that are crossed within `NEAR_PLANS` times the plan."""
+    near = [each for each in crossings(found) if each[2].plan_fraction <= NEAR_PLANS]
     rows = []
     for name, axis, at in near:
         size = f"{at.size:.2f} of the plan" if at.axis == "all in step" else short(at.size)
         where = "already" if at.size == 0 else size
-        rows.append((name, axis, where, f"**{at.part:.2f}**" if at.part <= 1 else f"{at.part:.2f}"))
+        rows.append(
+            (name, axis, where, f"**{at.plan_fraction:.2f}**" if at.plan_fraction <= 1 else f"{at.plan_fraction:.2f}")
+        )
     return table(("budget", "what grows", "crossed at", "part of the plan"), rows)
 
 
 def later_table(found: Results) -> str:
-    """What holds for longer, and for how long."""
+    """Return the table of budgets that are crossed later, with the multiple of the plan."""
     later: dict[str, list[str]] = {}
     for name, axis, at in crossings(found):
-        if at.part > NEAR:
-            times = f"{at.part:.1f}" if math.isfinite(at.part) else "over a hundred"
+        if at.plan_fraction > NEAR_PLANS:
+            times = f"{at.plan_fraction:.1f}" if math.isfinite(at.plan_fraction) else "over a hundred"
             later.setdefault(name, []).append(f"{axis} {times}")
     return table(
         ("budget", "crossed by what grows, at so many plans"), [(name, ", ".join(said)) for name, said in later.items()]
@@ -570,19 +591,21 @@
 
 
 def off_table(found: Results) -> str:
-    """Predictions that were out by more than a quarter, measured by predicted, with why, where that is known; of
-    measures that the page does not use their number."""
+    """Return the table of predictions that were off by more than a quarter, with the reason if it is known.
+
+    Measures that the page does not use are only counted.
+    """
     used = {measure for _, _, _, (_, measures, _), _ in COSTS for measure in measures}
     used |= {"held_mb", "idle_cpu_ms_s", "request_p99_us", "cpu_ms_s"}
     said: dict[tuple[str, str], list[str]] = {}
     rest = 0
     for name, axis in found.axes.items():
         late = bool(strained_at(axis))
-        for measure, each in estimates.first_off(axis):
+        for measure, each in estimates.deviating_fits(axis):
             rest += measure not in used
             if measure in used:
                 ratio = f"{each.measured / each.predicted:.2f}" if each.predicted > 0 else "less than nothing predicted"
-                why = roles.explained(name, measure) or ("the machine was strained" if late else "not explained")
+                why = roles.explanation(name, measure) or ("the machine was strained" if late else "not explained")
                 said.setdefault((name, why), []).append(f"{measure} {ratio}")
     rows = [(name, ", ".join(measures), why) for (name, why), measures in said.items()]
     made = sum(each.measured is not None for axis in found.axes.values() for each in axis.fits.values())
@@ -595,19 +618,22 @@
 
 
 def known_table(found: Results) -> str:
-    """By the number of workers known: connections by the plan's means, for the pool's idle time and a longer one, and
-    the queue model's answer times, in service times, by what is known of loads."""
+    """Return the table by subset size.
+
+    It has connections by the plan's means, for the pool's idle timeout and a longer one, and the response times of the
+    queueing model in service times, by the information about loads.
+    """
     measured = {row["known"]: row for row in found.micro.get("subsets", {}).get("rows", ())}
     rows = []
-    for known in subsets.KNOWN:
-        now, long = (subsets.connections(known, idle) for idle in subsets.IDLE_S)
+    for known in subsets.SUBSET_SIZES:
+        now, long = (subsets.connections(known, idle) for idle in subsets.IDLE_TIMEOUTS_S)
         row = measured.get(known)
         model = (
-            [NOTHING] * 5
+            [NO_VALUE] * 5
             if row is None
             else [
                 f"{row['reports']['spread']:.3f}",
-                *(f"{row[each]['answer']:.2f}" for each in subsets.KNOWLEDGE),
+                *(f"{row[each]['answer']:.2f}" for each in subsets.LOAD_INFORMATION),
                 f"{row['zone_lost']:.1%}",
             ]
         )
@@ -622,7 +648,7 @@
                 *model,
             )
         )
-    one, two = (f"idle {short(idle)} s: " for idle in subsets.IDLE_S)
+    one, two = (f"idle {short(idle)} s: " for idle in subsets.IDLE_TIMEOUTS_S)
     handshakes, opened = "share that finds one open, handshakes/s at a worker", "open at a gatekeeper, at a worker"
     return table(
         (
@@ -643,20 +669,21 @@
 
 
 def change_table(found: Results) -> str:
-    """What one line more costs a gatekeeper with all routes and keys, and what is wanted."""
+    """Return the table of the cost of a one-line change with all routes and keys, with its objectives."""
     now, before = found.change.get("after", {}), found.change.get("before", {})
 
-    def both(name: str, of: Callable[[dict[str, float]], float], wanted: str) -> tuple[str, str, str, str]:
+    def both(name: str, of: Callable[[dict[str, float]], float], objective: str) -> tuple[str, str, str, str]:
+        """Return a row with one figure before and now."""
         said = []
         for each in (before, now):
             try:
                 said.append(short(of(each)))
             except (KeyError, ZeroDivisionError):
-                said.append(NOTHING)
-        return name, said[0], said[1], wanted
+                said.append(NO_VALUE)
+        return name, said[0], said[1], objective
 
     return table(
-        ("", f"before ({found.change.get('before_revision', NOTHING)})", "now", "aim, at most"),
+        ("", f"before ({found.change.get('before_revision', NO_VALUE)})", "now", "aim, at most"),
         [
             both("CPU of a change: of the process beyond a quiet window, ms", lambda each: each["change_cpu_ms"], ""),
             both("and the work on settings by itself, ms", lambda each: each["work_ms"], "20, 80"),
@@ -668,7 +695,7 @@
                 lambda each: each["changing_check_p99_ms"] / each["quiet_check_p99_ms"],
                 "1.1",
             ),
-            both("from a change to its being in force, s", lambda each: each["in_force_s"], short(IN_FORCE.most)),
+            both("from a change to its being in force, s", lambda each: each["in_force_s"], short(IN_FORCE.limit)),
             both(
                 "memory after many changes, by before",
                 lambda each: each["rss_after_many_mb"] / each["rss_before_many_mb"],
@@ -681,8 +708,8 @@
     )
 
 
-def ways_table(found: Results) -> str:
-    """Ways to choose the same number."""
+def strategies_table(found: Results) -> str:
+    """Return the table of subsetting strategies with the same subset size."""
     measured = found.micro.get("subsets")
     rows = [
         (
@@ -709,31 +736,32 @@
 
 
 def services_table(found: Results) -> str:
-    """All services in each gatekeeper, and split over groups of gatekeepers."""
+    """Return the table of services in every gateway, and split over groups of gateways."""
     axis, split = found.axes.get("services"), found.micro.get("subsets", {}).get("split", [])
     answers = {row["groups"]: row["answer"] for row in split}
     rows = []
     for groups in subsets.GROUPS:
         count = PLAN.services / groups
 
-        def said(name: str, size: float = count) -> float | None:
+        def measured(name: str, size: float = count) -> float | None:
+            """Return a measure of the row with this number of services."""
             near = [row for row in (axis.rows if axis else ()) if abs(row.size - size) <= size / 100]
             return near[0].values.get(name) if near else None
 
-        link = subsets.connections(subsets.SPLIT_KNOWN, subsets.IDLE_S[1], groups)
-        idle = said("idle_cpu_ms_s")
+        link = subsets.connections(subsets.SPLIT_SUBSET_SIZE, subsets.IDLE_TIMEOUTS_S[1], groups)
+        idle = measured("idle_cpu_ms_s")
         rows.append(
             (
                 str(groups),
                 short(count),
                 short(PLAN.gatekeepers / groups),
-                cell(said("held_mb")),
+                cell(measured("held_mb")),
                 cell(idle),
-                NOTHING if idle is None else over(idle, CPU.most * 1000),
-                cell(said("request_p99_us")),
+                NO_VALUE if idle is None else budget_fraction(idle, CPU.limit * 1000),
+                cell(measured("request_p99_us")),
                 cell(link.met_every_s),
                 cell(link.open_here),
-                f"{answers[groups]:.2f}" if groups in answers else NOTHING,
+                f"{answers[groups]:.2f}" if groups in answers else NO_VALUE,
             )
         )
     return table(
@@ -753,8 +781,8 @@
     )
 
 
-def carrying_table(found: Results) -> str:
-    """What would carry a change of settings."""
+def distribution_table(found: Results) -> str:
+    """Return the table of methods to distribute a settings change."""
     files = found.micro.get("files", {}).get("plan", {})
     rows = []
     for each in settings_distribution.methods(files.get("settings"), files.get("one_file")):
@@ -763,7 +791,7 @@
                 each.name,
                 short(each.sent_bytes),
                 short(each.each_bytes_s),
-                over(each.each_bytes_s, TRAFFIC.most),
+                budget_fraction(each.each_bytes_s, TRAFFIC.limit),
                 short(each.calm_s),
                 short(each.lossy_s),
                 short(each.dead_s),
@@ -783,24 +811,24 @@
     )
 
 
-# ---- quotas apart, accepted costs, what is missing ------------------------------------------------
+# ---- quotas in partitions, accepted costs, missing results ------------------------------------------------
 
 
-def apart_table(_: Results) -> str:
-    """Of one tenant with the mean of the traffic as its quota, and twice that as burst."""
+def partition_bound_table(_: Results) -> str:
+    """Return the table of the bound, for a tenant with the mean rate as quota and twice that as burst."""
     rate = PLAN.requests_per_s / PLAN.tenants
     rows = []
-    for spread in (SET, PLAN.gatekeepers):
-        calm, worst = partition.steady(spread, rate, 2 * rate), partition.worst_case(spread, rate, 2 * rate)
+    for spread in (SET_SIZE, PLAN.gatekeepers):
+        even, worst = partition.steady(spread, rate, 2 * rate), partition.worst_case(spread, rate, 2 * rate)
         rows.append(
             (
                 str(spread),
-                short(calm.at_once),
-                short(calm.each_s),
-                short(calm.total(APART_S)),
-                f"{calm.total(APART_S) / rate / APART_S:.2f}",
-                short(worst.total(APART_S)),
-                f"{worst.total(APART_S) / rate / APART_S:.2f}",
+                short(even.at_once),
+                short(even.each_s),
+                short(even.total(PARTITION_S)),
+                f"{even.total(PARTITION_S) / rate / PARTITION_S:.2f}",
+                short(worst.total(PARTITION_S)),
+                f"{worst.total(PARTITION_S) / rate / PARTITION_S:.2f}",
             )
         )
     return table(
@@ -808,7 +836,7 @@
             "gatekeepers of its set",
             "units at once",
             "a second",
-            f"in {short(APART_S)} s",
+            f"in {short(PARTITION_S)} s",
             "of its quota",
             "at worst",
             "of its quota",
@@ -817,8 +845,8 @@
     )
 
 
-def played_table(found: Results) -> str:
-    """The module itself in simulated time: three regions, and one gatekeeper that is away."""
+def partition_simulation_table(found: Results) -> str:
+    """Return the table of the simulations: three partitioned regions, and one failed gateway."""
     measured = found.micro.get("apart", {})
     rows = [
         (
@@ -830,12 +858,12 @@
         )
         for row in measured.get("cuts", ())
     ]
-    if (home := measured.get("without_home")) is not None:
+    if (failed_owner := measured.get("without_home")) is not None:
         rows += [
             (
                 f"one gatekeeper gone, {known}; asked half of the quotas: of what its tenants ask, of the others'",
                 "",
-                f"{home[f'lost_{name}']:.2f}, {home[f'others_{name}']:.2f}",
+                f"{failed_owner[f'lost_{name}']:.2f}, {failed_owner[f'others_{name}']:.2f}",
                 "",
                 "",
             )
@@ -848,53 +876,54 @@
 
 
 def accepted_table(_: Results) -> str:
+    """Return the table of accepted costs."""
     return table(("cost", "where", "grows with", "why it is accepted"), roles.ACCEPTED)
 
 
 def missing_table(found: Results) -> str:
-    """What is not there, by axis and by part."""
+    """Return the table of missing, strained and failed results."""
     rows = [
-        (f"axis `{name}`", NOTHING)
+        (f"axis `{name}`", NO_VALUE)
         for name in (*estimates.AXES, *estimates.CHANGES, "services")
         if name not in found.axes
     ]
     rows += [
-        (f"axis `{name}`, the largest size", NOTHING)
+        (f"axis `{name}`, the largest size", NO_VALUE)
         for name, axis in found.axes.items()
         if not any(each.measured is not None for each in axis.fits.values())
     ]
     rows += [
-        (f"axis `{name}` at {', '.join(map(short, sizes))}", STRAINS)
+        (f"axis `{name}` at {', '.join(map(short, sizes))}", STRAINED_NOTE)
         for name, axis in found.axes.items()
         if (sizes := strained_at(axis))
     ]
-    rows += [("the run of all axes", STRAINS)] * whole_strained(found)
+    rows += [("the run of all axes", STRAINED_NOTE)] * full_run_strained(found)
     rows += [
-        (f"`{name}` of the module alone and the models", NOTHING)
+        (f"`{name}` of the module alone and the models", NO_VALUE)
         for name in ("subsets", "warming", "apart", "files")
         if name not in found.micro
     ]
-    rows += [("a change of one line with all routes and keys", NOTHING)] * ("after" not in found.change)
-    rows += [("the run of all axes at full size", NOTHING)] * (not found.whole.get("values"))
+    rows += [("a change of one line with all routes and keys", NO_VALUE)] * ("after" not in found.change)
+    rows += [("the run of all axes at full size", NO_VALUE)] * (not found.whole.get("values"))
     rows += [
         (f"part `{name}`", f"failed: {part['fault'].splitlines()[0][:120]}")
         for name, part in found.parts.items()
         if part.get("fault")
     ]
-    rows += [(what, why) for what, why in roles.NOT_MEASURED]
+    rows += [(what, why) for what, why in roles.UNMEASURED]
     return table(("what", "how it stands"), rows)
 
 
 def taken_table(found: Results) -> str:
-    """When and where the results were taken, with the load of the machine before and after each part."""
+    """Return the table of dates and machine, with the load average before and after each part."""
     machine, parts = found.machine, []
     for name, part in found.parts.items():
         loads = " to ".join(short(each[0]) for each in part.get("load_beside", []))
-        seconds = found.whole.get("values", {}).get("seconds", WHOLE_S) if name == "whole" else WHOLE_S
+        seconds = found.whole.get("values", {}).get("seconds", FULL_RUN_S) if name == "whole" else FULL_RUN_S
         parts.append(
             f"{name} {part.get('date', '')[:16].replace('T', ' ')}"
             + f" ({loads})" * bool(loads)
-            + f", a trial of {short(seconds)} s" * (seconds < WHOLE_S)
+            + f", a trial of {short(seconds)} s" * (seconds < FULL_RUN_S)
         )
     rows = (
         []
@@ -905,7 +934,7 @@
                 found.revision,
                 f"{machine.get('cores')} cores, {machine.get('cpu')}, "
                 f"{machine.get('memory_gib')} GiB, CPython {machine.get('python')}",
-                "; ".join(parts) or NOTHING,
+                "; ".join(parts) or NO_VALUE,
             )
         ]
     )
@@ -916,17 +945,17 @@
     "plan": plan_table,
     "roles": roles_table,
     "costs": costs_table,
-    "troubles": troubles_table,
-    "apart": apart_table,
-    "played": played_table,
+    "troubles": faults_table,
+    "apart": partition_bound_table,
+    "played": partition_simulation_table,
     "order": order_table,
     "later": later_table,
     "off": off_table,
     "known": known_table,
-    "ways": ways_table,
+    "ways": strategies_table,
     "services": services_table,
     "change": change_table,
-    "carrying": carrying_table,
+    "carrying": distribution_table,
     "accepted": accepted_table,
     "missing": missing_table,
     "taken": taken_table,
@@ -937,32 +966,32 @@
 
 
 def fill(text: str, found: Results) -> str:
-    """The page with all its tables made anew. `PageFault` where its marks don't fit."""
+    """Return the page with all tables rewritten; raises `PageError` if its marks do not match."""
     named = _TABLE.findall(text)
     names = [name for name, _ in named]
     if text.count("<!-- table ") != len(names) or text.count("<!-- end -->") != len(names):
-        raise PageFault("a table's marks don't pair: <!-- table NAME -->, its lines, <!-- end -->")
+        raise PageError("a table's marks don't pair: <!-- table NAME -->, its lines, <!-- end -->")
     for name in names:
         if name not in TABLES:
-            raise PageFault(f"table {name}: there is none of that name; there are {', '.join(TABLES)}")
+            raise PageError(f"table {name}: there is none of that name; there are {', '.join(TABLES)}")
     if missing := [name for name in TABLES if names.count(name) != 1]:
-        raise PageFault(f"tables {', '.join(missing)}: each is due once")
+        raise PageError(f"tables {', '.join(missing)}: each is due once")
     return _TABLE.sub(lambda match: f"<!-- table {match[1]} -->\n{TABLES[match[1]](found)}<!-- end -->\n", text)
 
 
 def prose(text: str) -> str:
-    """What stands around the tables."""
+    """Return the text around the tables."""
     return _TABLE.sub("", text)
 
 
 def figures(text: str) -> set[str]:
-    """The figures in a text, as they are written; names of files and the like are no figures."""
+    """Return the figures in a text as they are written, without those in code and links."""
     plain = re.sub(r"`[^`]*`|\]\([^)]*\)", " ", text)
     return {each.rstrip(".,") for each in re.findall(r"(?<![\w.-])\d[\d,.]*", plain)}
 
 
 def prose_figures() -> set[str]:
-    """What the prose may name besides figures of the tables: the plan's, and arithmetic from it."""
+    """Return the figures that prose may use besides those of the tables: the plan's, and derived ones."""
     return {
         short(each)
         for each in (
@@ -972,22 +1001,22 @@
             PLAN.routes,
             PLAN.tenants,
             PLAN.requests_per_s,
-            PLAN.each_requests_per_s,
+            PLAN.gateway_requests_per_s,
             PLAN.changes_a_day,
             PLAN.change_every_s,
             PLAN.service_workers,
             PLAN.machines,
-            PLAN.workers / PLAN.each_requests_per_s,
+            PLAN.workers / PLAN.gateway_requests_per_s,
             PLAN.gatekeepers * PLAN.workers,
             PLAN.gatekeepers / CONTROL_MACHINES,
-            PLAN.services / PLAN.each_requests_per_s,
+            PLAN.services / PLAN.gateway_requests_per_s,
             TODAY.gatekeepers,
-            OFF_BY * 100,
-            SET,
-            IN_FORCE.most,
+            MAX_DEVIATION * 100,
+            SET_SIZE,
+            IN_FORCE.limit,
             settings_distribution.HEARTBEAT_S,
             settings_distribution.CHANGE_BYTES,
-            subsets.BUSY,
+            subsets.UTILIZATION,
             subsets.RATE_SPREAD,
             longest_stop_ms(),
         )
@@ -995,7 +1024,7 @@
 
 
 def write(path: Path = PAGE, found: Results | None = None) -> bool:
-    """Fill the page anew; whether it changed."""
+    """Rewrite the tables of the page; return whether it changed."""
     before = path.read_text()
     after = fill(before, results.load() if found is None else found)
     path.write_text(after)
--- a/benchmarks/scale/partition.py
+++ b/benchmarks/scale/partition.py
@@ -16,7 +16,7 @@
 from anisefront.policy.customer_account import LOCAL_BURST_FRACTION
 from anisefront.policy.quota_parameters import DEMAND_TIME_CONSTANT_MS, RESERVE_FRACTION
 from benchmarks.scale.plan import REGIONS
-from benchmarks.scale.roles import out_after_s
+from benchmarks.scale.roles import suspicion_timeout_s
 from anisefront.policy.actions import SendToPeer, SetTimer, StartAttempt
 from anisefront.policy.events import (
     Arrival,
@@ -33,7 +33,7 @@
 from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
 
 SEED = 37
-DETECTION_S = out_after_s()
+DETECTION_S = suspicion_timeout_s()
 # For so long a gateway uses the last fraction of a customer's demand that it received.
 STALE_S = 2 * DEMAND_TIME_CONSTANT_MS / 1000
 
--- a/benchmarks/scale/results.py
+++ b/benchmarks/scale/results.py
@@ -1,44 +1,43 @@
-"""What a scale run writes down, benchmarks/results/scale.json, and how parts of it are put together. No measuring here.
+"""Results of a scale run: the file benchmarks/results/scale.json, and the predictions in it. Nothing is measured here.
 
-    {"date": ISO 8601, "revision": git's, "+" behind it where files differ from it,
+    {"date": ISO 8601, "revision": git's, with "+" if files differ from it,
      "machine": {"cpu", "cores", "memory_gib", "kernel", "python"},
      "axes": {name: Axis}, "whole": {...}, "micro": {...}, "parts": {name: {"date", "revision", "load_beside",
-     "took_s"}, or "fault": why it failed; "cut": when it was left out for time, its figures are of "date"}}
+     "took_s"}, or "fault": why it failed; "cut": when it was skipped for lack of time, its figures are of "date"}}
 
     Axis   {"unit": what a size counts, "base": the other axes' sizes, "rows": [Row], "fits": {measure: Fit},
-            "load_beside": load averages of the machine before and after, "strained": sizes at which the machine was
-            too busy to hold the load (see `strained`): their times say nothing of a gatekeeper}
-    whole  {"sizes": of each axis, "values": as a Row's, and what the run did and saw, as flat figures}
-    micro  {name: figure}, the module alone in one process, as the names say
-    change {"sizes", "after": {name: figure}, "before": the same of an earlier revision}: one real gatekeeper whose
+            "load_beside": load averages of the machine before and after, "strained": sizes at which the machine could
+            not sustain the load (see `strained`): their times say nothing about a gateway}
+    whole  {"sizes": of each axis, "values": as a Row's, and the events and observations of the run, as flat figures}
+    micro  {name: figure}, controllers in one process and models, by name
+    change {"sizes", "after": {name: figure}, "before": the same of an earlier revision}: one real gateway whose
             settings change by one line
-    Row    {"size": n, "values": {measure: value}}      rows stand by size; the last is the largest
+    Row    {"size": n, "values": {measure: value}}      rows are sorted by size; the last is the largest
     Fit    {"model", "a", "b", "c", "err_a", "err_b", "err_c", "r2", "predicted_at", "predicted", "measured", "ratio",
-            "out"}      through all rows but the last; `predicted` was written to the file before the last one was run;
-            `ratio` is measured / predicted, null where nothing or less was predicted; `out`: off by over a quarter
+            "out"}      through all rows but the last; `predicted` is written to the file before the last size is run;
+            `ratio` is measured / predicted, null unless positive was predicted; `out`: off by over a quarter
 
-Measures are named by what they are and their unit; all are of the real gatekeepers, the mean of them unless it says
-otherwise:
+Measures are named by quantity and unit; all are of the real gateways, as their mean unless stated otherwise:
 
-    start_s             from the process's start until it said it was ready
+    start_s             from the process's start until it reports that it is ready
     rss_mb              resident memory at the end of the row, MB of 10^6 bytes; `held_*_kb`: its own count by purpose
-    change_cpu_ms       CPU a change of settings or of the list beyond what the requests and control of its window take
-    control_cpu_ms_s    CPU a second in a window without requests of its own clients: membership, and its part as home
-                        of quotas of what gatekeepers beside it ask
-    request_cpu_us      CPU a request beyond that, in the window with requests: with what it asks of homes
-    members_*, quotas_*, keeping_*   `_in_msgs_s`, `_out_msgs_s`, `_in_bytes_s`, `_out_bytes_s`: datagrams a second in
-                        the window with requests (for the others of the quiet one `quiet_...`), with seal, without UDP
-    list_bytes_s, settings_bytes_s   bytes of the roster and of the settings files that are read a second
-    check_p50_ms ...    from the scheduled time of a request to the answer of its check, by gRPC external authorisation:
-                        the client carries the attempt out itself and logs its end
-    bare_p50_ms ...     the same of a bare grpcio server beside it that allows everything, by another such client at the
-                        same rate: what the client and the machine take
-    added_p50_ms, added_p99_ms, added_p999_ms   a request by way of the gatekeeper to its worker against one straight
-                        to that worker a moment later: difference of the quantiles
-    wait_max_ms         the longest that a check of the row took: what a stop of the loop makes a client wait
-    loop_ms, turn_ms    upper bound of the row of the highest lateness of the loop and length of a turn (state report)
-    in_force_s          from the change of a file until the last real one says that it is in force
-    zone_*              in the largest row of `members`: all `zone_members` of one zone restarted at once; not fitted
+    change_cpu_ms       CPU per change of settings or of the list, without the requests and control of the window
+    control_cpu_ms_s    CPU per second in a window without own clients: membership, and quota requests of other gateways
+                        that this one owns
+    request_cpu_us      CPU per request beyond that, in the window with requests, including requests to quota owners
+    members_*, quotas_*, keeping_*   `_in_msgs_s`, `_out_msgs_s`, `_in_bytes_s`, `_out_bytes_s`: datagrams per second
+                        in the window with requests (`quiet_...`: in the quiet one), with authentication, without UDP
+    list_bytes_s, settings_bytes_s   bytes per second of the endpoint list and the settings files that are read
+    check_p50_ms ...    from the scheduled time of a request to the response of its check, by gRPC external
+                        authorisation: the client executes the attempt itself and logs its end
+    bare_p50_ms ...     the same for a bare grpcio server that allows everything, by a client of the same kind and rate:
+                        the cost of the client and the machine
+    added_p50_ms, added_p99_ms, added_p999_ms   a request through the gateway to its worker against the same one
+                        sent straight to that worker afterwards: difference of the quantiles
+    wait_max_ms         the longest check of the row: how long a stall of the event loop makes a client wait
+    loop_ms, turn_ms    upper bound of the highest bucket of loop lateness and turn length (state report)
+    in_force_s          from the change of a file until it is in force at the last real gateway
+    zone_*              in the largest row of `members`: all `zone_members` of one zone restart at once; not fitted
 """
 
 from __future__ import annotations
@@ -54,12 +53,12 @@
 
 ROOT = Path(__file__).parent.parent.parent
 FILE = ROOT / "benchmarks/results/scale.json"
-QUARTER = 0.25  # a prediction that is out by more is said
+MAX_DEVIATION = 0.25  # relative; predictions that are further off are reported
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """A measure by size, and its prediction for the largest size (None: not made or not run yet)."""
+    """Fit of a measure by size, with its prediction for the largest size (None: not made or not run yet)."""
 
     model: str
     a: float
@@ -78,7 +77,7 @@
 
 @dataclass(slots=True)
 class Row:
-    """One size of an axis: the mean over the real gatekeepers of what was measured."""
+    """Measures of one size of an axis, as means over the real gateways."""
 
     size: float
     values: dict[str, float]
@@ -86,7 +85,7 @@
 
 @dataclass(slots=True)
 class Axis:
-    """One axis, with the others at `base`."""
+    """Results of one axis, with the other axes at `base`."""
 
     unit: str
     base: dict[str, float]
@@ -98,7 +97,7 @@
 
 @dataclass(slots=True)
 class Results:
-    """The whole file."""
+    """Contents of the results file."""
 
     date: str = ""
     revision: str = ""
@@ -110,17 +109,19 @@
     parts: dict[str, dict[str, Any]] = field(default_factory=dict)
 
 
-LATE_MS = 20.0  # of one in a hundred requests, against the schedule of their clients
+MAX_SENT_LATE_P99_MS = 20.0  # against the schedule of the clients
 
 
 def strained(values: dict[str, float]) -> bool:
-    """Whether the clients themselves were late: then the machine is what was measured. A stop of a gatekeeper makes no
-    client late in sending, so it can't hide here."""
-    return values.get("sent_late_p99_ms", 0.0) > LATE_MS
+    """Return whether the clients themselves sent late, so that the machine was measured and not the gateway.
 
+    A stall of a gateway does not delay sending, so it cannot be mistaken for this.
+    """
+    return values.get("sent_late_p99_ms", 0.0) > MAX_SENT_LATE_P99_MS
 
-# What is a cost by itself. The others are kept but not fitted: rows of histograms, and what tells how well it was
-# measured (served_share, sent_late, direct, requests_s); the quiet window's messages are in those of the loaded one.
+
+# Prefixes of the measures that are costs. The others are stored but not fitted: histogram buckets, and measures of the
+# quality of the run (served_share, sent_late, direct, requests_s); the loaded window has the quiet one's messages too.
 FITTED = (
     "start_s",
     "rss_mb",
@@ -143,8 +144,10 @@
 
 
 def predict(axis: Axis, largest: float, models: dict[str, str] | None = None) -> None:
-    """Fit each cost that all rows have, and say what it will be at the largest size. `models`: of those that do not
-    go with the size itself."""
+    """Fit each cost that all rows have, and predict it for the largest size.
+
+    `models` has the fit models of measures that are not linear in the size.
+    """
     from benchmarks.scale import fit
 
     names = set.intersection(*(set(row.values) for row in axis.rows)) if axis.rows else set()
@@ -155,22 +158,22 @@
 
 
 def compare(axis: Axis) -> list[str]:
-    """Lay the last row beside what was predicted of it; the measures that are out by more than a quarter."""
+    """Compare the last row with its predictions; return the measures that are off by more than a quarter."""
     from benchmarks.scale import fit
 
-    last, out = axis.rows[-1], []
+    last, deviating = axis.rows[-1], []
     for name, found in axis.fits.items():
         if name not in last.values or found.predicted_at != last.size:
             continue
         ratio = fit.ratio(found.predicted, last.values[name])
-        off = abs(last.values[name] - found.predicted) > QUARTER * abs(found.predicted)
+        off = abs(last.values[name] - found.predicted) > MAX_DEVIATION * abs(found.predicted)
         axis.fits[name] = Fit(**asdict(found) | {"measured": last.values[name], "ratio": ratio, "out": off})
-        out += [name] * off
-    return out
+        deviating += [name] * off
+    return deviating
 
 
 def machine() -> dict[str, Any]:
-    """What this machine is."""
+    """Describe this machine: CPU, cores, memory, kernel and Python version."""
     cpu = ""
     for line in Path("/proc/cpuinfo").read_text().splitlines():
         if line.startswith("model name"):
@@ -187,9 +190,10 @@
 
 
 def revision() -> str:
-    """Git's name of what runs, with "+" where files differ from it; "unknown" outside of a checkout."""
+    """Return git's revision, with "+" if files differ from it; "unknown" outside of a checkout."""
 
     def git(*words: str) -> str:
+        """Run a git command and return its output."""
         return subprocess.run(
             ["git", "-C", str(ROOT), *words], capture_output=True, text=True, timeout=20, check=True
         ).stdout.strip()
@@ -202,7 +206,7 @@
 
 
 def load(path: Path = FILE) -> Results:
-    """What is there; empty results where there is no file."""
+    """Read the results; without a file they are empty."""
     if not path.exists():
         return Results()
     data = json.loads(path.read_text())
@@ -221,7 +225,7 @@
 
 
 def plain(value: Any) -> Any:
-    """Figures to six digits: what is beyond is noise, and a diff of two runs stays readable."""
+    """Round figures to six digits: the rest is noise, and diffs of two runs stay readable."""
     if isinstance(value, dict):
         return {key: plain(each) for key, each in value.items()}
     if isinstance(value, list | tuple):
@@ -230,10 +234,10 @@
 
 
 def save(results: Results, path: Path = FILE) -> None:
-    """Write all, at once or not at all."""
+    """Write all results atomically."""
     results.date, results.revision = time.strftime("%Y-%m-%dT%H:%M:%S%z"), revision()
     results.machine = machine()
     path.parent.mkdir(exist_ok=True)
-    made = path.with_suffix(".new")
-    made.write_text(json.dumps(plain(asdict(results)), indent=1) + "\n")
-    made.replace(path)
+    temporary = path.with_suffix(".new")
+    temporary.write_text(json.dumps(plain(asdict(results)), indent=1) + "\n")
+    temporary.replace(path)
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -1,5 +1,7 @@
-"""What each role of a fleet holds and says, which mechanism carries it, and what it does in ordinary trouble. Words,
-and arithmetic from the plan and from the constants of the code; what was measured comes in as arguments."""
+"""Roles of a fleet: their state, their messages, the mechanism behind them, and the effects of ordinary faults.
+
+Texts of the capacity page, and arithmetic from the plan and the constants of the code; measured figures are arguments.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +11,23 @@
 from anisefront.cluster import dissemination, primary, replication_codec, suspicion
 from anisefront.cluster.member_state import ROW_FORMAT
 from benchmarks.scale import subsets
-from benchmarks.scale.plan import APART_S, CONTROL_MACHINES, IN_HAND_S, PLAN, RACK_MACHINES, REGIONS, SET, ZONES
+from benchmarks.scale.plan import (
+    PARTITION_S,
+    CONTROL_MACHINES,
+    IN_FLIGHT_S,
+    PLAN,
+    RACK_MACHINES,
+    REGIONS,
+    SET_SIZE,
+    ZONES,
+)
 
 MISSING = "**missing**"
-TROUBLES = ("machines that fail in a day", "machines restarted in a day", "a rack", "a zone", "regions apart")
+FAULTS = ("machines that fail in a day", "machines restarted in a day", "a rack", "a zone", "regions apart")
 
 
 def short(value: float) -> str:
-    """Three digits, thousands apart."""
+    """Format a value with three significant digits and separators of thousands."""
     if value == 0 or not math.isfinite(value):
         return f"{value:g}"
     digits = max(0, 2 - math.floor(math.log10(abs(value))))
@@ -26,53 +37,56 @@
 
 @dataclass(frozen=True, slots=True)
 class Role:
-    """One role. `carried`: by module and file, or that it is missing."""
+    """One role; `mechanism` names its files and classes, or says that it is missing."""
 
     name: str
     state: str
     messages: str
-    carried: str
+    mechanism: str
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """What one ordinary trouble takes away; figures of one time that it comes."""
+class Fault:
+    """One kind of ordinary fault, with the machines that one occurrence takes away."""
 
     name: str
     gatekeepers: float
     workers: float
 
 
-def troubles() -> list[Trouble]:
-    """In the order of `TROUBLES`; the last takes nothing away."""
-    part = PLAN.gatekeepers / PLAN.machines
+def faults() -> list[Fault]:
+    """Return the faults in the order of `FAULTS`; the last takes no machines away."""
+    gateway_fraction = PLAN.gatekeepers / PLAN.machines
     lost = [PLAN.failures_a_day, PLAN.restarts_a_day, RACK_MACHINES, PLAN.machines / ZONES, 0.0]
-    return [Trouble(name, count * part, count * (1 - part)) for name, count in zip(TROUBLES, lost, strict=True)]
+    return [
+        Fault(name, count * gateway_fraction, count * (1 - gateway_fraction))
+        for name, count in zip(FAULTS, lost, strict=True)
+    ]
 
 
-def away() -> float:
-    """Gatekeepers that one cannot hear while regions are apart."""
+def unreachable_gateways() -> float:
+    """Return the gateways that are unreachable from one during a partition of regions."""
     return PLAN.gatekeepers * (1 - 1 / REGIONS)
 
 
-def stores() -> float:
-    """Tenants whose home a gatekeeper is."""
+def tenants_per_gateway() -> float:
+    """Return the tenants whose quotas one gateway owns."""
     return PLAN.tenants / PLAN.gatekeepers
 
 
-def in_hand() -> float:
-    """Requests in hand at a gatekeeper at the peak."""
-    return PLAN.each_requests_per_s * IN_HAND_S
+def requests_in_flight() -> float:
+    """Return the requests in flight at a gateway at the peak."""
+    return PLAN.gateway_requests_per_s * IN_FLIGHT_S
 
 
-def out_after_s(period_s: float = 1.0) -> float:
-    """Seconds for which a suspicion may be refuted where enough others share it."""
+def suspicion_timeout_s(period_s: float = 1.0) -> float:
+    """Return the time in which a suspicion can be refuted, if enough members share it."""
     return suspicion.SUSPICION_PERIODS * math.log10(PLAN.gatekeepers) * period_s
 
 
-def asks_a_second() -> float:
-    """Questions that a gatekeeper sends to homes, and hears as one, where its own buckets hold less than a request."""
-    return PLAN.each_requests_per_s * (1 - 1 / SET)
+def quota_requests_per_s() -> float:
+    """Return the quota requests per second of a gateway whose local buckets hold less than one request."""
+    return PLAN.gateway_requests_per_s * (1 - 1 / SET_SIZE)
 
 
 ROLES = (
@@ -84,8 +98,9 @@
     ),
     Role(
         "home of quotas",
-        f"a store for each of its {short(stores())} tenants",
-        f"at most {short(asks_a_second())} questions a second in, as many answers out, and as borrower the same again",
+        f"a store for each of its {short(tenants_per_gateway())} tenants",
+        f"at most {short(quota_requests_per_s())} questions a second in, as many answers out, "
+        "and as borrower the same again",
         "`policy/quota_owner.py`, `QuotaOwner`; while one is gone the next of its set: `policy/quota_borrower.py`, "
         "`QuotaBorrower.lender_of`, told by "
         "`daemon/membership_service.py`",
@@ -93,7 +108,7 @@
     Role(
         "keeper",
         f"records of others' requests, at most {replication_codec.MAX_RECORD_BYTES:,} bytes each, "
-        f"about {short(in_hand())} at a time",
+        f"about {short(requests_in_flight())} at a time",
         "of each request that may not simply run again: taken, sent, over, and a word for each",
         "`cluster/primary.py`, `cluster/backup.py`, `daemon/replication.py`",
     ),
@@ -134,67 +149,71 @@
 
 
 def count(value: float) -> str:
-    """How many, to three digits; few to two places."""
+    """Format a count with three significant digits, one below 0.95 with two decimals."""
     return short(value) if value >= 0.95 else f"{value:.2f}".rstrip("0").rstrip(".")
 
 
-def in_trouble(start_s: float | None, settings_bytes: float | None) -> list[tuple[str, list[str]]]:
-    """Of each role a cell for each trouble. `start_s`: measured at the plan; None where it was not."""
-    fail, restart, rack, zone, _ = troubles()
+def fault_effects(start_s: float | None, settings_bytes: float | None) -> list[tuple[str, list[str]]]:
+    """Return the cells of each role by fault; `start_s` is measured at the plan, None if it was not."""
+    failures, restarts, rack, zone, _ = faults()
     starting = f"{short(start_s)} s" if start_s is not None else "a start (not measured)"
-    more = PLAN.requests_per_s / (PLAN.gatekeepers - zone.gatekeepers)
-    pair = (rack.gatekeepers - 1) / (PLAN.gatekeepers - 1)
-    zone_pair = (zone.gatekeepers - 1) / (PLAN.gatekeepers - 1)
-    back = f"{count(zone.gatekeepers)} read all at once" + (
+    remaining_requests_per_s = PLAN.requests_per_s / (PLAN.gatekeepers - zone.gatekeepers)
+    rack_pair_fraction = (rack.gatekeepers - 1) / (PLAN.gatekeepers - 1)
+    zone_pair_fraction = (zone.gatekeepers - 1) / (PLAN.gatekeepers - 1)
+    restart_text = f"{count(zone.gatekeepers)} read all at once" + (
         f": {short(zone.gatekeepers * settings_bytes / 1e6)} MB" if settings_bytes is not None else ""
     )
-    per_worker = subsets.connections(subsets.SPLIT_KNOWN, subsets.IDLE_S[1])
+    per_worker = subsets.connections(subsets.SPLIT_SUBSET_SIZE, subsets.IDLE_TIMEOUTS_S[1])
     open_each = per_worker.open_there / PLAN.gatekeepers
-    patience = primary.BACKUP_TIMEOUT_MS
-    told = dissemination.RETRANSMIT_MULTIPLIER * math.ceil(math.log2(PLAN.gatekeepers + 1))
-    rows = f"{ROW_FORMAT.size} bytes a row, told {told} times by each"
+    backup_timeout_ms = primary.BACKUP_TIMEOUT_MS
+    transmissions = dissemination.RETRANSMIT_MULTIPLIER * math.ceil(math.log2(PLAN.gatekeepers + 1))
+    rows = f"{ROW_FORMAT.size} bytes a row, told {transmissions} times by each"
     return [
         (
             "gatekeeper",
             [
-                f"{count(fail.gatekeepers)} a day; {short(in_hand())} in hand at each; out for the others after about "
-                f"{short(out_after_s())} s",
-                f"{count(restart.gatekeepers)} a day, each away for its drain and {starting}; {rows}",
+                f"{count(failures.gatekeepers)} a day; {short(requests_in_flight())} in hand at each; "
+                "out for the others after about "
+                f"{short(suspicion_timeout_s())} s",
+                f"{count(restarts.gatekeepers)} a day, each away for its drain and {starting}; {rows}",
                 f"{count(rack.gatekeepers)} at once; each other carries "
                 f"{rack.gatekeepers / (PLAN.gatekeepers - rack.gatekeepers):.1%} more",
-                f"{count(zone.gatekeepers)} at once; each other carries {short(more)} requests a second",
-                f"{count(away())} unheard; serves from the workers that it can reach",
+                f"{count(zone.gatekeepers)} at once; "
+                f"each other carries {short(remaining_requests_per_s)} requests a second",
+                f"{count(unreachable_gateways())} unheard; serves from the workers that it can reach",
             ],
         ),
         (
             "home of quotas",
             [
-                f"{count(fail.gatekeepers * stores())} tenants a day without a home "
-                f"for about {short(out_after_s())} s, "
+                f"{count(failures.gatekeepers * tenants_per_gateway())} tenants a day without a home "
+                f"for about {short(suspicion_timeout_s())} s, "
                 "until it is known to be gone: where their buckets hold less than a request, nothing of theirs goes "
                 "on; then the next of their set lends",
-                f"{count(restart.gatekeepers * stores())} tenants a day: it says that it leaves, and the next lends "
+                f"{count(restarts.gatekeepers * tenants_per_gateway())} tenants a day: "
+                "it says that it leaves, and the next lends "
                 f"for {starting}; each new store begins with a full burst, which is beyond the quota, at most twice",
-                f"{count(rack.gatekeepers * stores())} tenants",
-                f"{count(zone.gatekeepers * stores())} tenants",
-                f"for {short(APART_S)} s: one on each side, see the next table",
+                f"{count(rack.gatekeepers * tenants_per_gateway())} tenants",
+                f"{count(zone.gatekeepers * tenants_per_gateway())} tenants",
+                f"for {short(PARTITION_S)} s: one on each side, see the next table",
             ],
         ),
         (
             "keeper",
             [
-                f"origin goes on with another after {short(patience)} ms; both lost: by chance only",
+                f"origin goes on with another after {short(backup_timeout_ms)} ms; both lost: by chance only",
                 "the same; it leaves its feeds first",
-                f"{pair:.2%} of what its gatekeepers had in hand loses origin and keeper",
-                f"{zone_pair:.1%} of what had a name: the room is not asked there",
-                f"keepers out of reach are left after {short(patience)} ms; with a witness out of reach work waits",
+                f"{rack_pair_fraction:.2%} of what its gatekeepers had in hand loses origin and keeper",
+                f"{zone_pair_fraction:.1%} of what had a name: the room is not asked there",
+                f"keepers out of reach are left after {short(backup_timeout_ms)} ms; "
+                "with a witness out of reach work waits",
             ],
         ),
         (
             "who tells the list",
             [
-                f"{count(2 * fail.workers)} lines a day",
-                f"{count(2 * restart.workers)} lines a day, a whole list each",
+                f"{count(2 * failures.workers)} lines a day",
+                f"{count(2 * restarts.workers)} lines a day, a whole list each",
                 f"{count(rack.workers)} lines at once",
                 f"{count(zone.workers)} lines at once",
                 "each region goes by the list that it had: " + MISSING + " is who tells what it can't reach",
@@ -203,11 +222,11 @@
         (
             "who tells settings",
             [
-                f"{count(fail.gatekeepers)} a day come back with old files: {MISSING} is who sees it",
-                f"{count(restart.gatekeepers)} a day, the same",
+                f"{count(failures.gatekeepers)} a day come back with old files: {MISSING} is who sees it",
+                f"{count(restarts.gatekeepers)} a day, the same",
                 f"{count(rack.gatekeepers)} at once",
-                back,
-                f"{short(APART_S / PLAN.change_every_s)} changes reach one region only: versions differ, "
+                restart_text,
+                f"{short(PARTITION_S / PLAN.change_every_s)} changes reach one region only: versions differ, "
                 "nobody says so",
             ],
         ),
@@ -225,8 +244,8 @@
             "worker",
             [
                 f"a lost gatekeeper's connections close: {short(open_each)} of its "
-                f"{short(per_worker.open_there)}; {count(fail.workers)} a day are lost themselves",
-                f"{count(restart.workers)} a day come back cold",
+                f"{short(per_worker.open_there)}; {count(failures.workers)} a day are lost themselves",
+                f"{count(restarts.workers)} a day come back cold",
                 f"{count(rack.workers)} lost; each other carries "
                 f"{rack.workers / (PLAN.workers - rack.workers):.1%} more",
                 f"{count(zone.workers)} lost; each other "
@@ -237,19 +256,20 @@
         (
             "client side",
             [
-                f"{count(fail.gatekeepers * in_hand())} requests a day in hand at a loss: carried on where keepers are "
+                f"{count(failures.gatekeepers * requests_in_flight())} requests a day in hand at a loss: "
+                "carried on where keepers are "
                 "on, else tried again or lost",
                 "none: gatekeepers drain",
-                f"{count(rack.gatekeepers * in_hand())} requests",
-                f"{count(zone.gatekeepers * in_hand())} requests",
+                f"{count(rack.gatekeepers * requests_in_flight())} requests",
+                f"{count(zone.gatekeepers * requests_in_flight())} requests",
                 "reaches its own region's gatekeepers",
             ],
         ),
     ]
 
 
-# Costs that grow with all members, workers or settings for each event, and are accepted: what, where, by what it
-# grows, and why. Rows may be added; the page takes them as they stand.
+# Accepted costs per event that grow with all members, workers or settings: what, where, what it grows with, and why.
+# Rows may be added; the page prints them unchanged.
 ACCEPTED: tuple[tuple[str, str, str, str], ...] = (
     (
         "a changed line of the list goes through all workers",
@@ -349,26 +369,26 @@
     ),
 )
 
-# Why a prediction was out by more than a quarter, by axis ("": any) and measure.
+# Why a prediction was off by more than a quarter, by axis ("" for any) and measure.
 _ROWS_IN_FULL = "all rows go once in 30 periods, of all six at about the same moment: a window holds it or does not"
-_FEW = "the window's few slowest requests, one or two a gatekeeper"
+_FEW_REQUESTS = "the window's few slowest requests, one or two a gatekeeper"
 _DIFFERENCE = "a small difference of two windows with requests, whose own spread is as large"
-EXPLAINED: dict[tuple[str, str], str] = {
+EXPLANATIONS: dict[tuple[str, str], str] = {
     ("", "members_in_bytes_s"): _ROWS_IN_FULL,
     ("", "members_out_bytes_s"): _ROWS_IN_FULL,
-    ("", "added_p999_ms"): _FEW,
-    ("", "wait_max_ms"): _FEW,
+    ("", "added_p999_ms"): _FEW_REQUESTS,
+    ("", "wait_max_ms"): _FEW_REQUESTS,
     ("", "change_cpu_ms"): _DIFFERENCE,
 }
 
 
-def explained(axis: str, measure: str) -> str:
-    """Why it was out, "" where that is not known."""
-    return EXPLAINED.get((axis, measure)) or EXPLAINED.get(("", measure), "")
+def explanation(axis: str, measure: str) -> str:
+    """Return why a prediction was off, "" if that is not known."""
+    return EXPLANATIONS.get((axis, measure)) or EXPLANATIONS.get(("", measure), "")
 
 
-# What the scale run does not reach at all.
-NOT_MEASURED: tuple[tuple[str, str], ...] = (
+# Areas that the scale run does not cover.
+UNMEASURED: tuple[tuple[str, str], ...] = (
     ("keepers beside 850 gatekeepers", "off in the scale run; their cost a request stands in measurements.md"),
     ("networks: distance, loss and bandwidth between machines", "all is over the loopback of one machine"),
     ("TLS, and handshakes' CPU", "counted by arithmetic, not run"),
--- a/tests/test_capacity_figures.py
+++ b/tests/test_capacity_figures.py
@@ -47,9 +47,9 @@
     crossed = estimates.crossing(found, name, ["cost"], most)
     if slopes[grows] > 1e-6:
         assert fit.at(fits[name], crossed.size) == pytest.approx(most)
-        assert crossed.part == pytest.approx(crossed.size / estimates.AXES[name](PLAN))
-    step = estimates.together(found, ["cost"], wanted)
-    assert step.part == pytest.approx(1) or wanted - floor < 1e-3
+        assert crossed.plan_fraction == pytest.approx(crossed.size / estimates.AXES[name](PLAN))
+    step = estimates.crossing_in_step(found, ["cost"], wanted)
+    assert step.plan_fraction == pytest.approx(1) or wanted - floor < 1e-3
 
 
 def test_slope_that_is_not_sure_adds_nothing_and_its_error_counts():
@@ -60,12 +60,12 @@
         said = estimates.estimate(results_of({"routes": each, "workers": flat}), ["cost"], PLAN)
         assert said.value == pytest.approx(base + gains)
         assert said.error == pytest.approx(each.err_b * size)
-        assert said.without == tuple(name for name in NAMES if name not in ("routes", "workers"))
+        assert said.missing_axes == tuple(name for name in NAMES if name not in ("routes", "workers"))
 
 
 def test_crossing_is_the_first_and_says_where_there_is_none():
     bent = estimates.solve("", lambda size: size if size < 30 else -size, 20.0, 10.0)
-    assert bent.size == pytest.approx(20) and bent.part == pytest.approx(2)
+    assert bent.size == pytest.approx(20) and bent.plan_fraction == pytest.approx(2)
     assert estimates.solve("", lambda size: 5.0, 4.0, 10.0).size == 0
     assert math.isinf(estimates.solve("", lambda size: 5.0, 6.0, 10.0).size)
     assert estimates.estimate(Results(), ["cost"], PLAN) is None
@@ -94,8 +94,8 @@
 
 def test_figures_of_two_sizes_are_read_between_them():
     figures = {"parse_1000": 5.0, "parse_11000": 55.0, "parse_more": 1.0}
-    assert estimates.between(figures, "parse", 6000) == pytest.approx(30)
-    assert estimates.between({"parse_1000": 5.0}, "parse", 6000) is None
+    assert estimates.interpolate(figures, "parse", 6000) == pytest.approx(30)
+    assert estimates.interpolate({"parse_1000": 5.0}, "parse", 6000) is None
 
 
 # ---- subsets -------------------------------------------------------------------------------------
@@ -107,7 +107,7 @@
     services = int(PLAN.services / groups)
     last, found, count, now = {}, 0, 0, 0.0
     while now < seconds:
-        now += rng.expovariate(PLAN.each_requests_per_s)
+        now += rng.expovariate(PLAN.gateway_requests_per_s)
         worker = rng.randrange(services * known)
         count += 1
         found += now - last.get(worker, -math.inf) <= idle_s
@@ -115,8 +115,8 @@
     said = subsets.connections(known, idle_s, groups)
     assert found / count == pytest.approx(said.found_open, abs=0.02)
     assert sum(now - at <= idle_s for at in last.values()) == pytest.approx(said.open_here, rel=0.05)
-    assert said.met_every_s == pytest.approx(services * known / PLAN.each_requests_per_s)
-    for known in subsets.KNOWN:  # both ends count the same connections, however services are split
+    assert said.met_every_s == pytest.approx(services * known / PLAN.gateway_requests_per_s)
+    for known in subsets.SUBSET_SIZES:  # both ends count the same connections, however services are split
         for split in (1, 50):
             each = subsets.connections(known, idle_s, split)
             assert each.open_here * PLAN.gatekeepers == pytest.approx(
@@ -124,10 +124,10 @@
             )
 
 
-@pytest.mark.parametrize("name", subsets.WAYS)
+@pytest.mark.parametrize("name", subsets.STRATEGIES)
 def test_each_gatekeeper_knows_as_many_and_none_twice(name):
-    made = subsets.WAYS[name](GATEKEEPERS, list(range(WORKERS)), 6)
-    assert made == subsets.WAYS[name](GATEKEEPERS, list(range(WORKERS)), 6)
+    made = subsets.STRATEGIES[name](GATEKEEPERS, list(range(WORKERS)), 6)
+    assert made == subsets.STRATEGIES[name](GATEKEEPERS, list(range(WORKERS)), 6)
     wanted = {"all": WORKERS, "own zone": WORKERS // ZONES}.get(name, 6)
     assert all(len(set(each)) == len(each) == wanted for each in made)
     assert {worker for each in made for worker in each} == set(range(WORKERS))
@@ -135,12 +135,13 @@
 
 def test_ways_are_as_even_and_as_steady_as_they_are_known_for():
     even = {
-        name: subsets.evenness(way(GATEKEEPERS, list(range(WORKERS)), 6), WORKERS) for name, way in subsets.WAYS.items()
+        name: subsets.evenness(way(GATEKEEPERS, list(range(WORKERS)), 6), WORKERS)
+        for name, way in subsets.STRATEGIES.items()
     }
     assert even["deterministic subsets"][0] < 0.02 < even["rendezvous hashing"][0] < even["ring"][0]
     assert even["all"] == (0.0, 1.0)
     moved = {
-        name: subsets.moved(subsets.WAYS[name], GATEKEEPERS, WORKERS, 6)
+        name: subsets.moved_fraction(subsets.STRATEGIES[name], GATEKEEPERS, WORKERS, 6)
         for name in ("rendezvous hashing", "deterministic subsets", "all")
     }
     assert moved["all"] == 0 and moved["rendezvous hashing"] == pytest.approx(1 / WORKERS, rel=0.25)
@@ -148,24 +149,24 @@
 
 
 def test_loss_of_a_zone_leaves_who_knows_few():
-    assert subsets.without([(0, 8), (1, 2), (1, 2)], 0) == 0  # the first is in the lost zone itself
-    assert subsets.without([(0, 8), (0, 2), (1, 2)], 0) == 0.5
+    assert subsets.short_of_workers([(0, 8), (1, 2), (1, 2)], 0) == 0  # the first is in the lost zone itself
+    assert subsets.short_of_workers([(0, 8), (0, 2), (1, 2)], 0) == 0.5
     rows = [
         {"known": known, "zone_lost": lost, "reports": {"answer": answer}}
         for known, lost, answer in ((2, 0.1, 3.0), (4, 0.0, 3.3), (6, 0.0, 3.1), (24, 0.0, 3.0))
     ]
-    assert subsets.enough({"rows": rows}) == 6
-    assert subsets.enough({"rows": [rows[0] | {"zone_lost": 1.0}]}) is None
+    assert subsets.sufficient_size({"rows": rows}) == 6
+    assert subsets.sufficient_size({"rows": [rows[0] | {"zone_lost": 1.0}]}) is None
 
 
 def test_queue_model_gives_what_is_known_of_it():
     """One queue a worker by chance answers in 1 / (1 - busy) service times; true loads far sooner; seeds repeat."""
     known = subsets.rendezvous(GATEKEEPERS, list(range(WORKERS)), 6)
-    plays = {each: subsets.play(known, WORKERS, each, 120.0, 3) for each in subsets.KNOWLEDGE}
-    assert plays["chance"].answer == pytest.approx(1 / (1 - subsets.BUSY), rel=0.2)
+    plays = {each: subsets.simulate(known, WORKERS, each, 120.0, 3) for each in subsets.LOAD_INFORMATION}
+    assert plays["chance"].answer == pytest.approx(1 / (1 - subsets.UTILIZATION), rel=0.2)
     assert plays["true"].answer < 0.7 * plays["reports"].answer < 0.9 * plays["chance"].answer
     assert plays["true"].under_way < plays["chance"].under_way
-    assert subsets.play(known, WORKERS, "reports", 20.0, 3) == subsets.play(known, WORKERS, "reports", 20.0, 3)
+    assert subsets.simulate(known, WORKERS, "reports", 20.0, 3) == subsets.simulate(known, WORKERS, "reports", 20.0, 3)
 
 
 # ---- quotas of regions apart ---------------------------------------------------------------------
@@ -224,7 +225,7 @@
 @pytest.mark.parametrize("rate, waits", [(MESSAGES_PER_S, False), (200.0, True)])
 def test_at_twice_the_planned_peak_no_question_waits_for_company(rate, waits):
     """Of 8 gatekeepers of a set 7 ask another: so much is asked of one and answered to one."""
-    heard_per_s = 2 * 2 * PLAN.each_requests_per_s * 7 / 8
+    heard_per_s = 2 * 2 * PLAN.gateway_requests_per_s * 7 / 8
     one = Controller(
         Settings(
             gateways=15,
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -54,8 +54,8 @@
     files = {"roster": 1000, "settings": 1000, "one_file": 100}
     rows = [
         {"known": known, "zone_lost": 0.0}
-        | {each: {"spread": 0.1, "under_way": 1.0, "answer": 2.0} for each in subsets.KNOWLEDGE}
-        for known in subsets.KNOWN
+        | {each: {"spread": 0.1, "under_way": 1.0, "answer": 2.0} for each in subsets.LOAD_INFORMATION}
+        for known in subsets.SUBSET_SIZES
     ]
     out.micro = {
         "parse_list_ms_1000": 5.0,
@@ -180,24 +180,24 @@
 def test_what_is_not_there_is_said_in_its_cell():
     nothing = tables(Results())
     for name in ("costs", "order", "known", "ways", "services", "played", "off", "taken"):
-        assert page.NOTHING in nothing[name], name
+        assert page.NO_VALUE in nothing[name], name
     for name in (*MEASURED, "services"):
-        assert f"axis `{name}` | {page.NOTHING}" in nothing["missing"]
+        assert f"axis `{name}` | {page.NO_VALUE}" in nothing["missing"]
     whole = sample()
     for name in [*whole.axes]:
         part = copy.deepcopy(whole)
         del part.axes[name]
-        assert f"axis `{name}` | {page.NOTHING}" in tables(part)["missing"]
+        assert f"axis `{name}` | {page.NO_VALUE}" in tables(part)["missing"]
         part = copy.deepcopy(whole)
         part.axes[name].fits.clear()
-        assert f"axis `{name}`, the largest size | {page.NOTHING}" in tables(part)["missing"]
+        assert f"axis `{name}`, the largest size | {page.NO_VALUE}" in tables(part)["missing"]
     for measure in MEASURES:
         part = copy.deepcopy(whole)
         for axis in part.axes.values():
             axis.fits.pop(measure, None)
         part.whole["values"].pop(measure, None)
         part.change = {}
-        assert page.costs_table(part).count(page.NOTHING) > page.costs_table(whole).count(page.NOTHING), measure
+        assert page.costs_table(part).count(page.NO_VALUE) > page.costs_table(whole).count(page.NO_VALUE), measure
     for part in whole.micro:
         less = copy.deepcopy(whole)
         del less.micro[part]
@@ -250,7 +250,7 @@
     assert "| routes | rss_mb 1.26 | not explained |" in page.off_table(found)
     found.axes["routes"].rows[-1].values["sent_late_p99_ms"] = 100.0
     assert "| routes | rss_mb 1.26 | the machine was strained |" in page.off_table(found)
-    monkeypatch.setitem(roles.EXPLAINED, ("routes", "rss_mb"), "the index doubles")
+    monkeypatch.setitem(roles.EXPLANATIONS, ("routes", "rss_mb"), "the index doubles")
     assert "| routes | rss_mb 1.26 | the index doubles |" in page.off_table(found)
 
 
@@ -265,7 +265,7 @@
 
 def test_order_of_work_has_the_least_part_of_the_plan_first():
     found = sample()
-    parts = [at.part for _, _, at in page.crossings(found)]
+    parts = [at.plan_fraction for _, _, at in page.crossings(found)]
     assert parts == sorted(parts) and len(parts) > 10
     by_name = {(name, axis): at for name, axis, at in page.crossings(found)}
     assert by_name["CPU for control: modules at rest", "services"].size == pytest.approx(370)
@@ -295,7 +295,7 @@
 
 
 def test_mechanisms_are_where_the_page_says():
-    names = [each.carried for each in roles.ROLES] + [where for _, where, _, _ in roles.ACCEPTED]
+    names = [each.mechanism for each in roles.ROLES] + [where for _, where, _, _ in roles.ACCEPTED]
     text = page.PAGE.read_text() + " ".join(names)
     files = set(re.findall(r"`([\w/]+\.(?:py|json|md))`", text))
     assert len(files) > 10
@@ -309,9 +309,9 @@
 
 
 def test_each_role_has_a_cell_for_each_trouble():
-    rows = roles.in_trouble(3.0, 1e6)
+    rows = roles.fault_effects(3.0, 1e6)
     assert [name for name, _ in rows] == [each.name for each in roles.ROLES]
-    assert all(len(cells) == len(roles.TROUBLES) and all(cells) for _, cells in rows)
+    assert all(len(cells) == len(roles.FAULTS) and all(cells) for _, cells in rows)
 
 
 @pytest.mark.parametrize(
@@ -324,7 +324,7 @@
     ],
 )
 def test_marks_that_do_not_fit_are_one_clear_fault(spoilt, says):
-    with pytest.raises(page.PageFault, match=says):
+    with pytest.raises(page.PageError, match=says):
         page.fill(spoilt(page.PAGE.read_text()), Results())
 
 
@@ -332,14 +332,14 @@
     """What the page says of connections in words, held against the committed figures."""
     measured = results.load().micro.get("subsets")
     if measured is None:
-        assert "| not measured |" in page.ways_table(results.load())
+        assert "| not measured |" in page.strategies_table(results.load())
         return
     rows = {row["known"]: row for row in measured["rows"]}
-    told, true = ([rows[known][each]["answer"] for known in subsets.KNOWN] for each in ("reports", "true"))
-    assert subsets.enough(measured) == 6
+    told, true = ([rows[known][each]["answer"] for known in subsets.SUBSET_SIZES] for each in ("reports", "true"))
+    assert subsets.sufficient_size(measured) == 6
     assert max(told) < 1.1 * min(told)  # fewer known cost next to nothing
     assert max(true) < 0.62 * min(told)  # true loads would nearly halve the answer time
-    assert min(rows[known]["chance"]["answer"] for known in subsets.KNOWN) < 1.25 * max(told)
+    assert min(rows[known]["chance"]["answer"] for known in subsets.SUBSET_SIZES) < 1.25 * max(told)
     ways = {row["way"]: row for row in measured["ways"]}
     assert ways["ring"]["deviation"] == max(row["deviation"] for row in measured["ways"])
     assert ways["deterministic subsets"]["moved"] == max(row["moved"] for row in measured["ways"])
