--- a/benchmarks/scale/simulated_gateways.py
+++ b/benchmarks/scale/simulated_gateways.py
@@ -47,7 +47,9 @@
 
 ATTEMPT_S = 0.02
 RECEIVE_BUFFER_BYTES = 1 << 20
-_ROWS_HEADER = membership_messages._HEADER.pack(membership_messages.MAGIC_BYTE, membership_messages.MessageKind.ROWS, 0, 0)
+_ROWS_HEADER = membership_messages._HEADER.pack(
+    membership_messages.MAGIC_BYTE, membership_messages.MessageKind.ROWS, 0, 0
+)
 
 
 class NullLog:
