--- a/benchmarks/calibration.py
+++ b/benchmarks/calibration.py
@@ -16,7 +16,7 @@
 from anisefront.testbed.day import settings_text
 from anisefront.testbed.model import calibrate, fit, traces
 from anisefront.testbed.model.store import Store
-from anisefront.testbed.model.study import OptionSpec, Runner, Study, Traffic, collect, load_config, build_option
+from anisefront.testbed.model.study import OptionSpec, Runner, Study, Traffic, build_option, collect, load_config
 
 ROOT = pathlib.Path(__file__).parent.parent
 SETTINGS = ROOT / "examples/bad-saturday/gatekeeper.conf"
--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -25,6 +25,7 @@
 import threading
 import time
 from dataclasses import dataclass, field
+
 from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
 
 ROUTES = 5_800
--- a/benchmarks/config.py
+++ b/benchmarks/config.py
@@ -13,8 +13,8 @@
 from anisefront.config import checker, loader
 from anisefront.config.parser import parse
 from anisefront.gateway.patterns import Pattern, matches
-from anisefront.gateway.routing import RouteIndex, Router
 from anisefront.gateway.routes import Key, Route
+from anisefront.gateway.routing import RouteIndex, Router
 
 HEAD = """language 2
 gatekeeper 0 of 1
--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -6,6 +6,7 @@
 import subprocess
 import sys
 import time
+
 from anisefront.policy.actions import StartAttempt
 from anisefront.policy.events import Arrival, AttemptEnded, AttemptResult, Endpoint, EndpointList, EndpointStatus
 from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -14,11 +14,11 @@
 import numpy as np
 import simpy
 
+from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 from anisefront.testbed.model.draws import lognormal
 from anisefront.testbed.model.pool import WorkerModel
-from anisefront.testbed.model.traces import Arrival
 from anisefront.testbed.model.simulation import Network, Option, Simulation
-from anisefront.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
+from anisefront.testbed.model.traces import Arrival
 
 TURNS = 3
 SETTINGS = Settings(
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -12,6 +12,7 @@
 import subprocess
 import sys
 import time
+
 from anisefront.policy.actions import StartAttempt
 from anisefront.policy.events import Arrival, AttemptEnded, AttemptResult, Endpoint, EndpointList, EndpointStatus
 from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,5 +1,6 @@
-"""Runs all parts (`make scale`) or some: python -m benchmarks.scale [gatekeepers routes .. micro change whole]
+"""Runs all parts of the scale benchmark (`make scale`), or some of them.
 
+    python -m benchmarks.scale [gatekeepers routes .. micro change whole] [--before REV]
     python -m benchmarks.scale page     rewrites the tables of docs/CAPACITY.md from the committed results
 
 Results go to benchmarks/results/scale.json, each part in its place; the exit status is 1 if a part failed.
--- a/benchmarks/scale/axes.py
+++ b/benchmarks/scale/axes.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 from benchmarks.scale.child import Child, terminate_all
-from benchmarks.scale.fleet import Fleet
 from benchmarks.scale.files import ZONES, Sizes
+from benchmarks.scale.fleet import Fleet
 
 BASE = Sizes()
 QUIET_S = 2.5
@@ -128,8 +128,8 @@
 
     The cost of the changes is the CPU beyond the baseline row's control and its cost per request.
     """
-    before, after, seen = fleet.window(WINDOW_S, BASE.requests, events)
-    values = fleet.rates(before, after) | fleet.client_measures(before, after, seen, baseline["control_cpu_ms_s"])
+    before, after, observed = fleet.window(WINDOW_S, BASE.requests, events)
+    values = fleet.rates(before, after) | fleet.client_measures(before, after, observed, baseline["control_cpu_ms_s"])
     beyond = (
         values["cpu_ms_s"] - values["requests_s"] * baseline["request_cpu_us"] / 1000 - baseline["control_cpu_ms_s"]
     )
--- a/benchmarks/scale/change.py
+++ b/benchmarks/scale/change.py
@@ -65,8 +65,8 @@
             for place in range(int(CHANGING_S / CHANGE_INTERVAL_S))
         ]
         work_before_ms = fleet.state(0)["settings"].get("work_ms")  # earlier revisions do not report it
-        before, after, seen = fleet.window(CHANGING_S, sizes.requests, events)
-        changing = fleet.client_measures(before, after, seen, row["control_cpu_ms_s"])
+        before, after, observed = fleet.window(CHANGING_S, sizes.requests, events)
+        changing = fleet.client_measures(before, after, observed, row["control_cpu_ms_s"])
         beyond = changing["cpu_ms_s"] - row["control_cpu_ms_s"] - changing["requests_s"] * row["request_cpu_us"] / 1000
         values |= {
             "change_cpu_ms": beyond * (after.at - before.at) / len(times),
--- a/benchmarks/scale/files.py
+++ b/benchmarks/scale/files.py
@@ -12,8 +12,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from anisefront.gateway.routing import first_gateway
-from anisefront.gateway.routing import LISTED_PREFIX
+from anisefront.gateway.routing import LISTED_PREFIX, first_gateway
 from anisefront.policy.settings import Settings
 
 ZONES = 8
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -17,9 +17,9 @@
 from typing import Any
 
 from benchmarks.scale import child, counting
+from benchmarks.scale.datagram_relay import bind_loopback
 from benchmarks.scale.files import Files, Sizes, customers_of, simulated_bytes
 from benchmarks.scale.results import ROOT
-from benchmarks.scale.datagram_relay import bind_loopback
 
 READY_TIMEOUT_S = 40.0
 SETTLE_TIMEOUT_S = 60.0
@@ -124,6 +124,7 @@
     # ---- start and stop --------------------------------------------------------------------------
 
     def __enter__(self) -> Fleet:
+        """Start all processes and wait until they are ready."""
         self._temporary_folder = tempfile.TemporaryDirectory(prefix="scale-")
         self.folder = Path(self._temporary_folder.name)
         try:
@@ -134,6 +135,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
+        """Terminate all processes and remove their files."""
         # A second Ctrl-C during termination would leave processes behind.
         previous_handler = signal.signal(signal.SIGINT, signal.SIG_IGN)
         try:
@@ -142,27 +144,30 @@
         finally:
             signal.signal(signal.SIGINT, previous_handler)
 
-    def _child(self, name: str, module: str, given: dict[str, Any]) -> child.Child:
-        made = child.Child.start_module(name, module, given, open(self.folder / f"{name}.log", "w"))
-        self.children.append(made)
-        return made
+    def _child(self, name: str, module: str, parameters: dict[str, Any]) -> child.Child:
+        process = child.Child.start_module(name, module, parameters, open(self.folder / f"{name}.log", "w"))
+        self.children.append(process)
+        return process
 
     def _start_command(self, name: str, folder: Path, *command: str) -> child.Child:
         """Start a command that is not part of the run in a checkout's folder; it is killed with this process."""
-        made = child.Child(
+        process = child.Child(
             name,
             ["-m", "benchmarks.scale.child", str(os.getpid()), str(folder), *command],
             open(self.folder / f"{name}.log", "w"),
         )
-        self.children.append(made)
-        return made
+        self.children.append(process)
+        return process
 
     def _start(self) -> None:
         sizes, reals = self.sizes, range(self.sizes.reals)
         self.workers = self._child("workers", "workers", {"workers": sizes.workers})
         self.files = Files(self.folder, sizes, self.workers.receive(READY_TIMEOUT_S)["port"])
-        rest = range(sizes.reals, sizes.gatekeepers)
-        neighbours, others = set(sizes.neighbours), [number for number in rest if number not in sizes.neighbours]
+        simulated_numbers = range(sizes.reals, sizes.gatekeepers)
+        neighbours, others = (
+            set(sizes.neighbours),
+            [number for number in simulated_numbers if number not in sizes.neighbours],
+        )
         # Quota owners in one event loop with a hundred others would answer late, and requests wait for their answers.
         parts = [
             sorted(neighbours)[part::NEIGHBOUR_PROCESSES] for part in range(min(NEIGHBOUR_PROCESSES, len(neighbours)))
@@ -351,15 +356,15 @@
 
     def finish_load(self, seconds: float) -> dict[str, Any]:
         """Wait for the clients to end and return their latencies and counts."""
-        seen: dict[str, Any] = {"check": [], "through": [], "direct": [], "late": [], "counts": {}}
+        observed: dict[str, Any] = {"check": [], "through": [], "direct": [], "late": [], "counts": {}}
         for each in self.senders:
             part = each.receive(seconds + LOAD_TIMEOUT_S)
             for name in ("check", "through", "direct", "late"):
-                seen[name] += part[name]
+                observed[name] += part[name]
             for name, count in part["counts"].items():
-                seen["counts"][name] = seen["counts"].get(name, 0) + count
-        seen["bare"] = self.bare_sender.receive(seconds + LOAD_TIMEOUT_S)["check"]
-        return seen
+                observed["counts"][name] = observed["counts"].get(name, 0) + count
+        observed["bare"] = self.bare_sender.receive(seconds + LOAD_TIMEOUT_S)["check"]
+        return observed
 
     def window(
         self, seconds: float, rate: float = 0.0, events: Sequence[tuple[float, Callable[[], None]]] = ()
@@ -371,11 +376,11 @@
         for at, call in sorted(events, key=lambda each: each[0]):
             time.sleep(max(0.0, before.at + at - time.monotonic()))
             call()
-        seen = {} if rate else {"counts": {}}
+        observed = {} if rate else {"counts": {}}
         if rate:
-            seen = self.finish_load(seconds)
+            observed = self.finish_load(seconds)
         time.sleep(max(0.0, before.at + seconds - time.monotonic()))
-        return before, self.take_reading(first=False), seen
+        return before, self.take_reading(first=False), observed
 
     def row(
         self,
@@ -395,34 +400,36 @@
         values["quiet_loop_ms"] = max(
             highest_ms(before.states[each]["loop"], after.states[each]["loop"]) for each in self.reals
         )
-        before, after, seen = self.window(loaded_s, rate, events)
-        return values | self.rates(before, after) | self.client_measures(before, after, seen, quiet)
+        before, after, observed = self.window(loaded_s, rate, events)
+        return values | self.rates(before, after) | self.client_measures(before, after, observed, quiet)
 
     def rates(self, before: Reading, after: Reading, prefix: str = "") -> dict[str, float]:
         """Return datagrams and bytes per second by purpose and direction, as the mean over the real gateways."""
         return counting.rates(before.counts, after.counts, after.at - before.at, len(self.reals), prefix)
 
     def client_measures(
-        self, before: Reading, after: Reading, seen: dict[str, Any], quiet_ms_s: float
+        self, before: Reading, after: Reading, observed: dict[str, Any], quiet_ms_s: float
     ) -> dict[str, float]:
         """Return the measures of a window with clients; `quiet_ms_s` is the CPU per second without them."""
         reals, took = len(self.reals), after.at - before.at
         spent = sum(after.cpu_ms[number] - before.cpu_ms[number] for number in self.reals) / reals
-        requests = max(1, len(seen["check"])) / reals
+        requests = max(1, len(observed["check"])) / reals
         values = {
             "requests_s": requests / took,
             "cpu_ms_s": spent / took,
             "request_cpu_us": max(0.0, spent - quiet_ms_s * took) / requests * 1000,
-            "served_share": seen["counts"].get("served", 0) / max(1, sum(seen["counts"].values())),
-            "sent_late_p99_ms": quantile(seen["late"], 0.99),
-            "wait_max_ms": max(seen["check"], default=0.0),
+            "served_share": observed["counts"].get("served", 0) / max(1, sum(observed["counts"].values())),
+            "sent_late_p99_ms": quantile(observed["late"], 0.99),
+            "wait_max_ms": max(observed["check"], default=0.0),
             "rss_mb": sum(rss_mb(each.pid) for each in self.reals.values()) / reals,
         }
         for name, fraction in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999)):
-            values[f"check_{name}_ms"] = quantile(seen["check"], fraction)
-            values[f"bare_{name}_ms"] = quantile(seen["bare"], fraction)
-            values[f"direct_{name}_ms"] = quantile(seen["direct"], fraction)
-            values[f"added_{name}_ms"] = quantile(seen["through"], fraction) - quantile(seen["direct"], fraction)
+            values[f"check_{name}_ms"] = quantile(observed["check"], fraction)
+            values[f"bare_{name}_ms"] = quantile(observed["bare"], fraction)
+            values[f"direct_{name}_ms"] = quantile(observed["direct"], fraction)
+            values[f"added_{name}_ms"] = quantile(observed["through"], fraction) - quantile(
+                observed["direct"], fraction
+            )
         for name in ("loop", "turn"):
             values[f"{name}_ms"] = max(
                 highest_ms(before.states[each][name], after.states[each][name]) for each in self.reals
--- a/benchmarks/scale/load.py
+++ b/benchmarks/scale/load.py
@@ -155,9 +155,10 @@
 def main() -> None:
     """Load the modules that senders need, then serve runs until the parent closes the pipe."""
     child.task()
-    import anisefront.testbed.load.sender  # noqa: F401 - imported now, so that loading does not delay the first request
     import grpc.aio  # noqa: F401
 
+    import anisefront.testbed.load.sender  # noqa: F401 - imported now, so that loading does not delay the first request
+
     asyncio.run(serve())
 
 
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -17,14 +17,14 @@
 from benchmarks.scale.estimates import Crossing
 from benchmarks.scale.plan import (
     ADDED,
-    PARTITION_S,
     CONTROL_MACHINES,
     CPU,
     DAY_S,
-    IN_FORCE,
     IN_FLIGHT_S,
-    MEMORY,
+    IN_FORCE,
     MAX_DEVIATION,
+    MEMORY,
+    PARTITION_S,
     PLAN,
     RACK_MACHINES,
     SET_SIZE,
@@ -139,10 +139,10 @@
     )
 
 
-def faults_table(found: Results) -> str:
+def faults_table(stored: Results) -> str:
     """Return the table of fault effects by role."""
-    start = estimates.estimate(found, ["start_s"], PLAN)
-    settings = found.micro.get("files", {}).get("plan", {}).get("settings")
+    start = estimates.estimate(stored, ["start_s"], PLAN)
+    settings = stored.micro.get("files", {}).get("plan", {}).get("settings")
     lost = {
         each.name: f"{roles.count(each.gatekeepers)} gatekeepers, {roles.count(each.workers)} workers"
         for each in roles.faults()
@@ -162,10 +162,10 @@
 
 
 def _fits(*measures: str, factor: float = 1.0) -> tuple[Figure, tuple[str, ...], float]:
-    def at(found: Results, size: Size) -> float | None:
+    def at(stored: Results, size: Size) -> float | None:
         """Return the estimate at a size, None if it was not measured."""
-        said = estimates.estimate(found, measures, size)
-        return None if said is None else max(0.0, said.value) * factor
+        estimate = estimates.estimate(stored, measures, size)
+        return None if estimate is None else max(0.0, estimate.value) * factor
 
     _FROM_FITS.add(at)
     return at, measures, factor
@@ -179,63 +179,63 @@
     return "today" if size is TODAY else "plan"
 
 
-def _file_bytes(found: Results, size: Size, name: str) -> float | None:
-    return found.micro.get("files", {}).get(_name(size), {}).get(name)
+def _file_bytes(stored: Results, size: Size, name: str) -> float | None:
+    return stored.micro.get("files", {}).get(_name(size), {}).get(name)
 
 
-def list_bytes_s(found: Results, size: Size) -> float | None:
+def list_bytes_s(stored: Results, size: Size) -> float | None:
     """Return the traffic to one gateway that receives the whole list at each change."""
-    file_bytes = _file_bytes(found, size, "roster")
+    file_bytes = _file_bytes(stored, size, "roster")
     return None if file_bytes is None else file_bytes * size.worker_changes_a_day / DAY_S
 
 
-def settings_bytes_s(found: Results, size: Size) -> float | None:
+def settings_bytes_s(stored: Results, size: Size) -> float | None:
     """Return the traffic to one gateway that receives all settings at each change."""
-    file_bytes = _file_bytes(found, size, "settings")
+    file_bytes = _file_bytes(stored, size, "settings")
     return None if file_bytes is None else file_bytes * size.changes_a_day / DAY_S
 
 
-def list_cpu_ms_s(found: Results, size: Size) -> float | None:
+def list_cpu_ms_s(stored: Results, size: Size) -> float | None:
     """Return the CPU per second for changes of the list."""
-    cost = estimates.list_change_ms(found, size.workers)
+    cost = estimates.list_change_ms(stored, size.workers)
     return None if cost is None else cost * size.worker_changes_a_day / DAY_S
 
 
-def warming_cpu_ms_s(found: Results, size: Size) -> float | None:
+def warming_cpu_ms_s(stored: Results, size: Size) -> float | None:
     """Return the CPU for warm-up as the mean of a day, with independent random starts of workers."""
-    cost = warming_cpu(found, size.workers)
+    cost = warming_cpu(stored, size.workers)
     starts = size.worker_changes_a_day / 2 / DAY_S
     return None if cost is None else cost * 1000 * -math.expm1(-starts * WARM_UP_S)
 
 
-def bare_p99_ms(found: Results) -> float | None:
+def bare_p99_ms(stored: Results) -> float | None:
     """Return the p99 of a check of the bare server: the share of the client and the machine."""
     values = [
-        row.values["bare_p99_ms"] for axis in found.axes.values() for row in axis.rows if "bare_p99_ms" in row.values
+        row.values["bare_p99_ms"] for axis in stored.axes.values() for row in axis.rows if "bare_p99_ms" in row.values
     ]
     return statistics.median(values) if values else None
 
 
-def warming_line(found: Results) -> results.Fit | None:
+def warming_line(stored: Results) -> results.Fit | None:
     """Fit the fraction of a core that is used while one worker warms up, by the number of workers."""
-    rows = found.micro.get("warming", [])
+    rows = stored.micro.get("warming", [])
     if len(rows) < 2:
         return None
     return fit.fit([row["workers"] for row in rows], [row["warming_cpu"] for row in rows])
 
 
-def warming_cpu(found: Results, workers: float) -> float | None:
+def warming_cpu(stored: Results, workers: float) -> float | None:
     """Return the fraction of a core that is used while one worker warms up."""
-    line = warming_line(found)
+    line = warming_line(stored)
     return None if line is None else max(0.0, fit.at(line, workers))
 
 
 def of_change(measure: str, changed: str) -> Figure:
     """Return a figure for the cost of a settings change, by the bytes of all settings at a size."""
 
-    def at(found: Results, size: Size) -> float | None:
+    def at(stored: Results, size: Size) -> float | None:
         """Return the cost at a size, None if it was not measured."""
-        line, file_bytes = estimates.by_settings(found, measure, changed), _file_bytes(found, size, "settings")
+        line, file_bytes = estimates.by_settings(stored, measure, changed), _file_bytes(stored, size, "settings")
         return None if line is None or file_bytes is None else line(file_bytes)
 
     return at
@@ -246,28 +246,28 @@
 CHANGE_IN_FORCE = of_change("in_force_s", "in_force_s")
 
 
-def settings_cpu_ms_s(found: Results, size: Size) -> float | None:
+def settings_cpu_ms_s(stored: Results, size: Size) -> float | None:
     """Return the CPU per second for changes of settings."""
-    cost = CHANGE_CPU(found, size)
+    cost = CHANGE_CPU(stored, size)
     return None if cost is None else cost * size.changes_a_day / DAY_S
 
 
-def control_cpu_ms_s(found: Results, size: Size) -> float | None:
+def control_cpu_ms_s(stored: Results, size: Size) -> float | None:
     """Return the CPU per second for control: at rest, and for changes of settings and of the list."""
-    at_rest = estimates.estimate(found, ["control_cpu_ms_s"], size)
+    at_rest = estimates.estimate(stored, ["control_cpu_ms_s"], size)
     parts = [
         None if at_rest is None else at_rest.value,
-        settings_cpu_ms_s(found, size),
-        list_cpu_ms_s(found, size),
-        warming_cpu_ms_s(found, size),
+        settings_cpu_ms_s(stored, size),
+        list_cpu_ms_s(stored, size),
+        warming_cpu_ms_s(stored, size),
     ]
     return None if None in parts else sum(parts)
 
 
-def traffic_bytes_s(found: Results, size: Size) -> float | None:
+def traffic_bytes_s(stored: Results, size: Size) -> float | None:
     """Return the control traffic of a gateway: datagrams, and list and settings at each change."""
-    datagrams = estimates.estimate(found, [*_MEMBERS, *_QUOTAS], size)
-    parts = [None if datagrams is None else datagrams.value, list_bytes_s(found, size), settings_bytes_s(found, size)]
+    datagrams = estimates.estimate(stored, [*_MEMBERS, *_QUOTAS], size)
+    parts = [None if datagrams is None else datagrams.value, list_bytes_s(stored, size), settings_bytes_s(stored, size)]
     return None if None in parts else sum(parts)
 
 
@@ -283,9 +283,9 @@
     return size.requests_per_s / size.workers * math.exp(-each * subsets.IDLE_TIMEOUTS_S[0])
 
 
-def zone_restart_ms(found: Results, size: Size) -> float | None:
+def zone_restart_ms(stored: Results, size: Size) -> float | None:
     """Return the CPU of one gateway when a zone's members crash and restart at once; measured at today's size only."""
-    axis = found.axes.get("members")
+    axis = stored.axes.get("members")
     last = axis.rows[-1].values if axis is not None and axis.rows else {}
     return last.get("zone_change_cpu_ms") if size is TODAY else None
 
@@ -306,19 +306,19 @@
         "",
         "a bare server's check by such a client beside it, p99, the middle of all rows",
         "ms",
-        _plain(lambda found, _: bare_p99_ms(found)),
+        _plain(lambda stored, _: bare_p99_ms(stored)),
         None,
     ),
     ("", "start", "s", _fits("start_s"), START_S.limit),
     ("home of quotas", "messages, in and out", "a second", _fits("quotas_in_msgs_s", "quotas_out_msgs_s"), None),
     ("", "bytes, in and out", "bytes/s", _fits(*_QUOTAS), TRAFFIC.limit),
     ("", "stores and accounts", "kB", _fits("held_stores_kb", "held_accounts_kb"), None),
-    ("keeper", "messages, in and out (off in the scale run)", "a second", _plain(lambda found, size: None), None),
+    ("keeper", "messages, in and out (off in the scale run)", "a second", _plain(lambda stored, size: None), None),
     (
         "who tells the list",
         "the list, as a file",
         "bytes",
-        _plain(lambda found, size: _file_bytes(found, size, "roster")),
+        _plain(lambda stored, size: _file_bytes(stored, size, "roster")),
         float(MAX_FILE_BYTES),
     ),
     ("", "whole at each change, to one", "bytes/s", _plain(list_bytes_s), TRAFFIC.limit),
@@ -326,14 +326,14 @@
         "",
         "one change at a gatekeeper: CPU, and a stop",
         "ms",
-        _plain(lambda found, size: estimates.list_change_ms(found, size.workers)),
+        _plain(lambda stored, size: estimates.list_change_ms(stored, size.workers)),
         longest_stop_ms(list_every_s()),
     ),
     (
         "",
         "CPU while a worker warms up",
         "ms/s",
-        _plain(lambda found, size: _times_thousand(warming_cpu(found, size.workers))),
+        _plain(lambda stored, size: _times_thousand(warming_cpu(stored, size.workers))),
         CPU.limit * 1000,
     ),
     ("", "the same over the day", "ms/s", _plain(warming_cpu_ms_s), CPU.limit * 1000),
@@ -341,7 +341,7 @@
         "who tells settings",
         "all settings, as files",
         "bytes",
-        _plain(lambda found, size: _file_bytes(found, size, "settings")),
+        _plain(lambda stored, size: _file_bytes(stored, size, "settings")),
         None,
     ),
     ("", "whole at each change, to one", "bytes/s", _plain(settings_bytes_s), TRAFFIC.limit),
@@ -352,7 +352,7 @@
         "the machines of control",
         "whole settings to their gatekeepers, each",
         "MB/s",
-        _plain(lambda found, size: _megabytes_per_control_machine(settings_bytes_s(found, size), size)),
+        _plain(lambda stored, size: _megabytes_per_control_machine(settings_bytes_s(stored, size), size)),
         None,
     ),
     ("worker", "connections open, all of a service known", "", _plain(worker_open), None),
@@ -361,7 +361,7 @@
         "client side",
         "requests in hand at its gatekeeper",
         "",
-        _plain(lambda found, size: size.gateway_requests_per_s * IN_FLIGHT_S),
+        _plain(lambda stored, size: size.gateway_requests_per_s * IN_FLIGHT_S),
         None,
     ),
 )
@@ -384,11 +384,11 @@
     return f"{short(measured)}, **off by more than a quarter**"
 
 
-def full_run_value(found: Results, measures: tuple[str, ...]) -> float | None:
+def full_run_value(stored: Results, measures: tuple[str, ...]) -> float | None:
     """Return the value of the run of all axes; the CPU of a change is calculated there by difference."""
     if measures == ("change_cpu_ms",):
-        return estimates.whole_settings_change_ms(found)
-    return estimates.full_run_value(found, measures) if measures else None
+        return estimates.whole_settings_change_ms(stored)
+    return estimates.full_run_value(stored, measures) if measures else None
 
 
 def strained_at(axis: results.Axis) -> list[float]:
@@ -396,41 +396,41 @@
     return sorted({*axis.strained, *(row.size for row in axis.rows if results.strained(row.values))})
 
 
-def full_run_strained(found: Results) -> bool:
+def full_run_strained(stored: Results) -> bool:
     """Return whether the machine could not sustain the load of the run of all axes."""
-    return bool(found.whole.get("strained")) or results.strained(found.whole.get("values", {}))
+    return bool(stored.whole.get("strained")) or results.strained(stored.whole.get("values", {}))
 
 
-def strained(found: Results, measures: Sequence[str]) -> tuple[bool, bool]:
+def strained(stored: Results, measures: Sequence[str]) -> tuple[bool, bool]:
     """Return whether these are times from a machine that could not sustain the load.
 
     The first value is for the axes, the second for the run of all axes.
     """
     times = any(measure.startswith(TIME_MEASURES) for measure in measures)
-    axes = [axis for axis in found.axes.values() if all(measure in axis.fits for measure in measures)]
-    return times and any(map(strained_at, axes)), times and full_run_strained(found)
+    axes = [axis for axis in stored.axes.values() if all(measure in axis.fits for measure in measures)]
+    return times and any(map(strained_at, axes)), times and full_run_strained(stored)
 
 
-def costs_table(found: Results) -> str:
+def costs_table(stored: Results) -> str:
     """Return the table of each role's costs at both sizes, with those of the full run."""
     rows = []
     for role, what, unit, (figure, measures, factor), budget in COSTS:
-        today, plan = figure(found, TODAY), figure(found, PLAN)
-        said = estimates.estimate(found, measures, PLAN) if figure in _FROM_FITS else None
-        seen = full_run_value(found, measures)
-        error = f" ± {short(said.error * factor)}" if said is not None and said.error else ""
-        axes, all_axes = strained(found, measures)
+        today, plan = figure(stored, TODAY), figure(stored, PLAN)
+        estimate = estimates.estimate(stored, measures, PLAN) if figure in _FROM_FITS else None
+        full_run = full_run_value(stored, measures)
+        error = f" ± {short(estimate.error * factor)}" if estimate is not None and estimate.error else ""
+        axes, all_axes = strained(stored, measures)
         rows.append(
             (
                 role,
                 what + (f", {unit}" if unit else ""),
                 cell(today),
                 cell(plan) + error + STRAINED_SUFFIX * axes,
-                full_run_cell(plan, None if seen is None else seen * factor) + STRAINED_SUFFIX * all_axes
+                full_run_cell(plan, None if full_run is None else full_run * factor) + STRAINED_SUFFIX * all_axes
                 if measures
                 else "",
                 "" if budget is None else short(budget),
-                "" if budget is None else budget_fraction(plan if seen is None else seen * factor, budget),
+                "" if budget is None else budget_fraction(plan if full_run is None else full_run * factor, budget),
             )
         )
     head = (
@@ -455,7 +455,7 @@
 # ---- the order of work ---------------------------------------------------------------------------
 
 
-def crossings(found: Results) -> list[tuple[str, str, Crossing]]:
+def crossings(stored: Results) -> list[tuple[str, str, Crossing]]:
     """Return budget, growing size and crossing, sorted by the fraction of the plan."""
     out: list[tuple[str, str, Crossing]] = []
     for name, measures, most in (
@@ -465,23 +465,23 @@
         ("added p99", ["added_p99_ms"], ADDED.limit),
         ("ready after a start", ["start_s"], START_S.limit),
     ):
-        name += STRAINED_SUFFIX * strained(found, measures)[0]
-        base = estimates.value_at_base(found, measures)
+        name += STRAINED_SUFFIX * strained(stored, measures)[0]
+        base = estimates.value_at_base(stored, measures)
         if base is not None and base > most:
             out.append((name, "nothing: the base is over it", Crossing("", 0.0, 0.0)))
             continue
         for axis in estimates.AXES:
-            if (found_at := estimates.crossing(found, axis, measures, most)) is not None:
+            if (found_at := estimates.crossing(stored, axis, measures, most)) is not None:
                 out.append((name, axis, found_at))
-        if (all_at := estimates.crossing_in_step(found, measures, most)) is not None:
+        if (all_at := estimates.crossing_in_step(stored, measures, most)) is not None:
             out.append((name, "all in step", all_at))
-    file_bytes = _file_bytes(found, PLAN, "settings")
+    file_bytes = _file_bytes(stored, PLAN, "settings")
     for name, measure, changed, most in (
         ("p99: a stop at each change of settings", "wait_max_ms", "changing_wait_max_ms", longest_stop_ms()),
         ("a change in force everywhere", "in_force_s", "in_force_s", IN_FORCE.limit),
     ):
-        if (line := estimates.by_settings(found, measure, changed)) is not None and file_bytes is not None:
-            name += STRAINED_SUFFIX * ("settings" in found.axes and bool(strained_at(found.axes["settings"])))
+        if (line := estimates.by_settings(stored, measure, changed)) is not None and file_bytes is not None:
+            name += STRAINED_SUFFIX * ("settings" in stored.axes and bool(strained_at(stored.axes["settings"])))
             out.append(
                 (
                     name,
@@ -489,21 +489,21 @@
                     estimates.solve("all in step", partial(_of_bytes, line, file_bytes), most, 1.0),
                 )
             )
-    if estimates.list_change_ms(found, PLAN.workers) is not None:
+    if estimates.list_change_ms(stored, PLAN.workers) is not None:
         out.append(
             (
                 "p99: a stop at each change of the list",
                 "workers",
                 estimates.solve(
                     "workers",
-                    lambda size: (estimates.list_change_ms(found, size) - ADDED.limit) * size,
+                    lambda size: (estimates.list_change_ms(stored, size) - ADDED.limit) * size,
                     (longest_stop_ms(list_every_s()) - ADDED.limit) * PLAN.workers,
                     PLAN.workers,
                 ),
             )
         )
-    if "services" in found.axes and "idle_cpu_ms_s" in found.axes["services"].fits:
-        line = found.axes["services"].fits["idle_cpu_ms_s"]
+    if "services" in stored.axes and "idle_cpu_ms_s" in stored.axes["services"].fits:
+        line = stored.axes["services"].fits["idle_cpu_ms_s"]
         out.append(
             (
                 "CPU for control: modules at rest",
@@ -511,7 +511,7 @@
                 estimates.solve("services", lambda size: fit.at(line, size), CPU.limit * 1000, PLAN.services),
             )
         )
-    if (warming := warming_line(found)) is not None:
+    if (warming := warming_line(stored)) is not None:
         out.append(
             (
                 "CPU for control while a worker warms up",
@@ -519,7 +519,7 @@
                 estimates.solve("workers", partial(fit.at, warming), CPU.limit, PLAN.workers),
             )
         )
-    roster, settings = (_file_bytes(found, PLAN, name) for name in ("roster", "settings"))
+    roster, settings = (_file_bytes(stored, PLAN, name) for name in ("roster", "settings"))
     if roster is not None:
         each = roster / PLAN.workers
         lines = PLAN.worker_changes_a_day / PLAN.workers / DAY_S
@@ -547,7 +547,7 @@
                 ),
             )
         )
-    cost = CHANGE_CPU(found, PLAN)
+    cost = CHANGE_CPU(stored, PLAN)
     if cost is not None:
         out.append(
             (
@@ -565,11 +565,11 @@
     return line(fraction * file_bytes)
 
 
-def order_table(found: Results) -> str:
+def order_table(stored: Results) -> str:
     """Return the table of budgets that are crossed within `NEAR_PLANS` times the plan."""
-    near = [each for each in crossings(found) if each[2].plan_fraction <= NEAR_PLANS]
+    shown = [each for each in crossings(stored) if each[2].plan_fraction <= NEAR_PLANS]
     rows = []
-    for name, axis, at in near:
+    for name, axis, at in shown:
         size = f"{at.size:.2f} of the plan" if at.axis == "all in step" else short(at.size)
         where = "already" if at.size == 0 else size
         rows.append(
@@ -578,52 +578,53 @@
     return table(("budget", "what grows", "crossed at", "part of the plan"), rows)
 
 
-def later_table(found: Results) -> str:
+def later_table(stored: Results) -> str:
     """Return the table of budgets that are crossed later, with the multiple of the plan."""
     later: dict[str, list[str]] = {}
-    for name, axis, at in crossings(found):
+    for name, axis, at in crossings(stored):
         if at.plan_fraction > NEAR_PLANS:
             times = f"{at.plan_fraction:.1f}" if math.isfinite(at.plan_fraction) else "over a hundred"
             later.setdefault(name, []).append(f"{axis} {times}")
     return table(
-        ("budget", "crossed by what grows, at so many plans"), [(name, ", ".join(said)) for name, said in later.items()]
+        ("budget", "crossed by what grows, at so many plans"),
+        [(name, ", ".join(entries)) for name, entries in later.items()],
     )
 
 
-def off_table(found: Results) -> str:
+def off_table(stored: Results) -> str:
     """Return the table of predictions that were off by more than a quarter, with the reason if it is known.
 
     Measures that the page does not use are only counted.
     """
     used = {measure for _, _, _, (_, measures, _), _ in COSTS for measure in measures}
     used |= {"held_mb", "idle_cpu_ms_s", "request_p99_us", "cpu_ms_s"}
-    said: dict[tuple[str, str], list[str]] = {}
+    by_reason: dict[tuple[str, str], list[str]] = {}
     rest = 0
-    for name, axis in found.axes.items():
+    for name, axis in stored.axes.items():
         late = bool(strained_at(axis))
         for measure, each in estimates.deviating_fits(axis):
             rest += measure not in used
             if measure in used:
                 ratio = f"{each.measured / each.predicted:.2f}" if each.predicted > 0 else "less than nothing predicted"
                 why = roles.explanation(name, measure) or ("the machine was strained" if late else "not explained")
-                said.setdefault((name, why), []).append(f"{measure} {ratio}")
-    rows = [(name, ", ".join(measures), why) for (name, why), measures in said.items()]
-    made = sum(each.measured is not None for axis in found.axes.values() for each in axis.fits.values())
-    if made:
-        rows.append((f"of {made} predictions", f"{rest} more, of measures that this page does not use", ""))
+                by_reason.setdefault((name, why), []).append(f"{measure} {ratio}")
+    rows = [(name, ", ".join(measures), why) for (name, why), measures in by_reason.items()]
+    compared = sum(each.measured is not None for axis in stored.axes.values() for each in axis.fits.values())
+    if compared:
+        rows.append((f"of {compared} predictions", f"{rest} more, of measures that this page does not use", ""))
     return table(("axis", "measures, with measured by predicted", "why"), rows)
 
 
 # ---- connections, services, settings -------------------------------------------------------------
 
 
-def known_table(found: Results) -> str:
+def known_table(stored: Results) -> str:
     """Return the table by subset size.
 
     It has connections by the plan's means, for the pool's idle timeout and a longer one, and the response times of the
     queueing model in service times, by the information about loads.
     """
-    measured = {row["known"]: row for row in found.micro.get("subsets", {}).get("rows", ())}
+    measured = {row["known"]: row for row in stored.micro.get("subsets", {}).get("rows", ())}
     rows = []
     for known in subsets.SUBSET_SIZES:
         now, long = (subsets.connections(known, idle) for idle in subsets.IDLE_TIMEOUTS_S)
@@ -668,22 +669,22 @@
     )
 
 
-def change_table(found: Results) -> str:
+def change_table(stored: Results) -> str:
     """Return the table of the cost of a one-line change with all routes and keys, with its objectives."""
-    now, before = found.change.get("after", {}), found.change.get("before", {})
+    now, before = stored.change.get("after", {}), stored.change.get("before", {})
 
     def both(name: str, of: Callable[[dict[str, float]], float], objective: str) -> tuple[str, str, str, str]:
         """Return a row with one figure before and now."""
-        said = []
+        cells = []
         for each in (before, now):
             try:
-                said.append(short(of(each)))
+                cells.append(short(of(each)))
             except (KeyError, ZeroDivisionError):
-                said.append(NO_VALUE)
-        return name, said[0], said[1], objective
+                cells.append(NO_VALUE)
+        return name, cells[0], cells[1], objective
 
     return table(
-        ("", f"before ({found.change.get('before_revision', NO_VALUE)})", "now", "aim, at most"),
+        ("", f"before ({stored.change.get('before_revision', NO_VALUE)})", "now", "aim, at most"),
         [
             both("CPU of a change: of the process beyond a quiet window, ms", lambda each: each["change_cpu_ms"], ""),
             both("and the work on settings by itself, ms", lambda each: each["work_ms"], "20, 80"),
@@ -708,9 +709,9 @@
     )
 
 
-def strategies_table(found: Results) -> str:
+def strategies_table(stored: Results) -> str:
     """Return the table of subsetting strategies with the same subset size."""
-    measured = found.micro.get("subsets")
+    measured = stored.micro.get("subsets")
     rows = [
         (
             row["way"],
@@ -735,9 +736,9 @@
     )
 
 
-def services_table(found: Results) -> str:
+def services_table(stored: Results) -> str:
     """Return the table of services in every gateway, and split over groups of gateways."""
-    axis, split = found.axes.get("services"), found.micro.get("subsets", {}).get("split", [])
+    axis, split = stored.axes.get("services"), stored.micro.get("subsets", {}).get("split", [])
     answers = {row["groups"]: row["answer"] for row in split}
     rows = []
     for groups in subsets.GROUPS:
@@ -745,10 +746,10 @@
 
         def measured(name: str, size: float = count) -> float | None:
             """Return a measure of the row with this number of services."""
-            near = [row for row in (axis.rows if axis else ()) if abs(row.size - size) <= size / 100]
-            return near[0].values.get(name) if near else None
+            matching = [row for row in (axis.rows if axis else ()) if abs(row.size - size) <= size / 100]
+            return matching[0].values.get(name) if matching else None
 
-        link = subsets.connections(subsets.SPLIT_SUBSET_SIZE, subsets.IDLE_TIMEOUTS_S[1], groups)
+        connections = subsets.connections(subsets.SPLIT_SUBSET_SIZE, subsets.IDLE_TIMEOUTS_S[1], groups)
         idle = measured("idle_cpu_ms_s")
         rows.append(
             (
@@ -759,8 +760,8 @@
                 cell(idle),
                 NO_VALUE if idle is None else budget_fraction(idle, CPU.limit * 1000),
                 cell(measured("request_p99_us")),
-                cell(link.met_every_s),
-                cell(link.open_here),
+                cell(connections.met_every_s),
+                cell(connections.open_here),
                 f"{answers[groups]:.2f}" if groups in answers else NO_VALUE,
             )
         )
@@ -781,9 +782,9 @@
     )
 
 
-def distribution_table(found: Results) -> str:
+def distribution_table(stored: Results) -> str:
     """Return the table of methods to distribute a settings change."""
-    files = found.micro.get("files", {}).get("plan", {})
+    files = stored.micro.get("files", {}).get("plan", {})
     rows = []
     for each in settings_distribution.methods(files.get("settings"), files.get("one_file")):
         rows.append(
@@ -792,9 +793,9 @@
                 short(each.sent_bytes),
                 short(each.each_bytes_s),
                 budget_fraction(each.each_bytes_s, TRAFFIC.limit),
-                short(each.calm_s),
+                short(each.lossless_s),
                 short(each.lossy_s),
-                short(each.dead_s),
+                short(each.machine_down_s),
             )
         )
     return table(
@@ -824,7 +825,7 @@
             (
                 str(spread),
                 short(even.at_once),
-                short(even.each_s),
+                short(even.per_s),
                 short(even.total(PARTITION_S)),
                 f"{even.total(PARTITION_S) / rate / PARTITION_S:.2f}",
                 short(worst.total(PARTITION_S)),
@@ -845,9 +846,9 @@
     )
 
 
-def partition_simulation_table(found: Results) -> str:
+def partition_simulation_table(stored: Results) -> str:
     """Return the table of the simulations: three partitioned regions, and one failed gateway."""
-    measured = found.micro.get("apart", {})
+    measured = stored.micro.get("apart", {})
     rows = [
         (
             f"regions {short(row['away_ms'])} ms apart, one way; asked {short(row['demand'])} times the quotas",
@@ -880,46 +881,46 @@
     return table(("cost", "where", "grows with", "why it is accepted"), roles.ACCEPTED)
 
 
-def missing_table(found: Results) -> str:
+def missing_table(stored: Results) -> str:
     """Return the table of missing, strained and failed results."""
     rows = [
         (f"axis `{name}`", NO_VALUE)
         for name in (*estimates.AXES, *estimates.CHANGES, "services")
-        if name not in found.axes
+        if name not in stored.axes
     ]
     rows += [
         (f"axis `{name}`, the largest size", NO_VALUE)
-        for name, axis in found.axes.items()
+        for name, axis in stored.axes.items()
         if not any(each.measured is not None for each in axis.fits.values())
     ]
     rows += [
         (f"axis `{name}` at {', '.join(map(short, sizes))}", STRAINED_NOTE)
-        for name, axis in found.axes.items()
+        for name, axis in stored.axes.items()
         if (sizes := strained_at(axis))
     ]
-    rows += [("the run of all axes", STRAINED_NOTE)] * full_run_strained(found)
+    rows += [("the run of all axes", STRAINED_NOTE)] * full_run_strained(stored)
     rows += [
         (f"`{name}` of the module alone and the models", NO_VALUE)
         for name in ("subsets", "warming", "apart", "files")
-        if name not in found.micro
+        if name not in stored.micro
     ]
-    rows += [("a change of one line with all routes and keys", NO_VALUE)] * ("after" not in found.change)
-    rows += [("the run of all axes at full size", NO_VALUE)] * (not found.whole.get("values"))
+    rows += [("a change of one line with all routes and keys", NO_VALUE)] * ("after" not in stored.change)
+    rows += [("the run of all axes at full size", NO_VALUE)] * (not stored.whole.get("values"))
     rows += [
         (f"part `{name}`", f"failed: {part['fault'].splitlines()[0][:120]}")
-        for name, part in found.parts.items()
+        for name, part in stored.parts.items()
         if part.get("fault")
     ]
     rows += [(what, why) for what, why in roles.UNMEASURED]
     return table(("what", "how it stands"), rows)
 
 
-def taken_table(found: Results) -> str:
+def taken_table(stored: Results) -> str:
     """Return the table of dates and machine, with the load average before and after each part."""
-    machine, parts = found.machine, []
-    for name, part in found.parts.items():
+    machine, parts = stored.machine, []
+    for name, part in stored.parts.items():
         loads = " to ".join(short(each[0]) for each in part.get("load_beside", []))
-        seconds = found.whole.get("values", {}).get("seconds", FULL_RUN_S) if name == "whole" else FULL_RUN_S
+        seconds = stored.whole.get("values", {}).get("seconds", FULL_RUN_S) if name == "whole" else FULL_RUN_S
         parts.append(
             f"{name} {part.get('date', '')[:16].replace('T', ' ')}"
             + f" ({loads})" * bool(loads)
@@ -927,11 +928,11 @@
         )
     rows = (
         []
-        if not found.date
+        if not stored.date
         else [
             (
-                found.date[:16].replace("T", " "),
-                found.revision,
+                stored.date[:16].replace("T", " "),
+                stored.revision,
                 f"{machine.get('cores')} cores, {machine.get('cpu')}, "
                 f"{machine.get('memory_gib')} GiB, CPython {machine.get('python')}",
                 "; ".join(parts) or NO_VALUE,
@@ -965,7 +966,7 @@
 # ---- the page ------------------------------------------------------------------------------------
 
 
-def fill(text: str, found: Results) -> str:
+def fill(text: str, stored: Results) -> str:
     """Return the page with all tables rewritten; raises `PageError` if its marks do not match."""
     named = _TABLE.findall(text)
     names = [name for name, _ in named]
@@ -976,7 +977,7 @@
             raise PageError(f"table {name}: there is none of that name; there are {', '.join(TABLES)}")
     if missing := [name for name in TABLES if names.count(name) != 1]:
         raise PageError(f"tables {', '.join(missing)}: each is due once")
-    return _TABLE.sub(lambda match: f"<!-- table {match[1]} -->\n{TABLES[match[1]](found)}<!-- end -->\n", text)
+    return _TABLE.sub(lambda match: f"<!-- table {match[1]} -->\n{TABLES[match[1]](stored)}<!-- end -->\n", text)
 
 
 def prose(text: str) -> str:
@@ -1023,9 +1024,9 @@
     }
 
 
-def write(path: Path = PAGE, found: Results | None = None) -> bool:
+def write(path: Path = PAGE, stored: Results | None = None) -> bool:
     """Rewrite the tables of the page; return whether it changed."""
     before = path.read_text()
-    after = fill(before, results.load() if found is None else found)
+    after = fill(before, results.load() if stored is None else stored)
     path.write_text(after)
     return after != before
--- a/benchmarks/scale/partition.py
+++ b/benchmarks/scale/partition.py
@@ -12,12 +12,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from anisefront.policy.actions import SendToPeer, SetTimer, StartAttempt
 from anisefront.policy.controller import Controller
 from anisefront.policy.customer_account import LOCAL_BURST_FRACTION
-from anisefront.policy.quota_parameters import DEMAND_TIME_CONSTANT_MS, RESERVE_FRACTION
-from benchmarks.scale.plan import REGIONS
-from benchmarks.scale.roles import suspicion_timeout_s
-from anisefront.policy.actions import SendToPeer, SetTimer, StartAttempt
 from anisefront.policy.events import (
     Arrival,
     AttemptEnded,
@@ -30,7 +27,10 @@
     PeersUnreachable,
     TimerFired,
 )
+from anisefront.policy.quota_parameters import DEMAND_TIME_CONSTANT_MS, RESERVE_FRACTION
 from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
+from benchmarks.scale.plan import REGIONS
+from benchmarks.scale.roles import suspicion_timeout_s
 
 SEED = 37
 DETECTION_S = suspicion_timeout_s()
@@ -40,32 +40,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Excess:
-    """Units of one customer that gateways partitioned from its quota owner may admit beyond what the owner lends."""
+    """Units of one customer that gateways partitioned from its quota owner may admit beyond what the owner grants."""
 
     at_once: float  # local buckets, one request on credit at each gateway, and the stores of substitute owners
-    each_s: float  # units per second from then on
+    per_s: float  # units per second from then on
 
     def total(self, seconds: float) -> float:
         """Return the total over a duration."""
-        return self.at_once + self.each_s * seconds
+        return self.at_once + self.per_s * seconds
 
 
 def worst_case(spread: int, rate_per_s: float, burst: float, units: float = 1.0, regions: int = REGIONS) -> Excess:
     """Return the upper bound that `policy/quota_borrower.py` and `policy/quota_owner.py` allow.
 
-    The owner goes on lending the whole quota to its own region. Every other gateway of the set fills a local bucket at
+    The owner goes on granting the whole quota to its own region. Every other gateway of the set fills a local bucket at
     its fraction of the quota (`QuotaBorrower.account_for`): the fraction received last for `STALE_S`, one in `spread`
     from then on. It keeps a tenth of its fraction of the burst (`LOCAL_BURST_FRACTION`), and admits one request on
     credit if the owner does not reply (`QuotaBorrower.reply_overdue`), the next when that is filled up again. Once the
     owner is known to be unreachable, one gateway of each region substitutes for it (`QuotaBorrower.lender_of`) with a
-    full store, and lends its region's fraction of it, or one request for each `RESERVE_FRACTION` of a burst if that is
+    full store, and grants its region's fraction of it, or one request for each `RESERVE_FRACTION` of a burst if that is
     more. In the worst case the owner is alone in its region, and all traffic of the customer moves to the other
     regions when the partition begins: then each of their gateways may count itself as the whole set for `STALE_S`.
     """
     even, unreachable = steady(spread, rate_per_s, burst, units, regions), spread - math.ceil(spread / regions)
     return Excess(
         even.at_once + unreachable * (LOCAL_BURST_FRACTION * burst * (1 - 1 / spread) + STALE_S * rate_per_s),
-        even.each_s,
+        even.per_s,
     )
 
 
@@ -73,12 +73,12 @@
     """Return the bound if the customer's traffic does not move: the fractions then add up to one."""
     owner_region = math.ceil(spread / regions)  # gateways in the owner's region; the others are spread evenly
     unreachable, partitions = spread - owner_region, min(regions, spread) - 1
-    lent = (
+    granted = (
         partitions * max(unreachable / spread / partitions, units / max(units, RESERVE_FRACTION * burst))
         if partitions
         else 0.0
     )
-    return Excess(unreachable * (LOCAL_BURST_FRACTION * burst / spread + units) + burst * lent, rate_per_s * lent)
+    return Excess(unreachable * (LOCAL_BURST_FRACTION * burst / spread + units) + burst * granted, rate_per_s * granted)
 
 
 class _Fleet:
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -12,9 +12,9 @@
 from anisefront.cluster.member_state import ROW_FORMAT
 from benchmarks.scale import subsets
 from benchmarks.scale.plan import (
-    PARTITION_S,
     CONTROL_MACHINES,
     IN_FLIGHT_S,
+    PARTITION_S,
     PLAN,
     RACK_MACHINES,
     REGIONS,
--- a/benchmarks/scale/services.py
+++ b/benchmarks/scale/services.py
@@ -15,11 +15,8 @@
 from pathlib import Path
 
 from anisefront.cluster import endpoint_file
-from anisefront.policy.controller import Controller
-from benchmarks.scale import child
-from benchmarks.scale.files import Files, Sizes
-from benchmarks.scale.fleet import quantile, rss_mb
 from anisefront.policy.actions import SetTimer, StartAttempt
+from anisefront.policy.controller import Controller
 from anisefront.policy.events import (
     Arrival,
     AttemptEnded,
@@ -31,6 +28,9 @@
     TimerFired,
 )
 from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
+from benchmarks.scale import child
+from benchmarks.scale.files import Files, Sizes
+from benchmarks.scale.fleet import quantile, rss_mb
 
 WORKERS_PER_SERVICE = 24
 IDLE_S = 3.0
--- a/benchmarks/scale/settings_distribution.py
+++ b/benchmarks/scale/settings_distribution.py
@@ -36,9 +36,9 @@
     name: str
     sent_bytes: float  # by a control machine, for each change
     each_bytes_s: float  # at a gateway, both ways, as the mean of a day
-    calm_s: float
+    lossless_s: float
     lossy_s: float  # with LOSS
-    dead_s: float  # with one control machine unreachable
+    machine_down_s: float  # with one control machine unreachable
 
 
 def on_wire(data: float) -> float:
@@ -76,8 +76,8 @@
     each, day = PLAN.gatekeepers / CONTROL_MACHINES, PLAN.changes_a_day / DAY_S
     heartbeat_bytes_s = 2 * on_wire(HEARTBEAT_BYTES) / HEARTBEAT_S
     detection_s = MISSED_HEARTBEATS * HEARTBEAT_S
-    calm = ROUND_TRIP_S / 2
-    lossy = (tries(PLAN.gatekeepers) - 1) * RESEND_S + calm
+    one_way_s = ROUND_TRIP_S / 2
+    resend_s = (tries(PLAN.gatekeepers) - 1) * RESEND_S + one_way_s
     out = []
     for name, data in (
         ("whole settings to each, at each change", settings_bytes),
@@ -86,15 +86,15 @@
     ):
         if data is not None:
             parts = max(1, math.ceil(data / replication_codec.MAX_ENTRIES_BYTES))
-            lossy_parts_s = (tries(PLAN.gatekeepers * parts) - 1) * RESEND_S + calm
+            lossy_parts_s = (tries(PLAN.gatekeepers * parts) - 1) * RESEND_S + one_way_s
             out.append(
                 Method(
                     name,
                     each * on_wire(data),
                     day * (on_wire(data) + on_wire(0)) + heartbeat_bytes_s,
-                    calm,
+                    one_way_s,
                     lossy_parts_s,
-                    detection_s + calm,
+                    detection_s + one_way_s,
                 )
             )
     change_bytes = on_wire(CHANGE_BYTES)
@@ -103,19 +103,19 @@
             f"a change set by a tree of {FAN_OUT} and {FAN_OUT}",
             FAN_OUT * change_bytes,
             day * (change_bytes + on_wire(0)) * 2 + heartbeat_bytes_s,
-            2 * calm,
-            2 * lossy,
-            detection_s + 2 * calm,
+            2 * one_way_s,
+            2 * resend_s,
+            detection_s + 2 * one_way_s,
         )
     )
     times = dissemination.RETRANSMIT_MULTIPLIER * math.ceil(math.log2(PLAN.gatekeepers + 1))
-    calm_s, lossy_s = float(rounds(PLAN.gatekeepers, 0.0)), float(rounds(PLAN.gatekeepers, LOSS))
+    lossless_s, lossy_s = float(rounds(PLAN.gatekeepers, 0.0)), float(rounds(PLAN.gatekeepers, LOSS))
     out.append(
         Method(
             "a change set on membership's pings, each told on by all",
             CHANGE_BYTES,
             day * 2 * times * CHANGE_BYTES,
-            calm_s,
+            lossless_s,
             lossy_s,
             lossy_s,
         )
--- a/benchmarks/scale/simulated_gateways.py
+++ b/benchmarks/scale/simulated_gateways.py
@@ -23,27 +23,26 @@
 from twisted.protocols.basic import LineOnlyReceiver
 
 from anisefront.cli.config import checked
-from anisefront.gateway.request_terms import RequestTerms
+from anisefront.cluster import endpoint_file, membership_messages
+from anisefront.cluster.datagrams import DatagramAuthenticator
+from anisefront.cluster.member_state import MAX_ROWS, MemberRow, MemberStatus, encode_rows
 from anisefront.config.types import Address, Config
-from anisefront.gateway.request_table import RequestTable
-from anisefront.gateway.routing import first_gateway
-from anisefront.gateway.routing import LISTED_PREFIX
-from anisefront.daemon.clock import Clock
 from anisefront.daemon.authenticated_datagrams import AuthenticatedDatagrams
+from anisefront.daemon.clock import Clock
 from anisefront.daemon.endpoint_file import CHECK_INTERVAL_S
+from anisefront.daemon.event_loop_monitor import EventLoopMonitor
 from anisefront.daemon.gateway_instance import MEMBERSHIP_MARK, REPLICATION_MARK
 from anisefront.daemon.membership_service import MembershipService
 from anisefront.daemon.peer_port import PeerPort
-from anisefront.daemon.event_loop_monitor import EventLoopMonitor
-from anisefront.cluster import endpoint_file, membership_messages
-from anisefront.cluster.datagrams import DatagramAuthenticator
-from anisefront.cluster.member_state import MAX_ROWS, MemberRow, MemberStatus, encode_rows
+from anisefront.gateway.request_table import RequestTable
+from anisefront.gateway.request_terms import RequestTerms
+from anisefront.gateway.routing import LISTED_PREFIX, first_gateway
+from anisefront.policy.actions import RejectionReason
 from anisefront.policy.controller import Controller
+from anisefront.policy.events import AttemptResult, EndpointList
 from benchmarks.scale import child, counting
-from benchmarks.scale.files import SPREAD, Sizes, customers_of, zone
 from benchmarks.scale.datagram_relay import crosses
-from anisefront.policy.actions import RejectionReason
-from anisefront.policy.events import AttemptResult, EndpointList
+from benchmarks.scale.files import SPREAD, Sizes, customers_of, zone
 
 ATTEMPT_S = 0.02
 RECEIVE_BUFFER_BYTES = 1 << 20
--- a/benchmarks/scale/subsets.py
+++ b/benchmarks/scale/subsets.py
@@ -16,7 +16,7 @@
 from functools import partial
 
 from anisefront.policy.endpoint_selection import REPORT_TIME_CONSTANT_MS
-from anisefront.policy.load_reports import MAX_LATEST, LATEST_MS
+from anisefront.policy.load_reports import LATEST_MS, MAX_LATEST
 from benchmarks.scale.plan import PLAN, ZONES
 
 SEED = 37
--- a/benchmarks/scale/warming.py
+++ b/benchmarks/scale/warming.py
@@ -11,9 +11,9 @@
 
 from anisefront.policy.control_period import PERIOD_MS
 from anisefront.policy.controller import Controller
-from benchmarks.scale.plan import PLAN, WARM_UP_S, ZONES
 from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus, TimerFired
 from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
+from benchmarks.scale.plan import PLAN, WARM_UP_S, ZONES
 
 START_MS = 1_000_000.0
 SIZES = (688, 1_375, 2_750, 5_500, 11_000)  # workers of one controller, up to the plan's
--- a/benchmarks/scale/whole.py
+++ b/benchmarks/scale/whole.py
@@ -73,8 +73,8 @@
 
         events += [(PARTITION_PHASE[0] * seconds, start_partition), (PARTITION_PHASE[1] * seconds, end_partition)]
         cpu_before_ms = {each.name: cpu_ms(each.pid) for each in fleet.children}
-        before, after, seen = fleet.window(seconds, sizes.requests, events)
-        values |= fleet.rates(before, after) | fleet.client_measures(before, after, seen, quiet)
+        before, after, observed = fleet.window(seconds, sizes.requests, events)
+        values |= fleet.rates(before, after) | fleet.client_measures(before, after, observed, quiet)
         values |= {
             "control_cpu_ms_s": quiet,
             "in_force_s": max(changed, default=0.0),
@@ -96,7 +96,7 @@
         notes.pop("healed", None)
         simulated = fleet.known()
         values |= notes | {
-            "counts": seen["counts"],
+            "counts": observed["counts"],
             "hollow_rss_mb": sum(each["rss_mb"] for each in simulated),
             "hollow_late_ms": max(each["late"]["worst_ms"] for each in simulated),
             "hollow_late_by_cause_ms": {
--- a/benchmarks/settings.py
+++ b/benchmarks/settings.py
@@ -68,8 +68,8 @@
 def after(layout: Layout, path: Path, changes: int) -> dict[str, object]:
     """Measure the incremental load, with the garbage collector configured as in daemon/collector.py."""
     from anisefront.config.incremental_loader import IncrementalLoader
-    from anisefront.gateway.versions import build_next_version
     from anisefront.daemon import collector
+    from anisefront.gateway.versions import build_next_version
 
     out: dict[str, object] = {"imported_mb": resident_mb()}
     steps_ms: list[float] = []
--- a/tests/test_capacity_figures.py
+++ b/tests/test_capacity_figures.py
@@ -206,7 +206,7 @@
     assert calm.total(60) <= worst.total(60) + 1e-9
     assert partition.steady(spread + 3, rate, burst).at_once >= calm.at_once
     dear = RESERVE_FRACTION * burst  # requests that a unit counts for at most: of small bursts each side lends more
-    assert calm.each_s < rate if dear >= 3 else calm.each_s <= 2 * rate / max(1.0, dear)
+    assert calm.per_s < rate if dear >= 3 else calm.per_s <= 2 * rate / max(1.0, dear)
     assert partition.steady(1, rate, burst).total(60) == 0
 
 
@@ -292,7 +292,7 @@
     straight = all_ways["a change set to each, straight from the five"]
     assert whole.each_bytes_s > 13_000 > straight.each_bytes_s
     assert straight.sent_bytes == 170 * settings_distribution.on_wire(settings_distribution.CHANGE_BYTES)
-    assert straight.calm_s < straight.lossy_s < straight.dead_s < 16
+    assert straight.lossless_s < straight.lossy_s < straight.machine_down_s < 16
 
 
 def test_warming_is_measured_by_size():
