--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md says what the committed results and the plan say, and nothing else."""
+"""docs/CAPACITY.md agrees with the committed results and the plan, and contains no other figures."""
 
 import copy
 import pathlib
@@ -16,33 +16,33 @@
 
 
 def slope(name, measure):
-    """A made-up cost of one more of an axis: a part of the base for all that the axis has."""
+    """Return an artificial cost per unit of an axis: a few percent of the base at the axis' largest size."""
     place = MEASURED.index(name)
     return (1 + place + len(measure) % 3) / 100 / axes.AXES[name].sizes[-1]
 
 
 def base(name):
-    return axes.base("").get(name, 0.0)  # nothing changes there
+    return axes.base("").get(name, 0.0)  # 0 for axes of changes
 
 
-def truth(measure, sizes):
+def true_value(measure, sizes):
     return 1 + sum(slope(name, measure) * (size - base(name)) for name, size in sizes.items())
 
 
 def sample():
-    """Results as a run would leave them, of costs that add up exactly."""
-    out = Results(date="2026-01-01T00:00:00+0000", revision="0000000", machine={"cores": 8, "cpu": "sample"})
+    """Return results as a run would store them, with costs that add up exactly."""
+    stored = Results(date="2026-01-01T00:00:00+0000", revision="0000000", machine={"cores": 8, "cpu": "sample"})
     for name in MEASURED:
         sizes = axes.AXES[name].sizes
-        axis = out.axes[name] = Axis("sample", axes.base(name))
+        axis = stored.axes[name] = Axis("sample", axes.base(name))
         for size in sizes:
             if size == sizes[-1]:
                 results.predict(axis, size)
             here = {each: base(each) for each in MEASURED} | {name: size}
-            axis.rows.append(Row(size, {measure: truth(measure, here) for measure in MEASURES}))
+            axis.rows.append(Row(size, {measure: true_value(measure, here) for measure in MEASURES}))
         results.compare(axis)
-    out.axes["members"].rows[-1].values["zone_change_cpu_ms"] = 7.0
-    out.axes["services"] = Axis(
+    stored.axes["members"].rows[-1].values["zone_change_cpu_ms"] = 7.0
+    stored.axes["services"] = Axis(
         "modules",
         {},
         [
@@ -57,7 +57,7 @@
         | {each: {"spread": 0.1, "under_way": 1.0, "answer": 2.0} for each in subsets.LOAD_INFORMATION}
         for known in subsets.SUBSET_SIZES
     ]
-    out.micro = {
+    stored.micro = {
         "parse_list_ms_1000": 5.0,
         "parse_list_ms_11000": 55.0,
         "one_changed_ms_at_850_1000": 1.0,
@@ -84,9 +84,11 @@
             "without_home": {"lost_unknown": 0.0, "others_unknown": 1.0, "lost_known": 1.0, "others_known": 1.0},
         },
     }
-    whole = {measure: truth(measure, {name: of(PLAN) for name, of in estimates.AXES.items()}) for measure in MEASURES}
-    out.whole = {"values": whole | {"changes": 13, "requests_s": 81.0, "seconds": 300.0}}
-    out.change = {
+    whole = {
+        measure: true_value(measure, {name: of(PLAN) for name, of in estimates.AXES.items()}) for measure in MEASURES
+    }
+    stored.whole = {"values": whole | {"changes": 13, "requests_s": 81.0, "seconds": 300.0}}
+    stored.change = {
         "before_revision": "1111111",
         "after": dict.fromkeys(
             (
@@ -106,15 +108,15 @@
             10.0,
         ),
     }
-    out.parts = {"routes": {"date": "2026-01-01T00:00", "revision": "0000000", "load_beside": [[1.0], [2.0]]}}
-    return out
+    stored.parts = {"routes": {"date": "2026-01-01T00:00", "revision": "0000000", "load_beside": [[1.0], [2.0]]}}
+    return stored
 
 
 def tables(found):
     return {name: make(found) for name, make in page.TABLES.items()}
 
 
-def test_page_says_what_the_committed_results_say():
+def test_page_matches_the_committed_results():
     text = page.PAGE.read_text()
     assert text == page.fill(text, results.load()), "run python -m benchmarks.scale page"
 
@@ -156,7 +158,7 @@
         ("taken", lambda found: found.parts["routes"].__setitem__("load_beside", [[7.0], [8.0]])),
     ],
 )
-def test_page_differs_where_a_result_does(table, change, tmp_path):
+def test_page_changes_with_a_result(table, change, tmp_path):
     results.save(sample(), tmp_path / "scale.json")
     found = results.load(tmp_path / "scale.json")
     text = page.fill(page.PAGE.read_text(), found)
@@ -167,7 +169,7 @@
     assert tables(changed)[table] != tables(found)[table]
 
 
-def test_page_is_written_whole_and_again_the_same(tmp_path):
+def test_rewriting_the_page_is_complete_and_idempotent(tmp_path):
     copied = tmp_path / "page.md"
     copied.write_text(
         re.sub(r"(<!-- table \w+ -->\n).*?(<!-- end -->)", r"\1| old |\n\2", page.PAGE.read_text(), flags=re.DOTALL)
@@ -177,7 +179,7 @@
     assert "old" not in [line.strip("| ") for line in copied.read_text().splitlines()]
 
 
-def test_what_is_not_there_is_said_in_its_cell():
+def test_a_missing_figure_is_reported_in_its_cell():
     nothing = tables(Results())
     for name in ("costs", "order", "known", "ways", "services", "played", "off", "taken"):
         assert page.NO_VALUE in nothing[name], name
@@ -199,18 +201,18 @@
         part.change = {}
         assert page.costs_table(part).count(page.NO_VALUE) > page.costs_table(whole).count(page.NO_VALUE), measure
     for part in whole.micro:
-        less = copy.deepcopy(whole)
-        del less.micro[part]
-        tables(less)
+        reduced = copy.deepcopy(whole)
+        del reduced.micro[part]
+        tables(reduced)
 
 
-def test_a_part_that_failed_is_said():
+def test_a_failed_part_is_reported():
     found = sample()
     found.parts["whole"] = {"date": "2026-01-01T00:00", "fault": "no room for the list\nmore"}
     assert "part `whole` | failed: no room for the list |" in page.missing_table(found)
 
 
-def test_times_of_a_strained_machine_are_called_so():
+def test_times_of_a_strained_machine_are_marked():
     found = sample()
     assert "strained" not in page.costs_table(found) + page.missing_table(found)
     found.axes["routes"].strained = [5800]
@@ -227,7 +229,7 @@
     ].endswith("(strained) ")
 
 
-def test_a_short_run_of_all_axes_is_called_a_trial():
+def test_a_short_run_of_all_axes_is_marked_as_a_trial():
     found = sample()
     found.parts["whole"] = {"date": "2026-01-01T00:00"}
     assert "trial" not in page.taken_table(found)
@@ -235,15 +237,15 @@
     assert "a trial of 60 s" in page.taken_table(found)
 
 
-@pytest.mark.parametrize("times, said", [(1.2, False), (1.3, True), (0.8, False), (0.7, True)])
-def test_whole_run_further_off_than_a_quarter_is_said(times, said):
+@pytest.mark.parametrize("factor, reported", [(1.2, False), (1.3, True), (0.8, False), (0.7, True)])
+def test_a_full_run_that_deviates_by_more_than_a_quarter_is_reported(factor, reported):
     found = sample()
-    found.whole["values"]["rss_mb"] *= times
+    found.whole["values"]["rss_mb"] *= factor
     row = next(line for line in page.costs_table(found).splitlines() if "| memory, MB |" in line)
-    assert ("off by more than a quarter" in row) is said
+    assert ("off by more than a quarter" in row) is reported
 
 
-def test_prediction_off_by_more_than_a_quarter_is_listed_with_why(monkeypatch):
+def test_a_prediction_off_by_more_than_a_quarter_is_listed_with_its_reason(monkeypatch):
     found = sample()
     assert "rss_mb" not in page.off_table(found)
     found.axes["routes"].fits["rss_mb"] = Fit("a+b*n", 1.0, 0.01, 0.0, 0.0, 1.0, predicted=100.0, measured=126.0)
@@ -257,13 +259,13 @@
 def test_costs_add_up_along_the_axes():
     found = sample()
     for size in (TODAY, PLAN):
-        wanted = truth("rss_mb", {name: of(size) for name, of in estimates.AXES.items()})
-        assert estimates.estimate(found, ["rss_mb"], size).value == pytest.approx(wanted)
+        expected = true_value("rss_mb", {name: of(size) for name, of in estimates.AXES.items()})
+        assert estimates.estimate(found, ["rss_mb"], size).value == pytest.approx(expected)
     row = next(line for line in page.costs_table(found).splitlines() if "| memory, MB |" in line)
-    assert f"| {roles.short(wanted)} " in row
+    assert f"| {roles.short(expected)} " in row
 
 
-def test_order_of_work_has_the_least_part_of_the_plan_first():
+def test_crossings_are_sorted_by_the_fraction_of_the_plan():
     found = sample()
     parts = [at.plan_fraction for _, _, at in page.crossings(found)]
     assert parts == sorted(parts) and len(parts) > 10
@@ -275,11 +277,12 @@
     whole = by_name["traffic: the list whole at each change", "workers"].size
     assert each * whole * lines * whole == pytest.approx(13_000)
     stops = by_name["p99: a stop at each change of the list", "workers"].size
-    late_s = (0.006 * stops - 1.7) / 1000 * lines * stops  # of each second, in which who comes waits longer than 1.7 ms
+    # fraction of time in which an arriving request waits longer than 1.7 ms
+    late_s = (0.006 * stops - 1.7) / 1000 * lines * stops
     assert late_s == pytest.approx(0.01)
-    at_base = truth("wait_max_ms", {name: base(name) for name in MEASURED} | {"settings": 3900 / 1440})
+    at_base = true_value("wait_max_ms", {name: base(name) for name in MEASURED} | {"settings": 3900 / 1440})
     at = by_name["p99: a stop at each change of settings", "all settings, in step"]
-    stop = at_base + (10.0 - at_base) * (at.size * 10_000 - 1000) / 9000  # through 1,000 bytes and 10,000
+    stop = at_base + (10.0 - at_base) * (at.size * 10_000 - 1000) / 9000  # the line through 1,000 and 10,000 bytes
     assert stop == pytest.approx(1.7 + 0.01 * 86_400_000 / 3900)
     lines = page.order_table(found).splitlines()[2:]
     shown = [float(line.split("|")[-2].strip(" *")) for line in lines]
@@ -287,14 +290,14 @@
     assert all(("**" in line) is (part <= 1) for line, part in zip(lines, shown, strict=True))
 
 
-def test_prose_names_no_figure_of_its_own():
+def test_prose_uses_only_figures_of_the_plan_and_the_tables():
     text = page.PAGE.read_text()
     known = page.prose_figures() | page.figures("\n".join(page.TABLES[name](results.load()) for name in page.TABLES))
     assert page.figures("of 850, 12.5 and `4 KB`, see [x](a1.md).") == {"850", "12.5"}
     assert not page.figures(page.prose(text)) - known
 
 
-def test_mechanisms_are_where_the_page_says():
+def test_files_and_classes_named_on_the_page_exist():
     names = [each.mechanism for each in roles.ROLES] + [where for _, where, _, _ in roles.ACCEPTED]
     text = page.PAGE.read_text() + " ".join(names)
     files = set(re.findall(r"`([\w/]+\.(?:py|json|md))`", text))
@@ -308,14 +311,14 @@
         assert re.search(rf"(class|def) {last}\b", (ROOT / "anisefront" / file).read_text()), name
 
 
-def test_each_role_has_a_cell_for_each_trouble():
+def test_each_role_has_a_cell_for_each_fault():
     rows = roles.fault_effects(3.0, 1e6)
     assert [name for name, _ in rows] == [each.name for each in roles.ROLES]
     assert all(len(cells) == len(roles.FAULTS) and all(cells) for _, cells in rows)
 
 
 @pytest.mark.parametrize(
-    "spoilt, says",
+    "spoil, message",
     [
         (lambda text: text.replace("<!-- table plan -->", "<!-- table plans -->"), "table plans"),
         (lambda text: text.replace("<!-- end -->\n", "", 1), "pair"),
@@ -323,25 +326,25 @@
         (lambda text: text.replace("<!-- table plan -->\n", "", 1), "pair"),
     ],
 )
-def test_marks_that_do_not_fit_are_one_clear_fault(spoilt, says):
-    with pytest.raises(page.PageError, match=says):
-        page.fill(spoilt(page.PAGE.read_text()), Results())
+def test_mismatched_table_marks_raise_a_clear_error(spoil, message):
+    with pytest.raises(page.PageError, match=message):
+        page.fill(spoil(page.PAGE.read_text()), Results())
 
 
-def test_conclusions_follow_from_the_results():
-    """What the page says of connections in words, held against the committed figures."""
+def test_conclusions_of_the_page_follow_from_the_results():
+    """The page's statements about connections agree with the committed figures."""
     measured = results.load().micro.get("subsets")
     if measured is None:
         assert "| not measured |" in page.strategies_table(results.load())
         return
     rows = {row["known"]: row for row in measured["rows"]}
-    told, true = ([rows[known][each]["answer"] for known in subsets.SUBSET_SIZES] for each in ("reports", "true"))
+    reports, true = ([rows[known][each]["answer"] for known in subsets.SUBSET_SIZES] for each in ("reports", "true"))
     assert subsets.sufficient_size(measured) == 6
-    assert max(told) < 1.1 * min(told)  # fewer known cost next to nothing
-    assert max(true) < 0.62 * min(told)  # true loads would nearly halve the answer time
-    assert min(rows[known]["chance"]["answer"] for known in subsets.SUBSET_SIZES) < 1.25 * max(told)
-    ways = {row["way"]: row for row in measured["ways"]}
-    assert ways["ring"]["deviation"] == max(row["deviation"] for row in measured["ways"])
-    assert ways["deterministic subsets"]["moved"] == max(row["moved"] for row in measured["ways"])
+    assert max(reports) < 1.1 * min(reports)  # smaller subsets cost next to nothing
+    assert max(true) < 0.62 * min(reports)  # actual loads would nearly halve the response time
+    assert min(rows[known]["chance"]["answer"] for known in subsets.SUBSET_SIZES) < 1.25 * max(reports)
+    strategies = {row["way"]: row for row in measured["ways"]}
+    assert strategies["ring"]["deviation"] == max(row["deviation"] for row in measured["ways"])
+    assert strategies["deterministic subsets"]["moved"] == max(row["moved"] for row in measured["ways"])
     split = [row["answer"] for row in measured["split"]]
-    assert split == sorted(split, reverse=True)  # split services answer sooner
+    assert split == sorted(split, reverse=True)  # split services have lower response times
--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -56,6 +56,106 @@
         "test_a_connection_past_its_idle_timeout_is_not_reused_even_before_the_sweep"
     ),
     "test_a_second_copy_while_it_rests_ends_it": "test_an_unsolicited_response_closes_an_idle_connection",
+    "test_a_fit_finds_what_made_the_figures": "test_a_fit_recovers_the_coefficients_of_its_data",
+    "test_errors_of_a_fit_are_those_of_the_textbook_and_too_few_sizes_are_refused": (
+        "test_fit_errors_match_the_textbook_formulas_and_too_few_sizes_are_rejected"
+    ),
+    "test_a_prediction_is_kept_before_the_largest_size_and_held_against_it": (
+        "test_a_prediction_is_stored_before_the_largest_size_and_compared_with_it"
+    ),
+    "test_a_row_is_strained_where_clients_send_late_and_not_where_answers_are": (
+        "test_a_row_is_strained_if_clients_send_late_but_not_if_responses_are_late"
+    ),
+    "test_each_axis_doubles_three_times_at_least_and_ends_at_the_planned_size": (
+        "test_each_axis_doubles_at_least_three_times_and_ends_at_the_planned_size"
+    ),
+    "test_datagrams_are_told_by_purpose_as_the_program_writes_them": (
+        "test_datagrams_are_classified_by_purpose_as_the_gateway_encodes_them"
+    ),
+    "test_what_crosses_the_border_of_a_zone_that_is_cut_off": (
+        "test_which_datagrams_cross_the_border_of_an_isolated_zone"
+    ),
+    "test_the_highest_row_that_grew": "test_highest_histogram_bucket_that_grew",
+    "test_files_of_a_fleet_are_of_its_size_and_a_change_is_one_route": (
+        "test_files_match_the_fleet_size_and_a_change_adds_one_route"
+    ),
+    "test_a_small_fleet_knows_itself_says_no_more_than_it_should_and_leaves_nothing_behind": (
+        "test_a_small_fleet_converges_stays_within_its_message_budget_and_leaves_nothing_behind"
+    ),
+    "test_a_fleet_that_can_not_start_says_why_and_ends_all_that_it_began": (
+        "test_a_fleet_that_cannot_start_reports_why_and_terminates_its_processes"
+    ),
+    "test_what_does_not_fit_the_machine_is_not_begun": "test_a_fleet_too_large_for_the_machine_is_not_started",
+    "test_processes_end_with_the_one_that_began_them": "test_child_processes_end_with_their_parent",
+    "test_what_adds_up_is_added_up_and_crossed_where_it_is": (
+        "test_estimates_are_sums_over_the_axes_and_crossings_lie_on_them"
+    ),
+    "test_slope_that_is_not_sure_adds_nothing_and_its_error_counts": (
+        "test_an_insignificant_slope_adds_nothing_but_its_error_counts"
+    ),
+    "test_crossing_is_the_first_and_says_where_there_is_none": (
+        "test_the_first_crossing_is_returned_and_a_missing_one_is_reported"
+    ),
+    "test_change_of_settings_is_told_by_bytes_through_what_was_measured": (
+        "test_cost_of_a_settings_change_is_a_line_by_bytes_through_the_measurements"
+    ),
+    "test_fit_by_the_inverse_adds_what_it_says": "test_an_inverse_fit_adds_its_difference",
+    "test_figures_of_two_sizes_are_read_between_them": "test_figures_of_two_sizes_are_interpolated",
+    "test_connections_are_those_of_requests_by_chance": "test_connections_match_simulated_poisson_requests",
+    "test_each_gatekeeper_knows_as_many_and_none_twice": (
+        "test_each_gateway_gets_a_subset_of_the_right_size_without_duplicates"
+    ),
+    "test_ways_are_as_even_and_as_steady_as_they_are_known_for": (
+        "test_subsetting_strategies_have_their_known_evenness_and_stability"
+    ),
+    "test_loss_of_a_zone_leaves_who_knows_few": "test_fraction_of_gateways_short_of_workers_after_the_loss_of_a_zone",
+    "test_queue_model_gives_what_is_known_of_it": "test_queueing_model_matches_known_results",
+    "test_module_passes_what_is_stated_of_regions_apart": (
+        "test_simulated_partition_of_regions_stays_within_the_stated_bound"
+    ),
+    "test_quota_holds_where_homes_are_far": "test_quota_holds_with_distant_quota_owners",
+    "test_bound_is_passed_where_credit_is_not_held_back": "test_unlimited_credit_exceeds_the_bound",
+    "test_worst_is_worse_and_wide_sets_are": "test_the_worst_case_and_wider_sets_have_higher_bounds",
+    "test_home_that_is_away_serves_none_of_its_tenants_until_it_is_known": (
+        "test_tenants_of_a_failed_owner_are_not_served_until_its_failure_is_known"
+    ),
+    "test_at_twice_the_planned_peak_no_question_waits_for_company": (
+        "test_at_twice_the_planned_peak_no_quota_request_waits_for_a_batch"
+    ),
+    "test_bytes_on_the_wire_are_those_of_whole_datagrams": (
+        "test_bytes_on_the_wire_include_the_overhead_of_each_datagram"
+    ),
+    "test_resending_ends_when_hardly_any_lacks_it": "test_retransmission_ends_when_few_receivers_are_missing",
+    "test_rounds_until_all_know_grow_as_a_logarithm": "test_dissemination_rounds_grow_logarithmically",
+    "test_ways_that_carry_files_need_their_sizes": "test_methods_that_send_files_need_their_sizes",
+    "test_warming_is_measured_by_size": "test_endpoint_list_cost_is_measured_by_size",
+    "test_page_says_what_the_committed_results_say": "test_page_matches_the_committed_results",
+    "test_page_differs_where_a_result_does": "test_page_changes_with_a_result",
+    "test_page_is_written_whole_and_again_the_same": "test_rewriting_the_page_is_complete_and_idempotent",
+    "test_what_is_not_there_is_said_in_its_cell": "test_a_missing_figure_is_reported_in_its_cell",
+    "test_a_part_that_failed_is_said": "test_a_failed_part_is_reported",
+    "test_times_of_a_strained_machine_are_called_so": "test_times_of_a_strained_machine_are_marked",
+    "test_a_short_run_of_all_axes_is_called_a_trial": "test_a_short_run_of_all_axes_is_marked_as_a_trial",
+    "test_whole_run_further_off_than_a_quarter_is_said": (
+        "test_a_full_run_that_deviates_by_more_than_a_quarter_is_reported"
+    ),
+    "test_prediction_off_by_more_than_a_quarter_is_listed_with_why": (
+        "test_a_prediction_off_by_more_than_a_quarter_is_listed_with_its_reason"
+    ),
+    "test_order_of_work_has_the_least_part_of_the_plan_first": "test_crossings_are_sorted_by_the_fraction_of_the_plan",
+    "test_prose_names_no_figure_of_its_own": "test_prose_uses_only_figures_of_the_plan_and_the_tables",
+    "test_mechanisms_are_where_the_page_says": "test_files_and_classes_named_on_the_page_exist",
+    "test_each_role_has_a_cell_for_each_trouble": "test_each_role_has_a_cell_for_each_fault",
+    "test_marks_that_do_not_fit_are_one_clear_fault": "test_mismatched_table_marks_raise_a_clear_error",
+    "test_conclusions_follow_from_the_results": "test_conclusions_of_the_page_follow_from_the_results",
+    "test_each_day_stands_beside_the_last_of_its_seed_and_a_broken_rule_is_named": (
+        "test_each_day_is_compared_with_the_last_of_its_seed_and_broken_rules_are_named"
+    ),
+    "test_entries_of_other_commands_and_of_scores_without_a_gate_are_passed_over": (
+        "test_entries_of_other_commands_and_scores_without_a_gate_are_ignored"
+    ),
+    "test_without_the_users_bench_it_says_so_in_one_line": "test_without_the_bench_one_line_reports_it",
+    "test_all_deployments_are_there_to_play": "test_all_deployments_exist",
     "test_a_table_made_by_changes_is_as_one_made_at_once": "test_an_edited_table_equals_one_built_at_once",
     "test_nodes_off_the_changed_path_are_shared_and_empty_ones_go": (
         "test_nodes_off_the_edited_path_are_shared_and_empty_ones_removed"
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""What `make standing` says of the scores, from entries as the bench leaves them."""
+"""Report of `make standing`, from journal entries as the bench writes them."""
 
 import json
 
@@ -19,7 +19,7 @@
     } | more
 
 
-def test_each_day_stands_beside_the_last_of_its_seed_and_a_broken_rule_is_named():
+def test_each_day_is_compared_with_the_last_of_its_seed_and_broken_rules_are_named():
     before = [{"days": [day("calm+mass", 0.5), day("herd+mass", 0.7, seed=2)]}, {"days": [day("calm+mass", 0.6)]}]
     now = {"days": [day("calm+mass", 0.8), day("herd+mass", 0.0, seed=3, lost=4)], "figures": {"gate": 0.0}}
     calm, herd, gate = line("a.toml", now, before).split("; ")
@@ -30,7 +30,7 @@
     assert "n3 crashed" in line("a.toml", crashed, before)
 
 
-def test_entries_of_other_commands_and_of_scores_without_a_gate_are_passed_over(tmp_path):
+def test_entries_of_other_commands_and_scores_without_a_gate_are_ignored(tmp_path):
     for number, entry in enumerate(
         [
             {"cmd": "score", "figures": {"gate": 1.0}},
@@ -50,13 +50,13 @@
     assert of_site(found, "a.toml") == [{"argv": ["x/a.toml", "--quick"]}]
 
 
-def test_without_the_users_bench_it_says_so_in_one_line(monkeypatch, tmp_path, capsys):
-    monkeypatch.setattr(standing, "BENCH", tmp_path / "gone")
+def test_without_the_bench_one_line_reports_it(monkeypatch, tmp_path, capsys):
+    monkeypatch.setattr(standing, "BENCH", tmp_path / "missing")
     assert standing.main() == 2
     assert len(capsys.readouterr().out.splitlines()) == 1
 
 
-def test_all_deployments_are_there_to_play():
+def test_all_deployments_exist():
     assert [each.name for each in standing.SITES if each.parent == standing.ROOT / "deploy/sites"] == [
         "kiln-freight.toml",
         "solo-ledger.toml",
