--- a/benchmarks/scale/estimates.py
+++ b/benchmarks/scale/estimates.py
@@ -197,7 +197,7 @@
     """Return the cost of a settings change as a function of the bytes of all settings.
 
     It is the line through the axis of settings at the base, with the plan's changes per minute, and the measure of
-    `change` with all routes and keys. With only one of them it is proportional to the bytes; None without both.
+    `change` with all routes and keys. With only one of them it is proportional to the bytes; None if neither is stored.
     """
     axis, files, points = results.axes.get("settings"), results.micro.get("files", {}), []
     if axis is not None and measure in axis.fits and "base" in files:
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -458,7 +458,7 @@
 def crossings(stored: Results) -> list[tuple[str, str, Crossing]]:
     """Return budget, growing size and crossing, sorted by the fraction of the plan."""
     out: list[tuple[str, str, Crossing]] = []
-    for name, measures, most in (
+    for name, measures, limit in (
         ("CPU for control, at rest", ["control_cpu_ms_s"], CPU.limit * 1000),
         ("memory", ["rss_mb"], MEMORY.limit / 1e6),
         ("datagrams of control", [*_MEMBERS, *_QUOTAS], TRAFFIC.limit),
@@ -467,16 +467,16 @@
     ):
         name += STRAINED_SUFFIX * strained(stored, measures)[0]
         base = estimates.value_at_base(stored, measures)
-        if base is not None and base > most:
+        if base is not None and base > limit:
             out.append((name, "nothing: the base is over it", Crossing("", 0.0, 0.0)))
             continue
         for axis in estimates.AXES:
-            if (found_at := estimates.crossing(stored, axis, measures, most)) is not None:
-                out.append((name, axis, found_at))
-        if (all_at := estimates.crossing_in_step(stored, measures, most)) is not None:
-            out.append((name, "all in step", all_at))
+            if (axis_crossing := estimates.crossing(stored, axis, measures, limit)) is not None:
+                out.append((name, axis, axis_crossing))
+        if (joint_crossing := estimates.crossing_in_step(stored, measures, limit)) is not None:
+            out.append((name, "all in step", joint_crossing))
     file_bytes = _file_bytes(stored, PLAN, "settings")
-    for name, measure, changed, most in (
+    for name, measure, changed, limit in (
         ("p99: a stop at each change of settings", "wait_max_ms", "changing_wait_max_ms", longest_stop_ms()),
         ("a change in force everywhere", "in_force_s", "in_force_s", IN_FORCE.limit),
     ):
@@ -486,7 +486,7 @@
                 (
                     name,
                     "all settings, in step",
-                    estimates.solve("all in step", partial(_of_bytes, line, file_bytes), most, 1.0),
+                    estimates.solve("all in step", partial(_of_bytes, line, file_bytes), limit, 1.0),
                 )
             )
     if estimates.list_change_ms(stored, PLAN.workers) is not None:
@@ -599,19 +599,21 @@
     used = {measure for _, _, _, (_, measures, _), _ in COSTS for measure in measures}
     used |= {"held_mb", "idle_cpu_ms_s", "request_p99_us", "cpu_ms_s"}
     by_reason: dict[tuple[str, str], list[str]] = {}
-    rest = 0
+    unused = 0
     for name, axis in stored.axes.items():
-        late = bool(strained_at(axis))
+        strained_axis = bool(strained_at(axis))
         for measure, each in estimates.deviating_fits(axis):
-            rest += measure not in used
+            unused += measure not in used
             if measure in used:
                 ratio = f"{each.measured / each.predicted:.2f}" if each.predicted > 0 else "less than nothing predicted"
-                why = roles.explanation(name, measure) or ("the machine was strained" if late else "not explained")
+                why = roles.explanation(name, measure) or (
+                    "the machine was strained" if strained_axis else "not explained"
+                )
                 by_reason.setdefault((name, why), []).append(f"{measure} {ratio}")
     rows = [(name, ", ".join(measures), why) for (name, why), measures in by_reason.items()]
     compared = sum(each.measured is not None for axis in stored.axes.values() for each in axis.fits.values())
     if compared:
-        rows.append((f"of {compared} predictions", f"{rest} more, of measures that this page does not use", ""))
+        rows.append((f"of {compared} predictions", f"{unused} more, of measures that this page does not use", ""))
     return table(("axis", "measures, with measured by predicted", "why"), rows)
 
 
--- a/benchmarks/scale/settings_distribution.py
+++ b/benchmarks/scale/settings_distribution.py
@@ -77,7 +77,7 @@
     heartbeat_bytes_s = 2 * on_wire(HEARTBEAT_BYTES) / HEARTBEAT_S
     detection_s = MISSED_HEARTBEATS * HEARTBEAT_S
     one_way_s = ROUND_TRIP_S / 2
-    resend_s = (tries(PLAN.gatekeepers) - 1) * RESEND_S + one_way_s
+    lossy_one_way_s = (tries(PLAN.gatekeepers) - 1) * RESEND_S + one_way_s
     out = []
     for name, data in (
         ("whole settings to each, at each change", settings_bytes),
@@ -104,7 +104,7 @@
             FAN_OUT * change_bytes,
             day * (change_bytes + on_wire(0)) * 2 + heartbeat_bytes_s,
             2 * one_way_s,
-            2 * resend_s,
+            2 * lossy_one_way_s,
             detection_s + 2 * one_way_s,
         )
     )
