--- a/anisefront/testbed/day.py
+++ b/anisefront/testbed/day.py
@@ -27,7 +27,7 @@
 from anisefront.testbed.records import Record
 from anisefront.testbed.relay import Relay
 from anisefront.testbed.script import WORKER_FIGURES, Crowd, Script, Trouble
-from anisefront.testbed.watch import Watch
+from anisefront.testbed.stall_monitor import Watch
 from anisefront.testbed.workers import Cell, Kind, Worker
 
 ROSTER_LAG_S = 0.5  # discovery tells of a new worker so late; a drain is told at once
--- a/anisefront/testbed/soak/run.py
+++ b/anisefront/testbed/soak/run.py
@@ -20,7 +20,7 @@
 from anisefront.testbed.soak.nodes import Node
 from anisefront.testbed.soak.peers import Peers
 from anisefront.testbed.soak.workers import FAULTS, SeenKeys, Worker
-from anisefront.testbed.watch import Watch
+from anisefront.testbed.stall_monitor import Watch
 
 START_S = 60.0  # a start that takes longer ends the run
 SETTLE_S = 1.5  # from the start of the fleet to the first measure
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -10,7 +10,7 @@
     parse_schedstat,
     thread_time_between,
 )
-from anisefront.testbed import watch
+from anisefront.testbed import stall_monitor
 from anisefront.testbed.audit import Auditor
 
 
@@ -110,10 +110,10 @@
 
     def __init__(self, monkeypatch):
         self.clock, self.written, self.ran_ms, self.waited_ms, self.state = Clock(), [], 0.0, 0.0, "S"
-        monkeypatch.setattr(watch, "now_ms", lambda: self.clock.seconds() * 1000)
-        monkeypatch.setattr(watch, "read_thread_times", self.read)
-        monkeypatch.setattr(watch, "read_state", lambda pid: self.state)
-        watch.Watch(self.clock, self, lambda: {0: 4711}).start()
+        monkeypatch.setattr(stall_monitor, "now_ms", lambda: self.clock.seconds() * 1000)
+        monkeypatch.setattr(stall_monitor, "read_thread_times", self.read)
+        monkeypatch.setattr(stall_monitor, "read_state", lambda pid: self.state)
+        stall_monitor.Watch(self.clock, self, lambda: {0: 4711}).start()
 
     def write(self, kind, **values):
         if kind == "blocked":
@@ -123,14 +123,14 @@
         return SchedulerSample(now, 0.0, 0.0) if pid == "self" else SchedulerSample(now, self.ran_ms, self.waited_ms)
 
     def looks(self, count):
-        self.clock.pump([watch.EVERY_MS / 1000] * count)
+        self.clock.pump([stall_monitor.EVERY_MS / 1000] * count)
 
 
 def test_watch_tells_of_a_gatekeeper_that_sleeps_on_and_when_it_began(monkeypatch):
     # Guards against a block in a call that the day's records do not show.
     kernel = Kernel(monkeypatch)
     kernel.looks(40)
-    assert kernel.written[0] == (0.0, watch.BLOCKED_LOOKS * watch.EVERY_MS)
+    assert kernel.written[0] == (0.0, stall_monitor.BLOCKED_LOOKS * stall_monitor.EVERY_MS)
     assert all(before[1] == after[0] for before, after in zip(kernel.written, kernel.written[1:], strict=False))
     assert kernel.written[-1][1] == 1000.0
     kernel.ran_ms += 1.0
@@ -164,7 +164,7 @@
 
 
 def test_state_of_a_process():
-    assert watch.read_state("self") == "R" and watch.read_state(0) == ""
+    assert stall_monitor.read_state("self") == "R" and stall_monitor.read_state(0) == ""
 
 
 def test_causes_of_lateness_add_up():
