--- a/anisefront/cli/main.py
+++ b/anisefront/cli/main.py
@@ -70,9 +70,9 @@
     if read[0].config is None:
         sys.exit(2)
     if read[0].config.embedded is not None:
-        from anisefront.testbed.workers import embedded
+        from anisefront.testbed.workers import embedded_workers
 
-        workers = embedded(read[0].config.embedded, read[0].config.settings.zone)
+        workers = embedded_workers(read[0].config.embedded, read[0].config.settings.zone)
     sys.exit(process.serve(source, read, log_level, workers))
 
 
@@ -134,11 +134,11 @@
     Exit with 0 only if no rule was violated and the script could be run."""
     import tempfile
 
-    from anisefront.testbed.report import judge
+    from anisefront.testbed.report import run_and_audit
 
     path = Path(script)
     path = path / "day.script" if path.is_dir() else path
     with tempfile.TemporaryDirectory() as made:
         folder = Path(keep or made)
         folder.mkdir(parents=True, exist_ok=True)
-        sys.exit(judge(path, folder, seed, guard, record))
+        sys.exit(run_and_audit(path, folder, seed, guard, record))
--- a/anisefront/testbed/__init__.py
+++ b/anisefront/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stand-ins for workers, proxies and clients, trouble by script, and the auditor."""
+"""The test bed: simulated workers, proxies and clients, scripted fault injection, and the auditor of the results."""
--- a/anisefront/testbed/audit.py
+++ b/anisefront/testbed/audit.py
@@ -1,7 +1,7 @@
-"""Judges the five rules from what crossed the stand-ins' sockets, and from nothing else.
+"""Audits the five rules, using only the records of the traffic at the simulated proxies, workers and clients.
 
-It imports nothing of the project, so that no fault of the gatekeeper can hide in shared code. Each rule says how
-many cases it examined, what broke it, and how near the nearest of the others came.
+This module imports nothing of the project, so that shared code can't hide a defect of an instance. The verdict on each
+rule gives the number of examined cases, the violations, and how close the closest other case came to the limit.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from pathlib import Path
 from typing import Any
 
-ANSWER_SLACK_MS = 150.0  # after the client's time: what the way back may take on a busy machine
-WAY_MS = 100.0  # what was sent before an answer may reach a worker so much later
-TOLD_MS = 300.0  # from a roster being written to a gatekeeper having read it
+RESPONSE_SLACK_MS = 150.0  # past the client's deadline: time for the response to arrive on a busy machine
+TRANSIT_MS = 100.0  # a request sent before a response may still reach a worker this much later
+DISCOVERY_MS = 300.0  # from the writing of an endpoint list until an instance has read it
 
 
 @dataclass(slots=True)
 class Verdict:
-    """One rule: cases examined, breaches in words, and the nearest miss as a share of what is allowed."""
+    """The verdict on one rule: examined cases, breaches as text, and the nearest miss as a fraction of the limit."""
 
     rule: str
     cases: int = 0
@@ -28,34 +28,34 @@
     nearest: float = 0.0  # 1.0 is the limit
     nearest_what: str = ""
 
-    def near(self, share: float, what: str) -> None:
-        """Note a case that kept the rule, and by how much."""
-        if share > self.nearest:
-            self.nearest, self.nearest_what = share, what
+    def near(self, fraction: float, what: str) -> None:
+        """Record how much of the limit a case used that kept the rule."""
+        if fraction > self.nearest:
+            self.nearest, self.nearest_what = fraction, what
 
 
 Records = list[dict[str, Any]]
 
 
 def load(folder: Path) -> dict[str, Records]:
-    """The records of a day, each kind in order of time."""
-    out = {}
+    """Return the records of a run by file name, sorted by time."""
+    records_by_file = {}
     for name in ("clients", "workers", "proxies", "day"):
         with (folder / f"{name}.jsonl").open() as file:
-            out[name] = sorted((json.loads(line) for line in file), key=lambda record: record["at"])
-    return out
+            records_by_file[name] = sorted((json.loads(line) for line in file), key=lambda record: record["at"])
+    return records_by_file
 
 
 def of_kinds(records: Records, *kinds: str) -> Records:
-    """The records of these kinds."""
+    """Return the records of the given kinds."""
     return [record for record in records if record["kind"] in kinds]
 
 
 class Auditor:
-    """The five rules over one day's records. Times are milliseconds."""
+    """Applies the five rules to the records of a run. Times are in milliseconds."""
 
     def __init__(self, records: dict[str, Records], drain_grace_ms: float = 1000.0) -> None:
-        self.records, self.grace_ms = records, drain_grace_ms
+        self.records, self.drain_grace_ms = records, drain_grace_ms
         self.tries = {record["id"]: record for record in of_kinds(records["clients"], "try")}
         self.answers: dict[str, Records] = defaultdict(list)
         for record in of_kinds(records["clients"], "answer"):
@@ -65,39 +65,39 @@
         for record in of_kinds(self.workers, "arrive"):
             self.arrivals[record["id"]].append(record)
         self.classes = {record["name"]: record for record in of_kinds(records["day"], "class")}
-        self.away = self._away()
-        self.stood = [(record["since"], record["until"], record["ms"]) for record in of_kinds(records["day"], "stood")]
-        self._stood_until = [until for _, until, _ in self.stood]
-        self.blocked = self._blocked()
-        self.excused: list[str] = []  # what the machine's own stalls account for, in words
+        self.downtimes = self._find_downtimes()
+        self.stalls = [(record["since"], record["until"], record["ms"]) for record in of_kinds(records["day"], "stood")]
+        self._stall_ends = [until for _, until, _ in self.stalls]
+        self.blocked_spans = self._find_blocked_spans()
+        self.excused: list[str] = []  # cases that stalls of the machine excuse, as text
 
-    def _away(self) -> dict[int, list[tuple[float, float]]]:
-        """When each gatekeeper was frozen or dead: it was not running, so it owed nobody an answer then."""
+    def _find_downtimes(self) -> dict[int, list[tuple[float, float]]]:
+        """Return the spans in which each instance was frozen or dead, and so could not respond."""
         spans: dict[int, list[tuple[float, float]]] = defaultdict(list)
-        began: dict[int, float] = {}
+        down_since: dict[int, float] = {}
         for record in of_kinds(self.records["day"], "gatekeeper_down", "frozen", "thawed", "gatekeeper_up"):
             number = record["number"]
             if record["kind"] in ("gatekeeper_down", "frozen"):
-                began.setdefault(number, record["at"])
-            elif number in began:
-                spans[number].append((began.pop(number), record["at"]))
-        for number, at in began.items():
+                down_since.setdefault(number, record["at"])
+            elif number in down_since:
+                spans[number].append((down_since.pop(number), record["at"]))
+        for number, at in down_since.items():
             spans[number].append((at, float("inf")))
         return spans
 
-    def _was_away(self, number: int, since: float, until: float) -> bool:
-        return any(start <= until and since <= end for start, end in self.away[number])
+    def _was_down(self, number: int, since: float, until: float) -> bool:
+        return any(start <= until and since <= end for start, end in self.downtimes[number])
 
-    def _blocked(self) -> dict[int, list[tuple[float, float]]]:
-        """When each gatekeeper was blocked in a call, in order of time: it slept of its own doing, look by look."""
+    def _find_blocked_spans(self) -> dict[int, list[tuple[float, float]]]:
+        """Return the spans in which each instance was blocked in a call, in order of time."""
         spans: dict[int, list[tuple[float, float]]] = defaultdict(list)
         for record in of_kinds(self.records["day"], "blocked"):
             spans[record["number"]].append((record["since"], record["until"]))
         return spans
 
     def _blocked_ms(self, number: int, since: float, until: float) -> float:
-        """For how long within a time a gatekeeper was blocked in a call."""
-        spans = self.blocked.get(number, [])
+        """Return for how long an instance was blocked in a call between two times."""
+        spans = self.blocked_spans.get(number, [])
         total = 0.0
         for at in range(bisect.bisect_left(spans, since, key=lambda span: span[1]), len(spans)):
             start, end = spans[at]
@@ -107,26 +107,27 @@
         return total
 
     def machine_ms(self, number: int, since: float, until: float) -> float:
-        """For how long within a time the machine kept a gatekeeper, or the stand-ins that hold the clock, from running.
+        """Return for how long the machine kept an instance, or the test bed's own process, from running.
 
-        Measured by the kernel, look by look; where both stood in one look, the longer counts. What a gatekeeper
-        spends on its own work is no part of it, nor is what the stand-ins stood while it was blocked in a call: with a
-        core for them it would have answered no sooner."""
+        The kernel measures both per sample; if both were stalled in one sample, the longer stall counts. Time that an
+        instance spends on its own work does not count, nor do stalls of the test bed's process while the instance was
+        blocked in a call: it would not have responded sooner had the test bed's process had a core.
+        """
         total = 0.0
-        for at in range(bisect.bisect_left(self._stood_until, since), len(self.stood)):
-            start, end, ms = self.stood[at]
+        for at in range(bisect.bisect_left(self._stall_ends, since), len(self.stalls)):
+            start, end, ms = self.stalls[at]
             if start > until:
                 break
             start, end = max(start, since), min(end, until)
             unblocked = end - start - self._blocked_ms(number, start, end)
-            of_lab = min(unblocked, ms.get("lab", 0.0))
-            total += min(max(0.0, end - start), max(0.0, of_lab, ms.get(str(number), 0.0)))
+            test_bed_ms = min(unblocked, ms.get("lab", 0.0))
+            total += min(max(0.0, end - start), max(0.0, test_bed_ms, ms.get(str(number), 0.0)))
         return total
 
     def timeline(self, name: str) -> str:
-        """What crossed the stand-ins' sockets for a try: milliseconds from its start, and what it was."""
+        """Describe the recorded events of a request, with their times in milliseconds after it was sent."""
         start = self.tries[name]["at"]
-        rows = [(record["at"], kind) for kind, records in (("answer", self.answers[name]),) for record in records]
+        rows = [(record["at"], event) for event, records in (("answer", self.answers[name]),) for record in records]
         rows += [
             (record["at"], f"{record['kind']} at {record['worker']}")
             for record in self.workers
@@ -134,167 +135,169 @@
         ]
         rows += [(record["at"], record["kind"]) for record in self.records["proxies"] if record.get("id") == name]
         rows += [
-            (until, f"stood {ms}")
-            for since, until, ms in self.stood
+            (until, f"stalled {ms}")
+            for since, until, ms in self.stalls
             if until >= start and since <= max((row[0] for row in rows), default=start)
         ]
         return "; ".join(f"{at - start:+.0f} {what}" for at, what in sorted(rows))
 
     def judge(self) -> list[Verdict]:
-        """The verdicts, in the order of the rules."""
+        """Return the verdicts in the order of the rules."""
         return [self.one_answer(), self.no_effect_twice(), self.drains(), self.cold(), self.ceilings()]
 
     def one_answer(self) -> Verdict:
-        """Every try ends with one final answer in time, and nothing reaches a worker for it afterwards."""
+        """Check that each request gets one final response in time, and no attempt reaches a worker afterwards."""
         verdict = Verdict("one final answer in time")
-        for name, each in self.tries.items():
+        for name, sent in self.tries.items():
             verdict.cases += 1
             answers = self.answers[name]
             if len(answers) != 1:
                 verdict.breaches.append(f"{name}: {len(answers)} final answers")
                 continue
-            answer, excused = answers[0], self._was_away(each["gatekeeper"], each["at"], each["due"])
-            late = answer["at"] - each["due"]
-            machine = self.machine_ms(each["gatekeeper"], each["at"], answer["at"]) if late > 0 else 0.0
-            if late > ANSWER_SLACK_MS >= late - machine and not excused:
+            answer, was_down = answers[0], self._was_down(sent["gatekeeper"], sent["at"], sent["due"])
+            late_ms = answer["at"] - sent["due"]
+            stall_ms = self.machine_ms(sent["gatekeeper"], sent["at"], answer["at"]) if late_ms > 0 else 0.0
+            if late_ms > RESPONSE_SLACK_MS >= late_ms - stall_ms and not was_down:
                 self.excused.append(
-                    f"{name}: answered {late:.0f} ms after its time, {machine:.0f} ms of them while "
+                    f"{name}: answered {late_ms:.0f} ms after its deadline, {stall_ms:.0f} ms of them while "
                     "the machine did not let it run"
                 )
-            late -= machine
-            if answer["how"] == "none" and machine and late <= ANSWER_SLACK_MS:
-                continue  # the client's patience ran out while the machine stood: nothing is known of the answer
-            if answer["how"] in ("lost", "none") and not excused:
-                verdict.breaches.append(f"{name}: ended as {answer['how']!r} at a running gatekeeper")
-            elif late > ANSWER_SLACK_MS and not excused:
-                verdict.breaches.append(f"{name}: answered {late:.0f} ms after its time: {self.timeline(name)}")
-            elif not excused:
-                allowed = each["due"] + ANSWER_SLACK_MS - each["at"]
-                verdict.near((answer["at"] - each["at"]) / allowed, f"{name}: {-late:.0f} ms before its time")
+            late_ms -= stall_ms
+            if answer["how"] == "none" and stall_ms and late_ms <= RESPONSE_SLACK_MS:
+                continue  # the client timed out during a stall of the machine, so its response is unknown
+            if answer["how"] in ("lost", "none") and not was_down:
+                verdict.breaches.append(f"{name}: ended as {answer['how']!r} at a running instance")
+            elif late_ms > RESPONSE_SLACK_MS and not was_down:
+                verdict.breaches.append(f"{name}: answered {late_ms:.0f} ms after its deadline: {self.timeline(name)}")
+            elif not was_down:
+                allowed = sent["due"] + RESPONSE_SLACK_MS - sent["at"]
+                verdict.near((answer["at"] - sent["at"]) / allowed, f"{name}: {-late_ms:.0f} ms before its deadline")
             for arrival in self.arrivals[name]:
-                after = arrival["at"] - answer["at"]
-                if after > WAY_MS:
-                    after -= self.machine_ms(each["gatekeeper"], answer["at"], arrival["at"])
-                if after > WAY_MS and answer["how"] in ("served", "refused", "failed"):
-                    verdict.breaches.append(f"{name}: sent on {after:.0f} ms after its answer ({answer['how']})")
+                after_ms = arrival["at"] - answer["at"]
+                if after_ms > TRANSIT_MS:
+                    after_ms -= self.machine_ms(sent["gatekeeper"], answer["at"], arrival["at"])
+                if after_ms > TRANSIT_MS and answer["how"] in ("served", "refused", "failed"):
+                    verdict.breaches.append(
+                        f"{name}: an attempt arrived {after_ms:.0f} ms after its response ({answer['how']})"
+                    )
         return verdict
 
     def no_effect_twice(self) -> Verdict:
-        """No wish has its effect more often than its class allows, and a refused try had none."""
+        """Check that no request takes effect more often than its class allows, and that refused ones have no effect."""
         verdict = Verdict("no effect twice")
         runs: dict[str, Records] = defaultdict(list)
         for record in of_kinds(self.workers, "run"):
             runs[record["id"]].append(record)
-        by_wish: dict[str, Records] = defaultdict(list)
-        for name, each in self.tries.items():
-            kind = self.classes[each["cls"]]
-            if kind["repeat"] == "safe":
+        runs_by_request: dict[str, Records] = defaultdict(list)
+        for name, sent in self.tries.items():
+            request_class = self.classes[sent["cls"]]
+            if request_class["repeat"] == "safe":
                 continue
             verdict.cases += 1
-            by_wish[each["wish"]] += runs[name]
+            runs_by_request[sent["wish"]] += runs[name]
             refused = any(answer["how"] == "refused" for answer in self.answers[name])
-            harmless = kind["repeat"] == "keyed" and kind["scope"] == "all"
+            harmless = request_class["repeat"] == "keyed" and request_class["scope"] == "all"
             if refused and runs[name] and not harmless:
-                verdict.breaches.append(f"{name} ({each['cls']}): refused as safe to repeat, but it ran")
-            if kind["repeat"] == "keyed" and len(self.arrivals[name]) > 1:
+                verdict.breaches.append(f"{name} ({sent['cls']}): refused as safe to repeat, but it ran")
+            if request_class["repeat"] == "keyed" and len(self.arrivals[name]) > 1:
                 groups = {
-                    arrival[kind["scope"]] if kind["scope"] != "all" else ""
+                    arrival[request_class["scope"]] if request_class["scope"] != "all" else ""
                     for arrival in self.arrivals[name]
                     if arrival["at"] >= (runs[name] or [{"at": float("inf")}])[0]["at"]
                 }
-                verdict.near(len(groups) / 2, f"{name}: repeats stayed in one group")
-        for wish, effects in by_wish.items():
+                verdict.near(len(groups) / 2, f"{name}: its repeats stayed in one deduplication group")
+        for request_id, effects in runs_by_request.items():
             if len(effects) > 1:
-                places = ", ".join(f"{run['worker']} of {run['cell']}" for run in effects)
-                verdict.breaches.append(f"{wish}: {len(effects)} effects, at {places}")
+                locations = ", ".join(f"{run['worker']} of {run['cell']}" for run in effects)
+                verdict.breaches.append(f"{request_id}: {len(effects)} effects, at {locations}")
         return verdict
 
     def drains(self) -> Verdict:
-        """Nothing new reaches a worker after its gatekeepers were told and the grace is over."""
+        """Check that no attempt reaches a drained worker after the discovery delay and the grace period."""
         verdict = Verdict("drains kept")
-        told: dict[str, float] = {}
+        drained_at: dict[str, float] = {}
         listed: set[str] = set()
         for record in of_kinds(self.records["day"], "roster"):
             ready = set(record["ready"])
             for worker in (listed - ready) | set(record["draining"]):
-                told.setdefault(worker, record["at"])
+                drained_at.setdefault(worker, record["at"])
             listed |= ready
-        away = [span for spans in self.away.values() for span in spans]
-        allowed = TOLD_MS + self.grace_ms
+        down_spans = [span for spans in self.downtimes.values() for span in spans]
+        allowed = DISCOVERY_MS + self.drain_grace_ms
         for arrivals in self.arrivals.values():
             for arrival in arrivals:
-                if arrival["worker"] not in told:
+                if arrival["worker"] not in drained_at:
                     continue
                 verdict.cases += 1
-                after = arrival["at"] - told[arrival["worker"]]
-                # A frozen gatekeeper hears of it when it wakes.
-                heard = max(
+                after_ms = arrival["at"] - drained_at[arrival["worker"]]
+                # A frozen instance reads the endpoint list when it resumes.
+                wake_up_ms = max(
                     [
-                        end - told[arrival["worker"]]
-                        for start, end in away
-                        if start <= told[arrival["worker"]] + TOLD_MS <= end
+                        end - drained_at[arrival["worker"]]
+                        for start, end in down_spans
+                        if start <= drained_at[arrival["worker"]] + DISCOVERY_MS <= end
                     ],
                     default=0.0,
                 )
-                if after > allowed + heard:
+                if after_ms > allowed + wake_up_ms:
                     sender = self.tries[arrival["id"]]["gatekeeper"] if arrival["id"] in self.tries else -1
-                    after -= self.machine_ms(sender, told[arrival["worker"]], arrival["at"])
-                if after > allowed + heard:
+                    after_ms -= self.machine_ms(sender, drained_at[arrival["worker"]], arrival["at"])
+                if after_ms > allowed + wake_up_ms:
                     verdict.breaches.append(
-                        f"{arrival['id']}: reached {arrival['worker']} {after:.0f} ms after the roster told of its end"
+                        f"{arrival['id']}: reached {arrival['worker']} {after_ms:.0f} ms after it was drained"
                     )
                 else:
-                    verdict.near(after / allowed, f"{arrival['id']}: {after:.0f} ms after the roster")
+                    verdict.near(after_ms / allowed, f"{arrival['id']}: {after_ms:.0f} ms after the endpoint list")
         return verdict
 
     def cold(self) -> Verdict:
-        """No cold worker is sent more, in any window, than the stated multiple of what it can carry."""
+        """Check that no cold worker is sent more, in any window, than the given multiple of its capacity."""
         verdict = Verdict("cold workers not pushed over")
-        facts = {record["worker"]: record for record in of_kinds(self.workers, "worker") if record["cold"]}
-        verdict.breaches += [f"{record['worker']} fell over" for record in of_kinds(self.workers, "fall")]
+        cold_workers = {record["worker"]: record for record in of_kinds(self.workers, "worker") if record["cold"]}
+        verdict.breaches += [f"{record['worker']} collapsed under load" for record in of_kinds(self.workers, "fall")]
         work: dict[str, list[tuple[float, float]]] = defaultdict(list)
         for record in of_kinds(self.workers, "arrive"):
-            fact = facts.get(record["worker"])
-            if fact is None or record["at"] - fact["at"] > fact["warm_up_ms"]:
+            worker = cold_workers.get(record["worker"])
+            if worker is None or record["at"] - worker["at"] > worker["warm_up_ms"]:
                 continue
             verdict.cases += 1
-            recent = [each for each in work[record["worker"]] if record["at"] - each[0] <= fact["fall_window_ms"]]
-            recent.append((record["at"], float(record["units"]) * fact["service_ms"]))
+            recent = [sent for sent in work[record["worker"]] if record["at"] - sent[0] <= worker["fall_window_ms"]]
+            recent.append((record["at"], float(record["units"]) * worker["service_ms"]))
             work[record["worker"]] = recent
-            age = (record["at"] - fact["at"]) / fact["warm_up_ms"]
-            share = fact["cold_from"] + (1 - fact["cold_from"]) * age
-            budget = fact["fall_multiple"] * share * fact["cores"] * fact["fall_window_ms"]
-            pressed = sum(each[1] for each in recent) / budget
-            if pressed > 1 and not any(record["worker"] in breach for breach in verdict.breaches):
-                verdict.breaches.append(f"{record['worker']}: sent {pressed:.2f} times what a cold worker may be")
-            verdict.near(pressed, record["worker"])
+            age = (record["at"] - worker["at"]) / worker["warm_up_ms"]
+            fraction = worker["cold_from"] + (1 - worker["cold_from"]) * age
+            budget = worker["fall_multiple"] * fraction * worker["cores"] * worker["fall_window_ms"]
+            load_ratio = sum(sent[1] for sent in recent) / budget
+            if load_ratio > 1 and not any(record["worker"] in breach for breach in verdict.breaches):
+                verdict.breaches.append(f"{record['worker']}: sent {load_ratio:.2f} times the limit of a cold worker")
+            verdict.near(load_ratio, record["worker"])
         return verdict
 
     def ceilings(self) -> Verdict:
-        """What is sent on for a customer stays at its plan's ceiling, but for the slack."""
+        """Check that the forwarded requests of a customer stay within its plan's ceiling, plus the slack."""
         verdict = Verdict("ceilings kept")
         plans = {record["name"]: record for record in of_kinds(self.records["day"], "plan") if record["ceiling"]}
-        firsts: dict[str, list[tuple[float, float]]] = defaultdict(list)
-        for name, each in self.tries.items():
-            if each["plan"] in plans and self.arrivals[name]:
-                firsts[each["customer"]].append((self.arrivals[name][0]["at"], float(each["units"])))
-        plan_of = {each["customer"]: each["plan"] for each in self.tries.values()}
-        for customer, sends in firsts.items():
+        first_arrivals: dict[str, list[tuple[float, float]]] = defaultdict(list)
+        for name, sent in self.tries.items():
+            if sent["plan"] in plans and self.arrivals[name]:
+                first_arrivals[sent["customer"]].append((self.arrivals[name][0]["at"], float(sent["units"])))
+        plan_of = {sent["customer"]: sent["plan"] for sent in self.tries.values()}
+        for customer, arrivals in first_arrivals.items():
             plan = plans[plan_of[customer]]
-            level, before = plan["ceiling_burst"], None
-            for at, units in sorted(sends):
-                if before is not None:
-                    level = min(plan["ceiling_burst"], level + plan["ceiling"] * (at - before) / 1000)
-                before, level = at, level - units
+            level, previous_at = plan["ceiling_burst"], None
+            for at, units in sorted(arrivals):
+                if previous_at is not None:
+                    level = min(plan["ceiling_burst"], level + plan["ceiling"] * (at - previous_at) / 1000)
+                previous_at, level = at, level - units
                 verdict.cases += 1
                 if level < -plan["ceiling_slack"]:
                     verdict.breaches.append(f"{customer}: {-level:.1f} units over its ceiling")
-                room = plan["ceiling_burst"] + plan["ceiling_slack"]
-                verdict.near((plan["ceiling_burst"] - level) / room, customer)
+                allowance = plan["ceiling_burst"] + plan["ceiling_slack"]
+                verdict.near((plan["ceiling_burst"] - level) / allowance, customer)
         return verdict
 
     def summary(self) -> dict[str, int]:
-        """How the tries ended."""
+        """Return the number of requests by outcome."""
         counts: dict[str, int] = defaultdict(int)
         for answers in self.answers.values():
             for answer in answers[:1]:
--- a/anisefront/testbed/clients.py
+++ b/anisefront/testbed/clients.py
@@ -1,6 +1,6 @@
-"""Open-loop clients: they come when they come, give up when their time is up, and repeat what was refused.
+"""Open-loop clients: they send on schedule, time out at their deadline and retry refused requests.
 
-By HTTP/1.1 through a proxy or by JSON-RPC at a gatekeeper; what they sent and got goes to their record.
+They send HTTP/1.1 through a proxy or JSON-RPC directly to an instance, and record the requests and responses.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from anisefront.testbed.records import Record, now_ms
 from anisefront.upstream.connection_pool import ConnectionPool
 
-PATIENCE_MS = 1000.0  # how long after its time a client still listens, so that a late answer is seen as late
+RESPONSE_GRACE_MS = 1000.0  # a client waits this long past its deadline, so that late responses are recorded
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
-    """What a client wants done: one, however many tries it takes."""
+class ClientRequest:
+    """A logical request, which includes its retries."""
 
     name: str
     customer: str
@@ -36,29 +36,29 @@
     deadline_ms: float
 
 
-class RpcLink(protocol.Protocol):
-    """A client's JSON-RPC connection: several tries at a time, answers by id."""
+class JsonRpcConnection(protocol.Protocol):
+    """A client's JSON-RPC connection, which multiplexes calls by id."""
 
     def __init__(self) -> None:
         self.waiting: dict[str, Callable[[dict[str, Any] | None], None]] = {}
-        self._rest = b""
+        self._buffer = b""
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
 
     def call(self, number: str, params: dict[str, Any], done: Callable[[dict[str, Any] | None], None]) -> None:
-        """Send one call; `done` hears the answer, None when the connection breaks first."""
+        """Send a call. `done` receives the response, or None if the connection breaks first."""
         self.waiting[number] = done
         line = {"jsonrpc": "2.0", "id": number, "method": "call", "params": params}
         self.transport.write(json.dumps(line).encode() + b"\n")
 
     def dataReceived(self, data: bytes) -> None:
-        *lines, self._rest = (self._rest + data).split(b"\n")
+        *lines, self._buffer = (self._buffer + data).split(b"\n")
         for line in lines:
-            answer = json.loads(line)
-            done = self.waiting.pop(answer["id"], None)
+            response = json.loads(line)
+            done = self.waiting.pop(response["id"], None)
             if done is not None:
-                done(answer)
+                done(response)
 
     def connectionLost(self, reason: Any = None) -> None:
         self.connected = 0
@@ -67,126 +67,134 @@
             done(None)
 
 
-class _RpcFactory(protocol.ClientFactory):
+class _JsonRpcFactory(protocol.ClientFactory):
     noisy = False
-    protocol = RpcLink
+    protocol = JsonRpcConnection
 
-    def buildProtocol(self, address: object) -> RpcLink:
-        return RpcLink()
+    def buildProtocol(self, address: object) -> JsonRpcConnection:
+        return JsonRpcConnection()
 
 
 class Clients:
-    """All clients of a day. `proxies` and `gatekeepers` are addresses by gatekeeper number."""
-
-    def __init__(self, reactor: Any, record: Record, rng: random.Random, retries: int, own_share: float) -> None:
-        self.reactor, self.record, self.rng, self.retries, self.own_share = reactor, record, rng, retries, own_share
-        self.proxies: dict[int, str] = {}
-        self.gatekeepers: dict[int, str] = {}
-        self._links: dict[int, RpcLink] = {}
+    """All clients of a run. `proxy_addresses` and `jsonrpc_addresses` map instance numbers to addresses."""
+
+    def __init__(self, reactor: Any, record: Record, rng: random.Random, retries: int, jsonrpc_fraction: float) -> None:
+        self.reactor, self.record, self.rng, self.retries, self.jsonrpc_fraction = (
+            reactor,
+            record,
+            rng,
+            retries,
+            jsonrpc_fraction,
+        )
+        self.proxy_addresses: dict[int, str] = {}
+        self.jsonrpc_addresses: dict[int, str] = {}
+        self._connections: dict[int, JsonRpcConnection] = {}
         self._pool = ConnectionPool(reactor)
         self._serial = 0
-        self.open = 0
+        self.open_count = 0
 
-    def wish(self, wish: Wish, number: int = 0) -> None:
-        """The first try, or a repeat after a refusal."""
+    def send(self, request: ClientRequest, number: int = 0) -> None:
+        """Send a request: the first try, or a retry (`number` > 0) after a refusal."""
         self._serial += 1
-        name = f"{wish.name}-{number}"
-        gatekeeper = self.rng.choice(sorted(self.proxies))
-        deadline = wish.deadline_ms * self.rng.uniform(0.6, 1.0)
-        own = self.rng.random() < self.own_share
-        due = now_ms() + deadline
+        name = f"{request.name}-{number}"
+        instance = self.rng.choice(sorted(self.proxy_addresses))
+        timeout_ms = request.deadline_ms * self.rng.uniform(0.6, 1.0)
+        by_jsonrpc = self.rng.random() < self.jsonrpc_fraction
+        deadline_at_ms = now_ms() + timeout_ms
         self.record.write(
             "try",
             id=name,
-            wish=wish.name,
+            wish=request.name,
             number=number,
-            customer=wish.customer,
-            plan=wish.plan,
-            cls=wish.class_name,
-            units=wish.units,
-            due=round(due, 2),
-            gatekeeper=gatekeeper,
-            front="jsonrpc" if own else "proxy",
+            customer=request.customer,
+            plan=request.plan,
+            cls=request.class_name,
+            units=request.units,
+            due=round(deadline_at_ms, 2),
+            gatekeeper=instance,
+            front="jsonrpc" if by_jsonrpc else "proxy",
         )
         headers = {
             "host": "stalls.example",
             "x-request-id": name,
-            "x-api-key": wish.customer,
-            "x-units": str(wish.units),
-            "x-idempotency-key": wish.name,
+            "x-api-key": request.customer,
+            "x-units": str(request.units),
+            "x-idempotency-key": request.name,
             "x-client-retry": str(number),
-            "x-envoy-expected-rq-timeout-ms": str(int(deadline)),
+            "x-envoy-expected-rq-timeout-ms": str(int(timeout_ms)),
         }
-        self.open += 1
-        answered = [False]
+        self.open_count += 1
+        finished = [False]
 
-        def ended(how: str, status: int = 0, reason: str = "", worker: str = "") -> None:
+        def finish(how: str, status: int = 0, reason: str = "", worker: str = "") -> None:
             self.record.write("answer", id=name, how=how, status=status, reason=reason, worker=worker)
-            if not answered[0]:
-                answered[0] = True
-                self.open -= 1
+            if not finished[0]:
+                finished[0] = True
+                self.open_count -= 1
                 if how == "refused" and number < self.retries:
-                    self.reactor.callLater(self.rng.uniform(0.2, 1.0), self.wish, wish, number + 1)
+                    self.reactor.callLater(self.rng.uniform(0.2, 1.0), self.send, request, number + 1)
 
-        if own:
-            self._by_rpc(gatekeeper, name, wish, headers, deadline, ended)
+        if by_jsonrpc:
+            self._send_by_jsonrpc(instance, name, request, headers, timeout_ms, finish)
         else:
-            self._by_proxy(gatekeeper, wish, headers, deadline, ended)
+            self._send_by_proxy(instance, request, headers, timeout_ms, finish)
 
-    def _by_proxy(self, gatekeeper: int, wish: Wish, headers: dict[str, str], deadline: float, ended: Any) -> None:
-        def done(result: AttemptResult | None, answer: http1.Message | None) -> None:
-            if answer is None:
-                ended("none" if result is AttemptResult.TIMEOUT else "lost", reason=result.value)
+    def _send_by_proxy(
+        self, instance: int, request: ClientRequest, headers: dict[str, str], timeout_ms: float, finish: Any
+    ) -> None:
+        def done(result: AttemptResult | None, response: http1.Message | None) -> None:
+            if response is None:
+                finish("none" if result is AttemptResult.TIMEOUT else "lost", reason=result.value)
                 return
-            final = answer.headers.get("x-anisefront-final", "")
+            final = response.headers.get("x-anisefront-final", "")
             how = final or (
-                "proxy" if "x-proxy-denied" in answer.headers else "served" if answer.status < 400 else "denied"
+                "proxy" if "x-proxy-denied" in response.headers else "served" if response.status < 400 else "denied"
             )
-            ended(how, answer.status, answer.headers.get("x-anisefront-reason", ""))
+            finish(how, response.status, response.headers.get("x-anisefront-reason", ""))
 
-        body = b"{}" if wish.method == "POST" else b""
-        data = http1.encode_request(wish.method, wish.path, headers, body)
-        self._pool.request(self.proxies[gatekeeper], data, (deadline + PATIENCE_MS) / 1000, done)
+        body = b"{}" if request.method == "POST" else b""
+        data = http1.encode_request(request.method, request.path, headers, body)
+        self._pool.request(self.proxy_addresses[instance], data, (timeout_ms + RESPONSE_GRACE_MS) / 1000, done)
 
-    def _by_rpc(
-        self, gatekeeper: int, name: str, wish: Wish, headers: dict[str, str], deadline: float, ended: Any
+    def _send_by_jsonrpc(
+        self, instance: int, name: str, request: ClientRequest, headers: dict[str, str], timeout_ms: float, finish: Any
     ) -> None:
         state = {"over": False}
 
-        def done(answer: dict[str, Any] | None) -> None:
+        def done(response: dict[str, Any] | None) -> None:
             if state["over"]:
                 return
             state["over"] = True
             if timer.active():
                 timer.cancel()
-            if answer is None:
-                ended("lost")
-            elif "result" in answer:
-                ended("served", answer["result"]["status"], worker=answer["result"]["worker"])
+            if response is None:
+                finish("lost")
+            elif "result" in response:
+                finish("served", response["result"]["status"], worker=response["result"]["worker"])
             else:
-                data = answer["error"].get("data", {})
-                ended(data.get("final", "denied"), answer["error"]["code"], data.get("reason", ""))
+                data = response["error"].get("data", {})
+                finish(data.get("final", "denied"), response["error"]["code"], data.get("reason", ""))
 
-        def late() -> None:
+        def expire() -> None:
             state["over"] = True
-            ended("none")
+            finish("none")
 
-        timer = self.reactor.callLater((deadline + PATIENCE_MS) / 1000, late)
+        timer = self.reactor.callLater((timeout_ms + RESPONSE_GRACE_MS) / 1000, expire)
         params = {
-            "method": wish.method,
-            "path": wish.path,
+            "method": request.method,
+            "path": request.path,
             "headers": headers,
-            "body": "{}" if wish.method == "POST" else "",
+            "body": "{}" if request.method == "POST" else "",
         }
-        link = self._links.get(gatekeeper)
-        if link is not None and link.connected:
-            link.call(name, params, done)
+        connection = self._connections.get(instance)
+        if connection is not None and connection.connected:
+            connection.call(name, params, done)
             return
-        host, _, port = self.gatekeepers[gatekeeper].rpartition(":")
-        connecting = TCP4ClientEndpoint(self.reactor, host, int(port), timeout=1).connect(_RpcFactory())
+        host, _, port = self.jsonrpc_addresses[instance].rpartition(":")
+        connecting = TCP4ClientEndpoint(self.reactor, host, int(port), timeout=1).connect(_JsonRpcFactory())
 
-        def connected(new: RpcLink) -> None:
-            self._links[gatekeeper] = new
+        def connected(new: JsonRpcConnection) -> None:
+            self._connections[instance] = new
             new.call(name, params, done)
 
         connecting.addCallbacks(connected, lambda _: done(None))
--- a/anisefront/testbed/model/faults.py
+++ b/anisefront/testbed/model/faults.py
@@ -12,7 +12,7 @@
 from anisefront.policy.events import EndpointStatus
 from anisefront.testbed.model.draws import Stream
 from anisefront.testbed.model.pool import Worker
-from anisefront.testbed.script import WORKER_FIGURES, Trouble
+from anisefront.testbed.script import WORKER_ATTRIBUTE_FAULTS, Fault
 
 if TYPE_CHECKING:
     from anisefront.testbed.model.simulation import Simulation
@@ -26,7 +26,7 @@
 class FaultInjector:
     """Injects the faults of one run: it changes the simulation, which queries it about messages and surges."""
 
-    def __init__(self, simulation: Simulation, faults: Sequence[Trouble]) -> None:
+    def __init__(self, simulation: Simulation, faults: Sequence[Fault]) -> None:
         """Create an injector of `faults`; `schedule_all` schedules them."""
         self._simulation, self._planned_faults = simulation, faults
         self.loss_rate = self.duplicate_rate = 0.0
@@ -36,7 +36,7 @@
     def schedule_all(self) -> None:
         """Schedule all faults."""
         for number, fault in enumerate(self._planned_faults):
-            if fault.name in WORKER_FIGURES:
+            if fault.name in WORKER_ATTRIBUTE_FAULTS:
                 self._simulation.schedule(fault.at_ms, self._on_worker_attribute, fault.name, number, fault.values)
             elif fault.name not in IGNORED_FAULTS:
                 call = getattr(self, "_on_" + fault.name.replace("-", "_"))
@@ -70,7 +70,7 @@
             setattr(target, name, value)
 
     def _on_worker_attribute(self, name: str, number: int, values: dict[str, Any]) -> None:
-        attribute, key, default, reset_value = WORKER_FIGURES[name]
+        attribute, key, default, reset_value = WORKER_ATTRIBUTE_FAULTS[name]
         workers = self._select_workers(number, values)
         self._set(workers, attribute, values.get(key, default))
         self._schedule_end(values, self._set, workers, attribute, reset_value)
--- a/anisefront/testbed/model/fit.py
+++ b/anisefront/testbed/model/fit.py
@@ -18,7 +18,7 @@
 from anisefront.testbed.model.pool import WorkerModel
 from anisefront.testbed.model.simulation import Network, Option, Simulation
 from anisefront.testbed.model.traces import Attempt, Trace
-from anisefront.testbed.script import Trouble
+from anisefront.testbed.script import Fault
 
 PEER_DELAY_SCALES = tuple(0.6 + 0.05 * step for step in range(13))
 BLOCK_MS = 2000.0  # longer than the effects of a single attempt last
@@ -137,7 +137,7 @@
     return Fit(best, tuple(bootstrap_draws), len(rows), len(rows) - len(warm))
 
 
-def fit_message_delays(initial_fit: Fit, option: Option, trace: Trace, faults: Sequence[Trouble] = ()) -> Fit:
+def fit_message_delays(initial_fit: Fit, option: Option, trace: Trace, faults: Sequence[Fault] = ()) -> Fit:
     """Return the fit with the message delays for which a simulation of the trace reproduces its waits best.
 
     Waits also have causes other than messages, so they do not determine the delays directly; a simulation has the same
--- a/anisefront/testbed/model/scripted.py
+++ b/anisefront/testbed/model/scripted.py
@@ -20,11 +20,11 @@
     classes = {each.name: each for each in config.settings.classes}
     has_units = {route.class_name: bool(route.units_header) for route in config.routes}
     names, shares = list(script.mix), [share / sum(script.mix.values()) for share in script.mix.values()]
-    for crowd in script.crowds:
+    for crowd in script.customer_groups:
         for number in range(crowd.count):
             customer += 1
             rng = draws.generator(Stream.TRAFFIC, customer)
-            rate = (crowd.per_s or plans[crowd.plan].rate_per_s * crowd.of_quota) / 1000
+            rate = (crowd.rate_per_s or plans[crowd.plan].rate_per_s * crowd.quota_fraction) / 1000
             at = 0.0
             while at < script.length_ms:
                 now_rate = rate * _surge_factor(script, crowd.plan, at)
@@ -53,7 +53,7 @@
 
 def _surge_factor(script: Script, plan: str, at: float) -> float:
     factor = 1.0
-    for fault in script.troubles:
+    for fault in script.faults:
         if (
             fault.name == "surge"
             and fault.values["plan"] == plan
--- a/anisefront/testbed/model/simulation.py
+++ b/anisefront/testbed/model/simulation.py
@@ -22,7 +22,7 @@
 from anisefront.testbed.model.pool import Job, WorkerModel, WorkerPool
 from anisefront.testbed.model.traces import Arrival as RecordedArrival
 from anisefront.testbed.model.traces import Attempt
-from anisefront.testbed.script import Trouble
+from anisefront.testbed.script import Fault
 
 TIMER_RESOLUTION_MS = 5.0  # timers are rounded up to it, as in the gatekeeper
 MAX_TAIL_MS = 30_000.0  # simulated after the last arrival; longer than any deadline
@@ -121,7 +121,7 @@
     """One simulated run of one option."""
 
     def __init__(
-        self, option: Option, arrivals: Sequence[RecordedArrival], faults: Sequence[Trouble] = (), seed: int = 1
+        self, option: Option, arrivals: Sequence[RecordedArrival], faults: Sequence[Fault] = (), seed: int = 1
     ) -> None:
         """Set up a run; `arrivals` are in order of time."""
         self.option, self.arrivals, self.draws, self.metrics = option, arrivals, Draws(seed), RunMetrics()
--- a/anisefront/testbed/model/study.py
+++ b/anisefront/testbed/model/study.py
@@ -102,7 +102,7 @@
     arrivals = load_arrivals(study.traffic, spec.settings, seed)
     script = _parse_script(study.traffic.day) if study.traffic.day else None
     if script is not None:  # the generated arrivals already contain its surges
-        faults += tuple(each for each in script.troubles if each.name != "surge")
+        faults += tuple(each for each in script.faults if each.name != "surge")
     chosen_option = options[seed % len(options)]
     if chosen_option.clients.retries:
         arrivals = [each for each in arrivals if not each.is_retry]  # the simulated clients retry by themselves
@@ -207,7 +207,7 @@
 
 
 def _parse_faults(lines: tuple[str, ...]) -> tuple[Any, ...]:
-    return tuple(_parse_script("\n".join(lines)).troubles) if lines else ()
+    return tuple(_parse_script("\n".join(lines)).faults) if lines else ()
 
 
 @functools.lru_cache(maxsize=2)
--- a/anisefront/testbed/records.py
+++ b/anisefront/testbed/records.py
@@ -1,4 +1,4 @@
-"""What crossed a stand-in's sockets, as JSON lines: written here, judged by the auditor alone."""
+"""Records of the traffic at the simulated peers, as JSON lines. Only the auditor reads them."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 
 def now_ms() -> float:
-    """Unix milliseconds: one machine, one clock for all stand-ins."""
+    """Return Unix milliseconds: all recorders run on one machine and share its clock."""
     return time.time() * 1000
 
 
 class Record:
-    """One file of records. Each line has its time and kind."""
+    """A file of records, one per line, each with a time stamp and a kind."""
 
     def __init__(self, file: TextIO | None) -> None:
         self._file = file
 
     def write(self, kind: str, **values: Any) -> None:
-        """Append one record; without a file, nothing is kept."""
+        """Append a record. Without a file, discard it."""
         if self._file is not None:
             values = {"at": round(now_ms(), 2), "kind": kind, **values}
             self._file.write(json.dumps(values, separators=(",", ":")) + "\n")
 
     def close(self) -> None:
-        """Write out what is buffered."""
+        """Flush and close the file."""
         if self._file is not None:
             self._file.close()
--- a/anisefront/testbed/relay.py
+++ b/anisefront/testbed/relay.py
@@ -1,4 +1,7 @@
-"""A UDP relay between gatekeepers: loses, doubles and delays datagrams by a seed. One port for each receiver."""
+"""UDP relay between instances that drops, duplicates and delays datagrams at random, with a seeded generator.
+
+Each receiving instance has a relay with its own port.
+"""
 
 from __future__ import annotations
 
@@ -10,40 +13,40 @@
 
 
 class Relay(protocol.DatagramProtocol):
-    """What is sent to this port goes on to `target`, as far as the trouble lets it."""
+    """Forwards the datagrams sent to its port to `target`, subject to the injected faults."""
 
     noisy = False
 
     def __init__(self, reactor: Any, rng: random.Random, number: int = 0) -> None:
         self._reactor, self._rng, self._number = reactor, rng, number
-        self.parted = False  # nothing comes from the other room: from numbers that are odd where ours is even
+        self.partitioned = False  # drops datagrams from instances of the other zone, whose numbers differ in parity
         self.target: tuple[str, int] | None = None
-        self.lose, self.double, self.delay_ms = 0.0, 0.0, (1.0, 8.0)
+        self.loss_rate, self.duplication_rate, self.delay_ms = 0.0, 0.0, (1.0, 8.0)
         self.counts: Counter[str] = Counter()
-        self._kept: list[bytes] = []
+        self._recorded: list[bytes] = []
         self.port = reactor.listenUDP(0, self, interface="127.0.0.1", maxPacketSize=2048)
 
     @property
     def address(self) -> str:
-        """Where peers send."""
+        """The address to which peers send."""
         return f"127.0.0.1:{self.port.getHost().port}"
 
     def datagramReceived(self, datagram: bytes, address: object) -> None:
         self.counts["came"] += 1
-        if len(self._kept) < 200:
-            self._kept.append(datagram)
-        if self.parted and len(datagram) > 3 and (datagram[2] ^ self._number) & 1:  # the sender is bytes 1 and 2
+        if len(self._recorded) < 200:
+            self._recorded.append(datagram)
+        if self.partitioned and len(datagram) > 3 and (datagram[2] ^ self._number) & 1:  # the sender is bytes 1 and 2
             self.counts["parted"] += 1
             return
-        if self._rng.random() < self.lose:
+        if self._rng.random() < self.loss_rate:
             self.counts["lost"] += 1
             return
-        for _ in range(1 + (self._rng.random() < self.double)):
+        for _ in range(1 + (self._rng.random() < self.duplication_rate)):
             self._reactor.callLater(self._rng.uniform(*self.delay_ms) / 1000, self._send, datagram)
 
     def replay(self) -> None:
-        """Send again what was kept from earlier, and the same with a byte changed."""
-        for datagram in self._kept:
+        """Send the recorded datagrams again, and each of them with its last byte changed."""
+        for datagram in self._recorded:
             self._send(datagram)
             self._send(datagram[:-1] + bytes((datagram[-1] ^ 1,)))
             self.counts["replayed"] += 2
@@ -54,4 +57,4 @@
             self.counts["sent"] += 1
 
     def connectionRefused(self) -> None:
-        """The gatekeeper is away."""
+        """Ignore the error: the instance is down."""
--- a/anisefront/testbed/report.py
+++ b/anisefront/testbed/report.py
@@ -1,4 +1,4 @@
-"""Plays a script and prints the auditor's verdict."""
+"""Runs a day script, audits the records and prints the verdict."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from anisefront.testbed.audit import Auditor, load
 
 
-def judge(path: Path, folder: Path, seed: int | None, guard: str | None, record: bool = False) -> int:
-    """Play the script at `path`, keep its records in `folder`, print the verdict; the exit code."""
+def run_and_audit(path: Path, folder: Path, seed: int | None, guard: str | None, record: bool = False) -> int:
+    """Run the script at `path` with its records in `folder`, print the verdict and return the exit code."""
     from anisefront.testbed import day
 
     text = path.read_text()
@@ -29,9 +29,9 @@
     if guard is not None:
         command = [sys.executable, "-m", "anisefront.testbed.sabotage", guard]
     try:
-        faults = day.play(script, (path.parent / script.settings).read_text(), folder, command, record)
-    except day.Unfit as problem:
-        click.echo(str(problem), err=True)
+        run_errors = day.play(script, (path.parent / script.settings).read_text(), folder, command, record)
+    except day.InvalidRunError as error:
+        click.echo(str(error), err=True)
         return 2
     auditor = Auditor(load(folder))
     verdicts = auditor.judge()
@@ -45,15 +45,15 @@
             click.echo(f"    {breach}")
     for excuse in auditor.excused[:5]:
         click.echo(f"    {excuse}")
-    stood = sum(max(ms.values()) for _, _, ms in auditor.stood)
-    click.echo(f"the machine kept processes of the day from running for {stood:.0f} ms")
+    stall_ms = sum(max(ms.values()) for _, _, ms in auditor.stalls)
+    click.echo(f"the machine kept processes of the day from running for {stall_ms:.0f} ms")
     click.echo("tries: " + ", ".join(f"{count} {how}" for how, count in auditor.summary().items()))
-    for fault in faults:
-        click.echo(f"the day itself: {fault}")
-    broken = any(verdict.breaches for verdict in verdicts)
-    unseen = [verdict.rule for verdict in verdicts if not verdict.cases]
-    for rule in unseen:
+    for error in run_errors:
+        click.echo(f"the day itself: {error}")
+    violated = any(verdict.breaches for verdict in verdicts)
+    untested = [verdict.rule for verdict in verdicts if not verdict.cases]
+    for rule in untested:
         click.echo(f"the day itself: no case of {rule!r} was seen, so it proves nothing of it")
-    kept = not broken and not faults and not unseen
-    click.echo("verdict: every rule kept" if kept else "verdict: BROKEN" if broken else "verdict: not proved")
-    return 0 if kept else 1
+    passed = not violated and not run_errors and not untested
+    click.echo("verdict: every rule kept" if passed else "verdict: BROKEN" if violated else "verdict: not proved")
+    return 0 if passed else 1
--- a/anisefront/testbed/sabotage.py
+++ b/anisefront/testbed/sabotage.py
@@ -1,8 +1,8 @@
-"""A gatekeeper with the guard of one rule taken out, to show that the auditor sees it.
+"""Fault injection into an instance: runs it with the safeguard of one rule disabled, which the auditor must detect.
 
     python -m anisefront.testbed.sabotage GUARD serve FILE
 
-It changes the running program only; nothing of the product knows of it.
+The safeguards are disabled by patching the running program; the program itself has no code for this.
 """
 
 from __future__ import annotations
@@ -23,65 +23,76 @@
 from anisefront.policy.settings import Idempotency, Plan, RequestClass
 
 
-def _answers_lost() -> None:
-    """Rule 1: one refusal or failure in three is never told."""
-    kept, count = ActionExecutor.carry_out, [0]
+def _drop_final_responses() -> None:
+    """Break rule 1: never send one in three refusals and failures."""
+    original, count = ActionExecutor.carry_out, [0]
 
     def carry_out(self: ActionExecutor, now: float, action: object) -> None:
         if isinstance(action, Reject | Fail):
             count[0] += 1
             if count[0] % 3 == 0:
                 return
-        kept(self, now, action)
+        original(self, now, action)
 
     ActionExecutor.carry_out = carry_out
 
 
-def _loop_blocked() -> None:
-    """Rule 1 by our own doing: the loop sleeps in a call. The kernel counts that as no lack of a core."""
-    kept = EventBatches.run_iteration
-    last: list[float] = []
+def _block_event_loop() -> None:
+    """Break rule 1 by sleeping in the event loop, which the kernel does not count as waiting for a core."""
+    original = EventBatches.run_iteration
+    last_block_s: list[float] = []
 
-    def turn(self: EventBatches) -> None:
-        if not last:
-            last.append(time.monotonic())  # not at the import: on a busy machine the first block would delay the start
-        if time.monotonic() - last[0] > 4.0:
+    def run_iteration(self: EventBatches) -> None:
+        if not last_block_s:
+            # Not at import: on a busy machine the first block would delay the start.
+            last_block_s.append(time.monotonic())
+        if time.monotonic() - last_block_s[0] > 4.0:
             time.sleep(3.0)
-            last[0] = time.monotonic()
-        kept(self)
+            last_block_s[0] = time.monotonic()
+        original(self)
 
-    EventBatches.run_iteration = turn
+    EventBatches.run_iteration = run_iteration
 
 
-def _repeats_anywhere() -> None:
-    """Rule 2: every class is taken for safe to repeat, and may be refused whatever ran."""
+def _ignore_idempotency() -> None:
+    """Break rule 2: treat every class as idempotent, and allow a refusal whichever attempts ran."""
     RetryPolicy.constraint = lambda self, now_ms, request: UNCONSTRAINED
-    made = RequestClass.__post_init__
+    original = RequestClass.__post_init__
 
     def post_init(self: RequestClass) -> None:
-        made(self)
+        original(self)
         object.__setattr__(self, "idempotency", Idempotency.IDEMPOTENT)
 
     RequestClass.__post_init__ = post_init
 
 
-def _drains_ignored() -> None:
-    """Rule 3: what the list says drains is taken for ready, and what is gone for still there."""
+def _ignore_drains() -> None:
+    """Break rule 3: treat draining and removed endpoints as ready."""
     parse = endpoint_file.parse
 
-    def blind(text: bytes) -> EndpointList:
-        servers = {server.id: server for server in parse(text).endpoints}
-        known.update(servers)
+    def parse_as_ready(text: bytes) -> EndpointList:
+        endpoints = {endpoint.id: endpoint for endpoint in parse(text).endpoints}
+        known.update(endpoints)
         return EndpointList(
-            tuple(Endpoint(s.id, s.zone, s.cell, EndpointStatus.READY, s.weight, s.started_ms) for s in known.values())
+            tuple(
+                Endpoint(
+                    endpoint.id,
+                    endpoint.zone,
+                    endpoint.cell,
+                    EndpointStatus.READY,
+                    endpoint.weight,
+                    endpoint.started_ms,
+                )
+                for endpoint in known.values()
+            )
         )
 
     known: dict[str, Endpoint] = {}
-    endpoint_file.parse = blind
+    endpoint_file.parse = parse_as_ready
 
 
-def _cold_as_warm() -> None:
-    """Rule 4: a cold worker counts as the best there is, and the cap on attempts out does not close for it."""
+def _prefer_cold_workers() -> None:
+    """Break rule 4: prefer cold endpoints, and keep the limit on attempts in flight from protecting them."""
 
     def choose(self: EndpointSelection, now_ms: float, request: object, eligible: object, load: float) -> object:
         for state in self._endpoints.warming_up:
@@ -94,12 +105,12 @@
     ConcurrencyLimit.headroom = lambda self: 200.0 - self.in_flight
 
 
-def _ceilings_open() -> None:
-    """Rule 5: no plan has a quota or a ceiling."""
-    made = Plan.__post_init__
+def _remove_ceilings() -> None:
+    """Break rule 5: remove the quota and the ceiling of every plan."""
+    original = Plan.__post_init__
 
     def post_init(self: Plan) -> None:
-        made(self)
+        original(self)
         for name in ("ceiling_per_s", "ceiling_burst"):
             object.__setattr__(self, name, 0.0)
         object.__setattr__(self, "rate_per_s", 1e6)
@@ -109,12 +120,12 @@
 
 
 GUARDS: dict[str, Callable[[], None]] = {
-    "one-answer": _answers_lost,
-    "loop-blocked": _loop_blocked,
-    "no-effect-twice": _repeats_anywhere,
-    "drains": _drains_ignored,
-    "cold": _cold_as_warm,
-    "ceilings": _ceilings_open,
+    "one-answer": _drop_final_responses,
+    "loop-blocked": _block_event_loop,
+    "no-effect-twice": _ignore_idempotency,
+    "drains": _ignore_drains,
+    "cold": _prefer_cold_workers,
+    "ceilings": _remove_ceilings,
 }
 
 
--- a/anisefront/testbed/script.py
+++ b/anisefront/testbed/script.py
@@ -1,4 +1,4 @@
-"""The script of a day: traffic and troubles, one a line, in the manner of the settings files. Free of I/O."""
+"""Parse day scripts, which describe traffic and faults in the syntax of the settings files. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """One line of trouble: when it begins, what it is, its figures."""
+class Fault:
+    """A scheduled fault: its start, its name and its parameters."""
 
     at_ms: float
     name: str
@@ -20,39 +20,39 @@
 
 
 @dataclass(slots=True)
-class Crowd:
-    """The customers of one plan."""
+class CustomerGroup:
+    """A group of customers that share a plan."""
 
     plan: str
     count: int
-    of_quota: float = 0.5  # what each asks for on average, as a share of its quota's rate
-    per_s: float = 0.0  # or so many requests a second, for plans without a rate
+    quota_fraction: float = 0.5  # mean demand of each customer, as a fraction of its quota's rate
+    rate_per_s: float = 0.0  # overrides quota_fraction if not 0; for plans without a rate
 
 
 @dataclass(slots=True)
 class Script:
-    """A whole day."""
+    """A parsed day script."""
 
     length_ms: float = 30_000.0
     seed: int = 1
     gatekeepers: int = 3
     settings: str = "gatekeeper.conf"
     workers: dict[str, Any] = field(default_factory=dict)
-    crowds: list[Crowd] = field(default_factory=list)
+    customer_groups: list[CustomerGroup] = field(default_factory=list)
     mix: dict[str, float] = field(default_factory=dict)
-    own_share: float = 0.3  # of tries that come by JSON-RPC
+    own_share: float = 0.3  # fraction of requests sent by JSON-RPC instead of through a proxy
     retries: int = 2
-    troubles: list[Trouble] = field(default_factory=list)
+    faults: list[Fault] = field(default_factory=list)
 
 
-_WORKERS: dict[str, Type] = {
+_WORKER_OPTIONS: dict[str, Type] = {
     "cores": WHOLE,
     "service": TIME,
     "queue": WHOLE,
     "cells": WHOLE,
     "drops-repeats": TIME,
 }
-TROUBLES: dict[str, dict[str, Type]] = {
+FAULT_PARAMETERS: dict[str, dict[str, Type]] = {
     "deploy": {"over": TIME, "drain": TIME},
     "errors": {"workers": WHOLE, "share": NUMBER, "for": TIME},
     "broken-answers": {"workers": WHOLE, "share": NUMBER, "for": TIME},
@@ -70,9 +70,9 @@
     "logs": {"late": TIME, "doubled": NAME, "for": TIME},
     "broken-roster": {"for": TIME},
 }
-# Troubles that set one figure of some workers for a while: its name, the word of the line that gives it, the figure
-# where there is none, and the figure afterwards.
-WORKER_FIGURES: dict[str, tuple[str, str, Any, Any]] = {
+# Faults that set an attribute of some workers for a limited time: the attribute's name, the option that gives its
+# value, the value if the option is missing, and the value to which it is reset.
+WORKER_ATTRIBUTE_FAULTS: dict[str, tuple[str, str, Any, Any]] = {
     "errors": ("error_share", "share", 0.8, 0.0),
     "broken-answers": ("broken_share", "share", 0.5, 0.0),
     "slow": ("slow", "times", 4.0, 1.0),
@@ -80,43 +80,50 @@
 }
 
 
-class _Fault(Exception):
-    def __init__(self, word: Lexeme, what: str, mend: str = "") -> None:
-        super().__init__(what)
-        self.problem = problem_at(word, what, mend)
+class _ScriptError(Exception):
+    """A problem at one lexeme of a script."""
+
+    def __init__(self, lexeme: Lexeme, message: str, suggestion: str = "") -> None:
+        super().__init__(message)
+        self.problem = problem_at(lexeme, message, suggestion)
 
 
 def read(text: str) -> tuple[Script, list[Problem]]:
-    """The script, and all that is wrong with it."""
+    """Return the parsed script and all problems found in it."""
     document, problems = parse(text)
     script = Script()
     for directive in document.directives:
         try:
-            _take(script, directive)
-        except _Fault as each:
-            problems.append(each.problem)
+            _apply(script, directive)
+        except _ScriptError as error:
+            problems.append(error.problem)
     return script, problems
 
 
-def _value(word: Lexeme, wanted: Type) -> Any:
+def _read_value(lexeme: Lexeme, value_type: Type) -> Any:
     try:
-        return wanted.read(word)
-    except InvalidValueError as problem:
-        raise _Fault(word, problem.message, problem.suggestion) from problem
+        return value_type.read(lexeme)
+    except InvalidValueError as error:
+        raise _ScriptError(lexeme, error.message, error.suggestion) from error
 
 
-def _values(row: list[Lexeme], known: dict[str, Type]) -> dict[str, Any]:
+def _read_options(lexemes: list[Lexeme], known: dict[str, Type]) -> dict[str, Any]:
+    """Read alternating names and values of options."""
     values: dict[str, Any] = {}
-    for at in range(0, len(row), 2):
-        if row[at].text not in known:
-            raise _Fault(row[at], f"{row[at].text!r} is not known here", did_you_mean(row[at].text, list(known)))
-        if at + 1 >= len(row):
-            raise _Fault(row[at], f"{row[at].text!r} has no value")
-        values[row[at].text] = _value(row[at + 1], known[row[at].text])
+    for index in range(0, len(lexemes), 2):
+        if lexemes[index].text not in known:
+            raise _ScriptError(
+                lexemes[index],
+                f"{lexemes[index].text!r} is not known here",
+                did_you_mean(lexemes[index].text, list(known)),
+            )
+        if index + 1 >= len(lexemes):
+            raise _ScriptError(lexemes[index], f"{lexemes[index].text!r} has no value")
+        values[lexemes[index].text] = _read_value(lexemes[index + 1], known[lexemes[index].text])
     return values
 
 
-_SINGLE = {
+_SINGLE_VALUE_DIRECTIVES = {
     "length": ("length_ms", TIME),
     "seed": ("seed", WHOLE),
     "gatekeepers": ("gatekeepers", WHOLE),
@@ -126,29 +133,37 @@
 }
 
 
-def _take(script: Script, directive: Directive) -> None:
-    name, rest = directive.name.text, directive.values
-    if not rest or directive.block is not None or not all(isinstance(value, Lexeme) for value in rest):
-        raise _Fault(directive.name, f"{name}: plain values are due")
-    if name in _SINGLE:
-        field_name, wanted = _SINGLE[name]
-        setattr(script, field_name, _value(rest[0], wanted))
+def _apply(script: Script, directive: Directive) -> None:
+    name, arguments = directive.name.text, directive.values
+    if not arguments or directive.block is not None or not all(isinstance(value, Lexeme) for value in arguments):
+        raise _ScriptError(directive.name, f"{name}: one or more plain values are required")
+    if name in _SINGLE_VALUE_DIRECTIVES:
+        field_name, value_type = _SINGLE_VALUE_DIRECTIVES[name]
+        setattr(script, field_name, _read_value(arguments[0], value_type))
     elif name == "workers":
-        script.workers = {"count": _value(rest[0], WHOLE)} | _values(rest[1:], _WORKERS)
+        script.workers = {"count": _read_value(arguments[0], WHOLE)} | _read_options(arguments[1:], _WORKER_OPTIONS)
     elif name == "customers":
-        values = _values(rest[1:], {"count": WHOLE, "of-quota": NUMBER, "each": NUMBER})
-        script.crowds.append(
-            Crowd(rest[0].text, values.get("count", 1), values.get("of-quota", 0.5), values.get("each", 0.0))
+        values = _read_options(arguments[1:], {"count": WHOLE, "of-quota": NUMBER, "each": NUMBER})
+        script.customer_groups.append(
+            CustomerGroup(
+                arguments[0].text, values.get("count", 1), values.get("of-quota", 0.5), values.get("each", 0.0)
+            )
         )
     elif name == "mix":
-        script.mix |= _values(rest, dict.fromkeys((word.text for word in rest[::2]), NUMBER))
+        script.mix |= _read_options(arguments, dict.fromkeys((lexeme.text for lexeme in arguments[::2]), NUMBER))
     elif name == "at":
-        if len(rest) < 2 or rest[1].text not in TROUBLES:
-            raise _Fault(rest[-1], "at TIME TROUBLE is due", f"troubles are {', '.join(TROUBLES)}")
-        script.troubles.append(Trouble(_value(rest[0], TIME), rest[1].text, _values(rest[2:], TROUBLES[rest[1].text])))
+        if len(arguments) < 2 or arguments[1].text not in FAULT_PARAMETERS:
+            raise _ScriptError(arguments[-1], "at TIME TROUBLE is due", f"troubles are {', '.join(FAULT_PARAMETERS)}")
+        script.faults.append(
+            Fault(
+                _read_value(arguments[0], TIME),
+                arguments[1].text,
+                _read_options(arguments[2:], FAULT_PARAMETERS[arguments[1].text]),
+            )
+        )
     else:
-        raise _Fault(
+        raise _ScriptError(
             directive.name,
-            f"{name!r} is no line of a script",
-            did_you_mean(name, [*_SINGLE, "workers", "customers", "mix", "at"]),
+            f"{name!r} is not a directive of a day script",
+            did_you_mean(name, [*_SINGLE_VALUE_DIRECTIVES, "workers", "customers", "mix", "at"]),
         )
--- a/anisefront/testbed/soak/run.py
+++ b/anisefront/testbed/soak/run.py
@@ -20,7 +20,7 @@
 from anisefront.testbed.soak.nodes import Node
 from anisefront.testbed.soak.peers import Peers
 from anisefront.testbed.soak.workers import FAULTS, SeenKeys, Worker
-from anisefront.testbed.stall_monitor import Watch
+from anisefront.testbed.stall_monitor import StallMonitor
 
 START_S = 60.0  # a start that takes longer ends the run
 SETTLE_S = 1.5  # from the start of the fleet to the first measure
@@ -35,7 +35,7 @@
 
 
 class _Loop:
-    """The event loop as `Watch` calls it, until the run is over."""
+    """The event loop as `StallMonitor` calls it, until the run is over."""
 
     def __init__(self) -> None:
         self.is_over = False
@@ -94,7 +94,7 @@
             config = self._config(number, agent.address)
             guard = self.guards.get(number)
             self.nodes.append(Node(number, self.folder, config, self.records["day"], guard))
-        Watch(self._loop, self.records["day"], self._pids).start()
+        StallMonitor(self._loop, self.records["day"], self._pids).start()
         await asyncio.gather(*(self._start_node(node) for node in self.nodes))
 
     def _note_terms(self) -> None:
--- a/anisefront/testbed/workers.py
+++ b/anisefront/testbed/workers.py
@@ -1,7 +1,7 @@
-"""Stand-ins for workers: HTTP/1.1 servers with cores, a queue, cold starts, dropped repeats and load reports.
+"""Simulated workers: HTTP/1.1 servers with cores, a queue, cold starts, deduplication and load reports.
 
-They obey what the operators' rules say of workers and write down what reached them. On command they fail fast,
-slow down, fall silent, freeze or die.
+They behave as the operators' rules require of workers and record the requests that reach them. Injected faults make
+them fail fast, slow down, stop responding, freeze or crash.
 """
 
 from __future__ import annotations
@@ -20,35 +20,35 @@
 from anisefront.protocols import http1
 from anisefront.testbed.records import Record, now_ms
 
-ANSWER = {"content-type": "application/json"}
+RESPONSE_HEADERS = {"content-type": "application/json"}
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """What all workers of a fleet are like. Times in milliseconds."""
+class WorkerSettings:
+    """Properties that all workers of a run share. Times are in milliseconds."""
 
     cores: int = 2
     queue: int = 64
     service_ms: float = 20.0
-    spread: float = 0.25  # of a service time, as the share of its mean that is random
+    spread: float = 0.25  # random fraction of the mean service time
     warm_up_ms: float = 10_000.0
-    cold_from: float = 0.2
-    fall_multiple: float = 3.0
-    fall_window_ms: float = 2000.0
+    initial_capacity: float = 0.2  # fraction of the full capacity of a worker that has just started
+    overload_multiple: float = 3.0
+    overload_window_ms: float = 2000.0
     keyed_paths: tuple[str, ...] = ()
-    keep_ms: float = 5000.0  # how long a cell drops repeats of a key
+    deduplication_ms: float = 5000.0  # retention of idempotency keys in a cell
 
 
 @dataclass(slots=True)
-class Cell:
-    """Workers that drop repeats together: keys and when they were first seen."""
+class DeduplicationCell:
+    """The idempotency keys that the workers of a cell share, with the time at which each was first seen."""
 
     name: str
     keys: dict[str, float] = field(default_factory=dict)
 
-    def repeated(self, key: str, now: float, keep_ms: float) -> bool:
-        """Whether the key came before, within its time; a new one is remembered."""
-        while self.keys and now - next(iter(self.keys.values())) > keep_ms:
+    def is_duplicate(self, key: str, now: float, deduplication_ms: float) -> bool:
+        """Return whether the key was seen within the retention period; remember it if not."""
+        while self.keys and now - next(iter(self.keys.values())) > deduplication_ms:
             del self.keys[next(iter(self.keys))]
         if key in self.keys:
             return True
@@ -56,7 +56,9 @@
         return False
 
 
-class _Job:
+class _QueuedRequest:
+    """A queued request with its size in units and the connection to respond on."""
+
     __slots__ = ("connection", "message", "size")
 
     def __init__(self, connection: _Connection, message: http1.Message, size: float) -> None:
@@ -64,28 +66,35 @@
 
 
 class Worker:
-    """One worker process."""
+    """A simulated worker process."""
 
     def __init__(
         self,
         reactor: Any,
-        kind: Kind,
+        settings: WorkerSettings,
         zone: str,
-        cell: Cell,
+        cell: DeduplicationCell,
         rng: random.Random,
         record: Record,
         cold: bool,
         host: str = "127.0.0.1",
     ) -> None:
-        self.reactor, self.kind, self.zone, self.cell, self.rng, self.record = reactor, kind, zone, cell, rng, record
+        self.reactor, self.settings, self.zone, self.cell, self.rng, self.record = (
+            reactor,
+            settings,
+            zone,
+            cell,
+            rng,
+            record,
+        )
         self.started_ms = now_ms() if cold else 0.0
         self.connections: set[_Connection] = set()
-        self._queue: deque[_Job] = deque()
+        self._queue: deque[_QueuedRequest] = deque()
         self._busy = 0
-        self._work: deque[tuple[float, float]] = deque()  # when work came, and how much of a core's time
-        self.error_share, self.slow, self.silent, self.frozen, self.fallen = 0.0, 1.0, False, False, False
-        self.broken_share = 0.0  # of answers that are errors though the work was done
-        self._thawed: list[Callable[[], None]] = []
+        self._recent_work: deque[tuple[float, float]] = deque()  # arrival time and core time of recent requests
+        self.error_share, self.slow, self.silent, self.frozen, self.collapsed = 0.0, 1.0, False, False, False
+        self.broken_share = 0.0  # fraction of responses that are errors although the work was done
+        self._deferred_calls: list[Callable[[], None]] = []
         self.port = reactor.listenTCP(0, _Factory(self), backlog=256, interface=host)
         self.id = f"{host}:{self.port.getHost().port}"
         record.write(
@@ -94,48 +103,48 @@
             zone=zone,
             cell=cell.name,
             cold=cold,
-            cores=kind.cores,
-            service_ms=kind.service_ms,
-            warm_up_ms=kind.warm_up_ms,
-            cold_from=kind.cold_from,
-            fall_multiple=kind.fall_multiple,
-            fall_window_ms=kind.fall_window_ms,
+            cores=settings.cores,
+            service_ms=settings.service_ms,
+            warm_up_ms=settings.warm_up_ms,
+            cold_from=settings.initial_capacity,
+            fall_multiple=settings.overload_multiple,
+            fall_window_ms=settings.overload_window_ms,
         )
 
-    def warmth(self) -> float:
-        """The share of its capacity that it has by now."""
+    def warm_up_factor(self) -> float:
+        """Return the fraction of its full capacity that the worker has reached."""
         if not self.started_ms:
             return 1.0
-        age = (now_ms() - self.started_ms) / self.kind.warm_up_ms
-        return min(1.0, self.kind.cold_from + (1 - self.kind.cold_from) * age)
+        age = (now_ms() - self.started_ms) / self.settings.warm_up_ms
+        return min(1.0, self.settings.initial_capacity + (1 - self.settings.initial_capacity) * age)
 
     # ---- work ----------------------------------------------------------------------------------
 
-    def arrived(self, connection: _Connection, message: http1.Message) -> None:
-        """One whole request. What comes while it is frozen has arrived all the same."""
-        self._note("arrive", message)
+    def receive(self, connection: _Connection, message: http1.Message) -> None:
+        """Handle a complete request. One that arrives while the worker is frozen is recorded now and handled later."""
+        self._record_event("arrive", message)
         if self.frozen:
-            self._thawed.append(lambda: self._take(connection, message))
+            self._deferred_calls.append(lambda: self._accept(connection, message))
         else:
-            self._take(connection, message)
+            self._accept(connection, message)
 
-    def _take(self, connection: _Connection, message: http1.Message) -> None:
+    def _accept(self, connection: _Connection, message: http1.Message) -> None:
         headers = message.headers
         size = float(headers.get("x-units", "1")) if headers.get("x-units", "1").replace(".", "").isdigit() else 1.0
-        self._press(size)
-        if self.fallen or self.silent:
+        self._check_overload(size)
+        if self.collapsed or self.silent:
             return
         if self.rng.random() < self.error_share:
-            self._note("error", message)
-            connection.answer(500, {}, b'{"error":"fast failure"}')
-        elif self._busy + len(self._queue) >= self.kind.cores + self.kind.queue:
-            self._note("full", message)
-            connection.answer(503, {"x-envoy-overloaded": "true"}, b'{"error":"full"}')
+            self._record_event("error", message)
+            connection.respond(500, {}, b'{"error":"fast failure"}')
+        elif self._busy + len(self._queue) >= self.settings.cores + self.settings.queue:
+            self._record_event("full", message)
+            connection.respond(503, {"x-envoy-overloaded": "true"}, b'{"error":"full"}')
         else:
-            self._queue.append(_Job(connection, message, size))
-            self._next()
+            self._queue.append(_QueuedRequest(connection, message, size))
+            self._start_queued()
 
-    def _note(self, kind: str, message: http1.Message, **more: Any) -> None:
+    def _record_event(self, kind: str, message: http1.Message, **more: Any) -> None:
         headers = message.headers
         self.record.write(
             kind,
@@ -150,78 +159,82 @@
             **more,
         )
 
-    def _press(self, size: float) -> None:
-        """A cold worker that is sent too much falls over and stays down."""
-        if not self.started_ms or self.fallen:
+    def _check_overload(self, size: float) -> None:
+        """Collapse for good if a cold worker has been sent more than the permitted multiple of its capacity."""
+        if not self.started_ms or self.collapsed:
             return
-        now, kind = now_ms(), self.kind
-        self._work.append((now, size * kind.service_ms))
-        while self._work and now - self._work[0][0] > kind.fall_window_ms:
-            self._work.popleft()
-        budget = kind.fall_multiple * self.warmth() * kind.cores * kind.fall_window_ms
-        if self.warmth() < 1 and sum(work for _, work in self._work) > budget:
-            self.fallen = True
-            self.record.write("fall", worker=self.id, work=sum(work for _, work in self._work), budget=budget)
-
-    def _next(self) -> None:
-        while self._queue and self._busy < self.kind.cores and not self.frozen:
-            job = self._queue.popleft()
-            if not job.connection.connected:
-                self._note("dropped", job.message)
+        now, settings = now_ms(), self.settings
+        self._recent_work.append((now, size * settings.service_ms))
+        while self._recent_work and now - self._recent_work[0][0] > settings.overload_window_ms:
+            self._recent_work.popleft()
+        budget = settings.overload_multiple * self.warm_up_factor() * settings.cores * settings.overload_window_ms
+        if self.warm_up_factor() < 1 and sum(work for _, work in self._recent_work) > budget:
+            self.collapsed = True
+            self.record.write("fall", worker=self.id, work=sum(work for _, work in self._recent_work), budget=budget)
+
+    def _start_queued(self) -> None:
+        while self._queue and self._busy < self.settings.cores and not self.frozen:
+            queued = self._queue.popleft()
+            if not queued.connection.connected:
+                self._record_event("dropped", queued.message)
                 continue
-            path, key = job.message.target.partition("?")[0], job.message.headers.get("x-idempotency-key", "")
-            if path in self.kind.keyed_paths and key and self.cell.repeated(key, now_ms(), self.kind.keep_ms):
-                self._note("repeat", job.message, key=key)
-                job.connection.answer(200, self._report(), b'{"done":"before"}')
+            path, key = queued.message.target.partition("?")[0], queued.message.headers.get("x-idempotency-key", "")
+            if (
+                path in self.settings.keyed_paths
+                and key
+                and self.cell.is_duplicate(key, now_ms(), self.settings.deduplication_ms)
+            ):
+                self._record_event("repeat", queued.message, key=key)
+                queued.connection.respond(200, self._report(), b'{"done":"before"}')
                 continue
             self._busy += 1
-            self._note("run", job.message, key=key)
-            spread = self.kind.spread
-            mean = self.kind.service_ms * job.size * self.slow / self.warmth()
-            took = mean * (1 - spread + spread * self.rng.expovariate(1.0))
-            self.reactor.callLater(took / 1000, self._done, job)
+            self._record_event("run", queued.message, key=key)
+            spread = self.settings.spread
+            mean = self.settings.service_ms * queued.size * self.slow / self.warm_up_factor()
+            duration_ms = mean * (1 - spread + spread * self.rng.expovariate(1.0))
+            self.reactor.callLater(duration_ms / 1000, self._finish, queued)
 
-    def _done(self, job: _Job) -> None:
+    def _finish(self, queued: _QueuedRequest) -> None:
         if self.frozen:
-            self._thawed.append(lambda: self._done(job))
+            self._deferred_calls.append(lambda: self._finish(queued))
             return
         self._busy -= 1
-        self._note("done", job.message)
-        if not self.fallen and not self.silent and self.broken_share and self.rng.random() < self.broken_share:
-            job.connection.answer(500, self._report(), b'{"error":"after the work"}')
-        elif not self.fallen and not self.silent:
-            job.connection.answer(200, self._report(), json.dumps({"served": job.message.target}).encode())
-        self._next()
+        self._record_event("done", queued.message)
+        if not self.collapsed and not self.silent and self.broken_share and self.rng.random() < self.broken_share:
+            queued.connection.respond(500, self._report(), b'{"error":"after the work"}')
+        elif not self.collapsed and not self.silent:
+            queued.connection.respond(200, self._report(), json.dumps({"served": queued.message.target}).encode())
+        self._start_queued()
 
     def _report(self) -> dict[str, str]:
-        busy = min(1.0, self._busy / self.kind.cores)
-        held = self._busy + len(self._queue)
-        return {"endpoint-load-metrics": f"TEXT cpu_utilization={busy:.2f},named_metrics.inflight={held}"}
+        busy = min(1.0, self._busy / self.settings.cores)
+        in_flight = self._busy + len(self._queue)
+        return {"endpoint-load-metrics": f"TEXT cpu_utilization={busy:.2f},named_metrics.inflight={in_flight}"}
 
-    # ---- commands ------------------------------------------------------------------------------
+    # ---- faults and discovery ------------------------------------------------------------------------------
 
     def freeze(self, for_s: float) -> None:
-        """Stand still for so long: nothing is read as work, begun or answered."""
+        """Stop accepting, starting and answering requests for a while."""
         self.frozen = True
         self.reactor.callLater(for_s, self._thaw)
 
     def _thaw(self) -> None:
         self.frozen = False
-        waiting, self._thawed = self._thawed, []
+        waiting, self._deferred_calls = self._deferred_calls, []
         for call in waiting:
             call()
-        self._next()
+        self._start_queued()
 
-    def die(self) -> None:
-        """The process is gone: its port refuses, its connections reset."""
+    def kill(self) -> None:
+        """Simulate the death of the process: refuse new connections and reset the open ones."""
         self.record.write("death", worker=self.id)
-        self.fallen = True
+        self.collapsed = True
         self.port.stopListening()
         for connection in list(self.connections):
             connection.transport.abortConnection()
 
-    def listed(self, state: EndpointStatus = EndpointStatus.READY) -> Endpoint:
-        """This worker as a line of a fleet list."""
+    def as_endpoint(self, state: EndpointStatus = EndpointStatus.READY) -> Endpoint:
+        """Return the worker's entry of an endpoint list."""
         import zlib
 
         return Endpoint(self.id, self.zone, zlib.crc32(self.cell.name.encode()), state, 1.0, self.started_ms)
@@ -229,7 +242,7 @@
 
 class _Connection(protocol.Protocol):
     def __init__(self, worker: Worker) -> None:
-        self._worker, self._reader, self._keep = worker, http1.MessageReader(requests=True), True
+        self._worker, self._reader, self._keep_alive = worker, http1.MessageReader(requests=True), True
 
     def connectionMade(self) -> None:
         self._worker.connections.add(self)
@@ -238,16 +251,16 @@
     def dataReceived(self, data: bytes) -> None:
         try:
             for message in self._reader.feed(data):
-                self._keep = message.keep_alive
-                self._worker.arrived(self, message)
+                self._keep_alive = message.keep_alive
+                self._worker.receive(self, message)
         except http1.MessageError as fault:
-            self._keep = False
-            self.answer(fault.status, {}, str(fault).encode())
+            self._keep_alive = False
+            self.respond(fault.status, {}, str(fault).encode())
 
-    def answer(self, status: int, headers: dict[str, str], body: bytes) -> None:
+    def respond(self, status: int, headers: dict[str, str], body: bytes) -> None:
         if self.connected:
-            self.transport.write(http1.encode_response(status, ANSWER | headers, body))
-            if not self._keep:
+            self.transport.write(http1.encode_response(status, RESPONSE_HEADERS | headers, body))
+            if not self._keep_alive:
                 self.transport.loseConnection()
 
     def connectionLost(self, reason: Any = None) -> None:
@@ -265,15 +278,16 @@
         return _Connection(self._worker)
 
 
-def embedded(wanted: Embedded, zone: str) -> Callable[[Any], EndpointList]:
-    """Starts warm workers inside a gatekeeper's own process, for a first try and for benchmarks."""
+def embedded_workers(embedded: Embedded, zone: str) -> Callable[[Any], EndpointList]:
+    """Return a function that starts warm workers inside an instance's own process, for trials and benchmarks."""
 
     def start(reactor: Any) -> EndpointList:
-        kind = Kind(wanted.cores, 1024, wanted.service_ms)
-        cell, record = Cell("embedded"), Record(None)
+        settings = WorkerSettings(embedded.cores, 1024, embedded.service_ms)
+        cell, record = DeduplicationCell("embedded"), Record(None)
         workers = [
-            Worker(reactor, kind, zone, cell, random.Random(number), record, False) for number in range(wanted.count)
+            Worker(reactor, settings, zone, cell, random.Random(number), record, False)
+            for number in range(embedded.count)
         ]
-        return EndpointList(tuple(worker.listed() for worker in workers))
+        return EndpointList(tuple(worker.as_endpoint() for worker in workers))
 
     return start
--- a/benchmarks/calibration.py
+++ b/benchmarks/calibration.py
@@ -115,7 +115,7 @@
             fitted_workers = fit.fit(trace, load_config(conf, "conf").settings.warm_up_ms)
             script, _ = scripts.read(calm[number])
             fits.append(
-                fit.fit_message_delays(fitted_workers, build_option(option_of(calm[number])), trace, script.troubles)
+                fit.fit_message_delays(fitted_workers, build_option(option_of(calm[number])), trace, script.faults)
             )
             starts.append(start_ms(record_folder))
         found, start = fit.Fit.merged(fits), statistics.mean(starts)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -50,7 +50,7 @@
 
 def test_late_by_its_own_doing_is_a_breach_with_its_timeline():
     said = breaches(day(answered=2000.0))
-    assert len(said) == 1 and "200 ms after its time" in said[0] and "+1000 answer" in said[0]
+    assert len(said) == 1 and "200 ms after its deadline" in said[0] and "+1000 answer" in said[0]
 
 
 @pytest.mark.parametrize("name", ["0", "lab"])
@@ -73,7 +73,7 @@
 
 def test_more_late_than_the_machine_accounts_for_is_a_breach():
     said = breaches(day(2500.0, [(1100, 1400, {"0": 300.0})]))
-    assert "400 ms after its time" in said[0]
+    assert "400 ms after its deadline" in said[0]
 
 
 # As on a starved machine: the stand-ins wait for a core through a third of each look.
@@ -113,7 +113,7 @@
         monkeypatch.setattr(stall_monitor, "now_ms", lambda: self.clock.seconds() * 1000)
         monkeypatch.setattr(stall_monitor, "read_thread_times", self.read)
         monkeypatch.setattr(stall_monitor, "read_state", lambda pid: self.state)
-        stall_monitor.Watch(self.clock, self, lambda: {0: 4711}).start()
+        stall_monitor.StallMonitor(self.clock, self, lambda: {0: 4711}).start()
 
     def write(self, kind, **values):
         if kind == "blocked":
@@ -123,14 +123,14 @@
         return SchedulerSample(now, 0.0, 0.0) if pid == "self" else SchedulerSample(now, self.ran_ms, self.waited_ms)
 
     def looks(self, count):
-        self.clock.pump([stall_monitor.EVERY_MS / 1000] * count)
+        self.clock.pump([stall_monitor.SAMPLE_INTERVAL_MS / 1000] * count)
 
 
 def test_watch_tells_of_a_gatekeeper_that_sleeps_on_and_when_it_began(monkeypatch):
     # Guards against a block in a call that the day's records do not show.
     kernel = Kernel(monkeypatch)
     kernel.looks(40)
-    assert kernel.written[0] == (0.0, stall_monitor.BLOCKED_LOOKS * stall_monitor.EVERY_MS)
+    assert kernel.written[0] == (0.0, stall_monitor.BLOCKED_SAMPLES * stall_monitor.SAMPLE_INTERVAL_MS)
     assert all(before[1] == after[0] for before, after in zip(kernel.written, kernel.written[1:], strict=False))
     assert kernel.written[-1][1] == 1000.0
     kernel.ran_ms += 1.0
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -13,7 +13,7 @@
 from anisefront.testbed.model.traces import Arrival, Trace
 from anisefront.testbed.model.pool import WorkerModel
 from anisefront.testbed.model.simulation import Option, Simulation
-from anisefront.testbed.script import Trouble
+from anisefront.testbed.script import Fault
 from anisefront.protocols import trace
 from anisefront.policy import events
 from anisefront.policy.settings import Idempotency, Plan, RequestClass, Settings
@@ -133,15 +133,15 @@
 @pytest.mark.parametrize(
     "fault",
     [
-        Trouble(5000, "slow", {"workers": 4, "times": 6.0, "for": 8000.0}),
-        Trouble(4000, "deploy", {"over": 1000.0}),
-        Trouble(5000, "freeze-gatekeeper", {"number": 1, "for": 6000.0}),
-        Trouble(5000, "kill-gatekeeper", {"number": 1, "back-after": 4000.0}),
-        Trouble(5000, "silence", {"workers": 3, "for": 5000.0}),
-        Trouble(5000, "errors", {"workers": 4, "for": 5000.0}),
-        Trouble(5000, "kill-workers", {"workers": 3}),
-        Trouble(5000, "freeze-workers", {"workers": 4, "for": 5000.0}),
-        Trouble(5000, "preempt", {"workers": 3, "notice": 500.0, "for": 6000.0}),
+        Fault(5000, "slow", {"workers": 4, "times": 6.0, "for": 8000.0}),
+        Fault(4000, "deploy", {"over": 1000.0}),
+        Fault(5000, "freeze-gatekeeper", {"number": 1, "for": 6000.0}),
+        Fault(5000, "kill-gatekeeper", {"number": 1, "back-after": 4000.0}),
+        Fault(5000, "silence", {"workers": 3, "for": 5000.0}),
+        Fault(5000, "errors", {"workers": 4, "for": 5000.0}),
+        Fault(5000, "kill-workers", {"workers": 3}),
+        Fault(5000, "freeze-workers", {"workers": 4, "for": 5000.0}),
+        Fault(5000, "preempt", {"workers": 3, "notice": 500.0, "for": 6000.0}),
     ],
     ids=lambda each: each.name,
 )
--- a/tests/test_study.py
+++ b/tests/test_study.py
@@ -21,7 +21,7 @@
 from anisefront.testbed.model.study import InvalidStudyError, OptionSpec, Runner, Study, Traffic, collect, simulate_run
 from anisefront.testbed.model.traces import Arrival, Attempt, Trace
 from anisefront.testbed.model.simulation import Clients, Network, Option, Simulation
-from anisefront.testbed.script import Trouble
+from anisefront.testbed.script import Fault
 
 ROOT = pathlib.Path(__file__).parent.parent
 DAY = """length 8s
@@ -96,7 +96,7 @@
 
 def test_a_surge_multiplies_the_arrivals_of_a_trace():
     arrivals = traffic(10)
-    surge = Trouble(2000, "surge", {"plan": "small", "times": 2.5, "for": 4000.0})
+    surge = Fault(2000, "surge", {"plan": "small", "times": 2.5, "for": 4000.0})
     plain, more = (Simulation(Option(SETTINGS), arrivals, troubles, 1).run() for troubles in ((), (surge,)))
     extra = sum(2000 <= each.at < 6000 for each in arrivals)
     assert sum(more.answers.values()) - sum(plain.answers.values()) == pytest.approx(1.5 * extra, rel=0.1)
@@ -104,7 +104,7 @@
 
 def test_a_network_partition_separates_zones_and_heals():
     option = Option(SETTINGS, gateways=4, spread=4, zones=("a", "b"), network=Network(lose=0.0))
-    simulation = Simulation(option, traffic(5), (Trouble(1000, "partition", {"for": 2000.0}),), 1)
+    simulation = Simulation(option, traffic(5), (Fault(1000, "partition", {"for": 2000.0}),), 1)
     calls = []
     original = simulation.faults.partitioned
     simulation.faults.partitioned = (
@@ -121,7 +121,7 @@
 def test_overloaded_cold_workers_crash():
     workers = WorkerModel(count=2, service_ms=60.0, overload_multiple=0.3, overload_window_ms=1000.0, warm_up_ms=8000.0)
     played = Simulation(
-        Option(SETTINGS, workers=workers), traffic(15), (Trouble(1000, "deploy", {"over": 500.0}),), 1
+        Option(SETTINGS, workers=workers), traffic(15), (Fault(1000, "deploy", {"over": 500.0}),), 1
     ).run()
     assert played.crashed_workers
 
@@ -212,7 +212,7 @@
     simulation = Simulation(
         Option(SETTINGS, workers=workers),
         traffic(40, rate=130.0),
-        (Trouble(6000, "deploy", {"over": 8000.0, "drain": 2000.0}),),
+        (Fault(6000, "deploy", {"over": 8000.0, "drain": 2000.0}),),
         3,
     )
     simulation.attempt_log = []
