--- a/anisefront/cli/load.py
+++ b/anisefront/cli/load.py
@@ -81,15 +81,16 @@
     if not arrivals:
         raise click.ClickException("the traffic has no requests to send")
     try:
-        shots = plan.shots(arrivals, config, speed, tuple(addresses))
-    except plan.Unfit as error:
+        shots = plan.build_schedule(arrivals, config, speed, tuple(addresses))
+    except plan.UnsupportedTrafficError as error:
         raise click.ClickException(str(error)) from error
     start = time.time() + START_S + 0.3 * processes
     tasks = [
-        (plan.part(shots, number, processes), addresses, work_ms / 1000, start, closed) for number in range(processes)
+        (plan.sender_share(shots, number, processes), addresses, work_ms / 1000, start, closed)
+        for number in range(processes)
     ]
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
-        report = Report(pool.starmap(sender.work, tasks))
+        report = Report(pool.starmap(sender.run_sender, tasks))
     click.echo(report.text())
     click.echo(", ".join(f"{count} {outcome}" for outcome, count in sorted(report.counts.items())))
     if out:
@@ -102,7 +103,7 @@
                 {
                     "latency": rows,
                     "counts": report.counts,
-                    "late_share": report.late_share,
+                    "late_share": report.late_fraction,
                     "fell_behind": report.fell_behind,
                 },
                 indent=1,
--- a/anisefront/testbed/load/__init__.py
+++ b/anisefront/testbed/load/__init__.py
@@ -1,1 +1,1 @@
-"""An open-loop load tool: what is to be sent when, the senders, and honest latencies."""
+"""An open-loop load generator: schedule, sender processes, and latencies measured from the scheduled times."""
--- a/anisefront/testbed/load/plan.py
+++ b/anisefront/testbed/load/plan.py
@@ -1,4 +1,4 @@
-"""What is sent when, and by whom: from traffic and settings to requests with times. Free of I/O."""
+"""Turns traffic and settings into a schedule of requests for the senders. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -8,66 +8,78 @@
 from anisefront.config.types import Config
 from anisefront.testbed.model.traces import Arrival
 
-FRONTS = ("grpc", "jsonrpc")
+FRONTENDS = ("grpc", "jsonrpc")
 
 
-class Unfit(Exception):
-    """Traffic that can't be sent; the text says why, and what would mend it."""
+class UnsupportedTrafficError(Exception):
+    """The traffic can't be sent. The message says why and how to fix it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Shot:
-    """One request. `at_s` is its scheduled second from the start, `left_ms` the time that its client leaves."""
+class ScheduledRequest:
+    """A request to send.
+
+    Attributes:
+        at_s: Scheduled time in seconds from the start.
+        timeout_ms: Time until the client's deadline.
+    """
 
     at_s: float
-    front: str
+    frontend: str
     method: str
     path: str
     headers: tuple[tuple[str, str], ...]
     class_name: str
-    left_ms: float
+    timeout_ms: float
+
 
+def build_schedule(
+    arrivals: Sequence[Arrival], config: Config, speed: float, frontends: Sequence[str]
+) -> list[ScheduledRequest]:
+    """Return the scheduled requests for the given arrivals.
 
-def shots(arrivals: Sequence[Arrival], config: Config, speed: float, fronts: Sequence[str]) -> list[Shot]:
-    """The requests of some traffic. Each class goes by its first route without parameters, each customer by a key of
-    its own name; who carries an attempt is as recorded, where both fronts are there."""
+    Each class uses its first route without parameters, and each customer a key equal to its name. Requests use the
+    recorded frontend if it is available.
+    """
     routes = {}
     for route in config.routes:
         if "*" not in route.pattern.path and "/:" not in route.pattern.path and not route.pattern.when:
             routes.setdefault(route.class_name, route)
-    missing = sorted({each.class_name for each in arrivals} - set(routes))
+    missing = sorted({arrival.class_name for arrival in arrivals} - set(routes))
     if missing:
-        raise Unfit(f"class {missing[0]}: no route without parameters leads to it; add one to the settings")
-    out = []
-    for number, each in enumerate(arrivals):
-        route = routes[each.class_name]
-        front = "jsonrpc" if each.hedging_allowed else "grpc"
-        if front not in fronts:
-            front = fronts[0]
+        raise UnsupportedTrafficError(
+            f"class {missing[0]}: no route without parameters leads to it; add one to the settings"
+        )
+    requests = []
+    for number, arrival in enumerate(arrivals):
+        route = routes[arrival.class_name]
+        frontend = "jsonrpc" if arrival.hedging_allowed else "grpc"
+        if frontend not in frontends:
+            frontend = frontends[0]
         headers = [
-            (config.customer_header, each.customer.partition(":")[2] or each.customer),
+            (config.customer_header, arrival.customer.partition(":")[2] or arrival.customer),
             ("x-request-id", f"load-{number}"),
-            ("x-envoy-expected-rq-timeout-ms", str(int(each.remaining_ms))),
+            ("x-envoy-expected-rq-timeout-ms", str(int(arrival.remaining_ms))),
         ]
         if route.units_header:
-            headers.append((route.units_header, f"{each.units:g}"))
-        if config.repeat_header and each.is_retry:
+            headers.append((route.units_header, f"{arrival.units:g}"))
+        if config.repeat_header and arrival.is_retry:
             headers.append((config.repeat_header, "1"))
         method = route.pattern.methods[0] if route.pattern.methods[0] != "*" else "GET"
-        out.append(
-            Shot(
-                each.at / 1000 / speed,
-                front,
+        requests.append(
+            ScheduledRequest(
+                arrival.at / 1000 / speed,
+                frontend,
                 method,
                 route.pattern.path,
                 tuple(headers),
-                each.class_name,
-                each.remaining_ms,
+                arrival.class_name,
+                arrival.remaining_ms,
             )
         )
-    return out
+    return requests
 
 
-def part(whole: Sequence[Shot], number: int, of: int) -> list[Shot]:
-    """One sender's share: every so many-th, so that each burst is spread over all senders."""
-    return list(whole[number::of])
+def sender_share(schedule: Sequence[ScheduledRequest], number: int, senders: int) -> list[ScheduledRequest]:
+    """Return the share of one sender: every n-th request, so that each burst is spread over all senders."""
+    return list(schedule[number::senders])
--- a/anisefront/testbed/load/sender.py
+++ b/anisefront/testbed/load/sender.py
@@ -1,7 +1,7 @@
-"""One sender process: shots at their scheduled times, whatever became of those before; latencies from the schedule.
+"""Sender process: sends requests at their scheduled times and measures latencies from these times.
 
-A request that could not be sent in time is sent late and its lateness is in its latency, as its client would feel it
-(what closed-loop tools leave out: "coordinated omission", G. Tene). Nothing waits for an answer but its own task.
+A request that can't be sent in time is sent late, and the delay is part of its latency, as a client would experience
+it. Closed-loop tools omit such delays ("coordinated omission", G. Tene). No request waits for the response to another.
 """
 
 from __future__ import annotations
@@ -15,97 +15,98 @@
 
 from hdrh.histogram import HdrHistogram
 
-from anisefront.testbed.load.plan import Shot
+from anisefront.testbed.load.plan import ScheduledRequest
 
-HIGHEST_US, DIGITS = 600_000_000, 3
-PATIENCE_S = 1.0  # after a request's time; then its answer counts as none
-MOST_OPEN = 20_000  # requests that one sender waits for; what comes then is not sent, and counted as that
-LINKS = 4  # JSON-RPC connections of one sender
-_CHECK = "/envoy.service.auth.v3.Authorization/Check"
-_LOG = "/envoy.service.accesslog.v3.AccessLogService/StreamAccessLogs"
+MAX_LATENCY_US = 600_000_000
+SIGNIFICANT_DIGITS = 3
+TIMEOUT_GRACE_S = 1.0  # past a request's deadline; then it counts as unanswered
+MAX_OPEN = 20_000  # open requests per sender; beyond it requests are counted as not sent
+JSONRPC_CONNECTIONS = 4  # per sender
+_CHECK_METHOD = "/envoy.service.auth.v3.Authorization/Check"
+_LOG_METHOD = "/envoy.service.accesslog.v3.AccessLogService/StreamAccessLogs"
 
 
-def histogram() -> HdrHistogram:
-    """Of microseconds, to three digits."""
-    return HdrHistogram(1, HIGHEST_US, DIGITS)
+def new_histogram() -> HdrHistogram:
+    """Return an empty histogram of microseconds."""
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 @dataclass(slots=True)
 class Tally:
-    """What one sender saw."""
+    """The results of one sender."""
 
-    latency: dict[str, HdrHistogram] = field(default_factory=dict)  # by "front class how"
-    lateness: HdrHistogram = field(default_factory=histogram)  # of sending, against the schedule
+    latency: dict[str, HdrHistogram] = field(default_factory=dict)  # by "frontend class outcome"
+    lateness: HdrHistogram = field(default_factory=new_histogram)  # delay of sending against the schedule
     counts: Counter[str] = field(default_factory=Counter)
 
-    def plain(self) -> dict[str, Any]:
-        """For the way to the parent."""
+    def as_dict(self) -> dict[str, Any]:
+        """Return the results as plain values, for the parent process."""
         return {
-            "latency": {name: each.encode().decode() for name, each in self.latency.items()},
+            "latency": {name: latencies.encode().decode() for name, latencies in self.latency.items()},
             "lateness": self.lateness.encode().decode(),
             "counts": dict(self.counts),
         }
 
-    def note(self, shot: Shot, how: str, seconds: float) -> None:
-        """One end, so many seconds after its schedule."""
-        name = f"{shot.front} {shot.class_name} {how}"
+    def record(self, request: ScheduledRequest, outcome: str, seconds: float) -> None:
+        """Record the outcome of a request, `seconds` after its scheduled time."""
+        name = f"{request.frontend} {request.class_name} {outcome}"
         if name not in self.latency:
-            self.latency[name] = histogram()
-        self.latency[name].record_value(min(HIGHEST_US, max(1, int(seconds * 1e6))))
-        self.counts[how] += 1
+            self.latency[name] = new_histogram()
+        self.latency[name].record_value(min(MAX_LATENCY_US, max(1, int(seconds * 1e6))))
+        self.counts[outcome] += 1
 
 
-class _Links:
-    """JSON-RPC connections, opened again when they break."""
+class _JsonRpcConnections:
+    """JSON-RPC connections, reopened when they break."""
 
     def __init__(self, address: str) -> None:
         self._host, _, self._port = address.rpartition(":")
-        self._writers: list[asyncio.StreamWriter | None] = [None] * LINKS
-        self._locks = [asyncio.Lock() for _ in range(LINKS)]
-        self._waiting: list[dict[int, asyncio.Future]] = [{} for _ in range(LINKS)]
-        self._serial = itertools.count(1)
-
-    async def call(self, shot: Shot) -> str:
-        number = next(self._serial)
-        place = number % LINKS
+        self._writers: list[asyncio.StreamWriter | None] = [None] * JSONRPC_CONNECTIONS
+        self._locks = [asyncio.Lock() for _ in range(JSONRPC_CONNECTIONS)]
+        self._waiting: list[dict[int, asyncio.Future]] = [{} for _ in range(JSONRPC_CONNECTIONS)]
+        self._next_id = itertools.count(1)
+
+    async def call(self, request: ScheduledRequest) -> str:
+        number = next(self._next_id)
+        index = number % JSONRPC_CONNECTIONS
         params = {
-            "method": shot.method,
-            "path": shot.path,
-            "headers": dict(shot.headers),
-            "body": "{}" if shot.method == "POST" else "",
+            "method": request.method,
+            "path": request.path,
+            "headers": dict(request.headers),
+            "body": "{}" if request.method == "POST" else "",
         }
         line = json.dumps({"jsonrpc": "2.0", "id": number, "method": "call", "params": params}).encode() + b"\n"
-        async with self._locks[place]:
-            if self._writers[place] is None:
-                reader, self._writers[place] = await asyncio.open_connection(self._host, int(self._port), limit=1 << 22)
-                asyncio.get_running_loop().create_task(self._read(place, reader))
-        done = self._waiting[place][number] = asyncio.get_running_loop().create_future()
-        self._writers[place].write(line)
+        async with self._locks[index]:
+            if self._writers[index] is None:
+                reader, self._writers[index] = await asyncio.open_connection(self._host, int(self._port), limit=1 << 22)
+                asyncio.get_running_loop().create_task(self._read(index, reader))
+        response_future = self._waiting[index][number] = asyncio.get_running_loop().create_future()
+        self._writers[index].write(line)
         try:
-            answer = await done
+            response = await response_future
         finally:
-            self._waiting[place].pop(number, None)
-        if "result" in answer:
+            self._waiting[index].pop(number, None)
+        if "result" in response:
             return "served"
-        return answer["error"].get("data", {}).get("final", "denied")
+        return response["error"].get("data", {}).get("final", "denied")
 
-    async def _read(self, place: int, reader: asyncio.StreamReader) -> None:
+    async def _read(self, index: int, reader: asyncio.StreamReader) -> None:
         try:
             while line := await reader.readline():
-                answer = json.loads(line)
-                done = self._waiting[place].get(answer["id"])
-                if done is not None and not done.done():
-                    done.set_result(answer)
+                response = json.loads(line)
+                response_future = self._waiting[index].get(response["id"])
+                if response_future is not None and not response_future.done():
+                    response_future.set_result(response)
         except (OSError, ValueError):
             pass
-        self._writers[place] = None
-        for done in self._waiting[place].values():
-            if not done.done():
-                done.set_exception(ConnectionResetError("the link broke"))
+        self._writers[index] = None
+        for response_future in self._waiting[index].values():
+            if not response_future.done():
+                response_future.set_exception(ConnectionResetError("the JSON-RPC connection was closed"))
 
 
-class _Proxy:
-    """Asks as a front proxy does, takes `work_s` for the attempt and logs its end."""
+class _GrpcProxy:
+    """Sends checks as a front proxy does, simulates an attempt that takes `work_s`, and logs its result."""
 
     def __init__(self, address: str, work_s: float) -> None:
         import grpc.aio
@@ -116,11 +117,11 @@
         self._als, self._auth, self._work_s, self._aio = als_pb2, external_auth_pb2, work_s, grpc.aio
         self._channel = grpc.aio.insecure_channel(address)
         self._check = self._channel.unary_unary(
-            _CHECK, external_auth_pb2.CheckRequest.SerializeToString, external_auth_pb2.CheckResponse.FromString
+            _CHECK_METHOD, external_auth_pb2.CheckRequest.SerializeToString, external_auth_pb2.CheckResponse.FromString
         )
         self._logs: asyncio.Queue[Any] = asyncio.Queue()
         stream = self._channel.stream_unary(
-            _LOG, als_pb2.StreamAccessLogsMessage.SerializeToString, als_pb2.StreamAccessLogsResponse.FromString
+            _LOG_METHOD, als_pb2.StreamAccessLogsMessage.SerializeToString, als_pb2.StreamAccessLogsResponse.FromString
         )
         self._stream = stream(self._entries())
 
@@ -128,18 +129,20 @@
         while (message := await self._logs.get()) is not None:
             yield message
 
-    async def call(self, shot: Shot) -> str:
-        request = self._auth.CheckRequest()
-        http = request.attributes.request.http
-        http.method, http.path, http.host = shot.method, shot.path, "load.example"
-        for name, value in shot.headers:
+    async def call(self, request: ScheduledRequest) -> str:
+        check_request = self._auth.CheckRequest()
+        http = check_request.attributes.request.http
+        http.method, http.path, http.host = request.method, request.path, "load.example"
+        for name, value in request.headers:
             http.headers[name] = value
-        answer = await self._check(request, timeout=shot.left_ms / 1000 + PATIENCE_S)
-        if not answer.HasField("ok_response"):
-            told = {option.header.key: option.header.value for option in answer.denied_response.headers}
-            return told.get("x-anisefront-final", "denied")
+        response = await self._check(check_request, timeout=request.timeout_ms / 1000 + TIMEOUT_GRACE_S)
+        if not response.HasField("ok_response"):
+            headers = {option.header.key: option.header.value for option in response.denied_response.headers}
+            return headers.get("x-anisefront-final", "denied")
         token = next(
-            option.header.value for option in answer.ok_response.headers if option.header.key == "x-anisefront-attempt"
+            option.header.value
+            for option in response.ok_response.headers
+            if option.header.key == "x-anisefront-attempt"
         )
         asyncio.get_running_loop().call_later(self._work_s, self._log, token)
         return "allowed"
@@ -160,84 +163,90 @@
         try:
             await asyncio.wait_for(self._stream, 2.0)
         except (TimeoutError, asyncio.CancelledError, self._aio.AioRpcError):
-            pass  # the other side is gone: what was measured stands
+            pass  # the instance has gone away; the measurements remain valid
         await self._channel.close()
 
 
 class Sender:
-    """Sends shots to the addresses of the fronts, by name of the front."""
+    """Sends requests to the frontends, whose addresses are given by name."""
 
-    def __init__(self, addresses: dict[str, str], work_s: float, most_open: int = MOST_OPEN) -> None:
-        self._addresses, self._work_s, self._most_open = addresses, work_s, most_open
+    def __init__(self, addresses: dict[str, str], work_s: float, max_open: int = MAX_OPEN) -> None:
+        self._addresses, self._work_s, self._max_open = addresses, work_s, max_open
         self.tally = Tally()
 
-    async def open_loop(self, shots: list[Shot], start: float) -> Tally:
-        """All shots, each at `start` (of the loop's clock) and its own time; ends when the last is over."""
-        ways, tasks = self._ways(shots), set()
+    async def open_loop(self, schedule: list[ScheduledRequest], start: float) -> Tally:
+        """Send each request at its time after `start` (of the loop's clock), and return when all have ended."""
+        connections, tasks = self._connect(schedule), set()
         loop = asyncio.get_running_loop()
-        for shot in shots:
-            due = start + shot.at_s
+        for request in schedule:
+            due = start + request.at_s
             delay = due - loop.time()
             if delay > 0:
                 await asyncio.sleep(delay)
             self.tally.lateness.record_value(max(1, int((loop.time() - due) * 1e6)))
-            if len(tasks) >= self._most_open:
+            if len(tasks) >= self._max_open:
                 self.tally.counts["not sent"] += 1
                 continue
-            task = loop.create_task(self._one(ways[shot.front], shot, due))
+            task = loop.create_task(self._send(connections[request.frontend], request, due))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         while tasks:
             await asyncio.wait(tasks)
-        await self._close(ways)
+        await self._close(connections)
         return self.tally
 
-    async def closed_loop(self, shots: list[Shot], start: float, clients: int) -> Tally:
-        """The way that hides stalls, for comparison: so many clients, each sends when its last answer has come."""
-        ways, loop, rest = self._ways(shots), asyncio.get_running_loop(), iter(shots)
+    async def closed_loop(self, schedule: list[ScheduledRequest], start: float, clients: int) -> Tally:
+        """Send with a number of clients that each wait for the previous response, for comparison: this hides stalls."""
+        connections, loop, remaining = self._connect(schedule), asyncio.get_running_loop(), iter(schedule)
         await asyncio.sleep(max(0.0, start - loop.time()))
 
         async def client() -> None:
-            for shot in rest:
-                await self._one(ways[shot.front], shot, loop.time())
+            for request in remaining:
+                await self._send(connections[request.frontend], request, loop.time())
 
         await asyncio.gather(*(client() for _ in range(clients)))
-        await self._close(ways)
+        await self._close(connections)
         return self.tally
 
-    def _ways(self, shots: list[Shot]) -> dict[str, Any]:
-        fronts = {shot.front for shot in shots}
+    def _connect(self, schedule: list[ScheduledRequest]) -> dict[str, Any]:
+        frontends = {request.frontend for request in schedule}
         return {
-            front: _Links(self._addresses[front])
-            if front == "jsonrpc"
-            else _Proxy(self._addresses[front], self._work_s)
-            for front in fronts
+            frontend: _JsonRpcConnections(self._addresses[frontend])
+            if frontend == "jsonrpc"
+            else _GrpcProxy(self._addresses[frontend], self._work_s)
+            for frontend in frontends
         }
 
     @staticmethod
-    async def _close(ways: dict[str, Any]) -> None:
-        if "grpc" in ways:
-            await ways["grpc"].close()
+    async def _close(connections: dict[str, Any]) -> None:
+        if "grpc" in connections:
+            await connections["grpc"].close()
 
-    async def _one(self, way: Any, shot: Shot, due: float) -> None:
+    async def _send(self, connection: Any, request: ScheduledRequest, due: float) -> None:
         loop = asyncio.get_running_loop()
         try:
-            how = await asyncio.wait_for(way.call(shot), max(0.0, due + shot.left_ms / 1000 + PATIENCE_S - loop.time()))
+            outcome = await asyncio.wait_for(
+                connection.call(request), max(0.0, due + request.timeout_ms / 1000 + TIMEOUT_GRACE_S - loop.time())
+            )
         except TimeoutError:
-            how = "none"
-        except Exception as problem:  # a broken connection or a status: an end like any other, counted by its kind
-            code = getattr(problem, "code", None)
-            how = "none" if code and code().name == "DEADLINE_EXCEEDED" else "lost"
-        self.tally.note(shot, how, loop.time() - due)
+            outcome = "none"
+        except Exception as error:  # a broken connection or a gRPC status is an outcome, too
+            code = getattr(error, "code", None)
+            outcome = "none" if code and code().name == "DEADLINE_EXCEEDED" else "lost"
+        self.tally.record(request, outcome, loop.time() - due)
 
 
-def work(shots: list[Shot], addresses: dict[str, str], work_s: float, start_unix: float, closed: int) -> dict[str, Any]:
-    """A sender process's whole life: its tally in plain values."""
+def run_sender(
+    schedule: list[ScheduledRequest], addresses: dict[str, str], work_s: float, start_unix: float, closed_clients: int
+) -> dict[str, Any]:
+    """Run a sender process to its end and return its results as plain values."""
     import time
 
-    async def go() -> Tally:
+    async def run() -> Tally:
         sender, loop = Sender(addresses, work_s), asyncio.get_running_loop()
         start = loop.time() + start_unix - time.time()
-        return await (sender.closed_loop(shots, start, closed) if closed else sender.open_loop(shots, start))
+        return await (
+            sender.closed_loop(schedule, start, closed_clients) if closed_clients else sender.open_loop(schedule, start)
+        )
 
-    return asyncio.run(go()).plain()
+    return asyncio.run(run()).as_dict()
--- a/benchmarks/scale/load.py
+++ b/benchmarks/scale/load.py
@@ -37,7 +37,7 @@
     """Return a sender that acts as a front proxy and returns the worker that a check names."""
     from anisefront.testbed.load import sender
 
-    class CheckClient(sender._Proxy):
+    class CheckClient(sender._GrpcProxy):
         async def check(self, path: str, key: str, name: str) -> tuple[str, str]:
             """Return the worker and the attempt token; without a worker, the reason of the rejection."""
             request = self._auth.CheckRequest()
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -58,11 +58,11 @@
 
 
 def shots(count, gap_ms):
-    return [plan.Shot(n * gap_ms / 1000, "jsonrpc", "GET", "/", (), "view", 5000.0) for n in range(count)]
+    return [plan.ScheduledRequest(n * gap_ms / 1000, "jsonrpc", "GET", "/", (), "view", 5000.0) for n in range(count)]
 
 
 def run(address, wanted, closed=0):
-    return Report([sender.work(wanted, {"jsonrpc": address}, 0.0, time.time() + 0.3, closed)])
+    return Report([sender.run_sender(wanted, {"jsonrpc": address}, 0.0, time.time() + 0.3, closed)])
 
 
 def test_a_known_stall_is_in_the_tail_that_a_closed_loop_hides():
@@ -70,13 +70,13 @@
     opened = run(Stalling(0.6, 0.8).address, shots(1000, 2.0))
     closed = run(Stalling(0.1, 0.8).address, shots(1000, 2.0), closed=2)
     tail = {
-        name: [report.whole().get_value_at_percentile(q) / 1000 for q in (50, 90, 99)]
+        name: [report.combined_latency().get_value_at_percentile(q) / 1000 for q in (50, 90, 99)]
         for name, report in (("open", opened), ("closed", closed))
     }
     assert 700 < tail["open"][2] < 1500 and tail["open"][1] > 500
     assert tail["closed"][2] < 200  # of 1,000 answers two were slow
     # Of the schedule's clients those of the stall wait for what is left of it: 800 ms down to nothing.
-    waits = opened.whole()
+    waits = opened.combined_latency()
     above = (
         sum(
             item.count_added_in_this_iter_step
@@ -91,7 +91,7 @@
 
 def test_each_process_has_its_part_of_every_burst():
     whole = shots(100, 1.0)
-    parts = [plan.part(whole, number, 4) for number in range(4)]
+    parts = [plan.sender_share(whole, number, 4) for number in range(4)]
     assert sorted(shot.at_s for part in parts for shot in part) == [shot.at_s for shot in whole]
     assert all(len([shot for shot in part if shot.at_s < 0.02]) == 5 for part in parts)
 
@@ -101,10 +101,10 @@
     for tally, late in ((behind, 300_000), (kept, 500)):
         for number in range(200):
             tally.lateness.record_value(late if number % 20 == 0 else 100)
-            tally.note(shots(1, 1)[0], "served", 0.01)
-    report = Report([behind.plain(), kept.plain()])
-    assert report.fell_behind and report.late_share == pytest.approx(0.025) and "FELL BEHIND: 2.5%" in report.text()
-    assert not Report([kept.plain()]).fell_behind and "schedule kept" in Report([kept.plain()]).text()
+            tally.record(shots(1, 1)[0], "served", 0.01)
+    report = Report([behind.as_dict(), kept.as_dict()])
+    assert report.fell_behind and report.late_fraction == pytest.approx(0.025) and "FELL BEHIND: 2.5%" in report.text()
+    assert not Report([kept.as_dict()]).fell_behind and "schedule kept" in Report([kept.as_dict()]).text()
     assert report.counts["served"] == 400 and report.rows()[0][1] == 400
 
 
@@ -113,14 +113,14 @@
 
     async def go():
         listener = socket.create_server(("127.0.0.1", 0))  # accepts and never answers
-        one = sender.Sender({"jsonrpc": f"127.0.0.1:{listener.getsockname()[1]}"}, 0.0, most_open=10)
-        quick = [plan.Shot(0.0, "jsonrpc", "GET", "/", (), "view", 1.0) for _ in range(30)]
+        one = sender.Sender({"jsonrpc": f"127.0.0.1:{listener.getsockname()[1]}"}, 0.0, max_open=10)
+        quick = [plan.ScheduledRequest(0.0, "jsonrpc", "GET", "/", (), "view", 1.0) for _ in range(30)]
         tally = await one.open_loop(quick, asyncio.get_running_loop().time())
         listener.close()
         return tally
 
     tally = asyncio.run(go())
-    assert tally.counts == {"not sent": 20, "none": 10} and Report([tally.plain()]).fell_behind
+    assert tally.counts == {"not sent": 20, "none": 10} and Report([tally.as_dict()]).fell_behind
 
 
 def test_a_trace_against_a_gatekeeper_over_both_fronts(tmp_path):
@@ -157,8 +157,8 @@
 
 def test_classes_without_a_plain_route_are_refused():
     config = load_settings(str(ROOT / "examples/loopback.conf"))
-    with pytest.raises(plan.Unfit, match="class other: no route without parameters"):
-        plan.shots(arrivals(3, 1.0, name="other"), config, 1.0, ("grpc",))
-    ready = plan.shots(arrivals(3, 10.0), config, 2.0, ("grpc",))
-    assert [shot.at_s for shot in ready] == [0.0, 0.005, 0.01] and {shot.front for shot in ready} == {"grpc"}
+    with pytest.raises(plan.UnsupportedTrafficError, match="class other: no route without parameters"):
+        plan.build_schedule(arrivals(3, 1.0, name="other"), config, 1.0, ("grpc",))
+    ready = plan.build_schedule(arrivals(3, 10.0), config, 2.0, ("grpc",))
+    assert [shot.at_s for shot in ready] == [0.0, 0.005, 0.01] and {shot.frontend for shot in ready} == {"grpc"}
     assert dict(ready[1].headers)["x-api-key"] == "c1"
