--- a/anisefront/cli/load.py
+++ b/anisefront/cli/load.py
@@ -81,12 +81,12 @@
     if not arrivals:
         raise click.ClickException("the traffic has no requests to send")
     try:
-        shots = plan.build_schedule(arrivals, config, speed, tuple(addresses))
+        schedule = plan.build_schedule(arrivals, config, speed, tuple(addresses))
     except plan.UnsupportedTrafficError as error:
         raise click.ClickException(str(error)) from error
     start = time.time() + START_S + 0.3 * processes
     tasks = [
-        (plan.sender_share(shots, number, processes), addresses, work_ms / 1000, start, closed)
+        (plan.sender_share(schedule, number, processes), addresses, work_ms / 1000, start, closed)
         for number in range(processes)
     ]
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
--- a/anisefront/testbed/load/report.py
+++ b/anisefront/testbed/load/report.py
@@ -80,13 +80,13 @@
         worst = self.lateness.get_max_value() / 1000 if self.lateness.get_total_count() else 0.0
         if self.fell_behind:
             lines.append(
-                f"FELL BEHIND: {100 * self.late_fraction:.1f}% sent more than {LATE_THRESHOLD_US / 1000:g} ms late, the "
-                f"worst {worst:.0f} ms, {self.counts['not sent']} not sent. Latencies hold from the schedule "
+                f"FELL BEHIND: {100 * self.late_fraction:.1f}% sent more than {LATE_THRESHOLD_US / 1000:g} ms late, "
+                f"the worst {worst:.0f} ms, {self.counts['not sent']} not sent. Latencies hold from the schedule "
                 "all the same, but the load was not what was asked for: use more --processes."
             )
         else:
             lines.append(
-                f"schedule kept: {100 * self.late_fraction:.2f}% sent more than {LATE_THRESHOLD_US / 1000:g} ms late, the "
-                f"worst {worst:.1f} ms"
+                f"schedule kept: {100 * self.late_fraction:.2f}% sent more than {LATE_THRESHOLD_US / 1000:g} ms late, "
+                f"the worst {worst:.1f} ms"
             )
         return "\n".join(lines)
--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -344,6 +344,30 @@
     "test_settings_that_cannot_be_right_are_named": "test_invalid_settings_are_named",
     "test_plans_and_classes_that_cannot_be_right_are_named": "test_invalid_plans_and_classes_are_named",
     "test_fuzzy_surface_is_the_diagonal_table": "test_the_fuzzy_output_follows_the_diagonal_rule_base",
+    "test_late_by_its_own_doing_is_a_breach_with_its_timeline": "test_a_late_response_is_a_breach_with_its_timeline",
+    "test_time_that_the_machine_took_is_taken_off": "test_stalls_of_the_machine_are_deducted_from_the_lateness",
+    "test_stalls_of_other_gatekeepers_and_of_other_times_excuse_nothing": (
+        "test_stalls_of_other_instances_and_at_other_times_excuse_nothing"
+    ),
+    "test_two_that_stood_in_one_look_count_once_and_never_for_more_than_the_look": (
+        "test_two_stalls_in_one_sample_count_once_and_for_no_more_than_the_sample"
+    ),
+    "test_more_late_than_the_machine_accounts_for_is_a_breach": (
+        "test_lateness_beyond_the_stalls_of_the_machine_is_a_breach"
+    ),
+    "test_causes_of_lateness_add_up": "test_the_causes_of_lateness_add_up",
+    "test_kernel_line": "test_parsing_a_schedstat_line",
+    "test_auditor_sees_a_guard_that_is_out": "test_the_auditor_detects_a_disabled_safeguard",
+    "test_a_known_stall_is_in_the_tail_that_a_closed_loop_hides": (
+        "test_a_stall_shows_in_the_tail_of_the_open_loop_but_not_of_a_closed_one"
+    ),
+    "test_each_process_has_its_part_of_every_burst": "test_each_process_sends_its_share_of_every_burst",
+    "test_a_sender_that_cannot_keep_up_says_so": "test_a_sender_that_falls_behind_is_reported",
+    "test_too_many_open_are_not_sent_and_counted": (
+        "test_requests_beyond_the_limit_of_open_ones_are_counted_as_not_sent"
+    ),
+    "test_a_trace_against_a_gatekeeper_over_both_fronts": "test_a_trace_is_sent_to_an_instance_over_both_frontends",
+    "test_classes_without_a_plain_route_are_refused": "test_classes_without_a_route_free_of_parameters_are_rejected",
     "test_a_late_class_gains_share_and_an_early_one_keeps_it": (
         "test_a_class_with_long_delays_gains_share_and_one_with_short_delays_keeps_it"
     ),
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -1,4 +1,4 @@
-"""A short day over real sockets: the rules hold, and the auditor sees each guard that is taken out."""
+"""Runs a short day script over loopback: all rules are kept, and the auditor detects each disabled safeguard."""
 
 import concurrent.futures
 import pathlib
@@ -8,7 +8,7 @@
 import pytest
 
 ROOT = pathlib.Path(__file__).parent.parent
-GUARDS = {
+RULE_BY_GUARD = {
     "one-answer": "one final answer in time",
     "loop-blocked": "one final answer in time",
     "no-effect-twice": "no effect twice",
@@ -18,31 +18,31 @@
 }
 
 
-def play(guard):
-    more = ["--break", guard] if guard else []
-    done = subprocess.run(
-        [sys.executable, "-m", "anisefront", "day", "tests/short.script", *more],
+def run_day(guard):
+    options = ["--break", guard] if guard else []
+    completed = subprocess.run(
+        [sys.executable, "-m", "anisefront", "day", "tests/short.script", *options],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=120,
     )
-    return done.returncode, done.stdout + done.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
 @pytest.fixture(scope="module")
-def days():
+def results_by_guard():
     with concurrent.futures.ThreadPoolExecutor(4) as threads:
-        return dict(zip((None, *GUARDS), threads.map(play, (None, *GUARDS)), strict=True))
+        return dict(zip((None, *RULE_BY_GUARD), threads.map(run_day, (None, *RULE_BY_GUARD)), strict=True))
 
 
-def test_every_rule_is_kept(days):
-    code, said = days[None]
-    assert code == 0 and "verdict: every rule kept" in said, said
+def test_every_rule_is_kept(results_by_guard):
+    exit_code, output = results_by_guard[None]
+    assert exit_code == 0 and "verdict: every rule kept" in output, output
 
 
-@pytest.mark.parametrize("guard", GUARDS)
-def test_auditor_sees_a_guard_that_is_out(days, guard):
-    code, said = days[guard]
-    rows = {line[:30].strip(): line[30:].split() for line in said.splitlines() if line[30:].strip()[:1].isdigit()}
-    assert code == 1 and int(rows[GUARDS[guard]][1]) > 0, said
+@pytest.mark.parametrize("guard", RULE_BY_GUARD)
+def test_the_auditor_detects_a_disabled_safeguard(results_by_guard, guard):
+    exit_code, output = results_by_guard[guard]
+    rows = {line[:30].strip(): line[30:].split() for line in output.splitlines() if line[30:].strip()[:1].isdigit()}
+    assert exit_code == 1 and int(rows[RULE_BY_GUARD[guard]][1]) > 0, output
