--- a/anisefront/testbed/audit.py
+++ b/anisefront/testbed/audit.py
@@ -55,6 +55,7 @@
     """Applies the five rules to the records of a run. Times are in milliseconds."""
 
     def __init__(self, records: dict[str, Records], drain_grace_ms: float = 1000.0) -> None:
+        """Index the records of a run, as returned by `load`."""
         self.records, self.drain_grace_ms = records, drain_grace_ms
         self.tries = {record["id"]: record for record in of_kinds(records["clients"], "try")}
         self.answers: dict[str, Records] = defaultdict(list)
--- a/anisefront/testbed/clients.py
+++ b/anisefront/testbed/clients.py
@@ -40,10 +40,12 @@
     """A client's JSON-RPC connection, which multiplexes calls by id."""
 
     def __init__(self) -> None:
+        """Create a connection without open calls."""
         self.waiting: dict[str, Callable[[dict[str, Any] | None], None]] = {}
         self._buffer = b""
 
     def connectionMade(self) -> None:
+        """Disable the delay of small segments."""
         self.transport.setTcpNoDelay(True)
 
     def call(self, number: str, params: dict[str, Any], done: Callable[[dict[str, Any] | None], None]) -> None:
@@ -53,6 +55,7 @@
         self.transport.write(json.dumps(line).encode() + b"\n")
 
     def dataReceived(self, data: bytes) -> None:
+        """Pass each complete response to its call."""
         *lines, self._buffer = (self._buffer + data).split(b"\n")
         for line in lines:
             response = json.loads(line)
@@ -61,6 +64,7 @@
                 done(response)
 
     def connectionLost(self, reason: Any = None) -> None:
+        """End all open calls without a response."""
         self.connected = 0
         waiting, self.waiting = self.waiting, {}
         for done in waiting.values():
@@ -79,6 +83,7 @@
     """All clients of a run. `proxy_addresses` and `jsonrpc_addresses` map instance numbers to addresses."""
 
     def __init__(self, reactor: Any, record: Record, rng: random.Random, retries: int, jsonrpc_fraction: float) -> None:
+        """Create clients that send `jsonrpc_fraction` of their requests by JSON-RPC, the others through proxies."""
         self.reactor, self.record, self.rng, self.retries, self.jsonrpc_fraction = (
             reactor,
             record,
--- a/anisefront/testbed/day.py
+++ b/anisefront/testbed/day.py
@@ -86,6 +86,7 @@
     def __init__(
         self, reactor: Any, script: Script, template: str, folder: Path, command: list[str], record: bool = False
     ) -> None:
+        """Prepare a run. Raise `InvalidRunError` if the settings are invalid."""
         self.reactor, self.script, self.folder, self._command = reactor, script, folder, command
         self._template, self._record = template, record
         self._endpoint_file = str(folder / "roster.json")
--- a/anisefront/testbed/load/report.py
+++ b/anisefront/testbed/load/report.py
@@ -19,6 +19,7 @@
     """The combined results of several senders."""
 
     def __init__(self, tallies: Sequence[dict[str, Any]]) -> None:
+        """Add up tallies, as `Tally.as_dict` returns them."""
         self.latency: dict[str, HdrHistogram] = {}
         self.lateness, self.counts = new_histogram(), Counter[str]()
         for tally in tallies:
--- a/anisefront/testbed/load/sender.py
+++ b/anisefront/testbed/load/sender.py
@@ -171,6 +171,7 @@
     """Sends requests to the frontends, whose addresses are given by name."""
 
     def __init__(self, addresses: dict[str, str], work_s: float, max_open: int = MAX_OPEN) -> None:
+        """Create a sender whose simulated attempts take `work_s` seconds."""
         self._addresses, self._work_s, self._max_open = addresses, work_s, max_open
         self.tally = Tally()
 
--- a/anisefront/testbed/proxy.py
+++ b/anisefront/testbed/proxy.py
@@ -44,6 +44,7 @@
     """The access-log stream. It is reopened after it breaks, and queues a limited number of entries meanwhile."""
 
     def __init__(self, channel: grpc.Channel, node: str) -> None:
+        """Prepare a stream that identifies itself as `node`."""
         self._start = channel.stream_unary(
             _LOG_METHOD, als_pb2.StreamAccessLogsMessage.SerializeToString, als_pb2.StreamAccessLogsResponse.FromString
         )
@@ -86,6 +87,7 @@
         check_timeout_s: float = 10.0,
         pool: ConnectionPool | None = None,
     ) -> None:
+        """Start listening on a free port and connect to the instance."""
         self.reactor, self.name, self.record, self.check_timeout_s = reactor, name, record, check_timeout_s
         options = [("grpc.initial_reconnect_backoff_ms", 100), ("grpc.max_reconnect_backoff_ms", 500)]
         self._channel = grpc.insecure_channel(gatekeeper, options=options)
--- a/anisefront/testbed/records.py
+++ b/anisefront/testbed/records.py
@@ -16,6 +16,7 @@
     """A file of records, one per line, each with a time stamp and a kind."""
 
     def __init__(self, file: TextIO | None) -> None:
+        """Write to `file`, or discard all records if it is None."""
         self._file = file
 
     def write(self, kind: str, **values: Any) -> None:
--- a/anisefront/testbed/relay.py
+++ b/anisefront/testbed/relay.py
@@ -18,6 +18,7 @@
     noisy = False
 
     def __init__(self, reactor: Any, rng: random.Random, number: int = 0) -> None:
+        """Start listening on a free port, as the relay of instance `number`."""
         self._reactor, self._rng, self._number = reactor, rng, number
         self.partitioned = False  # drops datagrams from instances of the other zone, whose numbers differ in parity
         self.target: tuple[str, int] | None = None
@@ -32,6 +33,7 @@
         return f"127.0.0.1:{self.port.getHost().port}"
 
     def datagramReceived(self, datagram: bytes, address: object) -> None:
+        """Forward a datagram, unless a fault drops it; delay it and perhaps duplicate it."""
         self.counts["came"] += 1
         if len(self._recorded) < 200:
             self._recorded.append(datagram)
--- a/anisefront/testbed/stall_monitor.py
+++ b/anisefront/testbed/stall_monitor.py
@@ -69,6 +69,7 @@
     """
 
     def __init__(self, reactor: Any, record: Record, pids: Callable[[], dict[int, int]]) -> None:
+        """Prepare a monitor that writes to `record`."""
         self._reactor, self._record, self._pids = reactor, record, pids
         self._last: dict[str, SchedulerSample] = {}
         self._sleep_trackers: dict[tuple[str, int | str], SleepTracker] = {}
--- a/anisefront/testbed/workers.py
+++ b/anisefront/testbed/workers.py
@@ -79,6 +79,7 @@
         cold: bool,
         host: str = "127.0.0.1",
     ) -> None:
+        """Start listening on a free port. A worker that is not cold counts as warmed up."""
         self.reactor, self.settings, self.zone, self.cell, self.rng, self.record = (
             reactor,
             settings,
