--- a/anisefront/testbed/audit.py
+++ b/anisefront/testbed/audit.py
@@ -100,8 +100,8 @@
         """Return for how long an instance was blocked in a call between two times."""
         spans = self.blocked_spans.get(number, [])
         total = 0.0
-        for at in range(bisect.bisect_left(spans, since, key=lambda span: span[1]), len(spans)):
-            start, end = spans[at]
+        for index in range(bisect.bisect_left(spans, since, key=lambda span: span[1]), len(spans)):
+            start, end = spans[index]
             if start > until:
                 break
             total += min(end, until) - max(start, since)
@@ -115,8 +115,8 @@
         blocked in a call: it would not have responded sooner had the test bed's process had a core.
         """
         total = 0.0
-        for at in range(bisect.bisect_left(self._stall_ends, since), len(self.stalls)):
-            start, end, ms = self.stalls[at]
+        for index in range(bisect.bisect_left(self._stall_ends, since), len(self.stalls)):
+            start, end, ms = self.stalls[index]
             if start > until:
                 break
             start, end = max(start, since), min(end, until)
@@ -149,15 +149,15 @@
     def one_answer(self) -> Verdict:
         """Check that each request gets one final response in time, and no attempt reaches a worker afterwards."""
         verdict = Verdict("one final answer in time")
-        for name, sent in self.tries.items():
+        for name, request in self.tries.items():
             verdict.cases += 1
             answers = self.answers[name]
             if len(answers) != 1:
                 verdict.breaches.append(f"{name}: {len(answers)} final answers")
                 continue
-            answer, was_down = answers[0], self._was_down(sent["gatekeeper"], sent["at"], sent["due"])
-            late_ms = answer["at"] - sent["due"]
-            stall_ms = self.machine_ms(sent["gatekeeper"], sent["at"], answer["at"]) if late_ms > 0 else 0.0
+            answer, was_down = answers[0], self._was_down(request["gatekeeper"], request["at"], request["due"])
+            late_ms = answer["at"] - request["due"]
+            stall_ms = self.machine_ms(request["gatekeeper"], request["at"], answer["at"]) if late_ms > 0 else 0.0
             if late_ms > RESPONSE_SLACK_MS >= late_ms - stall_ms and not was_down:
                 self.excused.append(
                     f"{name}: answered {late_ms:.0f} ms after its deadline, {stall_ms:.0f} ms of them while "
@@ -171,12 +171,12 @@
             elif late_ms > RESPONSE_SLACK_MS and not was_down:
                 verdict.breaches.append(f"{name}: answered {late_ms:.0f} ms after its deadline: {self.timeline(name)}")
             elif not was_down:
-                allowed = sent["due"] + RESPONSE_SLACK_MS - sent["at"]
-                verdict.near((answer["at"] - sent["at"]) / allowed, f"{name}: {-late_ms:.0f} ms before its deadline")
+                allowed = request["due"] + RESPONSE_SLACK_MS - request["at"]
+                verdict.near((answer["at"] - request["at"]) / allowed, f"{name}: {-late_ms:.0f} ms before its deadline")
             for arrival in self.arrivals[name]:
                 after_ms = arrival["at"] - answer["at"]
                 if after_ms > TRANSIT_MS:
-                    after_ms -= self.machine_ms(sent["gatekeeper"], answer["at"], arrival["at"])
+                    after_ms -= self.machine_ms(request["gatekeeper"], answer["at"], arrival["at"])
                 if after_ms > TRANSIT_MS and answer["how"] in ("served", "refused", "failed"):
                     verdict.breaches.append(
                         f"{name}: an attempt arrived {after_ms:.0f} ms after its response ({answer['how']})"
@@ -190,16 +190,16 @@
         for record in of_kinds(self.workers, "run"):
             runs[record["id"]].append(record)
         runs_by_request: dict[str, Records] = defaultdict(list)
-        for name, sent in self.tries.items():
-            request_class = self.classes[sent["cls"]]
+        for name, request in self.tries.items():
+            request_class = self.classes[request["cls"]]
             if request_class["repeat"] == "safe":
                 continue
             verdict.cases += 1
-            runs_by_request[sent["wish"]] += runs[name]
+            runs_by_request[request["wish"]] += runs[name]
             refused = any(answer["how"] == "refused" for answer in self.answers[name])
             harmless = request_class["repeat"] == "keyed" and request_class["scope"] == "all"
             if refused and runs[name] and not harmless:
-                verdict.breaches.append(f"{name} ({sent['cls']}): refused as safe to repeat, but it ran")
+                verdict.breaches.append(f"{name} ({request['cls']}): refused as safe to repeat, but it ran")
             if request_class["repeat"] == "keyed" and len(self.arrivals[name]) > 1:
                 groups = {
                     arrival[request_class["scope"]] if request_class["scope"] != "all" else ""
@@ -262,13 +262,13 @@
             if worker is None or record["at"] - worker["at"] > worker["warm_up_ms"]:
                 continue
             verdict.cases += 1
-            recent = [sent for sent in work[record["worker"]] if record["at"] - sent[0] <= worker["fall_window_ms"]]
+            recent = [entry for entry in work[record["worker"]] if record["at"] - entry[0] <= worker["fall_window_ms"]]
             recent.append((record["at"], float(record["units"]) * worker["service_ms"]))
             work[record["worker"]] = recent
             age = (record["at"] - worker["at"]) / worker["warm_up_ms"]
             fraction = worker["cold_from"] + (1 - worker["cold_from"]) * age
             budget = worker["fall_multiple"] * fraction * worker["cores"] * worker["fall_window_ms"]
-            load_ratio = sum(sent[1] for sent in recent) / budget
+            load_ratio = sum(entry[1] for entry in recent) / budget
             if load_ratio > 1 and not any(record["worker"] in breach for breach in verdict.breaches):
                 verdict.breaches.append(f"{record['worker']}: sent {load_ratio:.2f} times the limit of a cold worker")
             verdict.near(load_ratio, record["worker"])
@@ -279,10 +279,10 @@
         verdict = Verdict("ceilings kept")
         plans = {record["name"]: record for record in of_kinds(self.records["day"], "plan") if record["ceiling"]}
         first_arrivals: dict[str, list[tuple[float, float]]] = defaultdict(list)
-        for name, sent in self.tries.items():
-            if sent["plan"] in plans and self.arrivals[name]:
-                first_arrivals[sent["customer"]].append((self.arrivals[name][0]["at"], float(sent["units"])))
-        plan_of = {sent["customer"]: sent["plan"] for sent in self.tries.values()}
+        for name, request in self.tries.items():
+            if request["plan"] in plans and self.arrivals[name]:
+                first_arrivals[request["customer"]].append((self.arrivals[name][0]["at"], float(request["units"])))
+        plan_of = {request["customer"]: request["plan"] for request in self.tries.values()}
         for customer, arrivals in first_arrivals.items():
             plan = plans[plan_of[customer]]
             level, previous_at = plan["ceiling_burst"], None
--- a/anisefront/testbed/clients.py
+++ b/anisefront/testbed/clients.py
@@ -131,12 +131,12 @@
         self.open_count += 1
         finished = [False]
 
-        def finish(how: str, status: int = 0, reason: str = "", worker: str = "") -> None:
-            self.record.write("answer", id=name, how=how, status=status, reason=reason, worker=worker)
+        def finish(outcome: str, status: int = 0, reason: str = "", worker: str = "") -> None:
+            self.record.write("answer", id=name, how=outcome, status=status, reason=reason, worker=worker)
             if not finished[0]:
                 finished[0] = True
                 self.open_count -= 1
-                if how == "refused" and number < self.retries:
+                if outcome == "refused" and number < self.retries:
                     self.reactor.callLater(self.rng.uniform(0.2, 1.0), self.send, request, number + 1)
 
         if by_jsonrpc:
@@ -152,10 +152,10 @@
                 finish("none" if result is AttemptResult.TIMEOUT else "lost", reason=result.value)
                 return
             final = response.headers.get("x-anisefront-final", "")
-            how = final or (
+            outcome = final or (
                 "proxy" if "x-proxy-denied" in response.headers else "served" if response.status < 400 else "denied"
             )
-            finish(how, response.status, response.headers.get("x-anisefront-reason", ""))
+            finish(outcome, response.status, response.headers.get("x-anisefront-reason", ""))
 
         body = b"{}" if request.method == "POST" else b""
         data = http1.encode_request(request.method, request.path, headers, body)
--- a/anisefront/testbed/day.py
+++ b/anisefront/testbed/day.py
@@ -167,14 +167,14 @@
             self._start_instance(number)
         self._wait_for_instances(100)
 
-    def _wait_for_instances(self, tries: int) -> None:
+    def _wait_for_instances(self, polls_left: int) -> None:
         if len(self._proxies) == self.script.gatekeepers:
             self._start_traffic()
-        elif tries == 0:
+        elif polls_left == 0:
             self._report_run_error("not all instances started within 10 s")
             self._stop_instances()
         else:
-            self.reactor.callLater(0.1, self._wait_for_instances, tries - 1)
+            self.reactor.callLater(0.1, self._wait_for_instances, polls_left - 1)
 
     def _start_traffic(self) -> None:
         self._records["day"].write("begin")
@@ -189,24 +189,24 @@
         self._stopping = True
         self._wait_for_responses(200)
 
-    def _wait_for_responses(self, tries: int) -> None:
-        if self.clients.open_count and tries:
-            self.reactor.callLater(0.1, self._wait_for_responses, tries - 1)
+    def _wait_for_responses(self, polls_left: int) -> None:
+        if self.clients.open_count and polls_left:
+            self.reactor.callLater(0.1, self._wait_for_responses, polls_left - 1)
         else:
             self.reactor.callLater(1.5, self._stop_instances)  # attempts in flight end, and access logs arrive
 
     def _stop_instances(self) -> None:
         self._records["day"].write("end", relays=[dict(relay.counts) for relay in self._relays])
         self._stopping = True
-        waiting = list(self._instances.values())
-        for process in waiting:
+        running = list(self._instances.values())
+        for process in running:
             self._signal(process, signal.SIGCONT)
             self._signal(process, signal.SIGTERM)
         self._wait_for_exits(80)
 
-    def _wait_for_exits(self, tries: int) -> None:
-        if self._instances and tries:
-            self.reactor.callLater(0.1, self._wait_for_exits, tries - 1)
+    def _wait_for_exits(self, polls_left: int) -> None:
+        if self._instances and polls_left:
+            self.reactor.callLater(0.1, self._wait_for_exits, polls_left - 1)
             return
         for process in list(self._instances.values()):
             self._report_run_error(f"instance {process.number} did not exit within 8 s of SIGTERM")
@@ -231,7 +231,7 @@
             text += f'record "{self.folder / f"gatekeeper-{number}.trace"}" rotate 256MiB keep 8 key day\n'
         path.write_text(text)
 
-        def ready(addresses: dict[str, str]) -> None:
+        def on_ready(addresses: dict[str, str]) -> None:
             host, _, port = addresses["peers"].rpartition(":")
             self._relays[number].target = (host, int(port))
             self.clients.jsonrpc_addresses[number] = addresses["jsonrpc"]
@@ -241,7 +241,9 @@
             self._proxies[number] = Proxy(self.reactor, f"proxy-{number}", addresses["grpc"], self._records["proxies"])
             self.clients.proxy_addresses[number] = self._proxies[number].address
 
-        process = _InstanceProcess(number, ready, self._handle_instance_exit, self.folder / f"gatekeeper-{number}.log")
+        process = _InstanceProcess(
+            number, on_ready, self._handle_instance_exit, self.folder / f"gatekeeper-{number}.log"
+        )
         self._instances[number] = process
         command = [*self._command, "serve", str(path)]
         self.reactor.spawnProcess(process, command[0], command, env=os.environ, path=None)
--- a/anisefront/testbed/proxy.py
+++ b/anisefront/testbed/proxy.py
@@ -82,7 +82,7 @@
         self,
         reactor: Any,
         name: str,
-        gatekeeper: str,
+        instance_address: str,
         record: Record,
         check_timeout_s: float = 10.0,
         pool: ConnectionPool | None = None,
@@ -90,7 +90,7 @@
         """Start listening on a free port and connect to the instance."""
         self.reactor, self.name, self.record, self.check_timeout_s = reactor, name, record, check_timeout_s
         options = [("grpc.initial_reconnect_backoff_ms", 100), ("grpc.max_reconnect_backoff_ms", 500)]
-        self._channel = grpc.insecure_channel(gatekeeper, options=options)
+        self._channel = grpc.insecure_channel(instance_address, options=options)
         self._check = self._channel.unary_unary(
             _CHECK_METHOD, external_auth_pb2.CheckRequest.SerializeToString, external_auth_pb2.CheckResponse.FromString
         )
