--- a/anisefront/testbed/relay.py
+++ b/anisefront/testbed/relay.py
@@ -37,7 +37,7 @@
         self.counts["came"] += 1
         if len(self._recorded) < 200:
             self._recorded.append(datagram)
-        if self.partitioned and len(datagram) > 3 and (datagram[2] ^ self._number) & 1:  # the sender is bytes 1 and 2
+        if self.partitioned and len(datagram) > 3 and (datagram[2] ^ self._number) & 1:  # bytes 1 and 2: the sender
             self.counts["parted"] += 1
             return
         if self._rng.random() < self.loss_rate:
