--- a/anisefront/testbed/soak/__init__.py
+++ b/anisefront/testbed/soak/__init__.py
@@ -1,5 +1,5 @@
-"""Planned restarts under load: processes of `anisefront node`, judged by what crossed the sockets around them.
+"""Soak tests of planned restarts under load: processes of `anisefront node`, judged by the traffic on their sockets.
 
-`make soak` plays them by their seeds. What is neither played nor audited: the form `serve` with backups; workers that
-vanish or are cut off without a word; answers of several parts; `peers_all`.
+`make soak` runs them from seeds. Not covered: the command `serve` with backups; workers that vanish or become
+unreachable without closing their connections; answers of several parts; `peers_all`.
 """
--- a/anisefront/testbed/soak/audit.py
+++ b/anisefront/testbed/soak/audit.py
@@ -1,6 +1,6 @@
-"""Judges a soak by what crossed its sockets: the five rules, and what a restart has to leave whole.
+"""Judges a soak from the records of its stand-ins: the five rules of `testbed.audit`, and those for planned restarts.
 
-Like `testbed.audit`, whose five rules it takes over, it imports nothing of the gateway.
+Like `testbed.audit`, it imports nothing of the gateway, so that no fault can hide in shared code.
 """
 
 from __future__ import annotations
@@ -10,185 +10,188 @@
 
 from anisefront.testbed.audit import Auditor, Records, Verdict, of_kinds
 
-CROSSING_MS = 100.0  # a request may cross the end of its connection by so much
-READY_MS = 10_000.0  # nine in ten starts are ready within
-READY_CASES = 10  # of so many starts, one may take longer
-ENDING_MS = 300.0  # before the kill, which an instance keeps for its end
-NEEDED_MS = 100.0  # of them, without which it can't end in time
-SPARE_DESCRIPTORS = 4  # at the end, beyond those of a fresh process
-MEMORY_GROWTH_SHARE = 1 / 8  # of the memory limit, at the end beyond that of a fresh process
+MAX_TRANSIT_MS = 100.0  # a request sent so long before a clean close may have been in transit, unread
+START_LIMIT_MS = 10_000.0  # nine in ten starts are ready within this time
+STARTS_PER_LATE_START = 10  # one start in this many may take longer
+EXIT_WINDOW_MS = 300.0  # before the kill, which an instance reserves for its exit
+MIN_EXIT_MS = 100.0  # processor time within that window without which it can't exit in time
+MAX_EXTRA_DESCRIPTORS = 4  # at the end, over those of a newly started process
+MAX_MEMORY_GROWTH_FRACTION = 1 / 8  # of the memory limit, at the end, over the memory of a newly started process
 
 
 class SoakAuditor(Auditor):
-    """The rules over one soak's records."""
+    """Applies the rules to the records of one soak."""
 
     def __init__(self, records: dict[str, Records]) -> None:
-        """Take in the records; an answer's time does not count while it waits for those before it."""
+        """Index the records.
+
+        The deadline of a pipelined request is extended to the time of the answer before its own, for which it waits.
+        """
         super().__init__(records)
-        self.day = records["day"]
+        self.run_records = records["day"]
         for name, answers in self.answers.items():
             if name in self.tries and answers:
-                each = self.tries[name]
-                each["due"] = max(each["due"], answers[0].get("behind", 0.0))
+                request = self.tries[name]
+                request["due"] = max(request["due"], answers[0].get("behind", 0.0))
 
     def judge(self) -> list[Verdict]:
-        """The verdicts, in the order of the rules."""
+        """Return the verdicts, in the order of the rules."""
         return [
             *super().judge(),
-            self.ends(),
-            self.own_answers(),
+            self.connection_ends(),
+            self.answers_match_requests(),
             self.exits(),
-            self.ready(),
+            self.ready_in_time(),
             self.descriptors(),
             self.memory(),
-            self.attempts_out(),
+            self.attempts_in_flight(),
         ]
 
     def cold(self) -> Verdict:
-        """The rule on cold workers, each of whose listeners is one instance's."""
-        whole = [
+        """Judge the rule on cold workers, with the listeners of each worker merged into one worker."""
+        merged_workers = [
             {**record, "worker": record["worker"].partition("@")[0]} if record["kind"] == "arrive" else record
             for record in self.workers
         ]
-        return Auditor.cold(Auditor({**self.records, "workers": whole}))
+        return Auditor.cold(Auditor({**self.records, "workers": merged_workers}))
 
-    def ends(self) -> Verdict:
-        """No connection is reset or ended with answers due, but for a request that crossed a clean end unread."""
+    def connection_ends(self) -> Verdict:
+        """No connection is reset or closed with answers due, except if the request was unread at a clean close."""
         verdict = Verdict("no end with answers due")
-        for name, each in self.tries.items():
+        for name, request in self.tries.items():
             verdict.cases += 1
             answer = (self.answers[name] or [{"how": "", "at": 0.0}])[0]
             if answer["how"] in ("reset", "broken"):
                 verdict.breaches.append(f"{name}: its connection was {answer['how']}: {self.timeline(name)}")
             if answer["how"] != "closed":
                 continue
-            age = answer["at"] - each["at"]
-            if age > CROSSING_MS:
-                age -= self.machine_ms(each["gatekeeper"], each["at"], answer["at"])
-            if self.arrivals[name] or age > CROSSING_MS:
-                verdict.breaches.append(f"{name}: closed after {age:.0f} ms, lost: {self.timeline(name)}")
+            age_ms = answer["at"] - request["at"]
+            if age_ms > MAX_TRANSIT_MS:
+                age_ms -= self.machine_ms(request["gatekeeper"], request["at"], answer["at"])
+            if self.arrivals[name] or age_ms > MAX_TRANSIT_MS:
+                verdict.breaches.append(f"{name}: closed after {age_ms:.0f} ms, lost: {self.timeline(name)}")
             else:
-                verdict.near(age / CROSSING_MS, f"{name}: crossed a clean end by {age:.1f} ms")
+                verdict.near(age_ms / MAX_TRANSIT_MS, f"{name}: crossed a clean end by {age_ms:.1f} ms")
         return verdict
 
-    def own_answers(self) -> Verdict:
-        """Each answer served is a worker's for this request, and none comes that nobody asked for."""
+    def answers_match_requests(self) -> Verdict:
+        """Each answer served is that of a worker to this request, and none arrives without a request."""
         verdict = Verdict("no answer but one's own")
-        worked = {record["id"] for record in of_kinds(self.workers, "done")}
+        answered_ids = {record["id"] for record in of_kinds(self.workers, "done")}
         for name, answers in self.answers.items():
             if not answers:
-                continue  # told of by the first rule
+                continue  # reported by the first rule
             verdict.cases += 1
             if answers[0]["how"] == "wrong":
                 verdict.breaches.append(f"{name}: {answers[0]['said']!r}")
-            if answers[0]["how"] == "served" and name not in worked:
+            if answers[0]["how"] == "served" and name not in answered_ids:
                 verdict.breaches.append(f"{name}: served, and no worker had answered")
         for record in of_kinds(self.records["clients"], "stray"):
             verdict.breaches.append(f"instance {record['gatekeeper']}: {record['data']} without a request")
         return verdict
 
     def exits(self) -> Verdict:
-        """A process ends by itself before the kill, with 0, or with 1 after a second SIGTERM."""
+        """A process exits by itself before the kill, with code 0, or with 1 after a second SIGTERM."""
         verdict = Verdict("ended before the kill")
-        terms: Counter[int] = Counter()
-        for record in of_kinds(self.day, "spawn", "signal", "exit"):
+        sigterm_counts: Counter[int] = Counter()
+        for record in of_kinds(self.run_records, "spawn", "signal", "exit"):
             number = record["number"]
             if record["kind"] == "spawn":
-                terms[number] = 0
+                sigterm_counts[number] = 0
             elif record["kind"] == "signal":
-                terms[number] += record["name"] == "SIGTERM"
+                sigterm_counts[number] += record["name"] == "SIGTERM"
             else:
                 verdict.cases += 1
-                self._judge_exit(verdict, record, {0} if terms[number] < 2 else {0, 1})
+                self._judge_exit(verdict, record, {0} if sigterm_counts[number] < 2 else {0, 1})
         return verdict
 
-    def _judge_exit(self, verdict: Verdict, record: dict[str, Any], codes: set[int]) -> None:
-        after = record["after"]
-        what = f"instance {record['number']}: ended {after:.0f} ms after SIGTERM, code {record['code']}"
+    def _judge_exit(self, verdict: Verdict, record: dict[str, Any], allowed_codes: set[int]) -> None:
+        exit_ms = record["after"]
+        description = f"instance {record['number']}: ended {exit_ms:.0f} ms after SIGTERM, code {record['code']}"
         if record["killed"]:
-            kill = record["at"] - record["after"] + record["allowed"]
-            if self.machine_ms(record["number"], kill - ENDING_MS, kill) <= ENDING_MS - NEEDED_MS:
-                verdict.breaches.append(f"{what}, by the kill")
+            kill_ms = record["at"] - record["after"] + record["allowed"]
+            if self.machine_ms(record["number"], kill_ms - EXIT_WINDOW_MS, kill_ms) <= EXIT_WINDOW_MS - MIN_EXIT_MS:
+                verdict.breaches.append(f"{description}, by the kill")
             else:
-                self.excused.append(f"{what}, by the kill: the machine did not let it end")
+                self.excused.append(f"{description}, by the kill: the machine did not let it end")
             return
-        if record["code"] not in codes:
-            verdict.breaches.append(what)
-        verdict.near(after / record["allowed"], what)
+        if record["code"] not in allowed_codes:
+            verdict.breaches.append(description)
+        verdict.near(exit_ms / record["allowed"], description)
 
-    def ready(self) -> Verdict:
+    def ready_in_time(self) -> Verdict:
         """Nine in ten starts are ready in time."""
         verdict = Verdict("ready in time")
-        late = []
-        for record in of_kinds(self.day, "ready"):
+        late_starts = []
+        for record in of_kinds(self.run_records, "ready"):
             verdict.cases += 1
-            took = record["took"]
-            what = f"instance {record['number']}: ready after {took:.0f} ms"
-            if took > READY_MS:
-                took -= self.machine_ms(record["number"], record["at"] - took, record["at"])
-            if took > READY_MS:
-                late.append(what)
+            start_ms = record["took"]
+            description = f"instance {record['number']}: ready after {start_ms:.0f} ms"
+            if start_ms > START_LIMIT_MS:
+                start_ms -= self.machine_ms(record["number"], record["at"] - start_ms, record["at"])
+            if start_ms > START_LIMIT_MS:
+                late_starts.append(description)
             else:
-                verdict.near(took / READY_MS, what)
-        if len(late) * READY_CASES > verdict.cases:
-            verdict.breaches += late
+                verdict.near(start_ms / START_LIMIT_MS, description)
+        if len(late_starts) * STARTS_PER_LATE_START > verdict.cases:
+            verdict.breaches += late_starts
         return verdict
 
-    def _measures(self, when: str) -> dict[int, dict[str, Any]]:
-        return {record["number"]: record for record in of_kinds(self.day, "measure") if record["when"] == when}
+    def _measures(self, phase: str) -> dict[int, dict[str, Any]]:
+        return {record["number"]: record for record in of_kinds(self.run_records, "measure") if record["when"] == phase}
 
     def descriptors(self) -> Verdict:
-        """Never more than the limit, and at the end those of a fresh process."""
-        return self._given_back("descriptors", SPARE_DESCRIPTORS)
+        """Descriptors never exceed the limit, and at the end are about as many as in a new process."""
+        return self._judge_release("descriptors", MAX_EXTRA_DESCRIPTORS)
 
     def memory(self) -> Verdict:
-        """Never more than the limit, and at the end little more than a fresh process."""
-        (limits,) = of_kinds(self.day, "limits")
-        return self._given_back("memory_mb", limits["memory_mb"] * MEMORY_GROWTH_SHARE)
-
-    def _given_back(self, what: str, growth: float) -> Verdict:
-        verdict = Verdict(f"{what.partition('_')[0]} given back")
-        (limits,) = of_kinds(self.day, "limits")
-        for record in of_kinds(self.day, "measure"):
+        """Memory never exceeds the limit, and at the end is little more than that of a new process."""
+        (limits,) = of_kinds(self.run_records, "limits")
+        return self._judge_release("memory_mb", limits["memory_mb"] * MAX_MEMORY_GROWTH_FRACTION)
+
+    def _judge_release(self, quantity: str, growth: float) -> Verdict:
+        verdict = Verdict(f"{quantity.partition('_')[0]} given back")
+        (limits,) = of_kinds(self.run_records, "limits")
+        for record in of_kinds(self.run_records, "measure"):
             verdict.cases += 1
-            if record[what] > limits[what]:
-                verdict.breaches.append(f"instance {record['number']}: {what} {record[what]:.0f}")
-            verdict.near(record[what] / limits[what], f"instance {record['number']}, at most")
+            if record[quantity] > limits[quantity]:
+                verdict.breaches.append(f"instance {record['number']}: {quantity} {record[quantity]:.0f}")
+            verdict.near(record[quantity] / limits[quantity], f"instance {record['number']}, at most")
         before = self._measures("before")
         for number, record in self._measures("after").items():
-            more = record[what] - before[number][what]
-            if more > growth:
-                verdict.breaches.append(f"instance {number}: {what} {more:.1f} more at the end")
-            verdict.near(more / growth, f"instance {number}: {more:.1f} more at the end")
+            increase = record[quantity] - before[number][quantity]
+            if increase > growth:
+                verdict.breaches.append(f"instance {number}: {quantity} {increase:.1f} more at the end")
+            verdict.near(increase / growth, f"instance {number}: {increase:.1f} more at the end")
         return verdict
 
-    def attempts_out(self) -> Verdict:
-        """At the end no attempt is out: none on a worker's sockets, none in an instance's own count."""
+    def attempts_in_flight(self) -> Verdict:
+        """At the end no attempt is in flight: neither on a connection of a worker nor in the count of an instance."""
         verdict = Verdict("attempts out back to none")
-        out: Counter[tuple[str, str]] = Counter()
-        rest = min((record["at"] for record in of_kinds(self.day, "state")), default=float("inf"))
+        in_flight: Counter[tuple[str, str]] = Counter()
+        idle_from_ms = min((record["at"] for record in of_kinds(self.run_records, "state")), default=float("inf"))
         for record in of_kinds(self.workers, "arrive", "done", "gone"):
-            if record["at"] <= rest:
-                out[record["worker"], record["id"]] += 1 if record["kind"] == "arrive" else -1
-        for (worker, name), count in out.items():
+            if record["at"] <= idle_from_ms:
+                in_flight[record["worker"], record["id"]] += 1 if record["kind"] == "arrive" else -1
+        for (worker, name), count in in_flight.items():
             verdict.cases += 1
             if count > 0:
                 verdict.breaches.append(f"{name}: still out at {worker} at rest")
-        for record in of_kinds(self.day, "state"):
+        for record in of_kinds(self.run_records, "state"):
             verdict.cases += 1
             if record["out"] or not record["is_fresh"]:
                 verdict.breaches.append(f"instance {record['number']}: reports {record['out']} attempts out at rest")
         return verdict
 
-    def story(self, name: str) -> list[str]:
-        """All that the records hold of a request, and what befell its instance meanwhile."""
-        each = self.tries[name]
-        last = max([record["at"] for record in (*self.answers[name], *self.arrivals[name])], default=each["due"])
+    def request_history(self, name: str) -> list[str]:
+        """Return all records of a request, and those of its instance from the time around it."""
+        request = self.tries[name]
+        last_ms = max([record["at"] for record in (*self.answers[name], *self.arrivals[name])], default=request["due"])
         rows = [(record["at"], record) for records in self.records.values() for record in records]
         return [
-            f"{at - each['at']:+.0f} ms {record}"
-            for at, record in sorted(rows, key=lambda row: row[0])
+            f"{timestamp - request['at']:+.0f} ms {record}"
+            for timestamp, record in sorted(rows, key=lambda row: row[0])
             if record.get("id") == name
-            or (record.get("number") == each["gatekeeper"] and each["at"] - 5000 < at < last + 1000)
+            or (record.get("number") == request["gatekeeper"] and request["at"] - 5000 < timestamp < last_ms + 1000)
             and record["kind"] != "measure"
         ]
--- a/anisefront/testbed/soak/discovery.py
+++ b/anisefront/testbed/soak/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery: one agent for each gateway instance, which may be slow or silent."""
+"""A stand-in for service discovery: one agent for each gateway instance, which may be slow or unresponsive."""
 
 from __future__ import annotations
 
@@ -10,71 +10,73 @@
 from anisefront.testbed.soak import platform
 from anisefront.testbed.soak.workers import Worker
 
-TOLD_LATEST_S = 6.0  # what discovery has to tell counts as told then
-EMPTY_LINE_S = 2.0
-ORDER_S = 0.0001  # between two changes at least
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+DELIVERY_DEADLINE_S = 6.0  # a change counts as delivered to an instance after that time, whatever the agent did
+KEEPALIVE_INTERVAL_S = 2.0
+MIN_CHANGE_GAP_S = 0.0001  # between two changes to one instance, so that they keep their order
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 class Discovery:
-    """The endpoint list and its agents."""
+    """The endpoint list, and the agents that send it to the instances."""
 
     def __init__(self, record: Record) -> None:
+        """Start with an empty list; changes are written to `record`."""
         self.index = 1
-        self.listed: dict[str, tuple[Worker, str]] = {}  # with its status
+        self.endpoints: dict[str, tuple[Worker, str]] = {}  # worker and status by name
         self.agents = [Agent(self, number) for number in range(platform.INSTANCES)]
         self._record = record
-        self._last_told: tuple[list[str], list[str]] = [], []
+        self._last_recorded: tuple[list[str], list[str]] = [], []
 
     async def start(self) -> None:
-        """Listen, one agent for each instance."""
+        """Start the agent of each instance."""
         for agent in self.agents:
             await agent.start()
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop all agents."""
         for agent in self.agents:
             agent.close()
 
     def publish(self, worker: Worker, status: str) -> None:
-        """Change the status of a worker: `active`, `leaving` or `left`."""
+        """Publish the status of a worker: `active`, `leaving` or `left`."""
         self.index += 1
         if status == "left":
-            self.listed.pop(worker.name, None)
+            self.endpoints.pop(worker.name, None)
         else:
-            self.listed[worker.name] = worker, status
+            self.endpoints[worker.name] = worker, status
         for agent in self.agents:
-            agent.changed(worker, status)
+            agent.schedule_change(worker, status)
 
-    def told(self) -> None:
-        """Record what all instances have been told."""
+    def record_delivered(self) -> None:
+        """Record the status of each worker that counts as delivered, by instance, if any has changed."""
         views = [(agent.number, agent.view) for agent in self.agents]
         listed = [(f"{name}@{number}", status) for number, view in views for name, status in view.items()]
-        ready = [name for name, status in listed if status == "active"]
+        active = [name for name, status in listed if status == "active"]
         draining = [name for name, status in listed if status == "leaving"]
-        if (ready, draining) != self._last_told:
-            self._last_told = ready, draining
-            self._record.write("roster", ready=ready, draining=draining)
+        if (active, draining) != self._last_recorded:
+            self._last_recorded = active, draining
+            self._record.write("roster", ready=active, draining=draining)
 
 
 class Agent:
-    """Discovery on one instance's machine: it answers at once with what it has been sent, unless discovery is down."""
+    """Discovery agent of one instance: it answers watches at once with the list it has, unless it is down."""
 
     def __init__(self, discovery: Discovery, number: int) -> None:
-        self.number, self.view = number, dict[str, str]()  # what counts as told to the instance
-        self.rows: dict[str, dict[str, Any]] = {}  # the list that it has been sent
+        """Serve the instance with this number."""
+        self.number, self.view = number, dict[str, str]()  # statuses delivered to the instance, by worker
+        self.rows: dict[str, dict[str, Any]] = {}  # rows of the list by worker, as the agent has it
         self.index = 0
-        self.delay_s = 0.0  # until it is sent a change; changes come in their order
-        self._next_s = 0.0
-        self._marked: set[tuple[str, str]] = set()
+        self.delay_s = 0.0  # until the agent receives a change; changes keep their order
+        self._next_change_s = 0.0
+        self._delivered: set[tuple[str, str]] = set()
         self._discovery = discovery
         self._is_down = False
-        self._missed: list[tuple[int, dict[str, Any]]] = []  # changes that it will be sent when discovery is back
-        self._watches: set[asyncio.StreamWriter] = set()
-        self._unanswered: set[asyncio.StreamWriter] = set()
+        self._missed_changes: list[tuple[int, dict[str, Any]]] = []  # changes received while down
+        self._watchers: set[asyncio.StreamWriter] = set()
+        self._unanswered_watchers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen on a port of its own."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
@@ -82,81 +84,84 @@
         """Stop listening."""
         self._server.close()
 
-    def silence(self) -> None:
-        """Write nothing from now on; calls are let in."""
+    def go_down(self) -> None:
+        """Stop writing to watchers; new connections are still accepted."""
         self._is_down = True
 
-    def speak(self) -> None:
-        """Write what was missed; watches that came meanwhile get the whole list."""
+    def recover(self) -> None:
+        """Send the changes that were missed, and the whole list to watchers that connected while down."""
         self._is_down = False
-        missed, self._missed = self._missed, []
-        for index, row in missed:
-            self._take(index, row)
-        for watch in self._unanswered:
-            self._write_snapshot(watch)
-        self._unanswered.clear()
-
-    def changed(self, worker: Worker, status: str) -> None:
-        """Be sent a change after the delay; it counts as told by then, or when its time is up."""
+        missed_changes, self._missed_changes = self._missed_changes, []
+        for index, row in missed_changes:
+            self._apply(index, row)
+        for watcher in self._unanswered_watchers:
+            self._write_snapshot(watcher)
+        self._unanswered_watchers.clear()
+
+    def schedule_change(self, worker: Worker, status: str) -> None:
+        """Receive a change after the delay.
+
+        It counts as delivered when it is sent, and at the latest after `DELIVERY_DEADLINE_S`.
+        """
         loop = asyncio.get_running_loop()
         row = worker.row(self.number, status)
-        self._next_s = max(self._next_s + ORDER_S, loop.time() + self.delay_s)
-        loop.call_at(self._next_s, self._receive, self._discovery.index, row)
-        loop.call_later(TOLD_LATEST_S, self._mark, row)
+        self._next_change_s = max(self._next_change_s + MIN_CHANGE_GAP_S, loop.time() + self.delay_s)
+        loop.call_at(self._next_change_s, self._receive, self._discovery.index, row)
+        loop.call_later(DELIVERY_DEADLINE_S, self._mark_delivered, row)
 
     def _receive(self, index: int, row: dict[str, Any]) -> None:
         if self._is_down:
-            self._missed.append((index, row))
+            self._missed_changes.append((index, row))
         else:
-            self._take(index, row)
+            self._apply(index, row)
 
-    def _take(self, index: int, row: dict[str, Any]) -> None:
+    def _apply(self, index: int, row: dict[str, Any]) -> None:
         self.index = index
         if row["status"] == "left":
             self.rows.pop(row["name"], None)
         else:
             self.rows[row["name"]] = row
         line = json.dumps(platform.endpoint_change(index, [row], snapshot=False)).encode()
-        for watch in self._watches - self._unanswered:
-            _write(watch, line + b"\n")
-        self._mark(row)
+        for watcher in self._watchers - self._unanswered_watchers:
+            _write(watcher, line + b"\n")
+        self._mark_delivered(row)
 
-    def _mark(self, row: dict[str, Any]) -> None:
+    def _mark_delivered(self, row: dict[str, Any]) -> None:
         name, status = row["name"], row["status"]
-        if (name, status) in self._marked:
+        if (name, status) in self._delivered:
             return
-        self._marked.add((name, status))
+        self._delivered.add((name, status))
         self.view[name] = status
         if status == "left":
             del self.view[name]
-        self._discovery.told()
+        self._discovery.record_delivered()
 
-    def _write_snapshot(self, watch: asyncio.StreamWriter) -> None:
+    def _write_snapshot(self, watcher: asyncio.StreamWriter) -> None:
         change = platform.endpoint_change(self.index, list(self.rows.values()), snapshot=True)
-        _write(watch, json.dumps(change).encode() + b"\n")
+        _write(watcher, json.dumps(change).encode() + b"\n")
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(HEAD)
-            self._watches.add(writer)
+            writer.write(RESPONSE_HEAD)
+            self._watchers.add(writer)
             if self._is_down:
-                self._unanswered.add(writer)
+                self._unanswered_watchers.add(writer)
             else:
                 self._write_snapshot(writer)
-            await self._keep(reader, writer)
+            await self._send_keepalives(reader, writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass  # the instance or the run has ended
         finally:
-            self._watches.discard(writer)
-            self._unanswered.discard(writer)
+            self._watchers.discard(writer)
+            self._unanswered_watchers.discard(writer)
             writer.close()
 
-    async def _keep(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Write empty lines until the instance ends the watch."""
+    async def _send_keepalives(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Write empty lines until the instance closes the watch."""
         while True:
             try:
-                if not await asyncio.wait_for(reader.read(1024), EMPTY_LINE_S):
+                if not await asyncio.wait_for(reader.read(1024), KEEPALIVE_INTERVAL_S):
                     return
             except TimeoutError:
                 if not self._is_down:
--- a/anisefront/testbed/soak/platform.py
+++ b/anisefront/testbed/soak/platform.py
@@ -1,4 +1,4 @@
-"""What the stand-in platform tells its gateway instances: settings, limits, and the rows of an endpoint list."""
+"""Parameters of the stand-in platform: settings of the gateway instances, limits, and endpoint list messages."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 ZONE = "a"
 CONNECTION_IDLE_MS = 2000.0
 DEADLINES_MS = {"look": 1500.0, "order": 2500.0, "pay": 2500.0}
-REPEATS = {"look": "retryable", "order": "dedup", "pay": "fragile"}
+RETRY_POLICIES = {"look": "retryable", "order": "dedup", "pay": "fragile"}
 AUDITED_AS = {"look": "safe", "order": "keyed", "pay": "unsafe"}
 DEDUPLICATION_MS = 8000.0
 WARM_UP_MS = 4000.0
@@ -23,30 +23,33 @@
 CEILING_PER_S = 5.0
 CEILING_BURST = 10.0
 CEILING_SLACK = 10.0
-MAX_DEADLINE_MS = 3000.0  # a longer one counts as this at a planned restart
+MAX_DEADLINE_MS = 3000.0  # the platform waits for no longer deadline than this at a planned restart
 KILL_GRACE_MS = 700.0
 
 
-def instances_host() -> str:
-    """The loopback address of this run's instances; no other run has it, and no outgoing connection takes its ports."""
+def instance_host() -> str:
+    """Return the loopback address of the instances, which depends on the process id.
+
+    No other run has it, and no outgoing connection takes a port at it.
+    """
     pid = os.getpid()
     return f"127.{64 + (pid >> 16)}.{pid >> 8 & 255}.{pid & 255}"
 
 
 def free_port(kind: socket.SocketKind) -> int:
-    """A port at the instances' address that nothing listens on."""
-    with socket.socket(socket.AF_INET, kind) as link:
-        link.bind((instances_host(), 0))
-        return link.getsockname()[1]
+    """Return a port at the address of the instances that nothing listens on."""
+    with socket.socket(socket.AF_INET, kind) as sock:
+        sock.bind((instance_host(), 0))
+        return sock.getsockname()[1]
 
 
 def kill_after_ms() -> float:
-    """How long after SIGTERM the earliest SIGKILL comes."""
+    """Return the time from SIGTERM to the earliest SIGKILL."""
     return min(max(DEADLINES_MS.values()), MAX_DEADLINE_MS) + KILL_GRACE_MS
 
 
 def settings(number: int) -> dict[str, Any]:
-    """The settings of one gateway instance."""
+    """Return the settings of one gateway instance."""
     return {
         "balancers": INSTANCES,
         "myNumber": number,
@@ -57,7 +60,7 @@
                 "aimMs": deadline_ms / 2,
                 "deadlineMs": deadline_ms,
                 "worth": 2.0,
-                "repeat": REPEATS[name],
+                "repeat": RETRY_POLICIES[name],
                 "keyScope": "cell",
                 "dedupWindowMs": DEDUPLICATION_MS,
             }
@@ -96,5 +99,5 @@
 
 
 def endpoint_change(index: int, rows: list[dict[str, Any]], snapshot: bool) -> dict[str, Any]:
-    """A list of endpoints, or a change of it."""
+    """Return a message with the whole endpoint list (a snapshot) or with changed rows of it."""
     return {"index": index, "snapshot": snapshot, "endpoints": rows}
--- a/anisefront/testbed/soak/sabotage.py
+++ b/anisefront/testbed/soak/sabotage.py
@@ -1,8 +1,8 @@
-"""An instance of the RESP platform with one guard taken out, to show that the soak's auditor sees it.
+"""Runs an instance of the RESP gateway with injected faults, to show that the auditor of the soak detects each.
 
-    python -m anisefront.testbed.soak.sabotage GUARD[,GUARD ...] node
+    python -m anisefront.testbed.soak.sabotage FAULT[,FAULT ...] node
 
-It changes the running program only; nothing of the product knows of it.
+It patches classes in its own process only; the gateway has no code for it.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 from anisefront.resp_gateway.instance import RespGatewayInstance
 from anisefront.testbed import sabotage
 
-LEAK_BYTES = 256 << 10
-KEPT_DESCRIPTORS = 40  # below its limit, so that only the end shows it
-LOST_ENDS = 5  # one in so many attempts
+LEAKED_BYTES = 256 << 10
+LEAKED_DESCRIPTORS = 40  # stays below the limit, so that only the comparison at the end shows it
+ATTEMPTS_PER_LOST_END = 5  # one attempt in this many
 SLOW_START_S = 11.0
-_kept: list[object] = []
+_leaked: list[object] = []
 
 
-def _connections_reset() -> None:
-    """A drain that resets its connections instead of finishing them."""
-    begin = RespGatewayInstance._begin_drain
+def _reset_connections() -> None:
+    """Reset all client connections when a drain begins, instead of finishing them."""
+    original = RespGatewayInstance._begin_drain
 
     def begin_drain(self: RespGatewayInstance) -> None:
-        begin(self)
+        original(self)
         for clients in self.frontend.by_state.values():
             for client in list(clients):
                 client.abort()
@@ -45,102 +45,102 @@
     RespGatewayInstance._begin_drain = begin_drain
 
 
-def _drain_without_end() -> None:
-    """A drain that does not end the process."""
+def _never_complete_drain() -> None:
+    """Let the process run on after its drain has completed."""
     Drain.complete = lambda self: None
 
 
-def _slow_start() -> None:
-    """A start that takes longer than the stated time."""
-    prepare = RespGatewayInstance.prepare
+def _start_slowly() -> None:
+    """Delay the start beyond the time within which an instance has to be ready."""
+    original = RespGatewayInstance.prepare
 
-    def slow(self: RespGatewayInstance) -> None:
+    def prepare_slowly(self: RespGatewayInstance) -> None:
         time.sleep(SLOW_START_S)
-        prepare(self)
+        original(self)
 
-    RespGatewayInstance.prepare = slow
+    RespGatewayInstance.prepare = prepare_slowly
 
 
-def _descriptors_kept() -> None:
-    """A descriptor is left behind by each of the first reads."""
-    received = ClientConnection.dataReceived
+def _leak_descriptors() -> None:
+    """Leak a descriptor at each of the first reads."""
+    original = ClientConnection.dataReceived
 
     def data_received(self: ClientConnection, data: bytes) -> None:
-        if len(_kept) < KEPT_DESCRIPTORS:
-            _kept.append(os.dup(2))
-        received(self, data)
+        if len(_leaked) < LEAKED_DESCRIPTORS:
+            _leaked.append(os.dup(2))
+        original(self, data)
 
     ClientConnection.dataReceived = data_received
 
 
-def _memory_kept() -> None:
-    """Some memory is left behind by each read."""
-    received = ClientConnection.dataReceived
+def _leak_memory() -> None:
+    """Leak memory at each read."""
+    original = ClientConnection.dataReceived
 
     def data_received(self: ClientConnection, data: bytes) -> None:
-        _kept.append(bytearray(os.urandom(LEAK_BYTES)))
-        received(self, data)
+        _leaked.append(bytearray(os.urandom(LEAKED_BYTES)))
+        original(self, data)
 
     ClientConnection.dataReceived = data_received
 
 
-def _ends_uncounted() -> None:
-    """The end of one in some attempts is not counted."""
-    ended, count = ConcurrencyLimit.record_attempt_ended, [0]
+def _lose_attempt_ends() -> None:
+    """Leave one attempt in `ATTEMPTS_PER_LOST_END` counted as in flight after its end."""
+    original, count = ConcurrencyLimit.record_attempt_ended, [0]
 
-    def record_attempt_ended(self: ConcurrencyLimit, *arguments: Any, **more: Any) -> Any:
+    def record_attempt_ended(self: ConcurrencyLimit, *arguments: Any, **keywords: Any) -> Any:
         count[0] += 1
-        if count[0] % LOST_ENDS:
-            return ended(self, *arguments, **more)
+        if count[0] % ATTEMPTS_PER_LOST_END:
+            return original(self, *arguments, **keywords)
         in_flight = self.in_flight
-        result = ended(self, *arguments, **more)
+        result = original(self, *arguments, **keywords)
         self.in_flight = in_flight
         return result
 
     ConcurrencyLimit.record_attempt_ended = record_attempt_ended
 
 
-def _answers_doubled() -> None:
-    """Each answer is written twice."""
-    encode = resp_requests.resp_codec.encode_bulk
-    resp_requests.resp_codec.encode_bulk = lambda value: encode(value) * (2 if value.startswith(b"value for") else 1)
+def _write_answers_twice() -> None:
+    """Write each answer twice."""
+    original = resp_requests.resp_codec.encode_bulk
+    resp_requests.resp_codec.encode_bulk = lambda value: original(value) * (2 if value.startswith(b"value for") else 1)
 
 
-def _repeats_anywhere() -> None:
-    """Rule 2: a request that may have run goes to any endpoint again; its class is still checked with its verb."""
+def _retry_without_constraint() -> None:
+    """Rule 2: retry a request that may have been executed at any endpoint; its class and verb are still checked."""
     RetryPolicy.constraint = lambda self, now_ms, request: UNCONSTRAINED
 
 
-def _drains_ignored() -> None:
-    """Rule 3: no endpoint is taken for one that drains or has left."""
-    apply = EndpointDirectory.apply
+def _ignore_drains() -> None:
+    """Rule 3: treat endpoints that drain or have left as ready."""
+    original = EndpointDirectory.apply
 
-    def blind(self: EndpointDirectory, change: Any) -> Any:
+    def apply_as_ready(self: EndpointDirectory, change: Any) -> Any:
         entries = tuple(
             replace(entry, endpoint=replace(entry.endpoint, status=EndpointStatus.READY)) for entry in change.entries
         )
-        return apply(self, replace(change, snapshot=False, entries=entries))
+        return original(self, replace(change, snapshot=False, entries=entries))
 
-    EndpointDirectory.apply = blind
+    EndpointDirectory.apply = apply_as_ready
 
 
-GUARDS: dict[str, Callable[[], None]] = {
+FAULTS: dict[str, Callable[[], None]] = {
     "one-answer": sabotage.GUARDS["one-answer"],
-    "twice": _repeats_anywhere,
-    "drains": _drains_ignored,
+    "twice": _retry_without_constraint,
+    "drains": _ignore_drains,
     "cold": sabotage.GUARDS["cold"],
     "ceilings": sabotage.GUARDS["ceilings"],
-    "resets": _connections_reset,
-    "own-answers": _answers_doubled,
-    "exits": _drain_without_end,
-    "ready": _slow_start,
-    "descriptors": _descriptors_kept,
-    "memory": _memory_kept,
-    "attempts-out": _ends_uncounted,
+    "resets": _reset_connections,
+    "own-answers": _write_answers_twice,
+    "exits": _never_complete_drain,
+    "ready": _start_slowly,
+    "descriptors": _leak_descriptors,
+    "memory": _leak_memory,
+    "attempts-out": _lose_attempt_ends,
 }
 
 
 if __name__ == "__main__":
-    for guard in sys.argv.pop(1).split(","):
-        GUARDS[guard]()
+    for fault in sys.argv.pop(1).split(","):
+        FAULTS[fault]()
     runpy.run_module("anisefront", run_name="__main__")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Planned restarts under load: a short soak by its seed, and each guard of the auditor on sabotaged instances."""
+"""Planned restarts under load: a short soak from a seed, and the detection of each fault that the auditor looks for."""
 
 import multiprocessing
 import subprocess
@@ -7,13 +7,13 @@
 
 import pytest
 
-from anisefront.testbed.soak.__main__ import failure, play
+from anisefront.testbed.soak.__main__ import failure, run_soak
 from anisefront.testbed.soak.audit import SoakAuditor
 
 SEED, SECONDS = 1, 8.0
-INTACT = {}
-PLAYED = [
-    INTACT,
+NO_FAULTS = {}
+FAULTS_BY_RUN = [
+    NO_FAULTS,
     {
         0: "ceilings,one-answer",
         1: "ceilings,resets,exits",
@@ -23,7 +23,7 @@
     {0: "ready,drains", 1: "ready,descriptors", 2: "memory,twice", 3: "twice,descriptors,memory"},
     dict.fromkeys(range(4), "cold"),
 ]
-RULES = {  # by the guard that is out
+RULES = {  # by the fault that breaks it
     "one-answer": "one final answer in time",
     "twice": "no effect twice",
     "drains": "drains kept",
@@ -39,59 +39,69 @@
 }
 
 
-def judged(folder, guards):
-    """The verdicts on a soak with these guards out, and what its failure prints."""
+def run_and_judge(folder, faults):
+    """Return the verdicts on a soak with these injected faults, and its failure report."""
     folder.mkdir()
-    auditor, _ = play(folder, SEED, SECONDS, guards)
+    auditor, _ = run_soak(folder, SEED, SECONDS, faults)
     verdicts = auditor.judge()
     return verdicts, failure(auditor, verdicts, SEED, SECONDS)
 
 
 @pytest.fixture(scope="module")
 def soaks(tmp_path_factory):
-    """Two at a time, each in a process of its own."""
+    """Run the soaks two at a time, each in its own process."""
     folder = tmp_path_factory.mktemp("soaks")
     with ProcessPoolExecutor(2, multiprocessing.get_context("spawn")) as pool:
-        return list(pool.map(judged, [folder / str(number) for number in range(len(PLAYED))], PLAYED))
+        return list(pool.map(run_and_judge, [folder / str(run) for run in range(len(FAULTS_BY_RUN))], FAULTS_BY_RUN))
 
 
 def test_planned_restarts_under_load_break_no_rule(soaks):
-    # Guards against requests that a restart loses, repeats or leaves without an end.
-    verdicts, said = soaks[PLAYED.index(INTACT)]
-    assert not any(verdict.breaches for verdict in verdicts), said
-    assert all(verdict.cases for verdict in verdicts) and sorted(RULES.values()) == sorted(v.rule for v in verdicts)
+    # Guards against requests that a restart loses, executes twice or leaves without an answer.
+    verdicts, report = soaks[FAULTS_BY_RUN.index(NO_FAULTS)]
+    assert not any(verdict.breaches for verdict in verdicts), report
+    assert all(verdict.cases for verdict in verdicts) and sorted(RULES.values()) == sorted(
+        verdict.rule for verdict in verdicts
+    )
 
 
-@pytest.mark.parametrize("guard", RULES)
-def test_the_auditor_sees_a_guard_that_is_out(soaks, guard):
-    # Guards against an auditor that passes whatever it is shown.
-    number = next(n for n, guards in enumerate(PLAYED) if any(guard in each.split(",") for each in guards.values()))
-    verdicts, said = soaks[number]
-    assert next(verdict for verdict in verdicts if verdict.rule == RULES[guard]).breaches, said
-    assert f"seed {SEED}: python -m anisefront.testbed.soak" in said
+@pytest.mark.parametrize("fault", RULES)
+def test_the_auditor_detects_an_injected_fault(soaks, fault):
+    # Guards against an auditor that accepts every run.
+    run = next(
+        run for run, faults in enumerate(FAULTS_BY_RUN) if any(fault in each.split(",") for each in faults.values())
+    )
+    verdicts, report = soaks[run]
+    assert next(verdict for verdict in verdicts if verdict.rule == RULES[fault]).breaches, report
+    assert f"seed {SEED}: python -m anisefront.testbed.soak" in report
 
 
 @pytest.mark.parametrize(
-    ("how", "at", "workers", "breaches"),
+    ("outcome", "answered_at", "worker_records", "breaches"),
     [
-        ("closed", 1099, [], 0),  # it crossed the end of its connection unread
+        ("closed", 1099, [], 0),  # in transit when its connection was closed, so unread
         ("closed", 1101, [], 1),
         ("closed", 1050, ["arrive"], 1),  # it had been read
         ("broken", 1050, [], 1),
         ("reset", 1050, [], 1),
-        ("gone", 1050, ["arrive"], 0),  # its client left
+        ("gone", 1050, ["arrive"], 0),  # its client disconnected
     ],
 )
-def test_a_request_whose_connection_ends_is_lost_unless_it_crossed_the_end_unread(how, at, workers, breaches):
-    # Guards against a loss that counts as a crossing.
+def test_a_request_whose_connection_ends_is_lost_unless_it_was_unread_in_transit(
+    outcome, answered_at, worker_records, breaches
+):
+    # Guards against a lost request that is excused as one in transit.
     tries = [{"at": 1000, "kind": "try", "id": "a", "due": 2500, "gatekeeper": 0}]
-    records = {"clients": [*tries, {"at": at, "kind": "answer", "id": "a", "how": how}], "proxies": [], "day": []}
-    records["workers"] = [{"at": 1010, "kind": kind, "id": "a", "worker": "s@0"} for kind in workers]
-    assert len(SoakAuditor(records).ends().breaches) == breaches
+    records = {
+        "clients": [*tries, {"at": answered_at, "kind": "answer", "id": "a", "how": outcome}],
+        "proxies": [],
+        "day": [],
+    }
+    records["workers"] = [{"at": 1010, "kind": kind, "id": "a", "worker": "s@0"} for kind in worker_records]
+    assert len(SoakAuditor(records).connection_ends().breaches) == breaches
 
 
 def test_the_auditor_loads_nothing_of_the_gateway():
-    # Guards against a fault that hides in code which both sides share.
+    # Guards against a fault that is hidden by code which gateway and auditor share.
     code = "import sys, anisefront.testbed.soak.audit as _\nprint(*(m for m in sys.modules if 'anisefront' in m))"
     loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout.split()
     assert [name for name in loaded if name.startswith("anisefront.") and ".testbed" not in name] == []
