--- a/Makefile
+++ b/Makefile
@@ -33,7 +33,7 @@
 
 # Twenty rounds of the tests, ten of them beside eight busy processes; about forty minutes.
 steady: .venv/made
-	$(RUN) tests/steady.py
+	$(RUN) tests/repeat_suite.py
 
 fuzz: .venv/made
 	$(RUN) tests/fuzz_config.py 60
@@ -48,7 +48,7 @@
 
 # Kills with work in hand, with keepers and without, twenty rounds each; about eight minutes.
 losses: .venv/made
-	$(RUN) tests/losses.py 20
+	$(RUN) tests/replication_losses.py 20
 
 # An hour of random troubles under load, judged by what crossed the sockets.
 kills: .venv/made
--- a/tests/kill_loop.py
+++ b/tests/kill_loop.py
@@ -12,7 +12,7 @@
 import time
 from collections import Counter
 
-from hands import MORE, Hands, until
+from cluster import MORE, Hands, until
 
 COUNT, CLIENTS, TIME_S = 5, 12, 8.0
 PATHS = ("/pay", "/order", "/look")
--- a/tests/crowd.py
+++ b/tests/kill_under_load.py
@@ -7,7 +7,7 @@
 import time
 from collections import Counter
 
-from hands import Hands, until
+from cluster import Hands, until
 
 PATHS = ("/pay", "/order", "/look")
 LINKS = 6  # connections; a front takes 1,024 calls that wait on each
--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -13,7 +13,7 @@
 import time
 from collections import Counter
 
-from hands import MORE, Hands, until
+from cluster import MORE, Hands, until
 
 RATE_PER_S = 40.0
 BURST = 20.0
--- a/tests/steady.py
+++ b/tests/repeat_suite.py
@@ -1,6 +1,6 @@
 """Plays the whole suite again and again, alone and beside busy processes: the verdict has to be the same each time.
 
-    python tests/steady.py [--alone 10] [--beside 10] [--busy 8]
+    python tests/repeat_suite.py [--alone 10] [--beside 10] [--busy 8]
 
 Prints a line a round and each failure's name; exits 0 only if every round was green. Not a part of the suite.
 """
--- a/tests/losses.py
+++ b/tests/replication_losses.py
@@ -16,8 +16,8 @@
 import time
 from collections import Counter
 
-from crowd import played
-from hands import MORE, Hands, until
+from kill_under_load import played
+from cluster import MORE, Hands, until
 
 COUNT, LOAD, PATHS = 6, 120, ("/pay", "/order", "/look")
 TIME_S, CALLS = 8.0, 250
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from stage import Stage, reset
+from socket_harness import Stage, reset
 from test_module import ENDPOINT_LIST, new_arrival, new_controller
 from test_node_front import GatewayHarness, command_with_id, start_attempt
 from test_node_wire import ASK, SERVED_REPLY
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from stage import Stage, rest
+from socket_harness import Stage, rest
 from test_node_front import command_with_id
 from test_node_wire import ASK
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -9,7 +9,7 @@
 import tracemalloc
 
 import pytest
-from hands import roster_of
+from cluster import roster_of
 from processes import SETTINGS
 from test_module import ENDPOINT_LIST, new_arrival, new_controller
 from test_path import ROOT, Running, check_headers
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,7 +1,7 @@
 """Idle connections to workers: closed, with unsolicited bytes, or past their idle timeout."""
 
 import pytest
-from stage import Stage, reset
+from socket_harness import Stage, reset
 from test_node_front import GatewayHarness, command_with_id, start_attempt
 from test_node_wire import SERVED_REPLY
 
--- a/tests/test_kill_points.py
+++ b/tests/test_kill_points.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from hands import Hands, until
+from cluster import Hands, until
 from test_path import Running
 
 # The instance kills itself when this method is about to be called.
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,7 +1,7 @@
 """Clients that leave while their request waits: withdrawn within a turn, and no attempt for it begins after."""
 
 import pytest
-from stage import Stage, reset, rest
+from socket_harness import Stage, reset, rest
 from test_node_front import GatewayHarness, command_with_id
 from test_node_wire import ASK
 from twisted.internet import error
--- a/tests/test_many_in_hand.py
+++ b/tests/test_many_in_hand.py
@@ -1,7 +1,7 @@
 """One gatekeeper of six is killed with hundreds of requests in hand: each ends once, and the takers go on serving."""
 
-from crowd import played
-from hands import MORE
+from kill_under_load import played
+from cluster import MORE
 
 
 def test_hundreds_in_hand_at_one_kill_end_once_and_the_takers_serve_on(tmp_path):
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 import pytest
-from hands import MORE, Hands, until
+from cluster import MORE, Hands, until
 
 NAMES = [f"k{number}" for number in range(24)]
 QUICK = MORE.replace("aim 4s deadline 8s", "aim 1s deadline 3s")
--- a/tests/test_suspects_red.py
+++ b/tests/test_suspects_red.py
@@ -4,7 +4,7 @@
 from collections import defaultdict
 
 import pytest
-from hands import MORE, Hands, until
+from cluster import MORE, Hands, until
 from test_rules import settings
 
 from anisefront.policy.actions import Fail, Reject, SetTimer, StartAttempt
--- a/tests/test_take_over.py
+++ b/tests/test_take_over.py
@@ -6,7 +6,7 @@
 
 import grpc
 import pytest
-from hands import MORE, Hands, until
+from cluster import MORE, Hands, until
 from test_path import check_headers
 
 
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -8,7 +8,7 @@
 import socket
 
 import pytest
-from stage import Stage, reset
+from socket_harness import Stage, reset
 from test_node_front import GatewayHarness, Transport, command_with_id
 from test_node_wire import ASK, DO, WIRE_SETTINGS, change_document, config_document, endpoint_row
 from test_rules import settings
