--- a/tests/change_loop.py
+++ b/tests/change_loop.py
@@ -203,7 +203,7 @@
     def __init__(self, folder, count, changes, every_s, ballast=False, seed=1, rest_s=0.02):
         self.over, self.newest, self.rest_s, self.rng = False, 1, rest_s, random.Random(seed)
         self.every_s, self.digests, self.faults, self.bad_told = every_s, {}, [], ""
-        spare = [Relay._bound() for _ in range(count)]
+        spare = [Relay.bound_socket() for _ in range(count)]
         ports = [link.getsockname()[1] for link in spare]
         for link in spare:
             link.close()
--- a/tests/kill_under_load.py
+++ b/tests/kill_under_load.py
@@ -1,4 +1,4 @@
-"""Many requests in hand at a gatekeeper that is killed, a few connections of clients, and usual clients beside them."""
+"""Load on a gateway instance that is killed with many requests in flight, and steady load on the other instances."""
 
 import json
 import random
@@ -7,14 +7,15 @@
 import time
 from collections import Counter
 
-from cluster import Hands, until
+from cluster import Cluster, wait_until
 
 PATHS = ("/pay", "/order", "/look")
-LINKS = 6  # connections; a front takes 1,024 calls that wait on each
-TIME_S = 8.0
+CONNECTIONS = 6  # of clients; an instance takes at most 1,024 pending calls on each
+CLIENT_TIMEOUT_S = 8.0
 
 
-def line(number, path, key):
+def request_line(number, path, key):
+    """Return the JSON-RPC call of one request as a line."""
     params = {
         "method": "GET" if path == "/look" else "POST",
         "path": path,
@@ -24,114 +25,120 @@
     return json.dumps({"jsonrpc": "2.0", "id": number, "method": "call", "params": params}).encode() + b"\n"
 
 
-def final(answer):
-    """Which it was: "served", "refused" or "failed"."""
+def outcome_of(answer):
+    """Return "served", "refused" or "failed"."""
     return "served" if "result" in answer else answer["error"].get("data", {}).get("final", "failed")
 
 
-class Crowd:
-    """Requests `numbers`, each with a name of its own, asked on one connection at a time until each has an end that
-    says not to come again; their ends are in `ends`."""
+class RequestBatch:
+    """Requests `numbers`, each with its own key, sent on one connection at a time until served or failed."""
 
-    def __init__(self, hands, numbers, seed):
-        self._hands, self._left, self._rng = hands, dict.fromkeys(numbers), random.Random(seed)
-        self.ends, self.ended = {}, {}  # the final answers, and when they came
-        self._until = time.monotonic() + TIME_S
-        self._thread = threading.Thread(target=self._work, daemon=True)
+    def __init__(self, cluster, numbers, seed):
+        self._cluster, self._pending, self._rng = cluster, dict.fromkeys(numbers), random.Random(seed)
+        self.outcomes, self.answered_s = {}, {}  # outcome and time of the final answers, by number
+        self._deadline_s = time.monotonic() + CLIENT_TIMEOUT_S
+        self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
-    def _work(self):
-        where = 0
-        while self._left and time.monotonic() < self._until:
+    def _run(self):
+        instance = 0
+        while self._pending and time.monotonic() < self._deadline_s:
             try:
-                self._ask(self._hands.fleet.up[where].where["jsonrpc"])
+                self._ask(self._cluster.gateways.running[instance].where["jsonrpc"])
             except (OSError, KeyError, ValueError):
                 pass
-            where = self._rng.choice([number for number in self._hands.fleet.up if number])
+            instance = self._rng.choice([number for number in self._cluster.gateways.running if number])
             time.sleep(0.1)
 
     def _ask(self, address):
-        with socket.create_connection(address.split(":"), 5) as link:
-            link.settimeout(max(0.1, self._until - time.monotonic()))
-            link.sendall(b"".join(line(n, PATHS[n % 3], f"k{n}") for n in self._left))
-            due = len(self._left)
-            for said in link.makefile():
-                answer, due = json.loads(said), due - 1
-                end = final(answer)
-                if end != "refused":
-                    self.ends[answer["id"]] = end
-                    self.ended[answer["id"]] = time.monotonic()
-                    del self._left[answer["id"]]
-                if not due:
+        with socket.create_connection(address.split(":"), 5) as connection:
+            connection.settimeout(max(0.1, self._deadline_s - time.monotonic()))
+            connection.sendall(b"".join(request_line(n, PATHS[n % 3], f"k{n}") for n in self._pending))
+            unanswered = len(self._pending)
+            for response_line in connection.makefile():
+                answer, unanswered = json.loads(response_line), unanswered - 1
+                outcome = outcome_of(answer)
+                if outcome != "refused":
+                    self.outcomes[answer["id"]] = outcome
+                    self.answered_s[answer["id"]] = time.monotonic()
+                    del self._pending[answer["id"]]
+                if not unanswered:
                     return
 
     def join(self):
-        self._thread.join(TIME_S + 10)
+        """Wait until all requests have ended, or their time is up."""
+        self._thread.join(CLIENT_TIMEOUT_S + 10)
 
 
-class Usual:
-    """A client of one gatekeeper that asks for something small all the time; `ends` and `waits` of its calls."""
+class SteadyClient:
+    """A client that makes one call after another at one instance."""
 
-    def __init__(self, hands, where):
-        self._hands, self._where, self.over = hands, where, False
-        self.ends, self.waits = Counter(), []
-        self._thread = threading.Thread(target=self._work, daemon=True)
+    def __init__(self, cluster, instance):
+        self._cluster, self._instance, self.is_stopped = cluster, instance, False
+        self.outcomes, self.latencies = Counter(), []
+        self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
-    def _work(self):
+    def _run(self):
         number = 0
-        while not self.over:
-            number, began = number + 1, time.monotonic()
-            call = self._hands.call(self._where, "/look", f"usual-{self._where}-{number}", customer="usual")
-            self.ends[call.final()] += 1
-            self.waits.append((began, time.monotonic() - began))
+        while not self.is_stopped:
+            number, started_s = number + 1, time.monotonic()
+            call = self._cluster.call(self._instance, "/look", f"usual-{self._instance}-{number}", customer="usual")
+            self.outcomes[call.final()] += 1
+            self.latencies.append((started_s, time.monotonic() - started_s))
             time.sleep(0.02)
 
     def join(self):
-        self.over = True
+        """Stop after the current call."""
+        self.is_stopped = True
         self._thread.join(20)
 
 
-def played(folder, count, more, gatekeepers=6, seed=1):
-    """Kill one of the gatekeepers with `count` requests in hand: what became of them, and of others' beside."""
-    hands = Hands(folder, gatekeepers, more, ready=True, seed=seed)
-    hands.workers.passes = lambda key: key.startswith("usual")
+def kill_gateway_under_load(folder, requests, extra_settings, instances=6, seed=1):
+    """Kill an instance with `requests` requests in flight; return their outcomes, and those of steady clients."""
+    cluster = Cluster(folder, instances, extra_settings, ready=True, seed=seed)
+    cluster.workers.bypasses_gate = lambda key: key.startswith("usual")
     try:
-        until(lambda: all(each.state()["servers"].get("ready") == 3 for each in hands.fleet.up.values()))
-        hands.workers.gate.clear()
-        usual = [Usual(hands, number) for number in range(1, gatekeepers)]
-        crowds = [Crowd(hands, range(n, count, LINKS), seed + n) for n in range(LINKS)]
-        until(lambda: hands.fleet.up[0].state()["counts"].get("accepted", 0) >= count, 30)
-        time.sleep(0.4)  # what was announced is known
-        process = hands.fleet.up[0].state()["life"]
-        kept = sum(each["kept_for_others"] for number, each in hands.keepers().items() if number)
-        hands.fleet.kill(0)
-        killed = time.monotonic()
-        hands.workers.gate.set()
-        for each in (*crowds, *usual):
+        wait_until(lambda: all(each.state()["servers"].get("ready") == 3 for each in cluster.gateways.running.values()))
+        cluster.workers.gate.clear()
+        steady_clients = [SteadyClient(cluster, number) for number in range(1, instances)]
+        batches = [RequestBatch(cluster, range(n, requests, CONNECTIONS), seed + n) for n in range(CONNECTIONS)]
+        wait_until(lambda: cluster.gateways.running[0].state()["counts"].get("accepted", 0) >= requests, 30)
+        time.sleep(0.4)  # the announcements have arrived
+        killed_process = cluster.gateways.running[0].state()["life"]
+        replicated = sum(each["kept_for_others"] for number, each in cluster.replication_states().items() if number)
+        cluster.gateways.kill(0)
+        killed_s = time.monotonic()
+        cluster.workers.gate.set()
+        for each in (*batches, *steady_clients):
             each.join()
-        ends = {number: end for crowd in crowds for number, end in crowd.ends.items()}
-        ended = {number: at for crowd in crowds for number, at in crowd.ended.items()}
-        runs = hands.workers.runs
+        outcomes = {number: outcome for batch in batches for number, outcome in batch.outcomes.items()}
+        answered_s = {number: answered_at_s for batch in batches for number, answered_at_s in batch.answered_s.items()}
+        executions = cluster.workers.executions
 
-        def stood(number):
-            """Where a request was at the kill: answered, "out" if the killed process's attempt had left, or "held"."""
-            if ended.get(number, killed) < killed:
+        def state_at_kill(number):
+            """Return "answered", "in flight" if the killed process had started an attempt, or "queued"."""
+            if answered_s.get(number, killed_s) < killed_s:
                 return "answered"
-            senders = hands.workers.senders.get((PATHS[number % 3], f"k{number}"), ())
-            return "out" if process in senders else "held"
+            senders = cluster.workers.senders.get((PATHS[number % 3], f"k{number}"), ())
+            return "in flight" if killed_process in senders else "queued"
 
         return {
-            "ends": Counter((PATHS[n % 3], stood(n), ends.get(n, "none")) for n in range(count)),
-            "twice": sum(times > 1 for (path, _), times in runs.items() if path == "/pay"),
-            "kept": kept,
-            "full": sum(hands.count(number, "full") for number in hands.fleet.up),
-            "taken_over": sum(hands.count(number, "taken_over") for number in hands.fleet.up),
-            "usual": sum((each.ends for each in usual), Counter()),
-            "usual_ms": [
-                sorted(1000 * took for each in usual for began, took in each.waits if (began > killed) is late)
-                for late in (False, True)
+            "outcomes": Counter((PATHS[n % 3], state_at_kill(n), outcomes.get(n, "none")) for n in range(requests)),
+            "executed_twice": sum(times > 1 for (path, _), times in executions.items() if path == "/pay"),
+            "replicated": replicated,
+            "at_capacity": sum(cluster.counter(number, "full") for number in cluster.gateways.running),
+            "taken_over": sum(cluster.counter(number, "taken_over") for number in cluster.gateways.running),
+            "steady_outcomes": sum((each.outcomes for each in steady_clients), Counter()),
+            "steady_latencies_ms": [
+                sorted(
+                    1000 * latency_s
+                    for each in steady_clients
+                    for started_s, latency_s in each.latencies
+                    if (started_s > killed_s) is is_after_kill
+                )
+                for is_after_kill in (False, True)
             ],
         }
     finally:
-        hands.close()
+        cluster.close()
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Several gatekeepers as processes, with a relay between them that cuts, loses, doubles and delays their datagrams."""
+"""Several gateway instances as processes, and a relay for their datagrams that can block, lose, duplicate and delay."""
 
 import heapq
 import random
@@ -30,80 +30,87 @@
 
 
 class Relay:
-    """One port for each gatekeeper; what is sent to it goes on to its own. Its faults are set as it runs."""
+    """Datagram relay with one port for each instance, which forwards to the instance's own port.
+
+    Its faults are attributes that a test sets at any time.
+    """
 
     def __init__(self, targets, seed):
         self.rng, self.targets = random.Random(seed), targets
-        self.cut = lambda sender, receiver: False
-        self.loss = self.twice = 0.0
+        self.is_blocked = lambda sender, receiver: False
+        self.loss_rate = self.duplication_rate = 0.0
         self.delay_s = lambda sender, receiver: 0.0
-        self._later = []  # what is under way: when, a serial, to whom, what
-        self.links = [self._bound() for _ in targets]
-        self.ports = [link.getsockname()[1] for link in self.links]
-        self._over = False
-        self._thread = threading.Thread(target=self._work, daemon=True)
+        self._delayed = []  # heap of delayed datagrams: due time, serial number, receiver, data
+        self.sockets = [self.bound_socket() for _ in targets]
+        self.ports = [sock.getsockname()[1] for sock in self.sockets]
+        self._is_closed = False
+        self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
     @staticmethod
-    def _bound():
-        link = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        link.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 << 20)
-        link.bind(("127.0.0.1", 0))
-        return link
-
-    def _work(self):
+    def bound_socket():
+        """Return a datagram socket bound to a free port."""
+        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 << 20)
+        sock.bind(("127.0.0.1", 0))
+        return sock
+
+    def _run(self):
         serial = 0
-        while not self._over:
+        while not self._is_closed:
             now = time.monotonic()
-            while self._later and self._later[0][0] <= now:
-                _, _, receiver, data = heapq.heappop(self._later)
-                self._pass_on(receiver, data)
-            wait = min(0.05, self._later[0][0] - now) if self._later else 0.05
-            for link in select.select(self.links, (), (), max(0.0, wait))[0]:
+            while self._delayed and self._delayed[0][0] <= now:
+                _, _, receiver, data = heapq.heappop(self._delayed)
+                self._forward(receiver, data)
+            wait = min(0.05, self._delayed[0][0] - now) if self._delayed else 0.05
+            for sock in select.select(self.sockets, (), (), max(0.0, wait))[0]:
                 try:
-                    receiver, data = self.links.index(link), link.recv(2048)
+                    receiver, data = self.sockets.index(sock), sock.recv(2048)
                 except OSError:
-                    continue  # a port before was closed, and the kernel says so here
+                    continue  # an earlier datagram met a closed port; the kernel reports it here
                 sender = int.from_bytes(data[1:3], "big")
-                if self.cut(sender, receiver) or self.rng.random() < self.loss:
+                if self.is_blocked(sender, receiver) or self.rng.random() < self.loss_rate:
                     continue
-                for _ in range(1 + (self.rng.random() < self.twice)):
+                for _ in range(1 + (self.rng.random() < self.duplication_rate)):
                     delay_s = self.delay_s(sender, receiver)
                     if delay_s:
                         serial += 1
-                        heapq.heappush(self._later, (time.monotonic() + delay_s, serial, receiver, data))
+                        heapq.heappush(self._delayed, (time.monotonic() + delay_s, serial, receiver, data))
                     else:
-                        self._pass_on(receiver, data)
+                        self._forward(receiver, data)
 
-    def _pass_on(self, receiver, data):
+    def _forward(self, receiver, data):
         try:
-            self.links[receiver].sendto(data, ("127.0.0.1", self.targets[receiver]))
+            self.sockets[receiver].sendto(data, ("127.0.0.1", self.targets[receiver]))
         except OSError:
             pass
 
     def close(self):
-        self._over = True
+        """Stop the thread and close the ports."""
+        self._is_closed = True
         self._thread.join()
-        for link in self.links:
-            link.close()
+        for sock in self.sockets:
+            sock.close()
 
 
-class Fleet:
-    """`count` gatekeepers of one fleet, in two rooms by turns. `more`, `routes`: further lines of their settings.
+class GatewayProcesses:
+    """`count` gateway instances, alternating between two zones.
 
-    `checkouts`: by number, the folder of another version of the program that an instance runs."""
+    `extra_settings` and `routes` are further lines of their settings. `checkouts` holds, by number, the folder of
+    another version of the program that an instance runs.
+    """
 
-    def __init__(self, folder, count, more="", seed=1, pool="embedded 2", routes="", checkouts=None):
+    def __init__(self, folder, count, extra_settings="", seed=1, pool="embedded 2", routes="", checkouts=None):
         self.checkouts = checkouts or {}
-        spare = [Relay._bound() for _ in range(count)]
-        ports = [link.getsockname()[1] for link in spare]
-        for link in spare:
-            link.close()
+        reserved = [Relay.bound_socket() for _ in range(count)]
+        ports = [sock.getsockname()[1] for sock in reserved]
+        for sock in reserved:
+            sock.close()
         self.relay = Relay(ports, seed)
         peers = "\n".join(
             f"peer {n} 127.0.0.1:{port} zone room-{'ab'[n % 2]}" for n, port in enumerate(self.relay.ports)
         )
-        self.files, self.up = [], {}
+        self.files, self.running = [], {}
         for number, port in enumerate(ports):
             file = folder / f"{number}.conf"
             file.write_text(
@@ -112,7 +119,7 @@
                     count=count,
                     room="ab"[number % 2],
                     port=port,
-                    more=more,
+                    more=extra_settings,
                     peers=peers,
                     pool=pool,
                     routes=routes,
@@ -123,33 +130,38 @@
             list(pool.map(self.start, range(count)))
 
     def start(self, number):
-        self.up[number] = Running(self.files[number], checkout=self.checkouts.get(number, ROOT))
+        """Start an instance and wait until it listens."""
+        self.running[number] = Running(self.files[number], checkout=self.checkouts.get(number, ROOT))
 
     def kill(self, number):
-        gone = self.up.pop(number)
-        gone.process.kill()
-        gone.process.wait()
-        gone.channel.close()
+        """Kill an instance with SIGKILL and wait for its exit."""
+        gateway = self.running.pop(number)
+        gateway.process.kill()
+        gateway.process.wait()
+        gateway.channel.close()
 
-    def signal(self, number, what):
-        self.up[number].process.send_signal(what)
+    def signal(self, number, signal_number):
+        """Send a signal to an instance."""
+        self.running[number].process.send_signal(signal_number)
 
     def members(self, numbers=None):
+        """Return the view of the members of each running instance, or of those with these numbers."""
         return {
             number: each.state()["members"]
-            for number, each in sorted(self.up.items())
+            for number, each in sorted(self.running.items())
             if numbers is None or number in numbers
         }
 
-    def until(self, what, numbers=None, seconds=40.0):
-        """Poll until `what` holds of each one's view of the members; the time it took."""
-        began = time.monotonic()
-        while not all(map(what, (seen := self.members(numbers)).values())):
-            assert time.monotonic() - began < seconds, seen
+    def wait_for_members(self, condition, numbers=None, seconds=40.0):
+        """Poll until `condition` holds of each instance's view of the members; return the seconds that it took."""
+        started_s = time.monotonic()
+        while not all(map(condition, (seen := self.members(numbers)).values())):
+            assert time.monotonic() - started_s < seconds, seen
             time.sleep(0.05)
-        return time.monotonic() - began
+        return time.monotonic() - started_s
 
     def close(self):
-        for number in list(self.up):
+        """Kill all instances and close the relay."""
+        for number in list(self.running):
             self.kill(number)
         self.relay.close()
--- a/tests/replication_losses.py
+++ b/tests/replication_losses.py
@@ -1,8 +1,9 @@
-"""`make losses`: a gatekeeper is killed with work in hand, round after round, with keepers and without, in one run.
+"""`make losses`: repeatedly kill an instance with requests in flight, with backups and without.
 
-Clients come back, at gatekeepers drawn by the seed, until their time is up. Prints by class and by where it stood
-how many ended served, how many unsafe requests ran twice, and how long after the kill the next unsafe attempt came.
-Before that, what keepers cost where nothing is lost."""
+Clients retry at random instances until their time is up. Prints, by class and by state at the kill, how many requests
+were served, how many unsafe ones were executed twice, and the time from the kill to the next unsafe attempt. Before
+that, it measures the cost of replication where nothing is lost.
+"""
 
 import contextlib
 import json
@@ -16,159 +17,181 @@
 import time
 from collections import Counter
 
-from kill_under_load import played
-from cluster import MORE, Hands, until
+from kill_under_load import kill_gateway_under_load
+from cluster import REPLICATION_SETTINGS, Cluster, wait_until
 
-COUNT, LOAD, PATHS = 6, 120, ("/pay", "/order", "/look")
-TIME_S, CALLS = 8.0, 250
-KINDS = (("keepers", MORE), ("none", MORE.replace("keepers lease 600ms\n", "")))
+INSTANCES, REQUESTS, PATHS = 6, 120, ("/pay", "/order", "/look")
+CLIENT_TIMEOUT_S, CALLS_PER_CONNECTION = 8.0, 250
+VARIANTS = (("backups", REPLICATION_SETTINGS), ("none", REPLICATION_SETTINGS.replace("keepers lease 600ms\n", "")))
 
 
 class Client:
-    """One request of one client, and all its tries."""
+    """One request of one client, sent until it is served or fails."""
 
-    def __init__(self, hands, rng, number):
-        self.path, self.key, self.final, self.tries = PATHS[number % 3], f"k{number}", "", 0
-        self._hands, self._rng, self._began = hands, rng, time.monotonic()
-        self.thread = threading.Thread(target=self._work, daemon=True)
+    def __init__(self, cluster, rng, number):
+        self.path, self.key, self.final, self.send_count = PATHS[number % 3], f"k{number}", "", 0
+        self._cluster, self._rng, self._started_s = cluster, rng, time.monotonic()
+        self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
-    def _work(self):
-        where = 0
-        while time.monotonic() - self._began < TIME_S:
-            self.tries += 1
+    def _run(self):
+        instance = 0
+        while time.monotonic() - self._started_s < CLIENT_TIMEOUT_S:
+            self.send_count += 1
             try:
-                self.final = self._hands.call(where, self.path, self.key).final()
+                self.final = self._cluster.call(instance, self.path, self.key).final()
             except (OSError, KeyError, AssertionError):
-                self.final = "gone"
+                self.final = "disconnected"
             if self.final in ("served", "failed"):
                 return
-            where = self._rng.choice([n for n in self._hands.fleet.up if n])
+            instance = self._rng.choice([n for n in self._cluster.gateways.running if n])
             time.sleep(0.1)
 
 
-def one(seed, more):
-    """One round: counts by path, where it stood and whether it was served; unsafe ones that ran twice; seconds from the
-    kill to the next unsafe attempt."""
+def run_round(seed, settings):
+    """Run one round.
+
+    Return counts by path, state at the kill and whether it was served; the number of unsafe requests executed twice;
+    and the seconds from the kill to the next unsafe attempt.
+    """
     rng = random.Random(seed)
     with tempfile.TemporaryDirectory() as folder:
-        hands = Hands(pathlib.Path(folder), COUNT, more, ready=True, seed=seed)
+        cluster = Cluster(pathlib.Path(folder), INSTANCES, settings, ready=True, seed=seed)
         try:
-            until(lambda: all(each.state()["servers"].get("ready") == 3 for each in hands.fleet.up.values()))
-            hands.workers.gate.clear()  # so that what left stays out, and the rest is held for the window
-            clients = [Client(hands, rng, number) for number in range(LOAD)]
-            until(lambda: hands.fleet.up[0].state()["counts"].get("accepted", 0) == LOAD)
+            wait_until(
+                lambda: all(each.state()["servers"].get("ready") == 3 for each in cluster.gateways.running.values())
+            )
+            cluster.workers.gate.clear()  # so that attempts stay in flight, and the rest is queued for a free slot
+            clients = [Client(cluster, rng, number) for number in range(REQUESTS)]
+            wait_until(lambda: cluster.gateways.running[0].state()["counts"].get("accepted", 0) == REQUESTS)
             time.sleep(0.3)
-            out = set(hands.workers.came)
-            hands.fleet.kill(0)
-            killed = time.monotonic()
-            hands.workers.gate.set()
-            first = None
+            in_flight = set(cluster.workers.arrivals)
+            cluster.gateways.kill(0)
+            killed_s = time.monotonic()
+            cluster.workers.gate.set()
+            first_after_s = None
             while any(client.thread.is_alive() for client in clients):
-                if first is None and any(path == "/pay" and (path, key) not in out for path, key in hands.workers.came):
-                    first = time.monotonic() - killed
+                if first_after_s is None and any(
+                    path == "/pay" and (path, key) not in in_flight for path, key in cluster.workers.arrivals
+                ):
+                    first_after_s = time.monotonic() - killed_s
                 time.sleep(0.005)
             served = Counter()
             for client in clients:
-                stood = "out" if (client.path, client.key) in out else "held"
-                served[client.path, stood, client.final == "served"] += 1
-            twice = sum(times > 1 for (path, _), times in hands.workers.runs.items() if path == "/pay")
-            return served, twice, first
+                state = "in flight" if (client.path, client.key) in in_flight else "queued"
+                served[client.path, state, client.final == "served"] += 1
+            executed_twice = sum(times > 1 for (path, _), times in cluster.workers.executions.items() if path == "/pay")
+            return served, executed_twice, first_after_s
         finally:
-            hands.close()
+            cluster.close()
 
 
-def pace(address, path, count, started, waits):
-    """Calls one after another on one connection; how long each took."""
-    with socket.create_connection(address.split(":"), 10) as link:
-        lines = link.makefile()
+def call_repeatedly(address, path, count, key_prefix, latencies):
+    """Make calls one after another on one connection; append their latencies."""
+    with socket.create_connection(address.split(":"), 10) as connection:
+        responses = connection.makefile()
         for number in range(count):
             params = {
                 "method": "GET" if path == "/look" else "POST",
                 "path": path,
-                "headers": {"x-api-key": "stall-7", "x-idempotency-key": f"{started}-{number}"},
+                "headers": {"x-api-key": "stall-7", "x-idempotency-key": f"{key_prefix}-{number}"},
             }
-            began = time.monotonic()
-            link.sendall(json.dumps({"jsonrpc": "2.0", "id": 1, "method": "call", "params": params}).encode() + b"\n")
-            assert "result" in json.loads(lines.readline())
-            waits.append(time.monotonic() - began)
+            started_s = time.monotonic()
+            connection.sendall(
+                json.dumps({"jsonrpc": "2.0", "id": 1, "method": "call", "params": params}).encode() + b"\n"
+            )
+            assert "result" in json.loads(responses.readline())
+            latencies.append(time.monotonic() - started_s)
 
 
-def cost(hands, path):
-    """Calls a second over eight connections to one gatekeeper, and the middle and late wait in milliseconds."""
-    waits, address = [], hands.fleet.up[0].where["jsonrpc"]
+def measure(cluster, path):
+    """Return calls per second over eight connections to one instance, and the median and p99 latency in ms."""
+    latencies, address = [], cluster.gateways.running[0].where["jsonrpc"]
     threads = [
-        threading.Thread(target=pace, args=(address, path, CALLS, f"{path}{n}{time.time()}", waits)) for n in range(8)
+        threading.Thread(
+            target=call_repeatedly, args=(address, path, CALLS_PER_CONNECTION, f"{path}{n}{time.time()}", latencies)
+        )
+        for n in range(8)
     ]
-    began = time.monotonic()
+    started_s = time.monotonic()
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    waits.sort()
-    return len(waits) / (time.monotonic() - began), waits[len(waits) // 2] * 1000, waits[-len(waits) // 100] * 1000
+    latencies.sort()
+    return (
+        len(latencies) / (time.monotonic() - started_s),
+        latencies[len(latencies) // 2] * 1000,
+        latencies[-len(latencies) // 100] * 1000,
+    )
 
 
-def costs():
-    """On beside off, turn and turn about in one run."""
+def compare_costs():
+    """Measure calls with and without backups, alternating in one run."""
     with contextlib.ExitStack() as stack:
-        fleets = {}
-        for name, more in KINDS:
+        clusters = {}
+        for name, settings in VARIANTS:
             folder = stack.enter_context(tempfile.TemporaryDirectory())
-            fleets[name] = Hands(pathlib.Path(folder), 4, more, ready=True)
-            stack.callback(fleets[name].close)
-        time.sleep(1.0)  # the roster is read
+            clusters[name] = Cluster(pathlib.Path(folder), 4, settings, ready=True)
+            stack.callback(clusters[name].close)
+        time.sleep(1.0)  # the endpoint list is read
         for path in PATHS:
-            seen = {name: [] for name, _ in KINDS}
+            results = {name: [] for name, _ in VARIANTS}
             for _ in range(3):
-                for name in seen:
-                    seen[name].append(cost(fleets[name], path))
-            on, off = (sorted(seen[name])[1] for name in ("keepers", "none"))
+                for name in results:
+                    results[name].append(measure(clusters[name], path))
+            on, off = (sorted(results[name])[1] for name in ("backups", "none"))
             print(
-                f"cost {path}: {on[0]:.0f} calls a second with keepers, {off[0]:.0f} without ({on[0] / off[0]:.2f}); "
+                f"cost {path}: {on[0]:.0f} calls a second with backups, {off[0]:.0f} without ({on[0] / off[0]:.2f}); "
                 f"p50 {on[1]:.1f} and {off[1]:.1f} ms, p99 {on[2]:.1f} and {off[2]:.1f} ms",
                 flush=True,
             )
 
 
-def many():
-    """Two thousand in hand at one kill: ends, and what the takers' usual clients noticed."""
+def kill_with_many_in_flight():
+    """Kill an instance with 2,000 requests in flight; print outcomes, and the latency of steady clients."""
     with tempfile.TemporaryDirectory() as folder:
-        seen = played(pathlib.Path(folder), 2000, MORE)
-    ends = ", ".join(f"{' '.join(each)} {count}" for each, count in sorted(seen["ends"].items()))
+        results = kill_gateway_under_load(pathlib.Path(folder), 2000, REPLICATION_SETTINGS)
+    outcomes = ", ".join(f"{' '.join(each)} {count}" for each, count in sorted(results["outcomes"].items()))
     before, after = (
-        f"{waits[len(waits) // 2]:.0f} and {waits[int(len(waits) * 0.95)]:.0f} ms" for waits in seen["usual_ms"]
+        f"{latencies[len(latencies) // 2]:.0f} and {latencies[int(len(latencies) * 0.95)]:.0f} ms"
+        for latencies in results["steady_latencies_ms"]
     )
     print(
-        f"2,000 in hand: {ends}; taken over {seen['taken_over']}, unsafe ran twice {seen['twice']}; usual clients "
-        f"served {seen['usual']['served']} of {sum(seen['usual'].values())}, p50 and p95 {before} before the kill, "
-        f"{after} after",
+        f"2,000 in flight: {outcomes}; taken over {results['taken_over']}, unsafe executed twice "
+        f"{results['executed_twice']}; steady clients served "
+        f"{results['steady_outcomes']['served']} of {sum(results['steady_outcomes'].values())}, p50 and p95 "
+        f"{before} before the kill, {after} after",
         flush=True,
     )
 
 
 def main(rounds):
-    faults = 0
-    costs()
-    many()
-    for name, more in KINDS:
-        results = [one(seed, more) for seed in range(rounds)]
-        total = sum((result[0] for result in results), Counter())
-        said = [
-            f"{path} {stood} {total[path, stood, True]} of {total[path, stood, True] + total[path, stood, False]}"
+    """Run all measurements; return 1 if an unsafe request was executed twice with backups."""
+    failures = 0
+    compare_costs()
+    kill_with_many_in_flight()
+    for name, settings in VARIANTS:
+        results = [run_round(seed, settings) for seed in range(rounds)]
+        totals = sum((result[0] for result in results), Counter())
+        served_texts = [
+            f"{path} {state} {totals[path, state, True]} of {totals[path, state, True] + totals[path, state, False]}"
             for path in PATHS
-            for stood in ("held", "out")
+            for state in ("queued", "in flight")
         ]
-        twice, firsts = sum(r[1] for r in results), sorted(r[2] for r in results if r[2] is not None)
-        if name == "keepers":
-            faults = twice
+        executed_twice, delays_s = (
+            sum(result[1] for result in results),
+            sorted(result[2] for result in results if result[2] is not None),
+        )
+        if name == "backups":
+            failures = executed_twice
         print(
-            f"{name}: served {', '.join(said)}; unsafe ran twice {twice}; "
-            f"next unsafe attempt after {statistics.median(firsts):.2f} s (most {firsts[-1]:.2f})",
+            f"{name}: served {', '.join(served_texts)}; unsafe executed twice {executed_twice}; "
+            f"next unsafe attempt after {statistics.median(delays_s):.2f} s (most {delays_s[-1]:.2f})",
             flush=True,
         )
-    print(f"{rounds - min(rounds, faults)} passed, {min(rounds, faults)} failed")
-    return 1 if faults else 0
+    print(f"{rounds - min(rounds, failures)} passed, {min(rounds, failures)} failed")
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_change_processes.py
+++ b/tests/test_change_processes.py
@@ -3,7 +3,7 @@
 from change_loop import Loop
 
 
-def test_every_answer_is_right_for_one_version_and_all_end_on_the_same(tmp_path):
+def test_every_answer_matches_one_version_and_all_instances_converge(tmp_path):
     loop = Loop(tmp_path, 3, 8, 0.8)
     assert loop.faults == [] and len({state["digest"] for state in loop.states}) == 1
     assert loop.digests[loop.states[0]["digest"]] == 9 and [state["fault"] for state in loop.states] == [""] * 3
--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -1044,6 +1044,98 @@
     "test_from_two_settings_to_a_page": "test_two_settings_are_compared_stored_and_reported",
     "test_faults_are_one_clear_line": "test_invalid_arguments_are_reported_in_one_line",
     "test_access_logs_of_proxies_become_a_trace": "test_proxy_access_logs_are_imported_as_a_trace",
+    "test_what_a_killed_gatekeeper_held_is_carried_to_its_end_once": (
+        "test_requests_queued_at_a_killed_instance_are_completed_once"
+    ),
+    "test_a_client_that_comes_back_before_the_loss_is_known_gets_the_one_answer": (
+        "test_a_client_that_retries_before_the_lease_expires_gets_the_same_answer"
+    ),
+    "test_an_attempt_that_is_out_when_its_gatekeeper_is_killed": (
+        "test_an_attempt_that_is_in_flight_when_its_instance_is_killed"
+    ),
+    "test_a_stopped_origin_that_wakes_sends_nothing_more": "test_a_stopped_primary_that_resumes_sends_no_more_attempts",
+    "test_a_keeper_that_is_killed_or_stopped_is_left_for_another": (
+        "test_a_backup_that_is_killed_or_stopped_is_replaced"
+    ),
+    "test_a_keeper_killed_and_then_its_origin": "test_a_backup_is_killed_and_then_its_primary",
+    "test_an_origin_cut_off_from_its_keeper_goes_on_with_another": (
+        "test_a_primary_partitioned_from_its_backup_uses_another"
+    ),
+    "test_an_origin_cut_off_from_all_sends_nothing_that_may_not_run_again": (
+        "test_a_primary_partitioned_from_all_instances_sends_no_unsafe_request"
+    ),
+    "test_lost_and_doubled_datagrams_cost_no_request": "test_lost_and_duplicated_datagrams_lose_no_request",
+    "test_a_keeper_that_answers_late_makes_no_request_late": "test_a_backup_that_answers_late_delays_no_request",
+    "test_messages_that_come_after_the_lease_is_out_change_nothing": (
+        "test_messages_that_arrive_after_the_lease_has_expired_change_nothing"
+    ),
+    "test_origin_and_keeper_killed_together_run_nothing_twice": (
+        "test_primary_and_backup_killed_together_execute_nothing_twice"
+    ),
+    "test_what_an_ending_gatekeeper_can_not_finish_is_carried_on": (
+        "test_requests_that_a_draining_instance_cannot_finish_are_taken_over"
+    ),
+    "test_a_fleet_restarted_one_after_another_twice_runs_each_once": (
+        "test_two_rolling_restarts_execute_each_request_once"
+    ),
+    "test_a_proxy_whose_gatekeeper_was_killed_goes_on_at_the_keeper": (
+        "test_a_proxy_whose_instance_was_killed_continues_at_the_backup"
+    ),
+    "test_an_attempt_that_may_have_run_is_not_made_again_at_the_keeper": (
+        "test_an_attempt_that_may_have_been_executed_is_not_repeated_at_the_backup"
+    ),
+    "test_a_proxy_that_asks_a_third_gatekeeper_gets_no_second_run": (
+        "test_a_proxy_that_asks_a_third_instance_gets_no_second_execution"
+    ),
+    "test_a_held_check_may_go_on_at_a_third_gatekeeper": "test_a_queued_check_may_continue_at_a_third_instance",
+    "test_a_check_that_was_held_is_asked_again_at_the_keeper_and_goes": (
+        "test_a_queued_check_that_is_repeated_at_the_backup_is_allowed"
+    ),
+    "test_the_same_name_at_all_gatekeepers_at_once_runs_once": (
+        "test_the_same_identity_at_all_instances_at_once_is_executed_once"
+    ),
+    "test_clients_that_come_back_at_every_gatekeeper_get_the_one_answer": (
+        "test_clients_that_retry_at_every_instance_get_the_same_answer"
+    ),
+    "test_no_trouble_runs_an_unsafe_request_twice_or_after_its_end": (
+        "test_no_fault_executes_an_unsafe_request_twice_or_after_its_end"
+    ),
+    "test_hundreds_in_hand_at_one_kill_end_once_and_the_takers_serve_on": (
+        "test_hundreds_in_flight_at_one_kill_end_once_and_the_backups_serve_on"
+    ),
+    "test_at_the_cap_on_records_no_more_are_kept_and_service_goes_on": (
+        "test_at_the_cap_on_records_no_more_are_replicated_and_service_continues"
+    ),
+    "test_next_of_the_set_that_is_not_gone_is_asked": "test_the_next_reachable_instance_of_the_set_is_asked",
+    "test_who_is_left_alone_lends_to_itself": "test_an_instance_that_reaches_no_other_grants_to_itself",
+    "test_ceilings_and_slots_are_never_lent_by_another": "test_ceilings_and_slots_are_never_granted_by_another",
+    "test_a_unit_counts_for_more_the_fewer_are_left_but_can_still_be_granted": (
+        "test_a_unit_costs_more_the_fewer_instances_are_reachable_but_can_still_be_granted"
+    ),
+    "test_a_request_that_waits_for_a_home_goes_on_by_the_next_and_the_late_word_is_handed_back": (
+        "test_a_request_that_waits_for_an_unreachable_owner_asks_the_next_and_returns_the_late_grant"
+    ),
+    "test_rules_hold_whoever_is_taken_for_gone": "test_rules_hold_whichever_instances_are_taken_for_unreachable",
+    "test_ceilings_that_others_lend_too_are_found": "test_ceilings_that_others_grant_too_are_detected",
+    "test_parts_of_a_cut_fleet_lend_the_quota_once_more": "test_each_side_of_a_partition_grants_the_quota_once_more",
+    "test_a_unit_that_counts_once_everywhere_is_found": "test_a_unit_that_costs_one_everywhere_is_detected",
+    "test_tenants_of_a_killed_home_are_served_by_the_others_and_by_it_when_it_is_back": (
+        "test_customers_of_a_killed_owner_are_served_by_the_others_and_by_it_after_its_restart"
+    ),
+    "test_both_sides_of_a_cut_serve_and_keep_the_stated_bound": (
+        "test_both_sides_of_a_partition_serve_and_keep_the_stated_bound"
+    ),
+    "test_a_death_a_new_life_a_pause_and_a_leave_are_known_to_all": (
+        "test_a_kill_a_restart_a_pause_and_a_leave_are_known_to_all"
+    ),
+    "test_a_cut_between_rooms_and_lost_and_doubled_datagrams_end_in_one_view": (
+        "test_a_partition_between_zones_and_lost_and_duplicated_datagrams_end_in_one_view"
+    ),
+    "test_without_its_line_nobody_is_probed": "test_without_a_members_line_no_instance_is_probed",
+    "test_settings_that_cannot_be_are_named": "test_invalid_member_settings_are_reported",
+    "test_every_answer_is_right_for_one_version_and_all_end_on_the_same": (
+        "test_every_answer_matches_one_version_and_all_instances_converge"
+    ),
 }
 # Files that came for the sake of the rename; they must not make up for tests that are lost.
 NEW = {
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -9,7 +9,7 @@
 import tracemalloc
 
 import pytest
-from cluster import roster_of
+from cluster import endpoint_list_json
 from processes import SETTINGS
 from test_module import ENDPOINT_LIST, new_arrival, new_controller
 from test_path import ROOT, Running, check_headers
@@ -261,7 +261,7 @@
         port = spare.getsockname()[1]
         spare.close()
         roster, conf = tmp_path / "roster.json", tmp_path / "one.conf"
-        roster.write_text(roster_of([worker.getsockname()[1]]))
+        roster.write_text(endpoint_list_json([worker.getsockname()[1]]))
         conf.write_text(
             SETTINGS.format(
                 number=0,
--- a/tests/test_many_in_hand.py
+++ b/tests/test_many_in_hand.py
@@ -1,26 +1,33 @@
-"""One gatekeeper of six is killed with hundreds of requests in hand: each ends once, and the takers go on serving."""
+"""One instance of six is killed with hundreds of requests in flight: each ends once, and the backups serve on."""
 
-from kill_under_load import played
-from cluster import MORE
+from kill_under_load import kill_gateway_under_load
+from cluster import REPLICATION_SETTINGS
 
 
-def test_hundreds_in_hand_at_one_kill_end_once_and_the_takers_serve_on(tmp_path):
-    seen = played(tmp_path, 300, MORE)
-    ends = seen["ends"]
-    assert sum(ends.values()) == 300 and not [each for each in ends if each[2] == "none"], ends
-    held = {
-        end: sum(n for (_, stood, said), n in ends.items() if stood == "held" and said == end)
-        for end in ("served", "failed")
+def test_hundreds_in_flight_at_one_kill_end_once_and_the_backups_serve_on(tmp_path):
+    results = kill_gateway_under_load(tmp_path, 300, REPLICATION_SETTINGS)
+    outcomes = results["outcomes"]
+    assert sum(outcomes.values()) == 300 and not [group for group in outcomes if group[2] == "none"], outcomes
+    queued = {
+        outcome: sum(count for (_, state, final), count in outcomes.items() if state == "queued" and final == outcome)
+        for outcome in ("served", "failed")
     }
-    assert seen["twice"] == 0 and seen["kept"] >= 250 and seen["taken_over"] >= 250
-    assert sum(held.values()) >= 200 and held["served"] >= 0.99 * sum(held.values()), ends
-    assert seen["usual"]["served"] >= 0.95 * sum(seen["usual"].values()) > 0, seen["usual"]
+    assert results["executed_twice"] == 0 and results["replicated"] >= 250 and results["taken_over"] >= 250
+    assert sum(queued.values()) >= 200 and queued["served"] >= 0.99 * sum(queued.values()), outcomes
+    assert results["steady_outcomes"]["served"] >= 0.95 * sum(results["steady_outcomes"].values()) > 0, results[
+        "steady_outcomes"
+    ]
 
 
-def test_at_the_cap_on_records_no_more_are_kept_and_service_goes_on(tmp_path):
-    seen = played(tmp_path, 120, MORE.replace("keepers lease 600ms", "keepers lease 600ms records 5"), 3)
-    assert seen["kept"] <= 10 and seen["full"] >= 60
-    # Nobody knows of the rest, so what is out may run again, as without keepers; none is stuck for want of a word.
-    assert not [each for each in seen["ends"] if each[:2] == ("/look", "held") and each[2] != "served"], seen["ends"]
-    done = sum(n for each, n in seen["ends"].items() if each[2] != "none")
-    assert done >= 90, seen["ends"]
+def test_at_the_cap_on_records_no_more_are_replicated_and_service_continues(tmp_path):
+    results = kill_gateway_under_load(
+        tmp_path, 120, REPLICATION_SETTINGS.replace("keepers lease 600ms", "keepers lease 600ms records 5"), 3
+    )
+    assert results["replicated"] <= 10 and results["at_capacity"] >= 60
+    # The rest is not replicated, so an attempt in flight may be executed again, as without backups; none is blocked by
+    # a missing acknowledgement.
+    assert not [group for group in results["outcomes"] if group[:2] == ("/look", "queued") and group[2] != "served"], (
+        results["outcomes"]
+    )
+    final_count = sum(count for group, count in results["outcomes"].items() if group[2] != "none")
+    assert final_count >= 90, results["outcomes"]
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -3,29 +3,29 @@
 from collections import Counter
 
 import pytest
-from cluster import MORE, Hands, until
+from cluster import REPLICATION_SETTINGS, Cluster, wait_until
 
 NAMES = [f"k{number}" for number in range(24)]
-QUICK = MORE.replace("aim 4s deadline 8s", "aim 1s deadline 3s")
+QUICK = REPLICATION_SETTINGS.replace("aim 4s deadline 8s", "aim 1s deadline 3s")
 
 
 @pytest.mark.parametrize("count", [2, 4])
 @pytest.mark.parametrize("is_noticed", [True, False])
-def test_one_identity_asked_on_both_sides_of_a_cut_is_executed_once(tmp_path, count, is_noticed):
+def test_one_identity_on_both_sides_of_a_partition_is_executed_once(tmp_path, count, is_noticed):
     # Guards against a second effect: the only voter of an identity on one side of the cut decided alone.
-    hands = Hands(tmp_path, count, QUICK, ready=True)
+    cluster = Cluster(tmp_path, count, QUICK, ready=True)
     try:
-        until(lambda: all(each.state()["servers"].get("ready") == 3 for each in hands.fleet.up.values()))
-        hands.fleet.relay.cut = lambda sender, receiver: sender % 2 != receiver % 2
+        wait_until(lambda: all(each.state()["servers"].get("ready") == 3 for each in cluster.gateways.running.values()))
+        cluster.gateways.relay.is_blocked = lambda sender, receiver: sender % 2 != receiver % 2
         if is_noticed:
-            hands.fleet.until(lambda seen: seen.get("out") == count // 2)
+            cluster.gateways.wait_for_members(lambda seen: seen.get("out") == count // 2)
         ends = Counter()
         for _ in range(3):  # a rejected request may be asked again
-            waiting = [name for name in NAMES if not hands.workers.runs["/pay", name]]
-            calls = [hands.call(side, "/pay", name) for name in waiting for side in (0, 1)]
+            waiting = [name for name in NAMES if not cluster.workers.executions["/pay", name]]
+            calls = [cluster.call(side, "/pay", name) for name in waiting for side in (0, 1)]
             ends.update(call.final() for call in calls)
-        executions = [hands.workers.runs["/pay", name] for name in NAMES]
+        executions = [cluster.workers.executions["/pay", name] for name in NAMES]
         assert max(executions) == 1, (executions, ends)
         assert not is_noticed or (min(executions) == 1 and set(ends) == {"served", "refused"}), (executions, ends)
     finally:
-        hands.close()
+        cluster.close()
--- a/tests/test_stand_in.py
+++ b/tests/test_stand_in.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from processes import Fleet
+from processes import GatewayProcesses
 from test_module import ENDPOINT_LIST, new_arrival, new_controller, owner_of, actions_of
 from test_rules import SimulatedCluster, settings
 
@@ -43,7 +43,7 @@
     "gone, whom",
     [((), HOME), ((HOME,), NEXT), ((HOME, NEXT), LAST), ((NEXT, LAST), HOME), ((NEXT,), HOME), ((3,), HOME)],
 )
-def test_next_of_the_set_that_is_not_gone_is_asked(gone, whom):
+def test_the_next_reachable_instance_of_the_set_is_asked(gone, whom):
     c = new_controller(gateways=5, number=OUTSIDE)
     c.handle(1000, [ENDPOINT_LIST, PeersUnreachable(frozenset(gone))])
     assert asked(c, 1001, 1) == [whom]
@@ -51,7 +51,7 @@
     assert asked(c, 1003, 2) == [HOME]
 
 
-def test_who_is_left_alone_lends_to_itself():
+def test_an_instance_that_reaches_no_other_grants_to_itself():
     c = new_controller(gateways=5, number=OUTSIDE)
     c.handle(1000, [ENDPOINT_LIST, PeersUnreachable(frozenset(range(4)))])
     actions = c.handle(1001, [new_arrival(1)])
@@ -59,13 +59,13 @@
 
 
 @pytest.mark.parametrize("plan", ["capped", "open"])
-def test_ceilings_and_slots_are_never_lent_by_another(plan):
+def test_ceilings_and_slots_are_never_granted_by_another(plan):
     c = new_controller(gateways=5, number=OUTSIDE)
     c.handle(1000, [ENDPOINT_LIST, PeersUnreachable(frozenset({HOME}))])
     assert asked(c, 1001, 1, plan=plan) == [HOME]
 
 
-def test_a_unit_counts_for_more_the_fewer_are_left_but_can_still_be_granted():
+def test_a_unit_costs_more_the_fewer_instances_are_reachable_but_can_still_be_granted():
     drawn = []
     for gone in ({HOME}, {HOME, NEXT, 3}, set()):
         for units in (1, 4):
@@ -75,7 +75,7 @@
     assert drawn == [1.25, 5.0, 2.5, RESERVE_FRACTION * 12, 1.0, 4.0]
 
 
-def test_a_request_that_waits_for_a_home_goes_on_by_the_next_and_the_late_word_is_handed_back():
+def test_a_request_that_waits_for_an_unreachable_owner_asks_the_next_and_returns_the_late_grant():
     c = new_controller(gateways=5, number=OUTSIDE)
     first = told(c.handle(1000, [ENDPOINT_LIST, new_arrival(1)]))
     assert [receiver for receiver, _ in first] == [HOME]
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_rules_hold_whoever_is_taken_for_gone(seed):
+def test_rules_hold_whichever_instances_are_taken_for_unreachable(seed):
     town(seed).run(12_000)
 
 
@@ -129,7 +129,7 @@
     monkeypatch.setattr(QuotaBorrower, "lender_of", lender_of)
 
 
-def test_ceilings_that_others_lend_too_are_found(monkeypatch):
+def test_ceilings_that_others_grant_too_are_detected(monkeypatch):
     without(monkeypatch, "ceilings")
     with pytest.raises(AssertionError, match="rule 5"):
         for seed in range(3):
@@ -139,12 +139,12 @@
 CUT = dict(spread=9, rate_per_s=2.0, burst=20.0, customers=9, connected_s=4.0, partitioned_s=40.0, known_s=2.0)
 
 
-def test_parts_of_a_cut_fleet_lend_the_quota_once_more():
+def test_each_side_of_a_partition_grants_the_quota_once_more():
     found = partition.simulate_partition(**CUT)
     assert 1.3 < found["during"] and found["beyond"] <= found["bound"]
 
 
-def test_a_unit_that_counts_once_everywhere_is_found(monkeypatch):
+def test_a_unit_that_costs_one_everywhere_is_detected(monkeypatch):
     without(monkeypatch, "dearer")
     found = partition.simulate_partition(**CUT)
     assert found["beyond"] > found["bound"]
@@ -157,16 +157,16 @@
 
 
 @pytest.fixture
-def fleet(tmp_path):
+def gateways(tmp_path):
     lines = "".join(f"key {name} customer {name} plan small\n" for name in KEYS)
-    made = Fleet(tmp_path, COUNT, PERIOD + lines)
+    made = GatewayProcesses(tmp_path, COUNT, PERIOD + lines)
     yield made
     made.close()
 
 
-def homes(fleet):
+def homes(gateways):
     """The customers by the gatekeeper that is their home."""
-    settings, found = checked(str(fleet.files[0])).config.settings, {}
+    settings, found = checked(str(gateways.files[0])).config.settings, {}
     for name in KEYS:
         first = first_gateway(LISTED_PREFIX + name, settings.tag_key, COUNT)
         home = (first + customer_tag(LISTED_PREFIX + name, settings.tag_key) % COUNT) % COUNT
@@ -174,7 +174,7 @@
     return found
 
 
-def call(fleet, number, names):
+def call(gateways, number, names):
     """How one request of each of these customers ends at a gatekeeper: its status, or why it was refused."""
     lines = [
         {
@@ -187,47 +187,47 @@
     ]
     ends = {}
     for line in lines:
-        (answer,) = fleet.up[number].rpc(line)
+        (answer,) = gateways.running[number].rpc(line)
         ends[names[line["id"]]] = answer["result"]["status"] if "result" in answer else json.dumps(answer["error"])
     return ends
 
 
-def all_served(fleet, numbers, names):
-    return [ends for number in numbers if set((ends := call(fleet, number, names)).values()) != {200}] == []
+def all_served(gateways, numbers, names):
+    return [ends for number in numbers if set((ends := call(gateways, number, names)).values()) != {200}] == []
 
 
 def view(gone):
     return lambda seen: set(seen["not_alive"]) == {str(number) for number in gone}
 
 
-def test_tenants_of_a_killed_home_are_served_by_the_others_and_by_it_when_it_is_back(fleet):
-    fleet.until(view([]))
-    mine = homes(fleet)
+def test_customers_of_a_killed_owner_are_served_by_the_others_and_by_it_after_its_restart(gateways):
+    gateways.wait_for_members(view([]))
+    mine = homes(gateways)
     assert all(len(mine.get(number, ())) >= 2 for number in range(COUNT))
-    assert all_served(fleet, range(COUNT), KEYS)
-    fleet.kill(1)
-    refused = call(fleet, 0, mine[1][:1])  # nobody knows yet: its home alone could lend
+    assert all_served(gateways, range(COUNT), KEYS)
+    gateways.kill(1)
+    refused = call(gateways, 0, mine[1][:1])  # nobody knows yet: its home alone could lend
     assert 200 not in refused.values(), refused
-    fleet.until(view([1]))
-    assert all_served(fleet, (0, 2, 3), KEYS)
-    fleet.start(1)
-    fleet.until(view([]))
-    assert all_served(fleet, range(COUNT), KEYS)
-
-
-def test_both_sides_of_a_cut_serve_and_keep_the_stated_bound(fleet):
-    fleet.until(view([]))
-    fleet.relay.cut = lambda sender, receiver: sender % 2 != receiver % 2
-    fleet.until(view([1, 3]), {0, 2})
-    fleet.until(view([0, 2]), {1, 3})
-    assert all_served(fleet, range(COUNT), KEYS)
-    name, began, served = homes(fleet)[0][0], time.monotonic(), 0
+    gateways.wait_for_members(view([1]))
+    assert all_served(gateways, (0, 2, 3), KEYS)
+    gateways.start(1)
+    gateways.wait_for_members(view([]))
+    assert all_served(gateways, range(COUNT), KEYS)
+
+
+def test_both_sides_of_a_partition_serve_and_keep_the_stated_bound(gateways):
+    gateways.wait_for_members(view([]))
+    gateways.relay.is_blocked = lambda sender, receiver: sender % 2 != receiver % 2
+    gateways.wait_for_members(view([1, 3]), {0, 2})
+    gateways.wait_for_members(view([0, 2]), {1, 3})
+    assert all_served(gateways, range(COUNT), KEYS)
+    name, began, served = homes(gateways)[0][0], time.monotonic(), 0
     while time.monotonic() - began < 3.0:
         for number in range(COUNT):
-            served += sum(end == 200 for end in call(fleet, number, [name] * 4).values())
+            served += sum(end == 200 for end in call(gateways, number, [name] * 4).values())
     took_s = time.monotonic() - began
     # Home's side the quota, the other its part of it; each with a full store before, and the own buckets' tenth.
     assert served <= 1.5 * 20 * took_s + 2 * 8 + 2
-    fleet.relay.cut = lambda sender, receiver: False
-    fleet.until(view([]))
-    assert all_served(fleet, range(COUNT), KEYS)
+    gateways.relay.is_blocked = lambda sender, receiver: False
+    gateways.wait_for_members(view([]))
+    assert all_served(gateways, range(COUNT), KEYS)
--- a/tests/test_suspects_red.py
+++ b/tests/test_suspects_red.py
@@ -4,7 +4,7 @@
 from collections import defaultdict
 
 import pytest
-from cluster import MORE, Hands, until
+from cluster import REPLICATION_SETTINGS, Cluster, wait_until
 from test_rules import settings
 
 from anisefront.policy.actions import Fail, Reject, SetTimer, StartAttempt
@@ -20,39 +20,39 @@
 )
 from anisefront.policy.outlier_detection import OutlierDetection
 
-ZONE = MORE.replace("repeat keyed window 20s", "repeat keyed scope zone window 20s")
+ZONE = REPLICATION_SETTINGS.replace("repeat keyed window 20s", "repeat keyed scope zone window 20s")
 
 
 @pytest.mark.parametrize("has_duplicates", [False, True])
 def test_a_keyed_request_that_may_have_run_in_one_zone_is_sent_to_no_other(tmp_path, has_duplicates):
     # Guards against a second effect: the duplicate of a failed keyed request ignored its deduplication scope.
-    hands = Hands(tmp_path, more=ZONE)
+    cluster = Cluster(tmp_path, extra_settings=ZONE)
     zones = defaultdict(set)
-    ports = [server.server_port for server in hands.workers.servers]
+    ports = [server.server_port for server in cluster.workers.servers]
 
     def execute_and_fail(handler):
         handler.rfile.read(int(handler.headers.get("content-length") or 0))
         zones[handler.headers["x-idempotency-key"]].add(ports.index(handler.server.server_port) % 2)
-        hands.workers.gate.wait(20)
+        cluster.workers.gate.wait(20)
         handler.send_response(500)
         handler.send_header("content-length", "0")
         handler.end_headers()
 
     try:
-        hands.workers.servers[0].RequestHandlerClass.do_POST = execute_and_fail
-        hands.workers.gate.clear()
-        hands.open()
-        until(lambda: all(each.state()["servers"].get("ready") == 3 for each in hands.fleet.up.values()))
-        calls = [hands.call(0, "/order", f"k{number}") for number in range(12)]
-        until(lambda: len(zones) >= 8)
+        cluster.workers.servers[0].RequestHandlerClass.do_POST = execute_and_fail
+        cluster.workers.gate.clear()
+        cluster.set_workers_ready()
+        wait_until(lambda: all(each.state()["servers"].get("ready") == 3 for each in cluster.gateways.running.values()))
+        calls = [cluster.call(0, "/order", f"k{number}") for number in range(12)]
+        wait_until(lambda: len(zones) >= 8)
         keys = sorted(zones)
-        calls += [hands.call(1, "/order", key) for key in keys if has_duplicates]
+        calls += [cluster.call(1, "/order", key) for key in keys if has_duplicates]
         time.sleep(0.5)  # the duplicates have yielded
-        hands.workers.gate.set()
+        cluster.workers.gate.set()
         assert {call.final() for call in calls} <= {"failed", "refused"}
         assert [key for key in keys if len(zones[key]) > 1] == []
     finally:
-        hands.close()
+        cluster.close()
 
 
 def test_the_delay_of_an_attempt_that_has_ended_says_nothing_of_the_next_one(monkeypatch):
