--- a/tests/socket_harness.py
+++ b/tests/socket_harness.py
@@ -1,6 +1,8 @@
-"""A front, a carrier and a pool on real loopback sockets, a turn of the loop at a time, with time handed in.
+"""A RESP frontend, its requests and a connection pool on loopback sockets, with simulated time.
 
-What crosses the loopback is there at once, so a test says what lies in which socket before the next turn begins."""
+The event loop runs one iteration at a time. Data that is sent over the loopback is readable at once, so a test
+determines which sockets are readable in the next iteration.
+"""
 
 import socket
 import struct
@@ -21,73 +23,74 @@
 from anisefront.policy.events import Endpoint, EndpointList, EndpointStatus
 
 
-class Stage:
-    """One gatekeeper's sockets around a scripted module, with workers `s1` and `s2` that the test plays."""
+class SocketHarness:
+    """The sockets of one gateway instance around a scripted controller; the test acts as workers `s1` and `s2`."""
 
     def __init__(self, **limits):
-        self.time, self.reactor, self.module, self.links = 0.0, EPollReactor(), ScriptedController(), []
+        self.time, self.reactor, self.controller, self.sockets = 0.0, EPollReactor(), ScriptedController(), []
         self.reactor.seconds = lambda: self.time
         now = lambda: self.time * 1000 + 1000  # noqa: E731
-        self.request_table = RequestTable(self.module, now, self.reactor)
+        self.request_table = RequestTable(self.controller, now, self.reactor)
         self.request_table.update_endpoints(
             EndpointList(tuple(Endpoint(name, "z", 0, EndpointStatus.READY) for name in ("s1", "s2")))
         )
-        self.listeners = {name: self._keep(socket.create_server(("127.0.0.1", 0))) for name in ("s1", "s2")}
+        self.listeners = {name: self._track(socket.create_server(("127.0.0.1", 0))) for name in ("s1", "s2")}
         address = {name: listener.getsockname() for name, listener in self.listeners.items()}
         self.pool = ConnectionPool(
             self.reactor, PoolLimits(quiet_period_s=0.01, stall_timeout_s=0.4), WorkerConnectionCodec, address.get
         )
-        self.carrier = RespRequests(self.request_table, self.pool, ("util", "inflight"))
-        self.front = RespFrontend(
-            self.reactor, self.carrier, CommandMapper(settings()), now, ConnectionLimits(**limits)
+        self.requests = RespRequests(self.request_table, self.pool, ("util", "inflight"))
+        self.frontend = RespFrontend(
+            self.reactor, self.requests, CommandMapper(settings()), now, ConnectionLimits(**limits)
         )
-        self.port = self.reactor.listenTCP(0, self.front, interface="127.0.0.1")
+        self.port = self.reactor.listenTCP(0, self.frontend, interface="127.0.0.1")
 
-    def _keep(self, link):
-        link.settimeout(2)
-        self.links.append(link)
-        return link
+    def _track(self, sock):
+        sock.settimeout(2)
+        self.sockets.append(sock)
+        return sock
 
     def close(self):
+        """Stop listening and close all sockets of the test."""
         self.port.stopListening()
-        for link in self.links:
-            link.close()
+        for sock in self.sockets:
+            sock.close()
         self.turns()
 
     def turns(self, count=8):
-        """So many turns of the loop."""
+        """Run `count` iterations of the event loop."""
         for _ in range(count):
             self.reactor.iterate(0)
 
     def wait(self, seconds):
-        """Time goes by, a tenth of a second at a time."""
+        """Advance time in steps of 0.1 s, with iterations of the event loop in between."""
         for _ in range(round(seconds * 10)):
             self.time += 0.1
             self.turns(2)
 
-    def say(self, *actions):
-        """The module says this now."""
-        self.module.next = list(actions)
+    def perform(self, *actions):
+        """Let the controller return these actions in the next iterations."""
+        self.controller.next = list(actions)
         self.request_table.batches.schedule_iteration()
         self.turns()
 
     def client(self, *commands):
-        """A connection that has sent these commands, and they were taken in."""
-        link = self._keep(socket.create_connection(("127.0.0.1", self.port.getHost().port)))
-        link.sendall(b"".join(map(resp_codec.encode_command, commands)))
+        """Return a client connection that has sent these commands, after the frontend has read them."""
+        sock = self._track(socket.create_connection(("127.0.0.1", self.port.getHost().port)))
+        sock.sendall(b"".join(map(resp_codec.encode_command, commands)))
         self.turns()
-        return link
+        return sock
 
     def decide(self, *actions):
-        """The module says this now, and the loop has read and written no socket since."""
-        self.module.next = list(actions)
+        """Let the controller return these actions at once, without any socket read or written since."""
+        self.controller.next = list(actions)
         self.request_table.batches._scheduled = False
         self.request_table.batches.run_iteration()
 
     def served(self):
-        """A client, and a worker's connection that has carried its request and has not rested yet."""
+        """Return a client whose request was served, and the worker's connection, still within its quiet period."""
         client = self.client(ASK)
-        self.say(StartAttempt(1, "s1", 400.0))
+        self.perform(StartAttempt(1, "s1", 400.0))
         worker = self.accept()
         assert worker.recv(1000)
         worker.sendall(SERVED_REPLY)
@@ -96,20 +99,20 @@
         return client, worker
 
     def accept(self, worker="s1"):
-        """The connection that was made to a worker."""
+        """Accept and return the connection that was made to a worker."""
         self.turns()
-        return self._keep(self.listeners[worker].accept()[0])
+        return self._track(self.listeners[worker].accept()[0])
 
 
-def reset(link):
-    """Close it so that its other side is reset."""
-    link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    link.close()
+def reset(sock):
+    """Close a socket so that its peer gets a connection reset."""
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    sock.close()
 
 
-def rest(link):
-    """All that comes until its other side ends; `ConnectionResetError` where that is no clean end."""
-    found = b""
-    while data := link.recv(65536):
-        found += data
-    return found
+def read_to_end(sock):
+    """Return all data until the peer closes; raise `ConnectionResetError` if it does not close cleanly."""
+    received = b""
+    while data := sock.recv(65536):
+        received += data
+    return received
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from socket_harness import Stage, reset
+from socket_harness import SocketHarness, reset
 from test_module import ENDPOINT_LIST, new_arrival, new_controller
 from test_node_front import GatewayHarness, command_with_id, start_attempt
 from test_node_wire import ASK, SERVED_REPLY
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def stage():
-    made = Stage()
+    made = SocketHarness()
     yield made
     made.close()
 
@@ -87,7 +87,7 @@
     stage.decide(StartAttempt(2, "s1", 400.0))  # the connection is chosen and written to in this iteration
     worker.sendall(SERVED_REPLY)  # a late duplicate response
     stage.turns()
-    assert results(stage.module) == [AttemptResult.OK, AttemptResult.CONNECT_FAILED]
+    assert results(stage.controller) == [AttemptResult.OK, AttemptResult.CONNECT_FAILED]
     client.setblocking(False)
     with pytest.raises(BlockingIOError):
         client.recv(1000)
@@ -101,21 +101,21 @@
     stage.decide(StartAttempt(2, "s1", 400.0))
     worker.close()
     stage.turns()
-    assert results(stage.module) == [AttemptResult.OK, AttemptResult.CONNECT_FAILED]
+    assert results(stage.controller) == [AttemptResult.OK, AttemptResult.CONNECT_FAILED]
 
 
 @pytest.mark.parametrize("disconnect", [lambda link: link.close(), reset])
 @pytest.mark.parametrize("received", [b"", b"*3\r\n$5\r\nva"])
 def test_a_disconnection_after_the_last_byte_leaves_open_whether_it_was_executed(stage, disconnect, received):
     stage.client(ASK)
-    stage.say(StartAttempt(1, "s1", 400.0))
+    stage.perform(StartAttempt(1, "s1", 400.0))
     worker = stage.accept()
     worker.recv(1000)
     worker.sendall(received)
     stage.turns()
     disconnect(worker)
     stage.turns()
-    assert results(stage.module) == [AttemptResult.RESET]
+    assert results(stage.controller) == [AttemptResult.RESET]
 
 
 def test_a_response_in_single_bytes_is_complete_and_one_after_the_timeout_is_dropped():
@@ -179,9 +179,9 @@
     stage.decide(StartAttempt(1, "s1", 400.0))
     stage.reactor.runUntilCurrent()  # the kernel has made the connection, but the event loop has not seen it
     assert stage.pool.connections == 1
-    stage.carrier.cancel_attempt(1, 0)
+    stage.requests.cancel_attempt(1, 0)
     stage.turns()
-    assert stage.pool.connections == 0 and results(stage.module) == [AttemptResult.CANCELLED]
+    assert stage.pool.connections == 0 and results(stage.controller) == [AttemptResult.CANCELLED]
     try:
         assert stage.accept().recv(100) == b""
     except ConnectionResetError:
@@ -226,7 +226,7 @@
 
 def test_an_attempt_is_discarded_if_its_endpoint_drains_between_the_choice_and_the_write(stage):
     stage.client(ASK)
-    stage.module.next = [StartAttempt(1, "s1", 400.0)]
+    stage.controller.next = [StartAttempt(1, "s1", 400.0)]
     stage.request_table.batches.schedule_iteration()
     stage.reactor.iterate(0)
     stage.request_table.update_endpoints(
@@ -234,4 +234,4 @@
     )
     stage.turns()
     worker = stage.accept()
-    assert worker.recv(1000) == b"" and results(stage.module) == [AttemptResult.DISCARDED]
+    assert worker.recv(1000) == b"" and results(stage.controller) == [AttemptResult.DISCARDED]
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from socket_harness import Stage, rest
+from socket_harness import SocketHarness, read_to_end
 from test_node_front import command_with_id
 from test_node_wire import ASK
 
@@ -19,33 +19,33 @@
 
 @pytest.fixture
 def stage():
-    made = Stage(max_connections=3, max_closing=2)
+    made = SocketHarness(max_connections=3, max_closing=2)
     yield made
     made.close()
 
 
 def test_a_reply_is_not_lost_if_its_client_sends_data_at_that_moment(stage):
     client = stage.client(ASK)
-    stage.front.close_idle()
-    stage.module.next = [Reject(1, 0.0)]
+    stage.frontend.close_idle()
+    stage.controller.next = [Reject(1, 0.0)]
     stage.request_table.batches.schedule_iteration()
     stage.reactor.iterate(0)  # the reply is written and the close begins
     stage.turns()
     client.sendall(resp_codec.encode_command(command_with_id(2)))  # it crosses our end
     stage.turns()
-    assert rest(client) == b"-BUSY\r\n" and len(stage.module.arrivals) == 1
+    assert read_to_end(client) == b"-BUSY\r\n" and len(stage.controller.arrivals) == 1
     client.close()
     stage.turns()
-    assert not any(stage.front.by_state.values())
+    assert not any(stage.frontend.by_state.values())
 
 
 def test_a_request_that_is_read_before_our_write_side_closes_is_rejected(stage):
     client = stage.client([b"PING"])
     assert client.recv(100) == b"+PONG\r\n"
     client.sendall(resp_codec.encode_command(command_with_id(2)))  # it lies in our socket
-    stage.front.close_idle()
+    stage.frontend.close_idle()
     stage.turns()
-    assert rest(client) == b"-BUSY 250\r\n" and not stage.module.arrivals
+    assert read_to_end(client) == b"-BUSY 250\r\n" and not stage.controller.arrivals
 
 
 @pytest.mark.parametrize("more", [b"", b"x" * 100_000])
@@ -55,17 +55,17 @@
     stage.turns(40)
     client.sendall(b"more")
     stage.turns()
-    assert rest(client).startswith(b"-ERR Protocol error") and not stage.module.arrivals
+    assert read_to_end(client).startswith(b"-ERR Protocol error") and not stage.controller.arrivals
     client.close()
     stage.turns()
-    assert not any(stage.front.by_state.values())
+    assert not any(stage.frontend.by_state.values())
 
 
 def test_a_client_that_never_closes_its_write_side_is_aborted_after_the_timeout(stage):
     client = stage.client(ASK)
-    stage.front.fail_all()
+    stage.frontend.fail_all()
     stage.wait(connection_limits.CLOSE_TIMEOUT_S + 0.2)
-    assert rest_or_reset(client).startswith(b"-ERR failed\r\n") and not any(stage.front.by_state.values())
+    assert rest_or_reset(client).startswith(b"-ERR failed\r\n") and not any(stage.frontend.by_state.values())
 
 
 def rest_or_reset(link):
@@ -90,28 +90,28 @@
             stage.turns(8)
     except ConnectionError:
         pass
-    assert sent < 2 * client_connection.MAX_DISCARDED and not any(stage.front.by_state.values())
+    assert sent < 2 * client_connection.MAX_DISCARDED and not any(stage.frontend.by_state.values())
 
 
 def test_at_the_limit_an_idle_connection_is_closed_cleanly_and_closing_ones_have_their_own_limit(stage):
     first = [stage.client([b"PING"]) for _ in range(3)]
     more = [stage.client([b"PING"]) for _ in range(2)]
-    assert [rest(link) for link in first[:2]] == [b"+PONG\r\n"] * 2
-    assert stage.front.connections == 3 and len(stage.front.by_state["closing"]) == 2
+    assert [read_to_end(link) for link in first[:2]] == [b"+PONG\r\n"] * 2
+    assert stage.frontend.connections == 3 and len(stage.frontend.by_state["closing"]) == 2
     more += [stage.client([b"PING"]) for _ in range(2)]
-    assert stage.front.counts["closing_cut"] == 2 and len(stage.front.by_state["closing"]) == 2
+    assert stage.frontend.counts["closing_cut"] == 2 and len(stage.frontend.by_state["closing"]) == 2
     assert all(link.recv(100) == b"+PONG\r\n" for link in more)
 
 
 def test_pending_replies_of_a_slow_reader_are_written_before_its_connection_closes(stage):
-    client = stage._keep(socket.socket())
+    client = stage._track(socket.socket())
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client.connect(("127.0.0.1", stage.port.getHost().port))
     value = b"v" * 60_000
     for _ in range(40):  # more than the buffers of both sides can hold
         client.sendall(resp_codec.encode_command([b"PING", value]))
         stage.turns(16)
-    stage.front.fail_all()
+    stage.frontend.fail_all()
     stage.turns()
     got, client_sees = b"", True
     while client_sees:
@@ -123,24 +123,24 @@
 
 def test_at_the_end_of_the_drain_each_connection_gets_its_reply(stage):
     clients = [stage.client(command_with_id(number)) for number in range(3)]
-    stage.front.limits.max_closing = 1
-    stage.front.fail_all()
+    stage.frontend.limits.max_closing = 1
+    stage.frontend.fail_all()
     stage.turns()
-    assert [rest(client) for client in clients] == [b"-ERR failed\r\n"] * 3
+    assert [read_to_end(client) for client in clients] == [b"-ERR failed\r\n"] * 3
 
 
 def test_a_client_beyond_the_connection_limit_is_rejected_and_closed_cleanly(stage):
     clients = [stage.client(command_with_id(number)) for number in range(4)]
-    assert rest(clients[3]) == b"-BUSY 250\r\n" and len(stage.module.arrivals) == 3
+    assert read_to_end(clients[3]) == b"-BUSY 250\r\n" and len(stage.controller.arrivals) == 3
     clients[3].close()
     stage.turns()
-    assert not stage.front.by_state["closing"] and stage.front.connections == 3
+    assert not stage.frontend.by_state["closing"] and stage.frontend.connections == 3
 
 
 def test_a_client_that_floods_and_never_reads_uses_little_memory_and_is_aborted(stage):
     client = stage.client(ASK)
     client.setblocking(False)
-    flood, kept, ends = resp_codec.encode_command([b"Q.ASK", b"x"]) * 1000, 0, stage.module.ends
+    flood, kept, ends = resp_codec.encode_command([b"Q.ASK", b"x"]) * 1000, 0, stage.controller.ends
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     for _ in range(600):  # the kernel's buffers fill first: until then it may be a slow reader
         try:
@@ -148,7 +148,7 @@
         except OSError:  # its buffers are full, or it was aborted
             pass
         stage.wait(0.1)
-        for protocol in (each for place in stage.front.by_state.values() for each in place):
+        for protocol in (each for place in stage.frontend.by_state.values() for each in place):
             transport = protocol.transport
             kept = max(
                 kept,
@@ -157,10 +157,10 @@
                 + len(transport.dataBuffer)
                 + sum(map(len, transport._tempDataBuffer)),
             )
-        if not stage.front.connections:
+        if not stage.frontend.connections:
             break
     assert 0 < kept < 500_000 and len(ends) == 1  # its request is cancelled long before it is aborted
-    assert not stage.carrier.open_requests and not stage.front.connections and stage.front.buffered.used == 0
+    assert not stage.requests.open_requests and not stage.frontend.connections and stage.frontend.buffered.used == 0
 
 
 def test_a_reading_client_is_not_aborted_after_two_writes_to_its_full_buffer(stage):
@@ -174,5 +174,5 @@
         stage.turns()
         found += len(client.recv(65536))
     stage.wait(client_connection.WRITE_TIMEOUT_S + 1)
-    stage.say(Reject(3, 0.0))
+    stage.perform(Reject(3, 0.0))
     assert client.recv(100) == b"-BUSY\r\n"
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,7 +1,7 @@
 """Idle connections to workers: closed, with unsolicited bytes, or past their idle timeout."""
 
 import pytest
-from socket_harness import Stage, reset
+from socket_harness import SocketHarness, reset
 from test_node_front import GatewayHarness, command_with_id, start_attempt
 from test_node_wire import SERVED_REPLY
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def stage():
-    made = Stage()
+    made = SocketHarness()
     yield made
     made.close()
 
@@ -43,7 +43,7 @@
     fresh.sendall(SERVED_REPLY)
     stage.turns()
     assert client.recv(1000) == b"$5\r\nva\r\nl\r\n" and stage.pool.connections == 1
-    assert [each.result for each in stage.module.ends if isinstance(each, AttemptEnded)] == [
+    assert [each.result for each in stage.controller.ends if isinstance(each, AttemptEnded)] == [
         AttemptResult.OK,
         AttemptResult.OK,
     ]
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,7 +1,7 @@
 """Clients that leave while their request waits: withdrawn within a turn, and no attempt for it begins after."""
 
 import pytest
-from socket_harness import Stage, reset, rest
+from socket_harness import SocketHarness, reset, read_to_end
 from test_node_front import GatewayHarness, command_with_id
 from test_node_wire import ASK
 from twisted.internet import error
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def stage():
-    made = Stage()
+    made = SocketHarness()
     yield made
     made.close()
 
@@ -39,22 +39,22 @@
     stage.turns(1)
     leave(client)
     stage.turns()
-    ends = [end for end in stage.module.ends if isinstance(end, ClientDisconnected)]
-    assert len(ends) == len(stage.module.arrivals) >= 1
-    assert not stage.carrier.open_requests and not stage.request_table.requests and not stage.front.connections
-    assert stage.front.buffered.used == 0
+    ends = [end for end in stage.controller.ends if isinstance(end, ClientDisconnected)]
+    assert len(ends) == len(stage.controller.arrivals) >= 1
+    assert not stage.requests.open_requests and not stage.request_table.requests and not stage.frontend.connections
+    assert stage.frontend.buffered.used == 0
 
 
 def test_it_is_noticed_while_what_follows_an_unfit_command_waits(stage):
     client = stage.client(ASK, UNFIT)
     client.sendall(resp_codec.encode_command(command_with_id(3)) * 3)
     stage.turns()
-    assert len(stage.module.arrivals) == 1  # the others wait
+    assert len(stage.controller.arrivals) == 1  # the others wait
     client.close()
     stage.turns()
-    assert [type(end) for end in stage.module.ends] == [ClientDisconnected]
+    assert [type(end) for end in stage.controller.ends] == [ClientDisconnected]
     stage.wait(input_pause.MAX_PAUSE_S)
-    assert len(stage.module.arrivals) == 1 and stage.front.buffered.used == 0
+    assert len(stage.controller.arrivals) == 1 and stage.frontend.buffered.used == 0
 
 
 def test_what_waits_behind_an_unfit_command_has_a_cap_and_each_has_an_answer(stage):
@@ -63,20 +63,20 @@
     client.sendall(resp_codec.encode_command(command_with_id(3)) * 600)
     stage.turns(40)
     assert (
-        not stage.module.ends
-        and len(stage.module.arrivals) == 1
-        and stage.front.buffered.used <= input_pause.MAX_BUFFERED
+        not stage.controller.ends
+        and len(stage.controller.arrivals) == 1
+        and stage.frontend.buffered.used <= input_pause.MAX_BUFFERED
     )
-    stage.say(Reject(1, 40.0))
+    stage.perform(Reject(1, 40.0))
     for _ in range(4):
         stage.wait(0.1)
-    stage.say(*[Reject(each.id, 40.0) for each in stage.module.arrivals[1:]])
-    stage.front.fail_all()
+    stage.perform(*[Reject(each.id, 40.0) for each in stage.controller.arrivals[1:]])
+    stage.frontend.fail_all()
     stage.turns(40)
-    lines = rest(client).split(b"\r\n")
+    lines = read_to_end(client).split(b"\r\n")
     assert lines[:2] == [b"-BUSY 40", b"-ERR unknown command 'FLUSHALL'"] and len(lines) == 603 and not lines[-1]
     assert set(lines[2:-1]) <= {b"-BUSY 250", b"-BUSY 40", b"-ERR id: a request with this id is open"}
-    assert stage.front.buffered.used == 0
+    assert stage.frontend.buffered.used == 0
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.05, 0.1, 0.3])
@@ -99,7 +99,7 @@
 def test_a_first_attempt_that_was_decided_for_one_that_has_left_does_not_leave(stage):
     client = stage.client(ASK)
     client.close()
-    stage.module.next = [StartAttempt(1, "s1", 400.0)]
+    stage.controller.next = [StartAttempt(1, "s1", 400.0)]
     stage.request_table.batches.schedule_iteration()
     stage.turns()
     stage.listeners["s1"].setblocking(False)
--- a/tests/test_terms_renewed.py
+++ b/tests/test_terms_renewed.py
@@ -8,7 +8,7 @@
 import socket
 
 import pytest
-from socket_harness import Stage, reset
+from socket_harness import SocketHarness, reset
 from test_node_front import GatewayHarness, Transport, command_with_id
 from test_node_wire import ASK, DO, WIRE_SETTINGS, change_document, config_document, endpoint_row
 from test_rules import settings
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def stage():
-    made = Stage()
+    made = SocketHarness()
     yield made
     made.close()
 
@@ -50,7 +50,7 @@
 def test_all_pending_connections_are_accepted_when_the_listener_closes(stage):
     """More connections are pending than one accept loop takes: each one that the kernel accepted is answered."""
     stage.client([b"PING"])  # one connection was accepted in the last iteration
-    links = [stage._keep(socket.create_connection(("127.0.0.1", stage.port.getHost().port))) for _ in range(30)]
+    links = [stage._track(socket.create_connection(("127.0.0.1", stage.port.getHost().port))) for _ in range(30)]
     for link in links:
         link.sendall(resp_codec.encode_command([b"PING"]))
     instance = RespGatewayInstance.__new__(RespGatewayInstance)
@@ -65,7 +65,7 @@
 
 def test_connections_accepted_in_one_iteration_stay_within_the_descriptor_caps():
     """An aborted connection holds its descriptor until the next iteration, and the watch may need one in this one."""
-    stage = Stage(max_connections=10, max_closing=4)
+    stage = SocketHarness(max_connections=10, max_closing=4)
     try:
 
         def open_descriptors():
@@ -73,7 +73,7 @@
 
         stage.client([b"PING"])
         port = stage.port.getHost().port
-        links = [stage._keep(socket.create_connection(("127.0.0.1", port))) for _ in range(45)]
+        links = [stage._track(socket.create_connection(("127.0.0.1", port))) for _ in range(45)]
         stage.port.numberAccepts, before, max_open = 200, open_descriptors() - 1, 0
         for _ in range(6):
             stage.reactor.iterate(0)
@@ -95,9 +95,9 @@
     _, idle_connection = stage.served()
     stage.wait(0.1)
     client = stage.client(command_with_id(2))
-    number = stage.module.arrivals[-1].id
+    number = stage.controller.arrivals[-1].id
     if not first:
-        stage.say(StartAttempt(number, "s2", 400.0))
+        stage.perform(StartAttempt(number, "s2", 400.0))
         worker = stage.accept("s2")
         assert worker.recv(1000)
         worker.sendall(b"-BUSY\r\n")
@@ -107,7 +107,7 @@
     stage.decide(StartAttempt(number, "s1", 400.0))
     stage.turns()
     assert idle_connection.recv(1000) == b""  # taken for the attempt and closed unused
-    assert not stage.carrier.open_requests and not stage.request_table.requests
+    assert not stage.requests.open_requests and not stage.request_table.requests
 
 
 # ---- a change is known 6 s after discovery had it and was reachable -----------------------------------
