--- a/anisefront/testbed/soak/audit.py
+++ b/anisefront/testbed/soak/audit.py
@@ -71,7 +71,9 @@
             if self.arrivals[name] or age_ms > MAX_TRANSIT_MS:
                 verdict.breaches.append(f"{name}: closed after {age_ms:.0f} ms, lost: {self.timeline(name)}")
             else:
-                verdict.near(age_ms / MAX_TRANSIT_MS, f"{name}: crossed a clean end by {age_ms:.1f} ms")
+                verdict.near(
+                    age_ms / MAX_TRANSIT_MS, f"{name}: in transit at a clean close, sent {age_ms:.1f} ms before"
+                )
         return verdict
 
     def answers_match_requests(self) -> Verdict:
@@ -176,11 +178,13 @@
         for (worker, name), count in in_flight.items():
             verdict.cases += 1
             if count > 0:
-                verdict.breaches.append(f"{name}: still out at {worker} at rest")
+                verdict.breaches.append(f"{name}: still in flight at {worker} while idle")
         for record in of_kinds(self.run_records, "state"):
             verdict.cases += 1
             if record["out"] or not record["is_fresh"]:
-                verdict.breaches.append(f"instance {record['number']}: reports {record['out']} attempts out at rest")
+                verdict.breaches.append(
+                    f"instance {record['number']}: reports {record['out']} attempts in flight while idle"
+                )
         return verdict
 
     def request_history(self, name: str) -> list[str]:
--- a/anisefront/testbed/soak/run.py
+++ b/anisefront/testbed/soak/run.py
@@ -29,10 +29,7 @@
 STATE_TIMEOUT_S = 12.0  # an instance logs its state at shorter intervals
 MEASURE_INTERVAL_S = 0.5
 EVENT_LOOP_GRACE_S = 0.2  # for the event loop to process closed sockets and list updates
-DISCOVERY_OUTAGE_S = (
-    2.0,
-    6.0,
-)  # of discovery: at most discovery.DELIVERY_DEADLINE_S, after which changes count as delivered
+DISCOVERY_OUTAGE_S = (2.0, 6.0)  # at most discovery.DELIVERY_DEADLINE_S, after which changes count as delivered
 IDLE_CONNECTIONS = 150  # more than an instance holds
 SIGNAL_SERIES = ("term", "hup hup term", "term hup", "term term", "hup while reading", "term while starting")
 
@@ -181,7 +178,7 @@
         self._tasks.add(task)
         return task
 
-    # ---- load and rest -------------------------------------------------------------------------
+    # ---- load and idle time --------------------------------------------------------------------
 
     async def _run_load(self) -> None:
         connection_tasks = [self._create_task(self.load_generator.run_connection()) for _ in range(CONNECTIONS)]
@@ -239,7 +236,7 @@
         rng = self._random_source("bursts")
         while True:
             await asyncio.sleep(rng.uniform(0.5, 2.0))
-            self.scenario_counts["bursts that left"] += 1
+            self.scenario_counts["abandoned bursts"] += 1
             await self.load_generator.send_abandoned_burst()
 
     async def _replace_workers(self) -> None:
@@ -263,7 +260,7 @@
         numbers = self._next_instances(self.rng.choice((1, 2, 2, 3)))
         agents = [self.discovery.agents[number] for number in numbers]
         fault = self.rng.choice(("", "", "slow discovery", "silent discovery", "cut", "crowd", "quiet"))
-        self.scenario_counts[fault or "no trouble"] += 1
+        self.scenario_counts[fault or "no fault"] += 1
         self.records["day"].write("wave", numbers=numbers, trouble=fault)
         idle_connections: list[asyncio.StreamWriter] = []
         if fault == "quiet":
